--- /dev/null
+++ b/tests/compatibility_engine.rs
@@ -0,0 +1,646 @@
+//! The engine does what it did: random calls from twenty seeds, and a hash of all that it returned, as recorded.
+//!
+//! Everything is encoded by explicit matches, never by `Debug`, so that names may change and nothing else.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::fmt::Write;
+use std::time::Duration;
+
+use ashtide::discovery::End;
+use ashtide::engine::{Answer, Due, Effect, Engine};
+use ashtide::handover::Share;
+use ashtide::request_invariants::Violation;
+use ashtide::rights::Unheard;
+use ashtide::{
+    CellId, Class, ClassId, Discovery, GroupId, KeyedGroup, KindId, ListNews, Listing, Outcome, PeerId,
+    Prices, Request, RequestId, ServerId, ServerState, Settings, Span, Tenant, TenantId, Time, ZoneId,
+};
+use futures_util::FutureExt;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use sha2::{Digest, Sha256};
+use tokio::time::Instant;
+
+mod paused;
+use paused::with_time;
+
+const RECORDED: &str = include_str!("fixtures/compatibility/engine/runs.txt");
+const SEEDS: u64 = 20;
+const STEPS: u32 = 900;
+const SERVERS: u32 = 6;
+const GATEWAYS: u32 = 5;
+const TICK_MS: i64 = 5;
+
+/// What all runs together have to show at least once, or they record too little.
+const KINDS: [&str; 25] = [
+    "attempt closed",
+    "attempt timer",
+    "decision timer",
+    "failed",
+    "failing server",
+    "first attempt",
+    "first byte denied",
+    "handed off",
+    "list expired",
+    "list expiry timer",
+    "malformed datagram",
+    "migrated",
+    "migration timer",
+    "permit reply",
+    "permit request",
+    "rejected",
+    "reply timer",
+    "retry",
+    "saturated server",
+    "shutdown deadline",
+    "silent server",
+    "subscribe",
+    "sweep timer",
+    "unexpected reply",
+    "unknown sender",
+];
+
+fn ms(ms: i64) -> Span {
+    Span::from_micros(ms * 1_000)
+}
+
+fn settings(rng: &mut ChaCha8Rng) -> Settings {
+    let keyed = |group, window| ashtide::Effect::Keyed { group, window: ms(window) };
+    let classes = [
+        (400, ashtide::Effect::Safe),
+        (500, keyed(KeyedGroup::All, 600)),
+        (600, keyed(KeyedGroup::Zone, 800)),
+        (700, keyed(KeyedGroup::Cell, 700)),
+        (300, ashtide::Effect::Unsafe),
+    ];
+    let class = |(aim, effect)| Class { aim: ms(aim), message_aim: ms(50), worth: 1.0, effect };
+    Settings {
+        relays: GATEWAYS,
+        own: PeerId(rng.random_range(0..GATEWAYS)),
+        discovery: if rng.random() { Discovery::Pushed } else { Discovery::OnRequest },
+        classes: classes.into_iter().map(class).collect(),
+        tenants: vec![Tenant { quota_per_s: 100.0, quota_connections: 300.0 }],
+        tick: ms(TICK_MS),
+        prices: Prices { cross_zone: 0.014, ..Prices::default() },
+        max_attempts: rng.random_range(2..=4),
+        max_retry_after: ms(500),
+        peers: rng.random_bool(0.7),
+        recalls: rng.random(),
+        answer_slack: ms(20),
+        drain_grace: ms(400),
+        cold_from: 0.3,
+        warm_within: ms(20_000),
+        fall_multiple: 2.5,
+        overload_for: ms(2_000),
+        ..Settings::for_zone(ZoneId(0))
+    }
+}
+
+/// A client as its frontend would know it.
+#[derive(Clone, Copy, Default)]
+struct Client {
+    attempt: Option<u32>,
+    begun: bool,
+    established: bool,
+    attempts: u32,
+}
+
+struct RandomRun {
+    rng: ChaCha8Rng,
+    engine: Engine,
+    now: Time,
+    hash: Sha256,
+    commands: Vec<Effect>,
+    returned: u32,
+    kinds: BTreeSet<&'static str>,
+    clients: BTreeMap<RequestId, Client>,
+    next_id: u32,
+    servers: Vec<Listing>,
+    /// Permit requests of this gateway that have no reply yet.
+    permit_requests: VecDeque<(PeerId, Vec<u8>)>,
+}
+
+impl RandomRun {
+    fn new(seed: u64) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let now = Time::from_micros(1_000_000_000);
+        let settings = settings(&mut rng);
+        let server = |number: u32| Listing {
+            key: number.wrapping_mul(0x9e37_79b9) | 1,
+            zone: ZoneId(number % 2),
+            kind: KindId(number % 3),
+            cell: CellId(number / 2),
+            ..Listing::ready(ServerId(number), ZoneId(0))
+        };
+        let mut engine = Engine::new(settings, rng.random(), (now, Instant::now()));
+        if rng.random() {
+            engine.witness();
+        }
+        Self {
+            rng,
+            engine,
+            now,
+            hash: Sha256::new(),
+            commands: Vec::new(),
+            returned: 0,
+            kinds: BTreeSet::new(),
+            clients: BTreeMap::new(),
+            next_id: 0,
+            servers: (0..SERVERS).map(server).collect(),
+            permit_requests: VecDeque::new(),
+        }
+    }
+
+    async fn run_random_calls(&mut self) -> String {
+        let servers = self.servers.clone();
+        self.engine.list(self.now, ListNews::Whole, servers, &mut self.commands);
+        self.record_commands();
+        self.engine.vouched(self.now, &mut self.commands);
+        self.record_commands();
+        for step in 0..STEPS {
+            if step == STEPS * 4 / 5 {
+                self.shut_down();
+            }
+            self.make_random_call().await;
+            self.record_commands();
+            self.record_state();
+        }
+        self.advance(3_000).await;
+        self.record_state();
+        let digest: [u8; 32] = std::mem::take(&mut self.hash).finalize().into();
+        let mut line = String::new();
+        digest.iter().for_each(|byte| write!(line, "{byte:02x}").expect("written to a string"));
+        line
+    }
+
+    // ---- Calls ------------------------------------------------------------------------------
+
+    async fn make_random_call(&mut self) {
+        match self.rng.random_range(0..100) {
+            0..=16 => self.send_requests(),
+            17..=18 => self.add_existing_connection(),
+            19..=38 => self.finish_connect(),
+            39..=50 => self.advance_attempt(),
+            51..=55 => self.client_leaves(),
+            56..=57 => self.report_late_event(),
+            58..=65 => (0..4).for_each(|_| self.exchange_message()),
+            66..=71 => self.update_list(),
+            72..=73 => self.change_cordon(),
+            74 => self.change_quorum_ejections(),
+            75..=76 => self.change_watch(),
+            77 => self.share_sibling_state(),
+            78..=84 => self.receive_datagram(),
+            85 => {
+                let server = self.random_server();
+                let ok = self.rng.random();
+                self.engine.probed(self.now, server, ok, &mut self.commands);
+            }
+            86 => {
+                let span = self.rng.random_range(1_000..2_500);
+                self.advance(span).await;
+            }
+            87 if self.rng.random_bool(0.15) => self.advance(7_000).await,
+            _ => {
+                let span = self.rng.random_range(5..120);
+                self.advance(span).await;
+            }
+        }
+    }
+
+    fn random_server(&mut self) -> ServerId {
+        ServerId(self.rng.random_range(0..SERVERS))
+    }
+
+    fn pick_client(&mut self, wanted: impl Fn(&Client) -> bool) -> Option<(RequestId, Client)> {
+        let fit: Vec<_> = self.clients.iter().filter(|it| wanted(it.1)).map(|it| (*it.0, *it.1)).collect();
+        (!fit.is_empty()).then(|| fit[self.rng.random_range(0..fit.len())])
+    }
+
+    fn new_request(&mut self) -> Request {
+        self.next_id += 1;
+        Request {
+            id: RequestId(self.next_id),
+            class: ClassId(self.rng.random_range(0..5)),
+            tenant: self.rng.random_bool(0.5).then_some(TenantId(0)),
+            group: self.rng.random_bool(0.3).then(|| GroupId(self.rng.random_range(0..4))),
+            time_left: ms(self.rng.random_range(200..2_500)),
+            load: self.rng.random_bool(0.3).then(|| f64::from(self.rng.random_range(1..40)) / 1_000.0),
+        }
+    }
+
+    fn send_requests(&mut self) {
+        for _ in 0..self.rng.random_range(1..4) {
+            let request = self.new_request();
+            self.clients.insert(request.id, Client::default());
+            self.engine.request(self.now, request.clone(), &mut self.commands);
+            self.record_commands();
+            if self.rng.random_bool(0.05) {
+                // The same id a second time.
+                self.engine.request(self.now, request, &mut self.commands);
+            }
+        }
+    }
+
+    fn add_existing_connection(&mut self) {
+        let (request, server) = (self.new_request(), self.random_server());
+        let client = Client { attempt: Some(0), begun: true, established: true, attempts: 1 };
+        self.clients.insert(request.id, client);
+        if self.rng.random() {
+            self.engine.existing(self.now, request, server, &mut self.commands);
+        } else {
+            self.engine.adopt(self.now, request, server, &mut self.commands);
+        }
+    }
+
+    /// The connection of an attempt is established, or not.
+    fn finish_connect(&mut self) {
+        let Some((id, client)) = self.pick_client(|it| it.attempt.is_some() && !it.begun) else { return };
+        let attempt = client.attempt.expect("picked for it");
+        if self.rng.random_bool(0.1) {
+            return self.end_attempt(id, attempt, Outcome::ConnectError);
+        }
+        if self.rng.random_bool(0.03) {
+            return self.end_attempt(id, attempt, Outcome::LocalFailure);
+        }
+        let begins = self.engine.may_begin(self.now, id, attempt, &mut self.commands);
+        self.record_byte(u8::from(begins));
+        if begins {
+            self.clients.get_mut(&id).expect("a client").begun = true;
+        } else {
+            self.kinds.insert("first byte denied");
+        }
+    }
+
+    fn advance_attempt(&mut self) {
+        let Some((id, client)) = self.pick_client(|it| it.begun && it.attempt.is_some()) else { return };
+        let attempt = client.attempt.expect("picked for it");
+        if client.established {
+            let ends = [Outcome::Ok, Outcome::Reset, Outcome::Failed, Outcome::QueueFull, Outcome::Cancelled];
+            let outcome = ends[self.rng.random_range(0..ends.len())];
+            if self.rng.random_bool(0.4) {
+                self.end_attempt(id, attempt, outcome);
+            }
+            return;
+        }
+        match self.rng.random_range(0..10) {
+            0..=5 => {
+                self.clients.get_mut(&id).expect("a client").established = true;
+                let up = self.engine.established(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(up));
+            }
+            6 | 7 => self.end_attempt(id, attempt, Outcome::QueueFull),
+            8 => self.end_attempt(id, attempt, Outcome::Reset),
+            _ => self.end_attempt(id, attempt, Outcome::Failed),
+        }
+    }
+
+    fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
+        if let Some(client) = self.clients.get_mut(&id) {
+            let over = client.established || outcome == Outcome::Ok;
+            client.attempt = None;
+            client.begun = false;
+            if over {
+                self.clients.remove(&id);
+            }
+        }
+        self.engine.ended(self.now, id, attempt, outcome, &mut self.commands);
+    }
+
+    fn client_leaves(&mut self) {
+        let Some((id, _)) = self.pick_client(|_| true) else { return };
+        self.clients.remove(&id);
+        self.engine.client_left(self.now, id, &mut self.commands);
+        self.record_commands();
+        self.clients.remove(&id);
+    }
+
+    /// Reports an event of an attempt that was abandoned, or of a finished request.
+    fn report_late_event(&mut self) {
+        let id = RequestId(self.rng.random_range(0..self.next_id + 2));
+        let attempts = self.clients.get(&id).map_or(1, |it| it.attempts);
+        let current = self.clients.get(&id).and_then(|it| it.attempt);
+        let attempt = self.rng.random_range(0..attempts.max(1));
+        if current == Some(attempt) {
+            return;
+        }
+        match self.rng.random_range(0..4) {
+            0 => self.engine.ended(self.now, id, attempt, Outcome::Reset, &mut self.commands),
+            1 => {
+                let up = self.engine.established(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(up));
+            }
+            2 => {
+                let begins = self.engine.may_begin(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(begins));
+            }
+            _ => self.engine.answered(self.now, id),
+        }
+    }
+
+    fn exchange_message(&mut self) {
+        let Some((id, _)) = self.pick_client(|it| it.established) else { return };
+        match self.rng.random_range(0..6) {
+            0..=3 => {
+                let prompt = self.rng.random_bool(0.7);
+                self.engine.asked(self.now, id, prompt);
+            }
+            4 => self.engine.answered(self.now, id),
+            _ => {
+                let load = f64::from(self.rng.random_range(0..20_000));
+                self.engine.load(self.now, id, load, &mut self.commands);
+            }
+        }
+    }
+
+    fn update_list(&mut self) {
+        let at = self.rng.random_range(0..self.servers.len());
+        let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone]
+            [self.rng.random_range(0..4)];
+        self.servers[at].state = state;
+        if state == ServerState::Ready && self.rng.random() {
+            self.servers[at].started = Some(self.now);
+        }
+        let whole: Vec<Listing> =
+            self.servers.iter().filter(|it| it.state != ServerState::Gone).cloned().collect();
+        let (news, entries) = match self.rng.random_range(0..10) {
+            0..=5 => (ListNews::Changes, vec![self.servers[at].clone()]),
+            6 | 7 => (ListNews::Whole, whole),
+            8 => (ListNews::Stale, whole),
+            _ => (ListNews::Broken, Vec::new()),
+        };
+        self.engine.list(self.now, news, entries, &mut self.commands);
+    }
+
+    fn change_cordon(&mut self) {
+        let (server, out) = (self.random_server(), self.rng.random());
+        self.engine.cordon(self.now, server, out, &mut self.commands);
+    }
+
+    fn change_quorum_ejections(&mut self) {
+        let count = self.rng.random_range(0..3);
+        let keys: BTreeSet<u32> =
+            (0..count).map(|_| self.servers[self.rng.random_range(0..self.servers.len())].key).collect();
+        self.engine.judge(self.now, &keys, &mut self.commands);
+    }
+
+    fn change_watch(&mut self) {
+        if self.rng.random_bool(0.5) {
+            return self.engine.vouched(self.now, &mut self.commands);
+        }
+        let end = [End::Closed, End::Refused, End::Failed][self.rng.random_range(0..3)];
+        let since = self.now - ms(self.rng.random_range(0..2_500));
+        self.engine.unheard(self.now, since, end);
+    }
+
+    fn share_sibling_state(&mut self) {
+        let server = self.random_server();
+        let share = Share {
+            open: self.rng.random_range(0..8),
+            budget: f64::from(self.rng.random_range(0..30)) / 4.0,
+            spent: self.rng.random_range(0..6),
+            granted: self.rng.random_range(0..6),
+        };
+        self.engine.beside(self.now, server, share, &mut self.commands);
+    }
+
+    fn receive_datagram(&mut self) {
+        let key = self.servers[self.rng.random_range(0..self.servers.len())].key;
+        let from = PeerId(self.rng.random_range(0..GATEWAYS + 1));
+        let number: u16 = self.rng.random();
+        let ask = [&[18][..], &number.to_be_bytes(), &key.to_be_bytes()].concat();
+        match self.rng.random_range(0..8) {
+            0..=2 => self.deliver_datagram(from, &ask),
+            3..=6 => {
+                let Some((peer, ask)) = self.permit_requests.pop_front() else {
+                    return self.deliver_datagram(from, &ask);
+                };
+                let flags = self.rng.random_range(0..4);
+                let steps = if flags & 1 == 0 { self.rng.random_range(0..60) } else { 0 };
+                let answer = [&[19], &ask[1..], &[flags, steps]].concat();
+                self.deliver_datagram(peer, &answer);
+                if self.rng.random() {
+                    // Its second copy.
+                    self.deliver_datagram(peer, &answer);
+                }
+            }
+            _ => {
+                let length = self.rng.random_range(0..12);
+                let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.random()).collect();
+                if let Some(first) = bytes.first_mut() {
+                    *first = self.rng.random_range(18..20);
+                }
+                self.deliver_datagram(from, &bytes);
+            }
+        }
+    }
+
+    fn deliver_datagram(&mut self, from: PeerId, bytes: &[u8]) {
+        let heard = self.engine.hear(self.now, from, bytes, &mut self.commands);
+        let (code, kind) = match heard {
+            Ok(()) => (0, None),
+            Err(Unheard::Malformed(_)) => (1, Some("malformed datagram")),
+            Err(Unheard::Foreign) => (2, Some("unknown sender")),
+            Err(Unheard::Elsewhere) => (3, None),
+            Err(Unheard::Unasked) => (4, Some("unexpected reply")),
+        };
+        self.record_byte(code);
+        self.kinds.extend(kind);
+        self.record_commands();
+    }
+
+    fn shut_down(&mut self) {
+        if self.rng.random() {
+            self.engine.hand_over(self.now, ms(2_400), ms(2_800), &mut self.commands);
+        } else {
+            self.engine.leave(self.now, ms(2_400), ms(2_800));
+        }
+        self.record_commands();
+    }
+
+    async fn advance(&mut self, span: i64) {
+        for _ in 0..(span + TICK_MS - 1) / TICK_MS {
+            tokio::time::advance(Duration::from_millis(TICK_MS.unsigned_abs())).await;
+            self.now = self.now + ms(TICK_MS);
+            while let Some(due) = self.engine.due().now_or_never() {
+                self.record_timer(due);
+                self.engine.fire(self.now, due, &mut self.commands);
+                self.record_commands();
+            }
+        }
+    }
+
+    // ---- What is recorded -------------------------------------------------------------------
+
+    fn record_byte(&mut self, byte: u8) {
+        self.hash.update([byte]);
+    }
+
+    fn record_numbers<const N: usize>(&mut self, tag: u8, numbers: [u64; N]) {
+        self.hash.update([tag]);
+        numbers.iter().for_each(|number| self.hash.update(number.to_be_bytes()));
+    }
+
+    fn record_timer(&mut self, due: Due) {
+        match due {
+            Due::Module(token) => self.record_timer_kind("decision timer", 20, [token.0]),
+            Due::Attempt(id, attempt) => {
+                self.record_timer_kind("attempt timer", 21, [u64::from(id.0), u64::from(attempt)])
+            }
+            Due::Move(id) => self.record_timer_kind("migration timer", 22, [u64::from(id.0)]),
+            Due::Sweep => self.record_timer_kind("sweep timer", 23, []),
+            Due::Unvouched => self.record_timer_kind("list expiry timer", 24, []),
+            Due::Overdue(key, number) => {
+                self.record_timer_kind("reply timer", 25, [u64::from(key), u64::from(number)])
+            }
+            Due::Leave => self.record_timer_kind("shutdown deadline", 26, []),
+        }
+    }
+
+    fn record_timer_kind<const N: usize>(&mut self, kind: &'static str, tag: u8, numbers: [u64; N]) {
+        self.kinds.insert(kind);
+        self.record_numbers(tag, numbers);
+    }
+
+    fn record_commands(&mut self) {
+        for command in std::mem::take(&mut self.commands) {
+            self.returned += 1;
+            self.record_command(command);
+        }
+    }
+
+    fn record_command(&mut self, command: Effect) {
+        match command {
+            Effect::Attempt { id, attempt, server, timeout } => {
+                self.kinds.insert(if attempt > 0 { "retry" } else { "first attempt" });
+                let timeout = timeout.as_micros().unsigned_abs();
+                self.record_numbers(1, [u64::from(id.0), u64::from(attempt), u64::from(server.0), timeout]);
+                if let Some(client) = self.clients.get_mut(&id) {
+                    *client = Client { attempt: Some(attempt), attempts: attempt + 1, ..Client::default() };
+                }
+            }
+            Effect::Close { id, attempt } => {
+                self.kinds.insert("attempt closed");
+                self.record_numbers(2, [u64::from(id.0), u64::from(attempt)]);
+                if let Some(client) = self.clients.get_mut(&id) {
+                    client.attempt = None;
+                    client.begun = false;
+                }
+            }
+            Effect::Answer { id, answer } => {
+                let id_number = u64::from(id.0);
+                match answer {
+                    Answer::Refused(wait) => {
+                        self.kinds.insert("rejected");
+                        self.record_numbers(3, [id_number, wait.as_micros().unsigned_abs()]);
+                    }
+                    Answer::Failed => {
+                        self.kinds.insert("failed");
+                        self.record_numbers(4, [id_number]);
+                    }
+                }
+                self.clients.remove(&id);
+            }
+            Effect::Move { id } => {
+                self.kinds.insert("migrated");
+                self.record_numbers(5, [u64::from(id.0)]);
+                self.clients.remove(&id);
+            }
+            Effect::Hand { id, server } => {
+                self.kinds.insert("handed off");
+                self.record_numbers(6, [u64::from(id.0), u64::from(server.0)]);
+                self.clients.remove(&id);
+            }
+            Effect::Probe { server } => self.record_numbers(7, [u64::from(server.0)]),
+            Effect::Subscribe => {
+                self.kinds.insert("subscribe");
+                self.record_numbers(8, []);
+            }
+            Effect::Send(datagram) => {
+                let bytes = datagram.bytes().to_vec();
+                let is_request = bytes[0] == 18;
+                self.kinds.insert(if is_request { "permit request" } else { "permit reply" });
+                self.record_numbers(9, [u64::from(datagram.to.0), bytes.len() as u64]);
+                self.hash.update(&bytes);
+                if is_request {
+                    self.permit_requests.push_back((datagram.to, bytes));
+                }
+            }
+        }
+    }
+
+    /// Records what the engine's getters return.
+    fn record_state(&mut self) {
+        let now = self.now;
+        let unvouched = self.engine.unvouched();
+        if unvouched {
+            self.kinds.insert("list expired");
+        }
+        let open = self.engine.open() as u64;
+        let avoided = self.engine.avoided(now) as u64;
+        let (sent, withheld) = self.engine.probes();
+        self.record_numbers(30, [open, avoided, u64::from(unvouched), sent as u64, withheld as u64]);
+        for server in (0..SERVERS).map(ServerId) {
+            let Share { open, budget, spent, granted } = self.engine.share(server);
+            let ready = u64::from(self.engine.ready(server));
+            let connections = u64::from(self.engine.open_on(server));
+            self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
+        }
+        let (servers, tenants) = self.engine.standing_by();
+        servers
+            .iter()
+            .for_each(|(server, &count)| self.record_numbers(32, [u64::from(server.0), u64::from(count)]));
+        tenants
+            .iter()
+            .for_each(|(tenant, &count)| self.record_numbers(33, [u64::from(tenant.0), u64::from(count)]));
+        for (key, sight) in self.engine.seen(now) {
+            let [failing, silent, overrun] = sight.seen.map(u64::from);
+            for (kind, count) in
+                [("failing server", failing), ("silent server", silent), ("saturated server", overrun)]
+            {
+                self.kinds.extend((count > 0).then_some(kind));
+            }
+            self.record_numbers(34, [u64::from(key), u64::from(sight.of), failing, silent, overrun]);
+        }
+        let id = RequestId(self.rng.random_range(0..self.next_id + 1));
+        let server = self.engine.server_of(id).map_or(u64::MAX, |server| u64::from(server.0));
+        let holds = u64::from(self.engine.holds(id));
+        self.record_numbers(35, [holds, server]);
+        self.record_violations();
+    }
+
+    fn record_violations(&mut self) {
+        let (found, count) = self.engine.request_violations();
+        self.record_numbers(36, [count, u64::from(self.engine.check().is_ok())]);
+        for violation in found {
+            let code = match violation {
+                Violation::TwoAttempts { .. } => 1,
+                Violation::AfterItsEnd { .. } => 2,
+                Violation::Repeated { .. } => 3,
+                Violation::Drained { .. } => 4,
+                Violation::FalseRefusal { .. } => 5,
+                Violation::LateAnswer { .. } => 6,
+            };
+            self.record_byte(code);
+        }
+    }
+}
+
+#[test]
+fn the_engine_returns_what_was_recorded() {
+    let mut kinds = BTreeSet::new();
+    let mut lines = String::new();
+    for seed in 0..SEEDS {
+        let (digest, returned, seen) = with_time(async {
+            let mut run = RandomRun::new(seed);
+            (run.run_random_calls().await, run.returned, run.kinds)
+        });
+        writeln!(lines, "{seed} {returned} {digest}").expect("written to a string");
+        kinds.extend(seen);
+    }
+    let missing: Vec<_> = KINDS.iter().filter(|kind| !kinds.contains(*kind)).collect();
+    assert!(missing.is_empty(), "never returned: {missing:?}");
+    for (is, was) in lines.lines().zip(RECORDED.lines()) {
+        assert_eq!(is, was, "seed, commands returned, hash of all of it");
+    }
+    assert_eq!(lines, RECORDED);
+}
