--- a/crates/ashtide-fleet/tests/compatibility.rs
+++ b/crates/ashtide-fleet/tests/compatibility.rs
@@ -159,7 +159,8 @@
         (Wants::Nothing, Some(entries[3].member.address), false, 60),
     ] {
         let told = if wants == Wants::Compare { &[] } else { &entries[..] };
-        let head = Head { from: entries[1].member, incarnation: 2, digest: 0x0123_4567_89ab_cdef, wants, after };
+        let head =
+            Head { from: entries[1].member, incarnation: 2, digest: 0x0123_4567_89ab_cdef, wants, after };
         let (bytes, count) = encode(&head, told, last, room);
         let _ = writeln!(text, "{count} {}", hex(&bytes));
         pages.push((head, last && count == told.len(), told[..count].to_vec()));
@@ -443,7 +444,10 @@
             kept.digest,
             kept.slots,
             kept.listed,
-            kept.roots.iter().map(|(id, it)| format!("{id}:{}+{}", it.floor, it.lendable)).collect::<String>()
+            kept.roots
+                .iter()
+                .map(|(id, it)| format!("{id}:{}+{}", it.floor, it.lendable))
+                .collect::<String>()
         );
     }
     for (why, what) in [
