--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -306,7 +306,7 @@
     }
     let told = |it: StoreError| format!("{it}; {}", it.help());
     let file = || PathBuf::from("FOLDER/file");
-    let io = std::io::Error::new(std::io::ErrorKind::Other, "no room");
+    let io = std::io::Error::other("no room");
     for it in [StoreError::Io(file(), io), StoreError::Busy(file()), StoreError::Given(file())] {
         let _ = writeln!(text, "{}", told(it));
     }
