--- a/crates/ashtide-lab/src/cost.rs
+++ b/crates/ashtide-bench/src/cost.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ashtide_client::{Address, Effect, Event, Moment, Pool, Settings, Wish};
-use ashtide_wire::GatewayEvent;
+use ashtide_protocol::GatewayEvent;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
--- a/crates/ashtide-lab/src/main.rs
+++ b/crates/ashtide-bench/src/main.rs
@@ -1,19 +1,19 @@
-//! `ashtide-lab`: measurements that anyone can repeat, each a command.
+//! `ashtide-bench`: measurements that anyone can repeat, each a command.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use ashtide_bench::storm::{Kind, Outcome};
+use ashtide_bench::wave::Wave;
+use ashtide_bench::{cost, real, storm, wave};
 use ashtide_client::{Address, Settings};
-use ashtide_lab::storm::{Kind, Outcome};
-use ashtide_lab::wave::Wave;
-use ashtide_lab::{cost, real, storm, wave};
 use clap::{Parser, Subcommand};
 use serde_json::json;
 
 /// Measures what the product does at large size. Every command prints its figures, and writes them with
 /// --json FILE.
 #[derive(Debug, Parser)]
-#[command(name = "ashtide-lab", version)]
+#[command(name = "ashtide-bench", version)]
 struct Arguments {
     /// Write the figures to this file as JSON
     #[arg(long, global = true)]
@@ -105,7 +105,7 @@
 }
 
 fn failed(why: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("ashtide-lab: {why}");
+    eprintln!("ashtide-bench: {why}");
     ExitCode::FAILURE
 }
 
--- a/crates/ashtide-lab/src/naive.rs
+++ b/crates/ashtide-bench/src/naive.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ashtide_client::{Attempt, Effect, Event, Loss, Moment, Notice, SessionId, Wish};
-use ashtide_wire::GatewayEvent;
+use ashtide_protocol::GatewayEvent;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
--- a/crates/ashtide-lab/src/real.rs
+++ b/crates/ashtide-bench/src/real.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use ashtide_client::{Address, Client, Session, SessionEvent, Settings, Wish};
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::Fleet;
-use ashtide_rehearsal::{RehearsalError, within};
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::{RehearsalError, within};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use tokio::io::{AsyncBufReadExt, BufReader};
--- a/crates/ashtide-lab/src/wave.rs
+++ b/crates/ashtide-bench/src/wave.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ashtide_client::{Address, Effect, Event, Moment, Pool, Settings, Wish};
-use ashtide_wire::GatewayEvent;
+use ashtide_protocol::GatewayEvent;
 use bytes::Bytes;
 use serde::Serialize;
 
--- a/crates/ashtide-lab/src/world.rs
+++ b/crates/ashtide-bench/src/world.rs
@@ -15,7 +15,7 @@
 use ashtide_client::{
     Address, Attempt, Effect, Event, GaveUp, Moment, Notice, Pool, SessionId, Settings, Wish,
 };
-use ashtide_wire::{GatewayEvent, Open};
+use ashtide_protocol::{GatewayEvent, Open};
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1};
--- a/crates/ashtide-lab/tests/studies.rs
+++ b/crates/ashtide-bench/tests/studies.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use ashtide_bench::storm::{Kind, library, play};
+use ashtide_bench::wave;
+use ashtide_bench::world::Behaviour;
 use ashtide_client::Settings;
-use ashtide_lab::storm::{Kind, library, play};
-use ashtide_lab::wave;
-use ashtide_lab::world::Behaviour;
 
 #[test]
 fn a_mass_return_is_spread_and_repeats_from_its_seed() {
--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -6,8 +6,8 @@
 use std::pin::Pin;
 use std::time::Duration;
 
+use ashtide_protocol::{GatewayEvent, GatewaySide, LineCodec, LineError, PeerFault};
 use ashtide_stream::{TcpReader, TcpWriter, split_tcp};
-use ashtide_wire::{GatewayEvent, GatewaySide, LineCodec, LineError, PeerFault};
 use bytes::Bytes;
 use futures_util::StreamExt;
 use tokio::io::AsyncWriteExt;
--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-use ashtide_wire::AskingError;
+use ashtide_protocol::AskingError;
 use bytes::Bytes;
 use futures_util::{Sink, Stream};
 use rand::TryRngCore;
@@ -98,7 +98,7 @@
     #[error("a line has no line end in it, and something else")]
     Form,
     /// The line is longer than a line may be.
-    #[error("a line of {0} bytes, {most} at most", most = ashtide_wire::MAX_LINE - 2)]
+    #[error("a line of {0} bytes, {most} at most", most = ashtide_protocol::MAX_LINE - 2)]
     TooLong(usize),
 }
 
@@ -317,7 +317,7 @@
     if line.is_empty() || line.iter().any(|byte| matches!(byte, b'\r' | b'\n')) {
         return Err(SendError::Form);
     }
-    if line.len() + 2 > ashtide_wire::MAX_LINE {
+    if line.len() + 2 > ashtide_protocol::MAX_LINE {
         return Err(SendError::TooLong(line.len()));
     }
     Ok([line, b"\r\n"].concat().into())
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_wire::{GatewayEvent, PeerFault};
+use ashtide_protocol::{GatewayEvent, PeerFault};
 use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -29,7 +29,7 @@
     Connected(SessionId, Attempt),
     /// It has not; there is no socket any more.
     ConnectFailed(SessionId, Attempt),
-    /// What the balancer said, as [`GatewaySide`](ashtide_wire::GatewaySide) reads it. Lines of a
+    /// What the balancer said, as [`GatewaySide`](ashtide_protocol::GatewaySide) reads it. Lines of a
     /// standing connection need not be reported. The socket is still open.
     Heard(SessionId, Attempt, Result<GatewayEvent, PeerFault>),
     /// The connection has ended and its socket is closed; the peer's fault where there was one.
--- a/crates/ashtide-client/src/session.rs
+++ b/crates/ashtide-client/src/session.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_wire::{Asking, AskingError, PeerFault};
+use ashtide_protocol::{Asking, AskingError, PeerFault};
 use bytes::Bytes;
 
 use crate::Moment;
--- a/crates/ashtide-client/tests/compatibility.rs
+++ b/crates/ashtide-client/tests/compatibility.rs
@@ -11,7 +11,7 @@
     Address, Attempt, Effect, Event, Failing, GaveUp, Held, Learnt, LearntError, Loss, Moment, Notice, Pool,
     SessionId, Setback, Settings, Wish,
 };
-use ashtide_wire::{AskingError, GatewayEvent, PeerFault};
+use ashtide_protocol::{AskingError, GatewayEvent, PeerFault};
 use bytes::Bytes;
 
 /// Unix time of the recorded files, in milliseconds.
--- a/crates/ashtide-client/tests/core.rs
+++ b/crates/ashtide-client/tests/core.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashtide_client::*;
-use ashtide_wire::{GatewayEvent, Open, PeerFault};
+use ashtide_protocol::{GatewayEvent, Open, PeerFault};
 use bytes::Bytes;
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/crates/ashtide-client/tests/peers.rs
+++ b/crates/ashtide-client/tests/peers.rs
@@ -7,7 +7,7 @@
 use ashtide_client::{
     Address, Client, GaveUp, Learnt, Loss, SendError, Session, SessionEvent, Setback, Settings, Wish,
 };
-use ashtide_wire::PeerFault;
+use ashtide_protocol::PeerFault;
 use futures_util::SinkExt;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/ashtide-servers/src/lib.rs
+++ b/crates/ashtide-endpoints/src/lib.rs
@@ -1,7 +1,7 @@
 //! Server lists from files: read, checked, merged and compared. A list is taken whole or not at all.
 //!
 //! ```
-//! use ashtide_servers::{Fragment, Generation, Limits};
+//! use ashtide_endpoints::{Fragment, Generation, Limits};
 //!
 //! let text = r#"
 //!     version = 1
--- a/crates/ashtide-servers/tests/compatibility.rs
+++ b/crates/ashtide-endpoints/tests/compatibility.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-use ashtide_servers::{Fragment, Generation, KEPT, Limits, Server, Status, Store, StoreError, schema};
+use ashtide_endpoints::{Fragment, Generation, KEPT, Limits, Server, Status, Store, StoreError, schema};
 
 /// Compares with a fixture. What was found instead is left beside the build's temporary files.
 fn assert_fixture(name: &str, found: &str) {
@@ -351,7 +351,7 @@
         ("only a head", whole[..=head].to_vec()),
         ("half a body", whole[..whole.len() - 10].to_vec()),
         ("a longer body", [&whole[..], b" "].concat()),
-        ("another form", [b"ashtide-servers 2", &whole[17..]].concat()),
+        ("another form", [b"ashtide-endpoints 2", &whole[17..]].concat()),
         ("another program", b"something else\n{}".to_vec()),
         ("no text", vec![0xff; 200]),
         ("another number", std::fs::read(folder.0.join("servers.00000000000000000001")).expect("a file")),
--- a/crates/ashtide-servers/tests/lists.rs
+++ b/crates/ashtide-endpoints/tests/lists.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use ashtide_servers::*;
+use ashtide_endpoints::*;
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
@@ -259,7 +259,7 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("ashtide-servers-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("ashtide-endpoints-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Self(path)
     }
--- a/crates/ashtide-rig/examples/fleet.rs
+++ b/crates/ashtide-fault-injection/examples/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_rig::{Act, Link, Plan, Range, RigError, play};
+use ashtide_fault_injection::{Act, Link, Plan, Range, RigError, play};
 use clap::Parser;
 
 /// Plays plans against a daemon's binary.
--- a/crates/ashtide-rig/examples/quota.rs
+++ b/crates/ashtide-fault-injection/examples/quota.rs
@@ -3,7 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_rig::{Act, Event, Load, Plan, Play, Quotas, RigError, Socket, Tenant, overshoot, placed, play};
+use ashtide_fault_injection::{
+    Act, Event, Load, Plan, Play, Quotas, RigError, Socket, Tenant, overshoot, placed, play,
+};
 use clap::Parser;
 use serde_json::json;
 
--- a/crates/ashtide-rig/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ashtide_rehearsal::clients::LineClient;
+use ashtide_testkit::clients::LineClient;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
--- a/crates/ashtide-rig/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -19,7 +19,7 @@
 
 use std::io;
 
-use ashtide_rehearsal::RehearsalError;
+use ashtide_testkit::RehearsalError;
 
 pub use checks::{Violation, violations};
 pub use history::{Answer, Closed, End, Entry, Event, History};
--- a/crates/ashtide-rig/src/play.rs
+++ b/crates/ashtide-fault-injection/src/play.rs
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashtide::discovery::Status;
-use ashtide::net::handover::CLOCK_OFFSET;
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options, ask, lay};
-use ashtide_rehearsal::fleet::Fleet;
-use ashtide_rehearsal::ledger::Arrival;
+use ashtide::discovery::EndpointStatus;
+use ashtide::net::handover::CLOCK_OFFSET_VARIABLE;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options, ask, lay};
+use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::ledger::Arrival;
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
@@ -178,7 +178,7 @@
         for net in 0..=plan.sockets.len() {
             nets.push(Net::open(host, plan.gateways, plan.seed ^ ((net as u64) << 60)).await?);
         }
-        let folder = Folder(std::env::temp_dir().join(format!("ashtide-rig-{host}")));
+        let folder = Folder(std::env::temp_dir().join(format!("ashtide-fault-injection-{host}")));
         std::fs::create_dir_all(&folder.0)?;
         let world = Arc::new(World::new(Instant::now(), Vec::new()));
         let mut tier = Self {
@@ -250,7 +250,7 @@
             std::fs::write(&file, marked(text, &marks))?;
             arguments.extend(socket.arguments.iter().map(|argument| marked(argument, &marks).into()));
         }
-        let mut environment = vec![(CLOCK_OFFSET.to_owned(), clock_ms.to_string())];
+        let mut environment = vec![(CLOCK_OFFSET_VARIABLE.to_owned(), clock_ms.to_string())];
         if plan.keeps {
             let folder = self.folder.0.join(format!("{gateway}{}", if twin { "-twin" } else { "" }));
             std::fs::create_dir_all(&folder)?;
@@ -473,7 +473,7 @@
                 self.listed(server, "SERVING", true);
             }
             Act::Drain { server } => {
-                self.fleet.set(*server, Status::Draining);
+                self.fleet.set(*server, EndpointStatus::Draining);
                 self.listed(*server, "DRAINING", false);
             }
             Act::Fail { server, gateways } => {
--- a/crates/ashtide-rig/tests/mesh.rs
+++ b/crates/ashtide-fault-injection/tests/mesh.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_rig::{Act, Link, Mesh, Plan, Range, RigError, Step};
+use ashtide_fault_injection::{Act, Link, Mesh, Plan, Range, RigError, Step};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
--- a/crates/ashtide-fleet/examples/shared.rs
+++ b/crates/ashtide-fleet/examples/shared.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use ashtide_fleet::state::{Key, Kind};
+use ashtide_fleet::state::{CounterKey, EvidenceKind};
 use exchanges::{READY, Tier};
 
 fn main() {
@@ -23,8 +23,8 @@
         let mut tier = Tier::new(1, size, 4, total);
         for number in 0..size {
             let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-            (0..20).for_each(|key| exchange.count(Key::OpenAt(key), number as u32));
-            exchange.want(number as u32 % 4, total / (size as u64 / 4).max(1) / 2);
+            (0..20).for_each(|key| exchange.set_count(CounterKey::OpenOnServer(key), number as u32));
+            exchange.set_wanted_units(number as u32 % 4, total / (size as u64 / 4).max(1) / 2);
         }
         tier.run(4 * second);
         let calm = tier.price(4);
@@ -38,11 +38,13 @@
             for number in (0..size).filter(|number| number % 10 != 0) {
                 let now = tier.gateways[number].clock.read(tier.chance.now);
                 let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-                exchange.judgements().saw(now, 2, Kind::Failing, 8, 8);
+                exchange.outlier_reports_mut().record_observation(now, 2, EvidenceKind::Failing, 8, 8);
             }
             tier.run(second / 4);
             let all = tier.gateways.iter_mut().flat_map(|it| &mut it.exchange);
-            let agreed = all.map(|it| usize::from(!it.judgements().out(&READY).is_empty())).sum::<usize>();
+            let agreed = all
+                .map(|it| usize::from(!it.outlier_reports_mut().outliers(&READY).is_empty()))
+                .sum::<usize>();
             if agreed * 100 >= size * 99 {
                 out = Some(0.25 * f64::from(tick + 1));
                 break;
@@ -52,14 +54,16 @@
         let parties = |number: usize, which: usize| number % 4 == which;
         for number in 0..size {
             let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-            exchange.want(0, if parties(number, 1) { total / (size as u64 / 4).max(1) } else { 0 });
+            exchange
+                .set_wanted_units(0, if parties(number, 1) { total / (size as u64 / 4).max(1) } else { 0 });
         }
         let mut moved = Vec::new();
         for _ in 0..3 {
             tier.run(second);
             let there = tier.gateways.iter_mut().enumerate().filter(|it| parties(it.0, 1));
-            let rights: u64 =
-                there.filter_map(|it| it.1.exchange.as_mut()?.budget(0).map(|it| it.escrow().rights())).sum();
+            let rights: u64 = there
+                .filter_map(|it| it.1.exchange.as_mut()?.budget_mut(0).map(|it| it.escrow().usable_units()))
+                .sum();
             moved.push(format!("{:.0}%", 100.0 * rights as f64 / total as f64));
         }
         let out = out.map_or("over 10 s".into(), |out| format!("{out:.2} s"));
--- a/crates/ashtide-fleet/src/frame.rs
+++ b/crates/ashtide-fleet/src/frame.rs
@@ -5,22 +5,22 @@
 /// Longest datagram, the frame included: a longer one voids the platform's run.
 pub const MAX_DATAGRAM: usize = 256;
 /// Bytes of the frame: the version, then the tier, the most significant byte first, then the kind.
-pub(crate) const FRAME: usize = 6;
+pub(crate) const HEADER_LEN: usize = 6;
 /// The version spoken here; words of servers begin with other bytes.
 const VERSION: u8 = 0x42;
 
 /// What is inside a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum PayloadKind {
     /// A message of the protocol.
     Protocol = 0,
     /// A page of a view.
-    Page = 1,
+    SnapshotPage = 1,
 }
 
 /// Why a datagram is not heard. It has changed nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Unheard {
+pub enum DecodeError {
     /// Over [`MAX_DATAGRAM`] bytes, or too few for a frame.
     #[error("a length that no datagram has")]
     Length,
@@ -44,8 +44,8 @@
     Foreign,
 }
 
-pub(crate) fn wrap(tier: u32, kind: Kind, inside: &[u8]) -> Bytes {
-    let mut all = BytesMut::with_capacity(FRAME + inside.len());
+pub(crate) fn encode_frame(tier: u32, kind: PayloadKind, inside: &[u8]) -> Bytes {
+    let mut all = BytesMut::with_capacity(HEADER_LEN + inside.len());
     all.put_u8(VERSION);
     all.put_u32(tier);
     all.put_u8(kind as u8);
@@ -53,18 +53,18 @@
     all.freeze()
 }
 
-pub(crate) fn unwrap(tier: u32, datagram: &[u8]) -> Result<(Kind, &[u8]), Unheard> {
+pub(crate) fn decode_frame(tier: u32, datagram: &[u8]) -> Result<(PayloadKind, &[u8]), DecodeError> {
     if datagram.len() > MAX_DATAGRAM {
-        return Err(Unheard::Length);
+        return Err(DecodeError::Length);
     }
-    let (frame, inside) = datagram.split_at_checked(FRAME).ok_or(Unheard::Length)?;
+    let (frame, inside) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
     match frame {
         [VERSION, rest @ .., kind] if rest == tier.to_be_bytes() => match kind {
-            0 => Ok((Kind::Protocol, inside)),
-            1 => Ok((Kind::Page, inside)),
-            _ => Err(Unheard::Malformed),
+            0 => Ok((PayloadKind::Protocol, inside)),
+            1 => Ok((PayloadKind::SnapshotPage, inside)),
+            _ => Err(DecodeError::Malformed),
         },
-        [VERSION, ..] => Err(Unheard::Tier),
-        _ => Err(Unheard::Version),
+        [VERSION, ..] => Err(DecodeError::Tier),
+        _ => Err(DecodeError::Version),
     }
 }
--- a/crates/ashtide-fleet/src/lib.rs
+++ b/crates/ashtide-fleet/src/lib.rs
@@ -37,6 +37,8 @@
 pub mod state;
 mod view;
 
-pub use frame::{MAX_DATAGRAM, Unheard};
+pub use frame::{DecodeError, MAX_DATAGRAM};
 pub use member::Member;
-pub use view::{Change, Figures, Fleet, MAX_MEMBERS, Options, Row, State, digest};
+pub use view::{
+    MAX_MEMBERS, MemberState, MemberStatus, Membership, ViewChange, ViewConfig, ViewMetrics, digest,
+};
--- a/crates/ashtide-fleet/src/member.rs
+++ b/crates/ashtide-fleet/src/member.rs
@@ -12,7 +12,7 @@
     /// Where it hears.
     pub address: SocketAddr,
     /// Its life: Unix milliseconds of its start, or more where others knew a later one.
-    pub generation: u64,
+    pub incarnation: u64,
     /// It leaves on purpose, and is not to be missed.
     pub leaving: bool,
 }
@@ -22,7 +22,7 @@
 
     /// Declared dead while alive: it comes back as the next one.
     fn renew(&self) -> Option<Self> {
-        Some(Self { generation: self.generation.saturating_add(1), leaving: false, ..*self })
+        Some(Self { incarnation: self.incarnation.saturating_add(1), leaving: false, ..*self })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -30,6 +30,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.generation, self.leaving) > (other.generation, other.leaving)
+        (self.incarnation, self.leaving) > (other.incarnation, other.leaving)
     }
 }
--- a/crates/ashtide-fleet/src/state/agreement.rs
+++ b/crates/ashtide-fleet/src/state/agreement.rs
@@ -15,53 +15,59 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::broken::{Broken, Fault};
-use super::{Root, Slot, Use, Violation, mix, roots};
+use super::broken::{ActiveMutation, Mutation};
+use super::{BudgetKind, InitialShare, Slot, Violation, initial_shares, mix};
 
 /// Gateways whose promises are told in one item.
-const TOLD: usize = 256;
-const WORDS: usize = TOLD / 64;
+const GATEWAYS_PER_MESSAGE: usize = 256;
+const BITMAP_WORDS: usize = GATEWAYS_PER_MESSAGE / 64;
 
 /// The shared part of the settings, of which the roots follow: the same at all gateways under one generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Split {
+pub struct Allocation {
     /// Counts on with every change, from 1, which nothing was before.
     pub generation: u32,
     /// Length of the list of gateways.
-    pub slots: u16,
+    pub slot_count: u16,
     /// Thousandths of each total that are floors.
-    pub floors: u64,
+    pub floor_permille: u64,
     /// Each budget's total, and what a unit of it permits.
-    pub totals: BTreeMap<u32, (u64, Use)>,
+    pub totals: BTreeMap<u32, (u64, BudgetKind)>,
 }
 
-impl Split {
+impl Allocation {
     /// What tells it from another text under the same number.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let usage = |usage: &Use| match usage {
-            Use::Pace { burst } => burst.as_millis() as u64,
-            Use::Hold => u64::MAX,
+        let usage = |usage: &BudgetKind| match usage {
+            BudgetKind::Rate { burst } => burst.as_millis() as u64,
+            BudgetKind::Concurrency => u64::MAX,
         };
-        let head = [u64::from(self.generation), u64::from(self.slots), self.floors];
+        let head = [u64::from(self.generation), u64::from(self.slot_count), self.floor_permille];
         let totals = self.totals.iter().flat_map(|(id, it)| [u64::from(*id), it.0, usage(&it.1)]);
         head.into_iter().chain(totals).fold(0, mix)
     }
 
     /// All gateways' roots of one of its budgets.
     #[must_use]
-    pub fn roots(&self, id: u32) -> BTreeMap<Slot, Root> {
-        self.totals.get(&id).map(|it| roots(id, it.0, self.slots, self.floors)).unwrap_or_default()
+    pub fn initial_shares(&self, id: u32) -> BTreeMap<Slot, InitialShare> {
+        self.totals
+            .get(&id)
+            .map(|it| initial_shares(id, it.0, self.slot_count, self.floor_permille))
+            .unwrap_or_default()
     }
 
-    fn own(&self, own: Slot) -> BTreeMap<u32, Root> {
-        self.totals.keys().map(|&id| (id, self.roots(id).get(&own).copied().unwrap_or_default())).collect()
+    fn own_shares(&self, own: Slot) -> BTreeMap<u32, InitialShare> {
+        self.totals
+            .keys()
+            .map(|&id| (id, self.initial_shares(id).get(&own).copied().unwrap_or_default()))
+            .collect()
     }
 }
 
 /// What a gateway has promised, for its next life.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedAllocation {
     /// The generation it is at.
     pub generation: u32,
     /// The digest of that.
@@ -73,12 +79,12 @@
     /// Whether its list has this gateway.
     pub listed: bool,
     /// What it uses of each budget, at most.
-    pub roots: BTreeMap<u32, Root>,
+    pub roots: BTreeMap<u32, InitialShare>,
 }
 
 /// Settings that are not taken; what was in use stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Stale {
+pub enum StaleAllocation {
     /// Their generation is below the one in use.
     #[error("generation {found}, expected {at} or a later one")]
     Older {
@@ -91,13 +97,13 @@
     #[error(
         "generation {generation} has other totals or another list than before, expected a later generation"
     )]
-    Changed {
+    Conflicting {
         /// Which.
         generation: u32,
     },
 }
 
-impl Stale {
+impl StaleAllocation {
     /// What an operator can do.
     #[must_use]
     pub fn help(self) -> &'static str {
@@ -105,7 +111,7 @@
             Self::Older { .. } => {
                 "bring the newest file to this gateway, or write the old one under a later generation"
             }
-            Self::Changed { .. } => {
+            Self::Conflicting { .. } => {
                 "count generation on with every change, and bring the same file to all gateways"
             }
         }
@@ -114,7 +120,7 @@
 
 /// What a gateway says of the generation it is at, and who has promised as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct At {
+pub struct AllocationVersion {
     /// The generation.
     pub generation: u32,
     /// Its digest.
@@ -122,45 +128,45 @@
     /// Whether it is agreed on.
     pub agreed: bool,
     /// Which gateways `promised` is about: 256 from so many times 256 on.
-    pub part: u16,
+    pub bitmap_part: u16,
     /// A bit a gateway.
-    pub promised: [u64; WORDS],
+    pub commitments: [u64; BITMAP_WORDS],
 }
 
 /// Why somebody's word was of no use, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Differs {
+pub enum Mismatch {
     /// It is at a later generation: this one's settings are old.
-    Later(u32),
+    LaterGeneration(u32),
     /// It is at an earlier one.
-    Earlier(u32),
+    EarlierGeneration(u32),
     /// Its settings under the same number are others.
-    Other,
+    DifferentContent,
 }
 
 /// One gateway's part in a change.
 #[derive(Debug, Clone)]
-pub struct Agreement {
-    own: Slot,
-    split: Split,
+pub struct AllocationAgreement {
+    own_slot: Slot,
+    allocation: Allocation,
     digest: u64,
-    agreed: bool,
+    is_agreed: bool,
     /// What the settings give this gateway, and what it uses.
-    due: BTreeMap<u32, Root>,
-    roots: BTreeMap<u32, Root>,
-    slots: u16,
-    promised: Vec<u64>,
+    target_shares: BTreeMap<u32, InitialShare>,
+    active_shares: BTreeMap<u32, InitialShare>,
+    required_slots: u16,
+    commitments: Vec<u64>,
     /// Whether what is promised is written down, and what is on loan is within it.
-    written: bool,
-    part: u16,
-    differs: BTreeMap<Slot, Differs>,
-    fault: Fault,
+    is_persisted: bool,
+    next_part: u16,
+    mismatches: BTreeMap<Slot, Mismatch>,
+    mutation: ActiveMutation,
 }
 
 /// Words that are kept for the log.
-const MAX_DIFFERS: usize = 64;
+const MAX_MISMATCHES: usize = 64;
 
-impl Agreement {
+impl AllocationAgreement {
     /// A life that begins with these settings, where an earlier one has promised `kept`. One that knows of none and
     /// begins under a later generation than the first has nothing before it hears that all are at it: it cannot
     /// know what an earlier life may use still, or the others.
@@ -168,37 +174,44 @@
     /// # Errors
     ///
     /// Where an earlier life was at later settings, or at others of the same number.
-    pub fn new(own: Slot, split: Split, kept: Option<Kept>) -> Result<Self, Stale> {
+    pub fn new(
+        own: Slot,
+        split: Allocation,
+        kept: Option<PersistedAllocation>,
+    ) -> Result<Self, StaleAllocation> {
         let mut new = Self {
-            own,
+            own_slot: own,
             digest: split.digest(),
-            agreed: false,
-            due: split.own(own),
-            roots: BTreeMap::new(),
-            slots: split.slots,
-            promised: Vec::new(),
-            written: false,
-            part: 0,
-            differs: BTreeMap::new(),
-            fault: Fault::default(),
-            split,
+            is_agreed: false,
+            target_shares: split.own_shares(own),
+            active_shares: BTreeMap::new(),
+            required_slots: split.slot_count,
+            commitments: Vec::new(),
+            is_persisted: false,
+            next_part: 0,
+            mismatches: BTreeMap::new(),
+            mutation: ActiveMutation::default(),
+            allocation: split,
         };
         match kept {
-            Some(kept) => new.take_up(&kept)?,
-            None if new.split.generation <= 1 => new.roots = new.due.clone(),
-            None => new.roots = new.due.keys().map(|&id| (id, Root::default())).collect(),
+            Some(kept) => new.adopt_persisted(&kept)?,
+            None if new.allocation.generation <= 1 => new.active_shares = new.target_shares.clone(),
+            None => {
+                new.active_shares =
+                    new.target_shares.keys().map(|&id| (id, InitialShare::default())).collect()
+            }
         }
-        new.agreed |= new.split.generation <= 1 && new.roots == new.due;
-        new.clear();
+        new.is_agreed |= new.allocation.generation <= 1 && new.active_shares == new.target_shares;
+        new.reset_commitments();
         Ok(new)
     }
 
     /// Breaks it on purpose.
     #[cfg(feature = "broken")]
-    pub fn break_by(&mut self, broken: Broken) {
-        self.fault.chosen = Some(broken);
-        if broken == Broken::ForgetsPromise {
-            self.roots = self.due.clone();
+    pub fn set_mutation(&mut self, broken: Mutation) {
+        self.mutation.mutation = Some(broken);
+        if broken == Mutation::ForgetCommitment {
+            self.active_shares = self.target_shares.clone();
         }
     }
 
@@ -207,180 +220,186 @@
     /// # Errors
     ///
     /// Where they are older, or others of the same number; nothing has changed then.
-    pub fn read(&mut self, split: Split) -> Result<(), Stale> {
+    pub fn update(&mut self, split: Allocation) -> Result<(), StaleAllocation> {
         let mut next = Self {
             digest: split.digest(),
-            due: split.own(self.own),
-            slots: split.slots,
-            agreed: false,
-            differs: BTreeMap::new(),
-            split,
+            target_shares: split.own_shares(self.own_slot),
+            required_slots: split.slot_count,
+            is_agreed: false,
+            mismatches: BTreeMap::new(),
+            allocation: split,
             ..self.clone()
         };
-        next.take_up(&self.kept())?;
-        if next.split.generation > self.split.generation {
-            next.clear();
+        next.adopt_persisted(&self.persisted())?;
+        if next.allocation.generation > self.allocation.generation {
+            next.reset_commitments();
         }
         *self = next;
         Ok(())
     }
 
-    fn take_up(&mut self, before: &Kept) -> Result<(), Stale> {
-        let (found, at) = (self.split.generation, before.generation);
+    fn adopt_persisted(&mut self, before: &PersistedAllocation) -> Result<(), StaleAllocation> {
+        let (found, at) = (self.allocation.generation, before.generation);
         if found < at {
-            return Err(Stale::Older { found, at });
+            return Err(StaleAllocation::Older { found, at });
         }
         if found == at && before.digest != self.digest {
-            return Err(Stale::Changed { generation: found });
+            return Err(StaleAllocation::Conflicting { generation: found });
         }
-        self.agreed = found == at && before.agreed;
-        self.slots = self.slots.max(before.slots);
-        self.roots = if self.agreed || self.fault.is(Broken::RaisedAtOnce) {
-            self.due.clone()
+        self.is_agreed = found == at && before.agreed;
+        self.required_slots = self.required_slots.max(before.slots);
+        self.active_shares = if self.is_agreed || self.mutation.is(Mutation::RaiseShareImmediately) {
+            self.target_shares.clone()
         } else {
             // A budget that one side does not have is one without a bound there. Who was not on that list has not been
             // asked since: it has nothing of what is new until it hears that all are here.
-            let mut least = self.due.clone();
+            let mut least = self.target_shares.clone();
             if !before.listed {
-                least.values_mut().for_each(|root| *root = Root::default());
+                least.values_mut().for_each(|root| *root = InitialShare::default());
             }
             for (&id, &root) in &before.roots {
                 let due = least.entry(id).or_insert(root);
-                *due = Root { floor: due.floor.min(root.floor), lendable: due.lendable.min(root.lendable) };
+                *due = InitialShare {
+                    floor: due.floor.min(root.floor),
+                    lendable: due.lendable.min(root.lendable),
+                };
             }
             least
         };
         Ok(())
     }
 
-    fn clear(&mut self) {
-        self.promised = vec![0; usize::from(self.slots.max(self.own.0 + 1)).div_ceil(64)];
-        self.written = false;
+    fn reset_commitments(&mut self) {
+        self.commitments = vec![0; usize::from(self.required_slots.max(self.own_slot.0 + 1)).div_ceil(64)];
+        self.is_persisted = false;
     }
 
     /// The settings it is at.
     #[must_use]
-    pub fn split(&self) -> &Split {
-        &self.split
+    pub fn allocation(&self) -> &Allocation {
+        &self.allocation
     }
 
     /// Whether all are at them, so that the whole of the roots is in use.
     #[must_use]
-    pub fn agreed(&self) -> bool {
-        self.agreed
+    pub fn is_agreed(&self) -> bool {
+        self.is_agreed
     }
 
     /// What may be used of each budget.
     #[must_use]
-    pub fn roots(&self) -> &BTreeMap<u32, Root> {
-        &self.roots
+    pub fn active_shares(&self) -> &BTreeMap<u32, InitialShare> {
+        &self.active_shares
     }
 
     /// Gateways that have not promised, as far as is known here.
     #[must_use]
-    pub fn missing(&self) -> Vec<Slot> {
-        let all = (0..if self.agreed { 0 } else { self.slots }).map(Slot);
-        all.filter(|slot| !self.has(*slot)).collect()
+    pub fn uncommitted(&self) -> Vec<Slot> {
+        let all = (0..if self.is_agreed { 0 } else { self.required_slots }).map(Slot);
+        all.filter(|slot| !self.has_committed(*slot)).collect()
     }
 
     /// Whose settings are others, since these were read.
     #[must_use]
-    pub fn differs(&self) -> &BTreeMap<Slot, Differs> {
-        &self.differs
+    pub fn mismatches(&self) -> &BTreeMap<Slot, Mismatch> {
+        &self.mismatches
     }
 
     /// What is to be written down, for the next life; tell with [`Agreement::written`] that it is.
     #[must_use]
-    pub fn kept(&self) -> Kept {
-        Kept {
-            generation: self.split.generation,
+    pub fn persisted(&self) -> PersistedAllocation {
+        PersistedAllocation {
+            generation: self.allocation.generation,
             digest: self.digest,
-            agreed: self.agreed,
-            slots: self.slots,
-            listed: self.own.0 < self.split.slots,
-            roots: self.roots.clone(),
+            agreed: self.is_agreed,
+            slots: self.required_slots,
+            listed: self.own_slot.0 < self.allocation.slot_count,
+            roots: self.active_shares.clone(),
         }
     }
 
     /// What [`Agreement::kept`] says is written down, or there is no place for it: then a later life begins with
     /// nothing.
-    pub fn written(&mut self) {
-        self.written = true;
+    pub fn mark_persisted(&mut self) {
+        self.is_persisted = true;
     }
 
     /// Promises, where `within` says that of no budget more is on loan than the roots in use allow, and none of an
     /// earlier life's loans may be out.
-    pub fn settle(&mut self, within: bool) {
-        if self.written && (within || self.fault.is(Broken::LoansForgotten)) {
-            let at = usize::from(self.own.0);
-            self.promised[at / 64] |= 1 << (at % 64);
-            self.look();
+    pub fn commit(&mut self, within: bool) {
+        if self.is_persisted && (within || self.mutation.is(Mutation::CommitBeforeLeasesEnd)) {
+            let at = usize::from(self.own_slot.0);
+            self.commitments[at / 64] |= 1 << (at % 64);
+            self.complete_if_all_committed();
         }
     }
 
     /// An operator says that no gateway runs that is not at this generation.
-    pub fn vouch(&mut self) {
-        self.agree();
+    pub fn confirm(&mut self) {
+        self.complete();
     }
 
-    fn has(&self, slot: Slot) -> bool {
+    fn has_committed(&self, slot: Slot) -> bool {
         let at = usize::from(slot.0);
-        self.promised.get(at / 64).is_some_and(|word| word & (1 << (at % 64)) != 0)
+        self.commitments.get(at / 64).is_some_and(|word| word & (1 << (at % 64)) != 0)
     }
 
-    fn look(&mut self) {
-        if !self.agreed && (0..self.slots).all(|slot| self.has(Slot(slot))) {
-            self.agree();
+    fn complete_if_all_committed(&mut self) {
+        if !self.is_agreed && (0..self.required_slots).all(|slot| self.has_committed(Slot(slot))) {
+            self.complete();
         }
     }
 
-    fn agree(&mut self) {
-        self.agreed = true;
-        self.roots = self.due.clone();
-        self.slots = self.split.slots;
+    fn complete(&mut self) {
+        self.is_agreed = true;
+        self.active_shares = self.target_shares.clone();
+        self.required_slots = self.allocation.slot_count;
     }
 
     /// What is told to somebody, another part each time.
-    pub fn tell(&mut self) -> At {
-        let parts = self.promised.len().div_ceil(WORDS).max(1) as u16;
-        self.part = (self.part + 1) % parts;
-        let mut promised = [0; WORDS];
-        if !self.agreed {
-            let from = usize::from(self.part) * WORDS;
-            promised.iter_mut().zip(&self.promised[from..]).for_each(|(told, word)| *told = *word);
+    pub fn next_message(&mut self) -> AllocationVersion {
+        let parts = self.commitments.len().div_ceil(BITMAP_WORDS).max(1) as u16;
+        self.next_part = (self.next_part + 1) % parts;
+        let mut promised = [0; BITMAP_WORDS];
+        if !self.is_agreed {
+            let from = usize::from(self.next_part) * BITMAP_WORDS;
+            promised.iter_mut().zip(&self.commitments[from..]).for_each(|(told, word)| *told = *word);
         }
-        let (generation, digest, agreed) = (self.split.generation, self.digest, self.agreed);
-        At { generation, digest, agreed, part: self.part, promised }
+        let (generation, digest, agreed) = (self.allocation.generation, self.digest, self.is_agreed);
+        AllocationVersion { generation, digest, agreed, bitmap_part: self.next_part, commitments: promised }
     }
 
     /// Takes in what another says. True where it is to be told that all are at the generation.
-    pub fn hear(&mut self, from: Slot, at: At) -> bool {
-        let own = self.split.generation;
+    pub fn handle_message(&mut self, from: Slot, at: AllocationVersion) -> bool {
+        let own = self.allocation.generation;
         let differs = match at.generation.cmp(&own) {
-            std::cmp::Ordering::Greater => Some(Differs::Later(at.generation)),
-            std::cmp::Ordering::Less => Some(Differs::Earlier(at.generation)),
-            std::cmp::Ordering::Equal if at.digest != self.digest => Some(Differs::Other),
+            std::cmp::Ordering::Greater => Some(Mismatch::LaterGeneration(at.generation)),
+            std::cmp::Ordering::Less => Some(Mismatch::EarlierGeneration(at.generation)),
+            std::cmp::Ordering::Equal if at.digest != self.digest => Some(Mismatch::DifferentContent),
             std::cmp::Ordering::Equal => None,
         };
         match differs {
-            Some(differs) if self.differs.len() < MAX_DIFFERS || self.differs.contains_key(&from) => {
-                self.differs.insert(from, differs);
+            Some(differs)
+                if self.mismatches.len() < MAX_MISMATCHES || self.mismatches.contains_key(&from) =>
+            {
+                self.mismatches.insert(from, differs);
             }
             Some(_) => {}
-            None => _ = self.differs.remove(&from),
+            None => _ = self.mismatches.remove(&from),
         }
         let counts = differs.is_none()
-            || matches!(differs, Some(Differs::Later(_))) && self.fault.is(Broken::LaterCounts);
-        if !counts || self.agreed {
-            return self.agreed && differs.is_none() && !at.agreed;
+            || matches!(differs, Some(Mismatch::LaterGeneration(_)))
+                && self.mutation.is(Mutation::CountLaterGeneration);
+        if !counts || self.is_agreed {
+            return self.is_agreed && differs.is_none() && !at.agreed;
         }
         if at.agreed {
-            self.agree();
+            self.complete();
             return false;
         }
-        let from = usize::from(at.part) * WORDS;
-        self.promised.iter_mut().skip(from).zip(at.promised).for_each(|(word, told)| *word |= told);
-        self.look();
+        let from = usize::from(at.bitmap_part) * BITMAP_WORDS;
+        self.commitments.iter_mut().skip(from).zip(at.commitments).for_each(|(word, told)| *word |= told);
+        self.complete_if_all_committed();
         false
     }
 
@@ -390,18 +409,18 @@
     ///
     /// Names the first that is broken.
     pub fn check(&self) -> Result<(), Violation> {
-        for (&budget, due) in &self.due {
-            let root = self.roots.get(&budget).copied().unwrap_or_default();
+        for (&budget, due) in &self.target_shares {
+            let root = self.active_shares.get(&budget).copied().unwrap_or_default();
             let over = root.floor > due.floor || root.lendable > due.lendable;
-            if over || (self.agreed && root != *due) {
-                return Err(Violation::OtherRoot { budget, found: root, due: *due });
+            if over || (self.is_agreed && root != *due) {
+                return Err(Violation::ShareMismatch { budget, found: root, due: *due });
             }
         }
-        match self.differs.len() > MAX_DIFFERS {
+        match self.mismatches.len() > MAX_MISMATCHES {
             true => Err(Violation::OverFull {
                 table: "gateways with other settings",
-                found: self.differs.len(),
-                most: MAX_DIFFERS,
+                found: self.mismatches.len(),
+                most: MAX_MISMATCHES,
             }),
             false => Ok(()),
         }
--- a/crates/ashtide-fleet/src/state/broken.rs
+++ b/crates/ashtide-fleet/src/state/broken.rs
@@ -3,53 +3,53 @@
 
 /// One fault put in on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Broken {
+pub enum Mutation {
     /// Counts are merged by adding.
     MergeBySum,
     /// A register's generation is not looked at.
-    NoGeneration,
+    IgnoreIncarnation,
     /// An ask that comes late or twice is taken as new.
-    RepeatedAsk,
+    AcceptRepeatedRequest,
     /// A grant that the holder has not confirmed is not booked.
-    LostGrantMinted,
+    ForgetUnconfirmedGrant,
     /// A grant that comes late or twice is taken as an answer to the ask that is out.
-    RepeatedGrant,
+    AcceptRepeatedGrant,
     /// A lease does not end at its holder.
     NoExpiry,
     /// A lease is counted from the moment the grant is heard.
-    CountedFromGrant,
+    LeaseFromGrantTime,
     /// A restarted grantor lends at once what its earlier life had lent.
     #[cfg(feature = "broken")]
-    NoQuiet,
+    NoLendingDelay,
     /// One observer is enough.
     NoQuorum,
     /// A larger root is used as soon as it is read.
-    RaisedAtOnce,
+    RaiseShareImmediately,
     /// A gateway says that it is at the new settings while more is on loan by the old.
-    LoansForgotten,
+    CommitBeforeLeasesEnd,
     /// Who is at a later generation counts as being at this one.
-    LaterCounts,
+    CountLaterGeneration,
     /// A restarted gateway goes by its file alone.
     #[cfg(feature = "broken")]
-    ForgetsPromise,
+    ForgetCommitment,
 }
 
 /// The fault of a core, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Fault {
+pub(crate) struct ActiveMutation {
     #[cfg(feature = "broken")]
-    pub(crate) chosen: Option<Broken>,
+    pub(crate) mutation: Option<Mutation>,
 }
 
-impl Fault {
+impl ActiveMutation {
     #[cfg(feature = "broken")]
-    pub(crate) fn is(self, which: Broken) -> bool {
-        self.chosen == Some(which)
+    pub(crate) fn is(self, which: Mutation) -> bool {
+        self.mutation == Some(which)
     }
 
     #[cfg(not(feature = "broken"))]
     #[allow(clippy::unused_self)]
-    pub(crate) fn is(self, _: Broken) -> bool {
+    pub(crate) fn is(self, _: Mutation) -> bool {
         false
     }
 }
--- a/crates/ashtide-fleet/src/state/delta.rs
+++ b/crates/ashtide-fleet/src/state/delta.rs
@@ -2,60 +2,60 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::counts::{Cell, Key};
-use super::judgements::Told;
-use super::{Ask, At, Grant, Slot};
-use crate::{MAX_DATAGRAM, Unheard};
+use super::counts::{CounterKey, VersionedCount};
+use super::judgements::EvidenceMessage;
+use super::{AllocationVersion, LeaseGrant, LeaseRequest, Slot};
+use crate::{DecodeError, MAX_DATAGRAM};
 
 /// Begins each datagram of shared state; the view's and the servers' words begin with other bytes.
 const VERSION: u8 = 0x53;
 /// Bytes of the version, the tier, the sender's slot and its life.
-pub(crate) const FRAME: usize = 15;
+pub(crate) const HEADER_LEN: usize = 15;
 
 /// One thing that is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Item {
+pub enum StateMessage {
     /// Rights are asked for.
-    Ask(u32, Ask),
+    LeaseRequest(u32, LeaseRequest),
     /// Rights are granted.
-    Grant(u32, Grant),
+    LeaseGrant(u32, LeaseGrant),
     /// What the sender saw.
-    Evidence(Told),
+    Evidence(EvidenceMessage),
     /// One of the sender's counts.
-    Count(Key, Cell),
+    Count(CounterKey, VersionedCount),
     /// The sender's counts are unchanged: a number that counts on, and a hash of all that it has told the receiver.
-    Same(u32, u64),
+    CountsDigest(u32, u64),
     /// The receiver's counts as they are here are not what it said last: it is to tell them again.
-    Lacks,
+    ResendCounts,
     /// The sum of a count is asked for.
-    Read(Key),
+    TotalRequest(CounterKey),
     /// The sum of a count, over so many gateways, the oldest word so many milliseconds old.
-    Sum(Key, u64, u16, u16),
+    Total(CounterKey, u64, u16, u16),
     /// The sender has just started, and asks for a snapshot.
-    Start,
+    SnapshotRequest,
     /// Another gateway's count, told to one that has just started.
-    Relayed(Slot, u64, Key, Cell),
+    SnapshotCount(Slot, u64, CounterKey, VersionedCount),
     /// The snapshot ends.
-    End,
+    SnapshotEnd,
     /// Which settings the sender is at, and who has promised to keep to them.
-    At(At),
+    AllocationVersion(AllocationVersion),
 }
 
-impl Item {
+impl StateMessage {
     /// What goes first where not all can go: rights, as they run out; evidence; counts by news, then as they are, and
     /// last what is only asked about them: who asks often is not to hold up what is asked for.
-    pub(crate) fn rank(&self) -> u8 {
+    pub(crate) fn priority(&self) -> u8 {
         match self {
-            Self::Grant(..) | Self::Ask(..) | Self::At(_) => 0,
+            Self::LeaseGrant(..) | Self::LeaseRequest(..) | Self::AllocationVersion(_) => 0,
             Self::Evidence(_) => 1,
-            Self::Start => 2,
-            Self::Count(..) | Self::Lacks | Self::Same(..) => 3,
-            Self::Sum(..) | Self::Read(_) | Self::Relayed(..) | Self::End => 4,
+            Self::SnapshotRequest => 2,
+            Self::Count(..) | Self::ResendCounts | Self::CountsDigest(..) => 3,
+            Self::Total(..) | Self::TotalRequest(_) | Self::SnapshotCount(..) | Self::SnapshotEnd => 4,
         }
     }
 }
 
-impl Unheard {
+impl DecodeError {
     /// What an operator can do.
     #[must_use]
     pub fn help(self) -> &'static str {
@@ -74,11 +74,11 @@
 
 /// Whether a datagram is one of shared state, which may share a socket with others.
 #[must_use]
-pub fn is_state(datagram: &[u8]) -> bool {
+pub fn is_shared_state(datagram: &[u8]) -> bool {
     datagram.first() == Some(&VERSION)
 }
 
-pub(crate) fn frame(tier: u32, from: Slot, generation: u64) -> Vec<u8> {
+pub(crate) fn encode_header(tier: u32, from: Slot, generation: u64) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
     bytes.push(VERSION);
     bytes.extend(tier.to_be_bytes());
@@ -88,7 +88,7 @@
 }
 
 /// Puts an item on where there is room.
-pub(crate) fn put(bytes: &mut Vec<u8>, item: &Item, most: usize) -> bool {
+pub(crate) fn append_message(bytes: &mut Vec<u8>, item: &StateMessage, most: usize) -> bool {
     let mut one = [0; 64];
     let Ok(encoded) = postcard::to_slice(item, &mut one) else { return false };
     let fits = bytes.len() + encoded.len() <= most;
@@ -99,19 +99,22 @@
 }
 
 /// The sender, its life, and all items; or why none is read.
-pub(crate) fn read(tier: u32, datagram: &[u8]) -> Result<(Slot, u64, Vec<Item>), Unheard> {
+pub(crate) fn decode_datagram(
+    tier: u32,
+    datagram: &[u8],
+) -> Result<(Slot, u64, Vec<StateMessage>), DecodeError> {
     if datagram.len() > MAX_DATAGRAM {
-        return Err(Unheard::Length);
+        return Err(DecodeError::Length);
     }
-    let (head, mut rest) = datagram.split_at_checked(FRAME).ok_or(Unheard::Length)?;
-    let [VERSION, t0, t1, t2, t3, s0, s1, generation @ ..] = head else { return Err(Unheard::Version) };
+    let (head, mut rest) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
+    let [VERSION, t0, t1, t2, t3, s0, s1, generation @ ..] = head else { return Err(DecodeError::Version) };
     if tier != u32::from_be_bytes([*t0, *t1, *t2, *t3]) {
-        return Err(Unheard::Tier);
+        return Err(DecodeError::Tier);
     }
-    let generation = u64::from_be_bytes(generation.try_into().map_err(|_| Unheard::Length)?);
+    let generation = u64::from_be_bytes(generation.try_into().map_err(|_| DecodeError::Length)?);
     let mut items = Vec::new();
     while !rest.is_empty() {
-        let (item, after) = postcard::take_from_bytes(rest).map_err(|_| Unheard::Malformed)?;
+        let (item, after) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
         items.push(item);
         rest = after;
     }
--- a/crates/ashtide-fleet/src/state/exchange.rs
+++ b/crates/ashtide-fleet/src/state/exchange.rs
@@ -12,51 +12,51 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::counts::{Counts, Key, MAX_CELLS, Register};
-use super::delta::{self, Item};
+use super::counts::{CounterKey, MAX_CELLS, ReplicaCounts, ReplicatedCounts};
+use super::delta::{self, StateMessage};
 use super::{
-    Agreement, Budget, Escrow, Judgements, Reading, Root, Rules, Slot, Split, Stale, Terms, Use, Violation,
-    mix, rendezvous,
+    Allocation, AllocationAgreement, Budget, BudgetKind, Escrow, FleetTotal, InitialShare, LeaseConfig,
+    OutlierLimits, OutlierReports, Slot, StaleAllocation, Violation, mix, rendezvous,
 };
-use crate::{MAX_DATAGRAM, Unheard};
+use crate::{DecodeError, MAX_DATAGRAM};
 
 /// Gateways that tell a key's count: up to so many gateways the sum is exact, beyond it is a sample's.
-pub const SAMPLE: usize = 64;
+pub const SAMPLE_SIZE: usize = 64;
 /// Gateways that a key's count is told to.
-pub const KEEPERS: usize = 2;
+pub const REPLICAS: usize = 2;
 /// Groups of keys, at least, and one for so many slots.
-const GROUPS: u64 = 8;
-const SLOTS_A_GROUP: u16 = 16;
+const MIN_KEY_GROUPS: u64 = 8;
+const SLOTS_PER_GROUP: u16 = 16;
 /// Grantors that a gateway asks for a budget.
-pub const ASKED: usize = 3;
+pub const GRANTORS_PER_BUDGET: usize = 3;
 /// Peers that own evidence is told to at a time, and how often.
-const TELL: (usize, Duration) = (2, Duration::from_millis(500));
+const EVIDENCE_FANOUT: (usize, Duration) = (2, Duration::from_millis(500));
 /// How often rights are asked for.
-const ASK: Duration = Duration::from_millis(500);
+const LEASE_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// How often counts that changed are told, and in how many of these all are told to be the same.
-const COUNT: (Duration, u32) = (Duration::from_millis(1_000), 3);
+const COUNT_INTERVAL: (Duration, u32) = (Duration::from_millis(1_000), 3);
 /// How often a gateway that starts asks for a snapshot, and for how long it waits for one.
-const START: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
+const SNAPSHOT_TIMING: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
 /// Cells that a snapshot has.
-const SNAPSHOT: usize = 96;
+const MAX_SNAPSHOT_COUNTS: usize = 96;
 /// Items that wait for one peer, and peers that any wait for.
-const WAITING: (usize, usize) = (128, 512);
+const MAX_QUEUED: (usize, usize) = (128, 512);
 /// Sums that are kept.
-const READINGS: usize = 256;
+const MAX_CACHED_TOTALS: usize = 256;
 
 /// How an exchange is set up.
 #[derive(Debug, Clone, Copy)]
-pub struct Setup {
+pub struct ExchangeConfig {
     /// A number that the gateways of one tier have in common, and no other tier.
     pub tier: u32,
     /// Slots of the settings' list: all that may be there.
-    pub slots: u16,
+    pub slot_count: u16,
     /// Datagrams that may be sent a second.
-    pub datagrams: u32,
+    pub datagrams_per_second: u32,
     /// The lengths of leases.
-    pub terms: Terms,
+    pub lease: LeaseConfig,
     /// What judgements may do.
-    pub rules: Rules,
+    pub outlier_limits: OutlierLimits,
 }
 
 /// What has been counted since the start.
@@ -65,119 +65,133 @@
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
     /// Items that there was no room for: later ones say as much.
-    pub dropped: u64,
+    pub dropped_messages: u64,
     /// Datagrams not heard, by reason.
-    pub unheard: BTreeMap<Unheard, u64>,
+    pub rejected: BTreeMap<DecodeError, u64>,
 }
 
-struct Held {
+struct SharedBudget {
     budget: Budget,
     grantors: Vec<Slot>,
-    wants: u64,
+    wanted_units: u64,
     /// The part that was asked for last.
-    part: u64,
+    requested_portion: u64,
 }
 
 /// One gateway's shared state, and what it tells of it.
 pub struct Exchange {
-    own: Slot,
-    generation: u64,
-    setup: Setup,
-    counts: Counts,
-    judgements: Judgements,
-    budgets: BTreeMap<u32, Held>,
-    agreement: Option<Agreement>,
+    own_slot: Slot,
+    incarnation: u64,
+    config: ExchangeConfig,
+    counts: ReplicatedCounts,
+    outlier_reports: OutlierReports,
+    budgets: BTreeMap<u32, SharedBudget>,
+    agreement: Option<AllocationAgreement>,
     peers: Vec<Slot>,
     rng: ChaCha8Rng,
     now: Duration,
-    due: [Duration; 3],
-    turn: u32,
+    next_due: [Duration; 3],
+    count_round: u32,
     /// The peer that evidence was told to last.
-    next_told: usize,
-    began: Duration,
-    started: bool,
-    asked_start: Duration,
-    allowance: f64,
-    waiting: BTreeMap<Slot, BTreeMap<(u8, u64), Item>>,
-    number: u64,
+    next_evidence_peer: usize,
+    started_at: Duration,
+    is_started: bool,
+    next_snapshot_request: Duration,
+    send_tokens: f64,
+    outgoing: BTreeMap<Slot, BTreeMap<(u8, u64), StateMessage>>,
+    last_message_id: u64,
     /// Keys of the own counts, with whom they are told to; reckoned anew where the peers change.
-    told: BTreeMap<Key, Vec<Slot>>,
-    changed: BTreeSet<Key>,
+    count_recipients: BTreeMap<CounterKey, Vec<Slot>>,
+    changed_counts: BTreeSet<CounterKey>,
     /// Which keys this gateway keeps; forgotten where the peers change.
-    keeps: BTreeMap<Key, bool>,
-    same: BTreeMap<Slot, (u64, u32)>,
-    sums: BTreeMap<Key, (Reading, Duration)>,
+    replicated_keys: BTreeMap<CounterKey, bool>,
+    last_digests: BTreeMap<Slot, (u64, u32)>,
+    cached_totals: BTreeMap<CounterKey, (FleetTotal, Duration)>,
     traffic: Traffic,
 }
 
 impl Exchange {
     /// The exchange of the gateway at `own`, whose life began at `generation`. `seed` feeds its random choices.
     #[must_use]
-    pub fn new(setup: Setup, own: Slot, generation: u64, seed: u64, now: Duration) -> Self {
+    pub fn new(setup: ExchangeConfig, own: Slot, generation: u64, seed: u64, now: Duration) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Not all at once after a release.
-        let due = [ASK, TELL.1, COUNT.0].map(|every| now + every.mul_f64(rng.random::<f64>()));
+        let due = [LEASE_REQUEST_INTERVAL, EVIDENCE_FANOUT.1, COUNT_INTERVAL.0]
+            .map(|every| now + every.mul_f64(rng.random::<f64>()));
         let next_told = mix(seed, u64::from(own.0)) as usize % usize::from(u16::MAX);
         Self {
-            own,
-            generation,
-            setup,
-            counts: Counts::new(own, generation, now),
-            judgements: Judgements::new(own, generation, setup.rules, now),
+            own_slot: own,
+            incarnation: generation,
+            config: setup,
+            counts: ReplicatedCounts::new(own, generation, now),
+            outlier_reports: OutlierReports::new(own, generation, setup.outlier_limits, now),
             budgets: BTreeMap::new(),
             agreement: None,
             peers: Vec::new(),
             rng,
             now,
-            due,
-            turn: 0,
-            next_told,
-            began: now,
-            started: false,
-            asked_start: Duration::ZERO,
-            allowance: 0.0,
-            waiting: BTreeMap::new(),
-            number: 0,
-            told: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            keeps: BTreeMap::new(),
-            same: BTreeMap::new(),
-            sums: BTreeMap::new(),
+            next_due: due,
+            count_round: 0,
+            next_evidence_peer: next_told,
+            started_at: now,
+            is_started: false,
+            next_snapshot_request: Duration::ZERO,
+            send_tokens: 0.0,
+            outgoing: BTreeMap::new(),
+            last_message_id: 0,
+            count_recipients: BTreeMap::new(),
+            changed_counts: BTreeSet::new(),
+            replicated_keys: BTreeMap::new(),
+            last_digests: BTreeMap::new(),
+            cached_totals: BTreeMap::new(),
             traffic: Traffic::default(),
         }
     }
 
     /// The other gateways that the view holds to be there.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = Slot>) {
-        self.peers = peers.into_iter().filter(|&slot| slot != self.own).collect();
+        self.peers = peers.into_iter().filter(|&slot| slot != self.own_slot).collect();
         self.peers.sort_unstable();
         self.peers.dedup();
-        self.keeps.clear();
-        let keys: Vec<Key> = std::mem::take(&mut self.told).into_keys().collect();
+        self.replicated_keys.clear();
+        let keys: Vec<CounterKey> = std::mem::take(&mut self.count_recipients).into_keys().collect();
         for key in keys {
-            self.told.insert(key, self.told_to(key));
+            self.count_recipients.insert(key, self.choose_recipients(key));
         }
         let peers: BTreeSet<Slot> = self.peers.iter().copied().collect();
-        self.waiting.retain(|slot, _| peers.contains(slot));
+        self.outgoing.retain(|slot, _| peers.contains(slot));
     }
 
-    fn all(&self) -> impl Iterator<Item = Slot> {
-        self.peers.iter().copied().chain([self.own])
+    fn all_gateways(&self) -> impl Iterator<Item = Slot> {
+        self.peers.iter().copied().chain([self.own_slot])
     }
 
     /// A budget, by the roots of all slots; the gateway's part of it begins now. `first` as in [`Escrow::new`].
-    pub fn add_budget(&mut self, id: u32, roots: &BTreeMap<Slot, Root>, usage: Use, first: bool) {
-        let root = roots.get(&self.own).copied().unwrap_or_default();
-        let escrow = Escrow::new(self.own, self.generation, root, self.setup.terms, first, self.now);
-        let grantors = grantors(id, self.own, roots);
-        self.budgets
-            .insert(id, Held { budget: Budget::new(escrow, usage, self.now), grantors, wants: 0, part: 0 });
+    pub fn add_budget(
+        &mut self,
+        id: u32,
+        roots: &BTreeMap<Slot, InitialShare>,
+        usage: BudgetKind,
+        first: bool,
+    ) {
+        let root = roots.get(&self.own_slot).copied().unwrap_or_default();
+        let escrow = Escrow::new(self.own_slot, self.incarnation, root, self.config.lease, first, self.now);
+        let grantors = choose_grantors(id, self.own_slot, roots);
+        self.budgets.insert(
+            id,
+            SharedBudget {
+                budget: Budget::new(escrow, usage, self.now),
+                grantors,
+                wanted_units: 0,
+                requested_portion: 0,
+            },
+        );
     }
 
     /// Budgets by an agreement, from now on: their roots are those that it says may be used.
-    pub fn share(&mut self, agreement: Agreement) {
+    pub fn set_agreement(&mut self, agreement: AllocationAgreement) {
         self.agreement = Some(agreement);
-        self.reshare();
+        self.apply_shares();
     }
 
     /// Settings that were read while it runs.
@@ -185,83 +199,83 @@
     /// # Errors
     ///
     /// As [`Agreement::read`].
-    pub fn reread(&mut self, split: Split) -> Result<(), Stale> {
+    pub fn update_allocation(&mut self, split: Allocation) -> Result<(), StaleAllocation> {
         if let Some(agreement) = &mut self.agreement {
-            agreement.read(split)?;
-            self.reshare();
+            agreement.update(split)?;
+            self.apply_shares();
         }
         Ok(())
     }
 
     /// The agreement on the budgets' settings, if there is one.
     #[must_use]
-    pub fn agreement(&self) -> Option<&Agreement> {
+    pub fn agreement(&self) -> Option<&AllocationAgreement> {
         self.agreement.as_ref()
     }
 
     /// Tells the agreement something that does not come by datagram.
-    pub fn with_agreement(&mut self, change: impl FnOnce(&mut Agreement)) {
+    pub fn with_agreement(&mut self, change: impl FnOnce(&mut AllocationAgreement)) {
         let Some(agreement) = &mut self.agreement else { return };
-        let before = agreement.agreed();
+        let before = agreement.is_agreed();
         change(agreement);
-        if agreement.agreed() != before {
-            self.reshare();
+        if agreement.is_agreed() != before {
+            self.apply_shares();
         }
     }
 
     /// Takes over the roots that may be used now.
-    fn reshare(&mut self) {
+    fn apply_shares(&mut self) {
         let Some(agreement) = self.agreement.take() else { return };
-        let split = agreement.split();
-        self.setup.slots = self.setup.slots.max(split.slots);
-        for (&id, &root) in agreement.roots() {
+        let split = agreement.allocation();
+        self.config.slot_count = self.config.slot_count.max(split.slot_count);
+        for (&id, &root) in agreement.active_shares() {
             if !self.budgets.contains_key(&id) {
                 let Some(&(_, usage)) = split.totals.get(&id) else { continue };
                 // An earlier life may have lent of it.
-                self.add_budget(id, &split.roots(id), usage, false);
+                self.add_budget(id, &split.initial_shares(id), usage, false);
             }
             let Some(held) = self.budgets.get_mut(&id) else { continue };
-            held.budget.with(self.now, |escrow| escrow.reshare(root));
+            held.budget.with_escrow(self.now, |escrow| escrow.set_share(root));
             if let Some(&(_, usage)) = split.totals.get(&id) {
-                held.budget.permit(usage);
-                held.grantors = grantors(id, self.own, &split.roots(id));
+                held.budget.set_kind(usage);
+                held.grantors = choose_grantors(id, self.own_slot, &split.initial_shares(id));
             }
         }
-        self.budgets.retain(|id, _| agreement.roots().contains_key(id));
+        self.budgets.retain(|id, _| agreement.active_shares().contains_key(id));
         self.agreement = Some(agreement);
     }
 
     /// A later life under this gateway's number is about: its root is that one's.
-    pub fn stand_down(&mut self) {
+    pub fn relinquish(&mut self) {
         let now = self.now;
-        self.budgets.values_mut().for_each(|held| held.budget.with(now, Escrow::stand_down));
+        self.budgets.values_mut().for_each(|held| held.budget.with_escrow(now, Escrow::relinquish));
     }
 
     /// Others know a life of this gateway that is later than this one was: it goes on as one that begins at
     /// `generation`. What it held of others is that life's or lost, and for a lease it lends nothing, as that life may
     /// have lent. What is held with its rights stays counted.
-    pub fn outdone(&mut self, generation: u64) {
+    pub fn restart(&mut self, generation: u64) {
         let now = self.now;
-        self.forget(generation);
-        self.judgements.begin_anew(generation);
-        self.budgets.values_mut().for_each(|held| held.budget.with(now, |it| it.begin_anew(generation)));
+        self.reset_counts(generation);
+        self.outlier_reports.restart(generation);
+        self.budgets.values_mut().for_each(|held| held.budget.with_escrow(now, |it| it.restart(generation)));
     }
 
     /// Forgets own counts that have come to nought, at all gateways: what is counted is said anew as by a life that
     /// begins at `generation`, which is later than the present one and earlier than any to come.
-    pub fn forget(&mut self, generation: u64) {
-        self.generation = generation;
-        self.counts.begin_anew(generation);
-        let own = self.counts.own();
-        self.told.retain(|key, _| own.cells.contains_key(key));
-        self.changed = self.told.keys().copied().collect();
+    pub fn reset_counts(&mut self, generation: u64) {
+        self.incarnation = generation;
+        self.counts.restart(generation);
+        let own = self.counts.own_row();
+        self.count_recipients.retain(|key, _| own.cells.contains_key(key));
+        self.changed_counts = self.count_recipients.keys().copied().collect();
     }
 
     /// Tells what this gateway would use of a budget, in units.
-    pub fn want(&mut self, id: u32, units: u64) {
+    pub fn set_wanted_units(&mut self, id: u32, units: u64) {
         if let Some(held) = self.budgets.get_mut(&id) {
-            held.wants = units;
-            held.budget.with(self.now, |escrow| escrow.want(units));
+            held.wanted_units = units;
+            held.budget.with_escrow(self.now, |escrow| escrow.set_wanted_units(units));
         }
     }
 
@@ -278,236 +292,246 @@
 
     /// The judgements, to be looked at.
     #[must_use]
-    pub fn judged(&self) -> &Judgements {
-        &self.judgements
+    pub fn outlier_reports(&self) -> &OutlierReports {
+        &self.outlier_reports
     }
 
     /// A budget.
-    pub fn budget(&mut self, id: u32) -> Option<&mut Budget> {
+    pub fn budget_mut(&mut self, id: u32) -> Option<&mut Budget> {
         self.budgets.get_mut(&id).map(|held| &mut held.budget)
     }
 
     /// Sets one of the own counts.
-    pub fn count(&mut self, key: Key, value: u32) {
-        let before = self.counts.own().cells.get(&key).copied();
+    pub fn set_count(&mut self, key: CounterKey, value: u32) {
+        let before = self.counts.own_row().cells.get(&key).copied();
         self.counts.set(key, value);
-        if before != self.counts.own().cells.get(&key).copied() {
-            self.changed.insert(key);
-            if !self.told.contains_key(&key) {
-                self.told.insert(key, self.told_to(key));
+        if before != self.counts.own_row().cells.get(&key).copied() {
+            self.changed_counts.insert(key);
+            if !self.count_recipients.contains_key(&key) {
+                self.count_recipients.insert(key, self.choose_recipients(key));
             }
         }
     }
 
     /// The group of a key: a group has its sample and its keepers, so that few are told much and not many little.
-    fn group(&self, key: Key) -> u64 {
-        mix(4, hash_of(key) % u64::from(self.setup.slots / SLOTS_A_GROUP).max(GROUPS))
+    fn key_group(&self, key: CounterKey) -> u64 {
+        mix(4, key_hash(key) % u64::from(self.config.slot_count / SLOTS_PER_GROUP).max(MIN_KEY_GROUPS))
     }
 
     /// Who is told this gateway's count of a key: nobody where it is not in the key's sample.
-    fn told_to(&self, key: Key) -> Vec<Slot> {
-        let hash = self.group(key);
-        if self.peers.len() >= SAMPLE && !rendezvous(!hash, self.all(), SAMPLE).contains(&self.own) {
+    fn choose_recipients(&self, key: CounterKey) -> Vec<Slot> {
+        let hash = self.key_group(key);
+        if self.peers.len() >= SAMPLE_SIZE
+            && !rendezvous(!hash, self.all_gateways(), SAMPLE_SIZE).contains(&self.own_slot)
+        {
             return Vec::new();
         }
-        let mut keepers = rendezvous(hash, self.all(), KEEPERS);
-        keepers.retain(|&slot| slot != self.own);
+        let mut keepers = rendezvous(hash, self.all_gateways(), REPLICAS);
+        keepers.retain(|&slot| slot != self.own_slot);
         keepers
     }
 
-    fn keeps(&mut self, key: Key) -> bool {
-        if let Some(&keeps) = self.keeps.get(&key) {
+    fn is_replica_of(&mut self, key: CounterKey) -> bool {
+        if let Some(&keeps) = self.replicated_keys.get(&key) {
             return keeps;
         }
-        let keeps = rendezvous(self.group(key), self.all(), KEEPERS).contains(&self.own);
-        if self.keeps.len() >= MAX_CELLS * 4 {
-            self.keeps.clear();
+        let keeps = rendezvous(self.key_group(key), self.all_gateways(), REPLICAS).contains(&self.own_slot);
+        if self.replicated_keys.len() >= MAX_CELLS * 4 {
+            self.replicated_keys.clear();
         }
-        self.keeps.insert(key, keeps);
+        self.replicated_keys.insert(key, keeps);
         keeps
     }
 
     /// The judgements.
-    pub fn judgements(&mut self) -> &mut Judgements {
-        &mut self.judgements
+    pub fn outlier_reports_mut(&mut self) -> &mut OutlierReports {
+        &mut self.outlier_reports
     }
 
     /// The counts.
     #[must_use]
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &ReplicatedCounts {
         &self.counts
     }
 
     /// The sum of a count as it is known here, with its age, and how many gateways are in it; asks a keeper for it
     /// where this is none. None: not heard, which is not nought.
-    pub fn read(&mut self, key: Key) -> Option<Reading> {
-        if self.keeps(key) {
+    pub fn fleet_total(&mut self, key: CounterKey) -> Option<FleetTotal> {
+        if self.is_replica_of(key) {
             return Some(self.counts.total(key));
         }
-        let keepers = rendezvous(self.group(key), self.all(), KEEPERS);
+        let keepers = rendezvous(self.key_group(key), self.all_gateways(), REPLICAS);
         if let Some(&keeper) = keepers.first() {
-            self.say(keeper, Item::Read(key));
+            self.enqueue(keeper, StateMessage::TotalRequest(key));
         }
-        let (reading, at) = self.sums.get(&key)?;
-        Some(Reading { oldest: reading.oldest + (self.now - *at), ..*reading })
+        let (reading, at) = self.cached_totals.get(&key)?;
+        Some(FleetTotal { max_age: reading.max_age + (self.now - *at), ..*reading })
     }
 
     /// True once a peer has given a snapshot, or none has for as long as is waited: until then nothing is placed by
     /// shared state, afterwards by what there is.
     #[must_use]
-    pub fn started(&self) -> bool {
-        self.started
+    pub fn is_started(&self) -> bool {
+        self.is_started
     }
 
-    fn say(&mut self, to: Slot, item: Item) {
-        if self.waiting.len() >= WAITING.1 && !self.waiting.contains_key(&to) {
-            self.traffic.dropped += 1;
+    fn enqueue(&mut self, to: Slot, item: StateMessage) {
+        if self.outgoing.len() >= MAX_QUEUED.1 && !self.outgoing.contains_key(&to) {
+            self.traffic.dropped_messages += 1;
             return;
         }
-        let queue = self.waiting.entry(to).or_default();
+        let queue = self.outgoing.entry(to).or_default();
         // The same question, or the same count, waits once.
         queue.retain(|_, kept| match (*kept, item) {
-            (Item::Count(kept, _), Item::Count(key, _)) => kept != key,
-            (Item::Ask(kept, _), Item::Ask(id, _)) | (Item::Grant(kept, _), Item::Grant(id, _)) => kept != id,
-            (Item::Evidence(kept), Item::Evidence(told)) => {
+            (StateMessage::Count(kept, _), StateMessage::Count(key, _)) => kept != key,
+            (StateMessage::LeaseRequest(kept, _), StateMessage::LeaseRequest(id, _))
+            | (StateMessage::LeaseGrant(kept, _), StateMessage::LeaseGrant(id, _)) => kept != id,
+            (StateMessage::Evidence(kept), StateMessage::Evidence(told)) => {
                 (kept.server, kept.kind) != (told.server, told.kind)
             }
-            (Item::Same(..), Item::Same(..)) | (Item::At(_), Item::At(_)) => false,
+            (StateMessage::CountsDigest(..), StateMessage::CountsDigest(..))
+            | (StateMessage::AllocationVersion(_), StateMessage::AllocationVersion(_)) => false,
             (kept, item) => kept != item,
         });
-        self.number += 1;
-        queue.insert((item.rank(), self.number), item);
-        if queue.len() > WAITING.0 {
+        self.last_message_id += 1;
+        queue.insert((item.priority(), self.last_message_id), item);
+        if queue.len() > MAX_QUEUED.0 {
             queue.pop_last();
-            self.traffic.dropped += 1;
+            self.traffic.dropped_messages += 1;
         }
     }
 
     /// Tells the time and no more: before budgets are spent at a time that [`at`](Self::at) has not been told, as to
     /// them a time before the last is a clock that was put back.
-    pub fn pass(&mut self, now: Duration) {
+    pub fn set_time(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.now).as_secs_f64();
-        let rate = f64::from(self.setup.datagrams);
-        self.allowance = (self.allowance + rate * passed).min(rate);
+        let rate = f64::from(self.config.datagrams_per_second);
+        self.send_tokens = (self.send_tokens + rate * passed).min(rate);
         self.now = now;
     }
 
     /// Lets time pass; call it every 50 ms.
-    pub fn at(&mut self, now: Duration) {
-        self.pass(now);
-        self.counts.at(now);
-        self.judgements.at(now);
+    pub fn advance_to(&mut self, now: Duration) {
+        self.set_time(now);
+        self.counts.advance_to(now);
+        self.outlier_reports.advance_to(now);
         for held in self.budgets.values_mut() {
-            held.budget.at(now);
+            held.budget.advance_to(now);
         }
-        let within = self.budgets.values().all(|held| held.budget.escrow().settled());
-        self.with_agreement(|agreement| agreement.settle(within));
-        if !self.started {
-            self.start();
+        let within = self.budgets.values().all(|held| held.budget.escrow().is_within_share());
+        self.with_agreement(|agreement| agreement.commit(within));
+        if !self.is_started {
+            self.request_snapshot();
         }
-        for (which, every) in [ASK, TELL.1, COUNT.0].into_iter().enumerate() {
-            if self.due[which] > now {
+        for (which, every) in
+            [LEASE_REQUEST_INTERVAL, EVIDENCE_FANOUT.1, COUNT_INTERVAL.0].into_iter().enumerate()
+        {
+            if self.next_due[which] > now {
                 // A clock put back does not silence it.
-                self.due[which] = self.due[which].min(now + 2 * every);
+                self.next_due[which] = self.next_due[which].min(now + 2 * every);
                 continue;
             }
-            self.due[which] = now + every.mul_f64(self.rng.random_range(0.9..1.1));
+            self.next_due[which] = now + every.mul_f64(self.rng.random_range(0.9..1.1));
             match which {
                 0 => {
-                    self.ask();
-                    self.promise();
+                    self.request_leases();
+                    self.send_allocation_version();
                 }
-                1 => self.tell(),
-                _ => self.say_counts(),
+                1 => self.send_evidence(),
+                _ => self.send_counts(),
             }
         }
     }
 
-    fn start(&mut self) {
-        let waited = self.now.saturating_sub(self.began);
-        if waited >= START.1 {
-            self.started = true;
-        } else if waited + START.0 > self.asked_start && !self.peers.is_empty() {
-            self.asked_start = waited + 2 * START.0;
+    fn request_snapshot(&mut self) {
+        let waited = self.now.saturating_sub(self.started_at);
+        if waited >= SNAPSHOT_TIMING.1 {
+            self.is_started = true;
+        } else if waited + SNAPSHOT_TIMING.0 > self.next_snapshot_request && !self.peers.is_empty() {
+            self.next_snapshot_request = waited + 2 * SNAPSHOT_TIMING.0;
             let peer = self.peers[self.rng.random_range(0..self.peers.len())];
-            self.say(peer, Item::Start);
+            self.enqueue(peer, StateMessage::SnapshotRequest);
         }
     }
 
-    fn ask(&mut self) {
+    fn request_leases(&mut self) {
         let mut asks = Vec::new();
         for (&id, held) in &mut self.budgets {
             let escrow = held.budget.escrow();
-            let own = escrow.rights() - escrow.held();
-            let lacks = held.wants.saturating_sub(own);
-            if lacks == 0 && escrow.held() == 0 {
+            let own = escrow.usable_units() - escrow.held_units();
+            let lacks = held.wanted_units.saturating_sub(own);
+            if lacks == 0 && escrow.held_units() == 0 {
                 continue;
             }
             // Each for an equal part, more than is lacked together: one of them may not answer.
             let part = (lacks * 3 / 2).div_ceil(held.grantors.len().max(1) as u64);
             // Where all is as it was, in time for two more asks before a lease ends.
-            let ends = escrow.ends().first().map_or(self.now, |it| it.0);
-            let settled = part == held.part && escrow.held() >= lacks;
-            if settled && ends > self.now + self.setup.terms.lease.mul_f64(0.6) {
+            let ends = escrow.lease_expiries().first().map_or(self.now, |it| it.0);
+            let settled = part == held.requested_portion && escrow.held_units() >= lacks;
+            if settled && ends > self.now + self.config.lease.duration.mul_f64(0.6) {
                 continue;
             }
-            held.part = part;
+            held.requested_portion = part;
             for &grantor in &held.grantors {
-                asks.push((grantor, Item::Ask(id, held.budget.ask(self.now, grantor, part))));
+                asks.push((
+                    grantor,
+                    StateMessage::LeaseRequest(id, held.budget.request_lease(self.now, grantor, part)),
+                ));
             }
         }
         for (to, item) in asks {
-            self.say(to, item);
+            self.enqueue(to, item);
         }
     }
 
     /// Who has promised to keep to which settings, until all have.
-    fn promise(&mut self) {
-        let Some(agreement) = self.agreement.as_mut().filter(|it| !it.agreed()) else { return };
-        let at = Item::At(agreement.tell());
-        for _ in 0..TELL.0.min(self.peers.len()) {
+    fn send_allocation_version(&mut self) {
+        let Some(agreement) = self.agreement.as_mut().filter(|it| !it.is_agreed()) else { return };
+        let at = StateMessage::AllocationVersion(agreement.next_message());
+        for _ in 0..EVIDENCE_FANOUT.0.min(self.peers.len()) {
             let peer = self.peers[self.rng.random_range(0..self.peers.len())];
-            self.say(peer, at);
+            self.enqueue(peer, at);
         }
     }
 
-    fn tell(&mut self) {
-        let told: Vec<_> = self.judgements.own().collect();
+    fn send_evidence(&mut self) {
+        let told: Vec<_> = self.outlier_reports.own_evidence().collect();
         if told.is_empty() || self.peers.is_empty() {
             return;
         }
-        for _ in 0..TELL.0.min(self.peers.len()) {
+        for _ in 0..EVIDENCE_FANOUT.0.min(self.peers.len()) {
             // In turn, from a place by chance on: by chance alone one in a few hears it when it is old.
-            self.next_told = (self.next_told + 1) % self.peers.len();
-            let peer = self.peers[self.next_told];
-            for &it in told.iter().take(WAITING.0 / 4) {
-                self.say(peer, Item::Evidence(it));
+            self.next_evidence_peer = (self.next_evidence_peer + 1) % self.peers.len();
+            let peer = self.peers[self.next_evidence_peer];
+            for &it in told.iter().take(MAX_QUEUED.0 / 4) {
+                self.enqueue(peer, StateMessage::Evidence(it));
             }
         }
     }
 
-    fn say_counts(&mut self) {
-        self.turn += 1;
-        for key in std::mem::take(&mut self.changed) {
-            self.say_count(key, None);
+    fn send_counts(&mut self) {
+        self.count_round += 1;
+        for key in std::mem::take(&mut self.changed_counts) {
+            self.send_count(key, None);
         }
-        if self.turn.is_multiple_of(COUNT.1) {
-            let keepers: BTreeSet<Slot> = self.told.values().flatten().copied().collect();
+        if self.count_round.is_multiple_of(COUNT_INTERVAL.1) {
+            let keepers: BTreeSet<Slot> = self.count_recipients.values().flatten().copied().collect();
             for keeper in keepers {
-                let hash =
-                    digest(self.told.iter().filter(|it| it.1.contains(&keeper)).filter_map(|(key, _)| {
-                        self.counts.own().cells.get(key).map(|cell| (*key, cell.version))
-                    }));
-                self.say(keeper, Item::Same(self.turn, hash));
+                let hash = counts_digest(
+                    self.count_recipients.iter().filter(|it| it.1.contains(&keeper)).filter_map(
+                        |(key, _)| self.counts.own_row().cells.get(key).map(|cell| (*key, cell.version)),
+                    ),
+                );
+                self.enqueue(keeper, StateMessage::CountsDigest(self.count_round, hash));
             }
         }
     }
 
-    fn say_count(&mut self, key: Key, only: Option<Slot>) {
-        let Some(&cell) = self.counts.own().cells.get(&key) else { return };
-        let keepers = self.told.get(&key).cloned().unwrap_or_default();
+    fn send_count(&mut self, key: CounterKey, only: Option<Slot>) {
+        let Some(&cell) = self.counts.own_row().cells.get(&key) else { return };
+        let keepers = self.count_recipients.get(&key).cloned().unwrap_or_default();
         for keeper in keepers.into_iter().filter(|&keeper| only.is_none_or(|only| only == keeper)) {
-            self.say(keeper, Item::Count(key, cell));
+            self.enqueue(keeper, StateMessage::Count(key, cell));
         }
     }
 
@@ -516,8 +540,8 @@
     /// # Errors
     ///
     /// Says why it is not heard; it is counted, and has changed nothing.
-    pub fn receive(&mut self, datagram: &[u8]) -> Result<(), Unheard> {
-        self.read_from(datagram, Some)
+    pub fn handle_datagram(&mut self, datagram: &[u8]) -> Result<(), DecodeError> {
+        self.decode_and_handle(datagram, Some)
     }
 
     /// Takes a datagram in that came from the address of this gateway, or of none.
@@ -525,156 +549,173 @@
     /// # Errors
     ///
     /// As [`receive`](Self::receive), and where it speaks for another gateway.
-    pub fn receive_from(&mut self, sender: Option<Slot>, datagram: &[u8]) -> Result<(), Unheard> {
-        self.read_from(datagram, |_| sender)
+    pub fn handle_datagram_from(&mut self, sender: Option<Slot>, datagram: &[u8]) -> Result<(), DecodeError> {
+        self.decode_and_handle(datagram, |_| sender)
     }
 
-    fn read_from(&mut self, datagram: &[u8], sender: impl Fn(Slot) -> Option<Slot>) -> Result<(), Unheard> {
-        let read = delta::read(self.setup.tier, datagram).and_then(|it| {
+    fn decode_and_handle(
+        &mut self,
+        datagram: &[u8],
+        sender: impl Fn(Slot) -> Option<Slot>,
+    ) -> Result<(), DecodeError> {
+        let read = delta::decode_datagram(self.config.tier, datagram).and_then(|it| {
             if sender(it.0) != Some(it.0) {
-                Err(Unheard::Foreign)
-            } else if it.0 == self.own {
-                Err(Unheard::Own)
-            } else if it.0.0 >= self.setup.slots {
-                Err(Unheard::Full)
+                Err(DecodeError::Foreign)
+            } else if it.0 == self.own_slot {
+                Err(DecodeError::Own)
+            } else if it.0.0 >= self.config.slot_count {
+                Err(DecodeError::Full)
             } else {
                 Ok(it)
             }
         });
         match read {
             Ok((from, generation, items)) => {
-                items.into_iter().for_each(|item| self.take(from, generation, item));
+                items.into_iter().for_each(|item| self.handle_message(from, generation, item));
                 Ok(())
             }
             Err(why) => {
-                *self.traffic.unheard.entry(why).or_default() += 1;
+                *self.traffic.rejected.entry(why).or_default() += 1;
                 Err(why)
             }
         }
     }
 
-    fn take(&mut self, from: Slot, generation: u64, item: Item) {
+    fn handle_message(&mut self, from: Slot, generation: u64, item: StateMessage) {
         let now = self.now;
         match item {
-            Item::Ask(id, ask) => {
-                let lent = self.budgets.get_mut(&id).map(|held| held.budget.lend(now, from, ask));
+            StateMessage::LeaseRequest(id, ask) => {
+                let lent = self.budgets.get_mut(&id).map(|held| held.budget.grant_lease(now, from, ask));
                 if let Some(Ok(grant)) = lent {
-                    self.say(from, Item::Grant(id, grant));
+                    self.enqueue(from, StateMessage::LeaseGrant(id, grant));
                 }
             }
-            Item::Grant(id, grant) => {
+            StateMessage::LeaseGrant(id, grant) => {
                 if let Some(held) = self.budgets.get_mut(&id) {
                     // One that comes too late is asked for again.
-                    let _ = held.budget.take(now, from, grant);
+                    let _ = held.budget.accept_lease(now, from, grant);
                 }
             }
-            Item::Evidence(told) => {
-                self.judgements.hear(now, from, told);
+            StateMessage::Evidence(told) => {
+                self.outlier_reports.handle_message(now, from, told);
             }
-            Item::Count(key, cell) => {
-                self.counts.hear(now, from, &Register { generation, cells: [(key, cell)].into() });
+            StateMessage::Count(key, cell) => {
+                self.counts.merge_remote(
+                    now,
+                    from,
+                    &ReplicaCounts { incarnation: generation, cells: [(key, cell)].into() },
+                );
             }
-            Item::Same(number, hash) => self.same(from, generation, number, hash),
-            Item::Lacks => {
-                let keys: Vec<Key> = self.told.keys().copied().collect();
-                keys.into_iter().for_each(|key| self.say_count(key, Some(from)));
+            StateMessage::CountsDigest(number, hash) => {
+                self.handle_counts_digest(from, generation, number, hash)
             }
-            Item::Read(key) => {
+            StateMessage::ResendCounts => {
+                let keys: Vec<CounterKey> = self.count_recipients.keys().copied().collect();
+                keys.into_iter().for_each(|key| self.send_count(key, Some(from)));
+            }
+            StateMessage::TotalRequest(key) => {
                 let reading = self.counts.total(key);
-                let gateways = reading.gateways.min(usize::from(u16::MAX)) as u16;
-                let age = reading.oldest.as_millis().min(u128::from(u16::MAX)) as u16;
-                self.say(from, Item::Sum(key, reading.sum, gateways, age));
+                let gateways = reading.gateway_count.min(usize::from(u16::MAX)) as u16;
+                let age = reading.max_age.as_millis().min(u128::from(u16::MAX)) as u16;
+                self.enqueue(from, StateMessage::Total(key, reading.sum, gateways, age));
             }
-            Item::Sum(key, sum, gateways, age) => {
-                if self.sums.len() < READINGS || self.sums.contains_key(&key) {
+            StateMessage::Total(key, sum, gateways, age) => {
+                if self.cached_totals.len() < MAX_CACHED_TOTALS || self.cached_totals.contains_key(&key) {
                     let oldest = Duration::from_millis(u64::from(age));
-                    self.sums.insert(key, (Reading { sum, gateways: usize::from(gateways), oldest }, now));
+                    self.cached_totals.insert(
+                        key,
+                        (FleetTotal { sum, gateway_count: usize::from(gateways), max_age: oldest }, now),
+                    );
                 }
             }
-            Item::Start => self.snapshot(from),
-            Item::Relayed(slot, generation, key, cell) if !self.started => {
-                self.counts.hear(now, slot, &Register { generation, cells: [(key, cell)].into() });
+            StateMessage::SnapshotRequest => self.send_snapshot(from),
+            StateMessage::SnapshotCount(slot, generation, key, cell) if !self.is_started => {
+                self.counts.merge_remote(
+                    now,
+                    slot,
+                    &ReplicaCounts { incarnation: generation, cells: [(key, cell)].into() },
+                );
             }
-            Item::Relayed(..) => {}
-            Item::End => self.started = true,
-            Item::At(at) => {
+            StateMessage::SnapshotCount(..) => {}
+            StateMessage::SnapshotEnd => self.is_started = true,
+            StateMessage::AllocationVersion(at) => {
                 let mut answer = None;
-                self.with_agreement(|it| answer = it.hear(from, at).then(|| it.tell()));
+                self.with_agreement(|it| answer = it.handle_message(from, at).then(|| it.next_message()));
                 if let Some(at) = answer {
-                    self.say(from, Item::At(at));
+                    self.enqueue(from, StateMessage::AllocationVersion(at));
                 }
             }
         }
     }
 
     /// The sender's counts are as it said last, or it is asked to say them again.
-    fn same(&mut self, from: Slot, generation: u64, number: u32, hash: u64) {
-        let row = self.counts.table().rows().get(&from).filter(|row| row.generation == generation);
+    fn handle_counts_digest(&mut self, from: Slot, generation: u64, number: u32, hash: u64) {
+        let row = self.counts.table().rows().get(&from).filter(|row| row.incarnation == generation);
         let mut kept: Vec<_> =
             row.into_iter().flat_map(|row| row.cells.iter().map(|it| (*it.0, it.1.version))).collect();
-        kept.retain(|it| self.keeps(it.0));
-        let later = self.same.get(&from).is_none_or(|&last| last < (generation, number));
+        kept.retain(|it| self.is_replica_of(it.0));
+        let later = self.last_digests.get(&from).is_none_or(|&last| last < (generation, number));
         if later {
             // One that was aged out is there after all: its counts are news again.
-            self.counts.touch(self.now, from, generation);
-            self.same.insert(from, (generation, number));
+            self.counts.record_heartbeat(self.now, from, generation);
+            self.last_digests.insert(from, (generation, number));
         }
-        if digest(kept.into_iter()) != hash {
-            self.say(from, Item::Lacks);
+        if counts_digest(kept.into_iter()) != hash {
+            self.enqueue(from, StateMessage::ResendCounts);
         }
     }
 
     /// What a gateway that starts is to keep, as far as it is known here.
-    fn snapshot(&mut self, to: Slot) {
+    fn send_snapshot(&mut self, to: Slot) {
         let mut items = Vec::new();
         for (&slot, row) in self.counts.table().rows() {
             for (&key, &cell) in &row.cells {
-                if items.len() < SNAPSHOT && slot != to {
-                    items.push(Item::Relayed(slot, row.generation, key, cell));
+                if items.len() < MAX_SNAPSHOT_COUNTS && slot != to {
+                    items.push(StateMessage::SnapshotCount(slot, row.incarnation, key, cell));
                 }
             }
         }
-        items.push(Item::End);
-        items.into_iter().for_each(|item| self.say(to, item));
+        items.push(StateMessage::SnapshotEnd);
+        items.into_iter().for_each(|item| self.enqueue(to, item));
     }
 
     /// The next datagram to be sent, and to whom: the most useful first, several items in one.
-    pub fn transmit(&mut self) -> Option<(Slot, Vec<u8>)> {
-        if self.allowance < 1.0 {
+    pub fn next_datagram(&mut self) -> Option<(Slot, Vec<u8>)> {
+        if self.send_tokens < 1.0 {
             return None;
         }
-        let first = |it: &(&Slot, &BTreeMap<(u8, u64), Item>)| it.1.keys().next().copied();
-        let to = *self.waiting.iter().filter(|it| !it.1.is_empty()).min_by_key(first)?.0;
-        let mut bytes = delta::frame(self.setup.tier, self.own, self.generation);
-        let sent = self.fill(to, &mut bytes, MAX_DATAGRAM);
+        let first = |it: &(&Slot, &BTreeMap<(u8, u64), StateMessage>)| it.1.keys().next().copied();
+        let to = *self.outgoing.iter().filter(|it| !it.1.is_empty()).min_by_key(first)?.0;
+        let mut bytes = delta::encode_header(self.config.tier, self.own_slot, self.incarnation);
+        let sent = self.fill_datagram(to, &mut bytes, MAX_DATAGRAM);
         debug_assert!(sent > 0, "an item is shorter than a datagram");
-        self.allowance -= 1.0;
+        self.send_tokens -= 1.0;
         self.traffic.sent.0 += 1;
         self.traffic.sent.1 += bytes.len() as u64;
         Some((to, bytes))
     }
 
     /// Puts what waits for `to` into a datagram of at most `room` bytes; how many items that were.
-    fn fill(&mut self, to: Slot, bytes: &mut Vec<u8>, room: usize) -> usize {
-        let Some(queue) = self.waiting.get_mut(&to) else { return 0 };
+    fn fill_datagram(&mut self, to: Slot, bytes: &mut Vec<u8>, room: usize) -> usize {
+        let Some(queue) = self.outgoing.get_mut(&to) else { return 0 };
         let mut sent = 0;
         while let Some(entry) = queue.first_entry() {
-            if !delta::put(bytes, entry.get(), room.min(MAX_DATAGRAM)) {
+            if !delta::append_message(bytes, entry.get(), room.min(MAX_DATAGRAM)) {
                 break;
             }
             entry.remove();
             sent += 1;
         }
         if queue.is_empty() {
-            self.waiting.remove(&to);
+            self.outgoing.remove(&to);
         }
         sent
     }
 
     /// A datagram of at most `room` bytes for `to`, who is sent to anyway: it rides along with the view's.
-    pub fn ride(&mut self, to: Slot, room: usize) -> Option<Vec<u8>> {
-        let mut bytes = delta::frame(self.setup.tier, self.own, self.generation);
-        (self.fill(to, &mut bytes, room) > 0).then_some(bytes)
+    pub fn piggyback_datagram(&mut self, to: Slot, room: usize) -> Option<Vec<u8>> {
+        let mut bytes = delta::encode_header(self.config.tier, self.own_slot, self.incarnation);
+        (self.fill_datagram(to, &mut bytes, room) > 0).then_some(bytes)
     }
 
     /// What has been counted.
@@ -690,12 +731,14 @@
     /// Names the first that is broken.
     pub fn check(&self, ready: &[(u32, u64)]) -> Result<(), Violation> {
         self.counts.check()?;
-        self.judgements.check(ready)?;
-        self.agreement.as_ref().map_or(Ok(()), Agreement::check)?;
+        self.outlier_reports.check(ready)?;
+        self.agreement.as_ref().map_or(Ok(()), AllocationAgreement::check)?;
         self.budgets.values().try_for_each(|held| held.budget.check())?;
-        let most = self.waiting.values().map(BTreeMap::len).max().unwrap_or(0);
-        let tables =
-            [("peers waited for", self.waiting.len(), WAITING.1), ("items for a peer", most, WAITING.0)];
+        let most = self.outgoing.values().map(BTreeMap::len).max().unwrap_or(0);
+        let tables = [
+            ("peers waited for", self.outgoing.len(), MAX_QUEUED.1),
+            ("items for a peer", most, MAX_QUEUED.0),
+        ];
         match tables.into_iter().find(|&(_, found, most)| found > most) {
             Some((table, found, most)) => Err(Violation::OverFull { table, found, most }),
             None => Ok(()),
@@ -704,20 +747,20 @@
 }
 
 /// Whom a gateway asks for rights of a budget.
-fn grantors(id: u32, own: Slot, roots: &BTreeMap<Slot, Root>) -> Vec<Slot> {
+fn choose_grantors(id: u32, own: Slot, roots: &BTreeMap<Slot, InitialShare>) -> Vec<Slot> {
     let lenders = roots.iter().filter(|it| it.1.lendable > 0 && *it.0 != own).map(|it| *it.0);
-    rendezvous(mix(u64::from(id), u64::from(own.0)), lenders, ASKED)
+    rendezvous(mix(u64::from(id), u64::from(own.0)), lenders, GRANTORS_PER_BUDGET)
 }
 
-fn hash_of(key: Key) -> u64 {
+fn key_hash(key: CounterKey) -> u64 {
     match key {
-        Key::OpenAt(id) => mix(1, u64::from(id)),
-        Key::OpenFor(id) => mix(2, u64::from(id)),
-        Key::SentTo(id) => mix(3, u64::from(id)),
+        CounterKey::OpenOnServer(id) => mix(1, u64::from(id)),
+        CounterKey::OpenForPartner(id) => mix(2, u64::from(id)),
+        CounterKey::SentToServer(id) => mix(3, u64::from(id)),
     }
 }
 
 /// The same for the same cells in any order.
-fn digest(cells: impl Iterator<Item = (Key, u32)>) -> u64 {
-    cells.fold(0, |sum, (key, version)| sum ^ mix(hash_of(key), u64::from(version)))
+fn counts_digest(cells: impl Iterator<Item = (CounterKey, u32)>) -> u64 {
+    cells.fold(0, |sum, (key, version)| sum ^ mix(key_hash(key), u64::from(version)))
 }
--- a/crates/ashtide-fleet/src/state/judgements.rs
+++ b/crates/ashtide-fleet/src/state/judgements.rs
@@ -8,31 +8,31 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::broken::{Broken, Fault};
+use super::broken::{ActiveMutation, Mutation};
 use super::{Slot, Violation, mix};
 
 /// Evidence that is older weighs nothing.
-pub const EVIDENCE_LASTS: Duration = Duration::from_secs(24);
+pub const EVIDENCE_LIFETIME: Duration = Duration::from_secs(24);
 /// Time in which the weight of evidence falls by half.
-const HALF: Duration = Duration::from_secs(6);
+const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(6);
 /// Observers that are kept of one server and kind; which, no observer can choose.
 pub const MAX_OBSERVERS: usize = 16;
 /// Servers and kinds that are kept.
-pub const MAX_BOARDS: usize = 2048;
+pub const MAX_EVIDENCE_SETS: usize = 2048;
 /// Attempts beyond what is seen that evidence is weighed against (one that went well): one failure of one attempt weighs
 /// a half, two of two two thirds. A gateway that sets a server aside has no more than these for seconds.
-const PRIOR: u32 = 1;
+const PRIOR_ATTEMPTS: u32 = 1;
 /// Thousandths from which an observer counts for the quorum.
-const COUNTS: u32 = 250;
+const QUORUM_WEIGHT: u32 = 250;
 /// Thousandths of all observers' weight from which a server is out of use.
-const OUT: u32 = 500;
+const EJECT_WEIGHT: u32 = 500;
 /// Thousandths down to which one that is out stays so: evidence falls while nobody tries the server, and it would come
 /// and go with each trial.
-const STAYS: u32 = 350;
+const RETAIN_WEIGHT: u32 = 350;
 
 /// What was seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Kind {
+pub enum EvidenceKind {
     /// It refuses, resets or cannot be connected to.
     Failing,
     /// It does not answer.
@@ -49,11 +49,11 @@
     /// The observer's life and, within it, a number that counts on: the later evidence replaces the earlier.
     pub stamp: (u64, u32),
     /// Attempts on which it was seen.
-    pub saw: u16,
+    pub observed: u16,
     /// Attempts in all.
-    pub of: u16,
+    pub attempts: u16,
     /// When, by the time of who keeps it; the earliest that it was told with.
-    pub at: Duration,
+    pub observed_at: Duration,
 }
 
 impl Evidence {
@@ -63,219 +63,269 @@
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Greater => self,
             std::cmp::Ordering::Equal => {
-                let (saw, of) = (self.saw, self.of).max((other.saw, other.of));
-                Self { saw, of, at: self.at.min(other.at), ..self }
+                let (saw, of) = (self.observed, self.attempts).max((other.observed, other.attempts));
+                Self {
+                    observed: saw,
+                    attempts: of,
+                    observed_at: self.observed_at.min(other.observed_at),
+                    ..self
+                }
             }
         }
     }
 
     /// Thousandths of a full observer: the part of attempts on which it was seen, against the prior, falling with age.
-    fn weight(self, now: Duration) -> u32 {
-        let age = now.saturating_sub(self.at);
-        if age >= EVIDENCE_LASTS {
+    fn weight_at(self, now: Duration) -> u32 {
+        let age = now.saturating_sub(self.observed_at);
+        if age >= EVIDENCE_LIFETIME {
             return 0;
         }
-        let (saw, of) = (u32::from(self.saw.min(self.of)), u32::from(self.of));
-        let fallen = 0.5f64.powf(age.as_secs_f64() / HALF.as_secs_f64());
-        (f64::from(1_000 * saw / (of + PRIOR)) * fallen) as u32
+        let (saw, of) = (u32::from(self.observed.min(self.attempts)), u32::from(self.attempts));
+        let fallen = 0.5f64.powf(age.as_secs_f64() / EVIDENCE_HALF_LIFE.as_secs_f64());
+        (f64::from(1_000 * saw / (of + PRIOR_ATTEMPTS)) * fallen) as u32
     }
 }
 
 /// The evidence on one server of one kind: a join semilattice. An observer's later evidence replaces its earlier; of
 /// more than [`MAX_OBSERVERS`] those that come first by the server's name are kept, so any order ends alike.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Board {
-    seen: BTreeMap<(u64, Slot), Evidence>,
+pub struct EvidenceSet {
+    by_observer: BTreeMap<(u64, Slot), Evidence>,
 }
 
-impl Board {
+impl EvidenceSet {
     /// Takes in what `observer` saw of `server`; true where that was news.
-    pub fn put(&mut self, server: u32, observer: Slot, evidence: Evidence) -> bool {
+    pub fn insert(&mut self, server: u32, observer: Slot, evidence: Evidence) -> bool {
         let key = (mix(u64::from(server), u64::from(observer.0)), observer);
-        let before = self.seen.get(&key).copied();
+        let before = self.by_observer.get(&key).copied();
         let after = before.map_or(evidence, |kept| kept.join(evidence));
-        self.seen.insert(key, after);
-        if self.seen.len() > MAX_OBSERVERS {
-            self.seen.pop_last();
+        self.by_observer.insert(key, after);
+        if self.by_observer.len() > MAX_OBSERVERS {
+            self.by_observer.pop_last();
         }
-        before != Some(after) && self.seen.contains_key(&key)
+        before != Some(after) && self.by_observer.contains_key(&key)
     }
 
     /// Takes in all of another board of the same server and kind.
     pub fn merge(&mut self, other: &Self, server: u32) {
-        for (&(_, observer), &evidence) in &other.seen {
-            self.put(server, observer, evidence);
+        for (&(_, observer), &evidence) in &other.by_observer {
+            self.insert(server, observer, evidence);
         }
     }
 
     /// Weights that are not nought of age, each with its observer.
     fn weights(&self, now: Duration) -> impl Iterator<Item = (Slot, u32)> {
-        let fresh = self.seen.iter().filter(move |it| now.saturating_sub(it.1.at) < EVIDENCE_LASTS);
-        fresh.map(move |(&(_, observer), evidence)| (observer, evidence.weight(now)))
+        let fresh = self
+            .by_observer
+            .iter()
+            .filter(move |it| now.saturating_sub(it.1.observed_at) < EVIDENCE_LIFETIME);
+        fresh.map(move |(&(_, observer), evidence)| (observer, evidence.weight_at(now)))
     }
 }
 
 /// What a gateway tells of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct EvidenceMessage {
     /// The server, by a hash of its name.
     pub server: u32,
     /// What was seen.
-    pub kind: Kind,
+    pub kind: EvidenceKind,
     /// The observer's life.
-    pub generation: u64,
+    pub incarnation: u64,
     /// Counts on within it.
-    pub number: u32,
+    pub sequence: u32,
     /// Attempts on which it was seen.
-    pub saw: u16,
+    pub observed: u16,
     /// Attempts in all.
-    pub of: u16,
+    pub attempts: u16,
     /// How long ago, in milliseconds: times are not compared between gateways.
     pub age_ms: u16,
 }
 
 /// What judgements may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
+pub struct OutlierLimits {
     /// Observers needed for a fleet-wide effect.
     pub quorum: usize,
     /// Thousandths of the ready capacity that may be out of use by judgements together.
-    pub most_out: u64,
+    pub max_ejected_permille: u64,
     /// Kinds of evidence that take a server out of use.
-    pub acts: &'static [Kind],
+    pub ejecting_kinds: &'static [EvidenceKind],
 }
 
-impl Default for Rules {
+impl Default for OutlierLimits {
     fn default() -> Self {
-        Self { quorum: 3, most_out: 200, acts: &[Kind::Failing, Kind::Silent, Kind::Overrun, Kind::Slow] }
+        Self {
+            quorum: 3,
+            max_ejected_permille: 200,
+            ejecting_kinds: &[
+                EvidenceKind::Failing,
+                EvidenceKind::Silent,
+                EvidenceKind::Overrun,
+                EvidenceKind::Slow,
+            ],
+        }
     }
 }
 
 /// One gateway's evidence, its own and what it has heard.
 #[derive(Debug, Clone)]
-pub struct Judgements {
-    own: Slot,
-    generation: u64,
-    rules: Rules,
+pub struct OutlierReports {
+    own_slot: Slot,
+    incarnation: u64,
+    limits: OutlierLimits,
     now: Duration,
-    number: u32,
-    boards: BTreeMap<(u32, Kind), Board>,
+    last_sequence: u32,
+    evidence: BTreeMap<(u32, EvidenceKind), EvidenceSet>,
     /// What was out of use last.
-    held: BTreeSet<u32>,
-    fault: Fault,
+    ejected: BTreeSet<u32>,
+    mutation: ActiveMutation,
 }
 
-impl Judgements {
+impl OutlierReports {
     /// The evidence of the gateway at `own`, whose life began at `generation`.
     #[must_use]
-    pub fn new(own: Slot, generation: u64, rules: Rules, now: Duration) -> Self {
+    pub fn new(own: Slot, generation: u64, rules: OutlierLimits, now: Duration) -> Self {
         let (boards, held) = (BTreeMap::new(), BTreeSet::new());
-        Self { own, generation, rules, now, number: 0, boards, held, fault: Fault::default() }
+        Self {
+            own_slot: own,
+            incarnation: generation,
+            limits: rules,
+            now,
+            last_sequence: 0,
+            evidence: boards,
+            ejected: held,
+            mutation: ActiveMutation::default(),
+        }
     }
 
     /// Breaks it on purpose.
     #[cfg(feature = "broken")]
-    pub fn break_by(&mut self, broken: Broken) {
-        self.fault.chosen = Some(broken);
+    pub fn set_mutation(&mut self, broken: Mutation) {
+        self.mutation.mutation = Some(broken);
     }
 
     /// Goes on as a later life: what is seen from now on replaces what the earlier saw.
-    pub fn begin_anew(&mut self, generation: u64) {
-        self.generation = generation;
+    pub fn restart(&mut self, generation: u64) {
+        self.incarnation = generation;
     }
 
     /// Whether anybody's evidence speaks against a server.
     #[must_use]
-    pub fn accused(&self, server: u32, kind: Kind) -> bool {
-        self.boards.get(&(server, kind)).is_some_and(|board| board.weights(self.now).any(|it| it.1 > 0))
+    pub fn has_evidence_against(&self, server: u32, kind: EvidenceKind) -> bool {
+        self.evidence.get(&(server, kind)).is_some_and(|board| board.weights(self.now).any(|it| it.1 > 0))
     }
 
     /// What this gateway itself saw, on `saw` of `of` attempts up to now. It replaces what it saw before.
-    pub fn saw(&mut self, now: Duration, server: u32, kind: Kind, saw: u16, of: u16) {
-        self.at(now);
-        self.number += 1;
-        let evidence = Evidence { stamp: (self.generation, self.number), saw, of, at: self.now };
-        self.put(server, kind, self.own, evidence);
+    pub fn record_observation(&mut self, now: Duration, server: u32, kind: EvidenceKind, saw: u16, of: u16) {
+        self.advance_to(now);
+        self.last_sequence += 1;
+        let evidence = Evidence {
+            stamp: (self.incarnation, self.last_sequence),
+            observed: saw,
+            attempts: of,
+            observed_at: self.now,
+        };
+        self.insert(server, kind, self.own_slot, evidence);
     }
 
     /// Takes in what `observer` itself tells; true where that was news. The caller knows by whom the datagram was sent.
-    pub fn hear(&mut self, now: Duration, observer: Slot, told: Told) -> bool {
-        self.at(now);
+    pub fn handle_message(&mut self, now: Duration, observer: Slot, told: EvidenceMessage) -> bool {
+        self.advance_to(now);
         let age = Duration::from_millis(u64::from(told.age_ms));
-        if observer == self.own || age >= EVIDENCE_LASTS {
+        if observer == self.own_slot || age >= EVIDENCE_LIFETIME {
             return false;
         }
         let at = self.now.saturating_sub(age);
-        let evidence = Evidence { stamp: (told.generation, told.number), saw: told.saw, of: told.of, at };
-        self.put(told.server, told.kind, observer, evidence)
+        let evidence = Evidence {
+            stamp: (told.incarnation, told.sequence),
+            observed: told.observed,
+            attempts: told.attempts,
+            observed_at: at,
+        };
+        self.insert(told.server, told.kind, observer, evidence)
     }
 
-    fn put(&mut self, server: u32, kind: Kind, observer: Slot, evidence: Evidence) -> bool {
+    fn insert(&mut self, server: u32, kind: EvidenceKind, observer: Slot, evidence: Evidence) -> bool {
         let key = (server, kind);
-        if self.boards.len() >= MAX_BOARDS && !self.boards.contains_key(&key) {
+        if self.evidence.len() >= MAX_EVIDENCE_SETS && !self.evidence.contains_key(&key) {
             return false;
         }
-        self.boards.entry(key).or_default().put(server, observer, evidence)
+        self.evidence.entry(key).or_default().insert(server, observer, evidence)
     }
 
     /// Lets time pass; evidence that weighs nothing any more is dropped.
-    pub fn at(&mut self, now: Duration) {
+    pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
         let now = self.now;
-        for board in self.boards.values_mut() {
-            board.seen.retain(|_, it| now.saturating_sub(it.at) < EVIDENCE_LASTS);
+        for board in self.evidence.values_mut() {
+            board.by_observer.retain(|_, it| now.saturating_sub(it.observed_at) < EVIDENCE_LIFETIME);
         }
-        self.boards.retain(|_, board| !board.seen.is_empty());
+        self.evidence.retain(|_, board| !board.by_observer.is_empty());
     }
 
     /// This gateway's own evidence, to be told.
-    pub fn own(&self) -> impl Iterator<Item = Told> {
-        self.boards.iter().filter_map(|(&(server, kind), board)| {
-            let it = board.seen.get(&(mix(u64::from(server), u64::from(self.own.0)), self.own))?;
-            let age_ms = self.now.saturating_sub(it.at).as_millis().min(u128::from(u16::MAX)) as u16;
+    pub fn own_evidence(&self) -> impl Iterator<Item = EvidenceMessage> {
+        self.evidence.iter().filter_map(|(&(server, kind), board)| {
+            let it = board
+                .by_observer
+                .get(&(mix(u64::from(server), u64::from(self.own_slot.0)), self.own_slot))?;
+            let age_ms = self.now.saturating_sub(it.observed_at).as_millis().min(u128::from(u16::MAX)) as u16;
             let (generation, number) = it.stamp;
-            Some(Told { server, kind, generation, number, saw: it.saw, of: it.of, age_ms })
+            Some(EvidenceMessage {
+                server,
+                kind,
+                incarnation: generation,
+                sequence: number,
+                observed: it.observed,
+                attempts: it.attempts,
+                age_ms,
+            })
         })
     }
 
     /// How much speaks against a server by one kind of evidence, in thousandths: the mean over its observers, of whom
     /// as many as a quorum are reckoned with where fewer are heard. One observer moves it by at most a quorum's part.
     #[must_use]
-    pub fn against(&self, server: u32, kind: Kind) -> u32 {
-        let Some(board) = self.boards.get(&(server, kind)) else { return 0 };
+    pub fn evidence_weight(&self, server: u32, kind: EvidenceKind) -> u32 {
+        let Some(board) = self.evidence.get(&(server, kind)) else { return 0 };
         let (sum, count) = board.weights(self.now).fold((0, 0), |(sum, count), it| (sum + it.1, count + 1));
-        let quorum = if self.fault.is(Broken::NoQuorum) { 1 } else { self.rules.quorum };
+        let quorum = if self.mutation.is(Mutation::NoQuorum) { 1 } else { self.limits.quorum };
         sum / count.max(quorum).max(1) as u32
     }
 
-    fn observers(&self, server: u32, kind: Kind) -> usize {
-        let board = self.boards.get(&(server, kind));
-        board.map_or(0, |it| it.weights(self.now).filter(|it| it.1 >= COUNTS).count())
+    fn observer_count(&self, server: u32, kind: EvidenceKind) -> usize {
+        let board = self.evidence.get(&(server, kind));
+        board.map_or(0, |it| it.weights(self.now).filter(|it| it.1 >= QUORUM_WEIGHT).count())
     }
 
     /// As [`out`](Self::out), and those are out of use from now on: one stays so until little speaks against it.
-    pub fn decide(&mut self, ready: &[(u32, u64)]) -> Vec<(u32, Kind)> {
-        let out = self.out(ready);
-        self.held = out.iter().map(|it| it.0).collect();
+    pub fn update_outliers(&mut self, ready: &[(u32, u64)]) -> Vec<(u32, EvidenceKind)> {
+        let out = self.outliers(ready);
+        self.ejected = out.iter().map(|it| it.0).collect();
         out
     }
 
     /// Which of the `ready` servers, each with its capacity, are out of use by judgements, by each server's worst kind:
     /// those that most speaks against, as far as the part allows.
     #[must_use]
-    pub fn out(&self, ready: &[(u32, u64)]) -> Vec<(u32, Kind)> {
-        let quorum = if self.fault.is(Broken::NoQuorum) { 1 } else { self.rules.quorum };
+    pub fn outliers(&self, ready: &[(u32, u64)]) -> Vec<(u32, EvidenceKind)> {
+        let quorum = if self.mutation.is(Mutation::NoQuorum) { 1 } else { self.limits.quorum };
         let mut candidates: Vec<_> = ready
             .iter()
             .filter_map(|&(server, capacity)| {
-                let judged = self.rules.acts.iter().filter(|&&kind| self.observers(server, kind) >= quorum);
-                let worst = judged.map(|&kind| (self.against(server, kind), kind)).max()?;
-                let least = if self.held.contains(&server) { STAYS } else { OUT };
+                let judged = self
+                    .limits
+                    .ejecting_kinds
+                    .iter()
+                    .filter(|&&kind| self.observer_count(server, kind) >= quorum);
+                let worst = judged.map(|&kind| (self.evidence_weight(server, kind), kind)).max()?;
+                let least = if self.ejected.contains(&server) { RETAIN_WEIGHT } else { EJECT_WEIGHT };
                 (worst.0 >= least).then_some((std::cmp::Reverse(worst.0), server, worst.1, capacity))
             })
             .collect();
         candidates.sort_unstable();
-        let mut room = self.room(ready);
+        let mut room = self.ejectable_capacity(ready);
         let within = candidates.into_iter().filter(|&(.., capacity)| {
             let fits = capacity <= room;
             room -= if fits { capacity } else { 0 };
@@ -284,8 +334,8 @@
         within.map(|(_, server, kind, _)| (server, kind)).collect()
     }
 
-    fn room(&self, ready: &[(u32, u64)]) -> u64 {
-        ready.iter().map(|it| it.1).sum::<u64>().saturating_mul(self.rules.most_out) / 1_000
+    fn ejectable_capacity(&self, ready: &[(u32, u64)]) -> u64 {
+        ready.iter().map(|it| it.1).sum::<u64>().saturating_mul(self.limits.max_ejected_permille) / 1_000
     }
 
     /// Holds this core, and what it has out of use of `ready`, against its invariants.
@@ -294,24 +344,25 @@
     ///
     /// Names the first that is broken.
     pub fn check(&self, ready: &[(u32, u64)]) -> Result<(), Violation> {
-        let (mut out, most) = (0, self.room(ready));
-        for (server, kind) in self.out(ready) {
-            let (observers, quorum) = (self.observers(server, kind), self.rules.quorum);
+        let (mut out, most) = (0, self.ejectable_capacity(ready));
+        for (server, kind) in self.outliers(ready) {
+            let (observers, quorum) = (self.observer_count(server, kind), self.limits.quorum);
             if observers < quorum {
                 return Err(Violation::NoQuorum { server, observers, quorum });
             }
             out += ready.iter().filter(|it| it.0 == server).map(|it| it.1).sum::<u64>();
         }
         if out > most {
-            return Err(Violation::OverOut { out, ready: ready.iter().map(|it| it.1).sum(), most });
+            return Err(Violation::TooMuchEjected { out, ready: ready.iter().map(|it| it.1).sum(), most });
         }
-        for (&(server, _), board) in &self.boards {
+        for (&(server, _), board) in &self.evidence {
             if let Some((observer, weight)) = board.weights(self.now).find(|it| it.1 > 1_000) {
                 return Err(Violation::OverWeight { observer, server, weight });
             }
         }
-        let widest = self.boards.values().map(|board| board.seen.len()).max().unwrap_or(0);
-        let tables = [("judgements", self.boards.len(), MAX_BOARDS), ("observers", widest, MAX_OBSERVERS)];
+        let widest = self.evidence.values().map(|board| board.by_observer.len()).max().unwrap_or(0);
+        let tables =
+            [("judgements", self.evidence.len(), MAX_EVIDENCE_SETS), ("observers", widest, MAX_OBSERVERS)];
         match tables.into_iter().find(|&(_, found, most)| found > most) {
             Some((table, found, most)) => Err(Violation::OverFull { table, found, most }),
             None => Ok(()),
--- a/crates/ashtide-fleet/src/state/mod.rs
+++ b/crates/ashtide-fleet/src/state/mod.rs
@@ -21,19 +21,26 @@
 mod meter;
 mod violation;
 
-pub use agreement::{Agreement, At, Differs, Kept, Split, Stale};
+pub use agreement::{
+    Allocation, AllocationAgreement, AllocationVersion, Mismatch, PersistedAllocation, StaleAllocation,
+};
 #[cfg(feature = "broken")]
-pub use broken::Broken;
+pub use broken::Mutation;
 pub use budgets::{
-    Ask, Escrow, Grant, MAX_LEASES, MAX_LOANS, Root, Terms, Unused, check_total, fair, roots, split,
+    Escrow, InitialShare, LeaseConfig, LeaseGrant, LeaseRejected, LeaseRequest, MAX_GRANTED_LEASES,
+    MAX_HELD_LEASES, check_total, initial_shares, max_min_fair, split_proportionally,
+};
+pub use counts::{
+    CountTable, CounterKey, FleetTotal, MAX_CELLS, MAX_ROWS, ROW_LIFETIME, ReplicaCounts, ReplicatedCounts,
+    VersionedCount,
 };
-pub use counts::{COUNTED_FOR, Cell, Counts, Key, MAX_CELLS, MAX_ROWS, Reading, Register, Table};
-pub use delta::{Item, is_state};
-pub use exchange::{ASKED, Exchange, KEEPERS, SAMPLE, Setup, Traffic};
+pub use delta::{StateMessage, is_shared_state};
+pub use exchange::{Exchange, ExchangeConfig, GRANTORS_PER_BUDGET, REPLICAS, SAMPLE_SIZE, Traffic};
 pub use judgements::{
-    Board, EVIDENCE_LASTS, Evidence, Judgements, Kind, MAX_BOARDS, MAX_OBSERVERS, Rules, Told,
+    EVIDENCE_LIFETIME, Evidence, EvidenceKind, EvidenceMessage, EvidenceSet, MAX_EVIDENCE_SETS,
+    MAX_OBSERVERS, OutlierLimits, OutlierReports,
 };
-pub use meter::{Budget, Use};
+pub use meter::{Budget, BudgetKind};
 pub use violation::Violation;
 
 use serde::{Deserialize, Serialize};
--- a/crates/ashtide-fleet/src/state/violation.rs
+++ b/crates/ashtide-fleet/src/state/violation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Root, Slot};
+use super::{InitialShare, Slot};
 
 /// An invariant that does not hold: a fault of the program, never of the network.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -25,7 +25,7 @@
     },
     /// C3: a row says what its gateway said last, once.
     #[error("C3: gateway {} is counted with {found}, it said {expected}", .slot.0)]
-    Count {
+    MiscountedRow {
         /// Whose.
         slot: Slot,
         /// What is counted.
@@ -89,7 +89,7 @@
     },
     /// J2: judgements take at most their part of the ready capacity out of use.
     #[error("J2: {out} of {ready} ready capacity is out of use by judgements, at most {most} may be")]
-    OverOut {
+    TooMuchEjected {
         /// Capacity out.
         out: u64,
         /// Capacity that is ready.
@@ -109,13 +109,13 @@
     },
     /// A1: what a gateway uses of its root is at most what the settings give it, and all of it once they are agreed on.
     #[error("A1: of budget {budget:#x} {found:?} is in use, the settings give {due:?}")]
-    OtherRoot {
+    ShareMismatch {
         /// Of which.
         budget: u32,
         /// What is in use.
-        found: Root,
+        found: InitialShare,
         /// What the settings give.
-        due: Root,
+        due: InitialShare,
     },
     /// S1: a table stays within its bound.
     #[error("S1: {table} has {found} entries, room for {most}")]
@@ -132,20 +132,20 @@
 impl Violation {
     /// The invariant's number in `docs/design/shared-state.md`.
     #[must_use]
-    pub fn number(&self) -> &'static str {
+    pub fn invariant_id(&self) -> &'static str {
         match self {
             Self::OwnRow { .. } => "C1",
             Self::StaleRow { .. } => "C2",
-            Self::Count { .. } => "C3",
+            Self::MiscountedRow { .. } => "C3",
             Self::OverLent { .. } => "B1",
             Self::LongLease { .. } => "B2",
             Self::OverStored { .. } => "B3",
             Self::OverTotal { .. } => "B4",
             Self::OverSpent { .. } => "B5",
             Self::NoQuorum { .. } => "J1",
-            Self::OverOut { .. } => "J2",
+            Self::TooMuchEjected { .. } => "J2",
             Self::OverWeight { .. } => "J3",
-            Self::OtherRoot { .. } => "A1",
+            Self::ShareMismatch { .. } => "A1",
             Self::OverFull { .. } => "S1",
         }
     }
@@ -155,7 +155,7 @@
     pub fn help(&self) -> &'static str {
         match self {
             Self::OwnRow { .. } => "look for a second process under this gateway's name, and stop one",
-            Self::StaleRow { .. } | Self::Count { .. } => {
+            Self::StaleRow { .. } | Self::MiscountedRow { .. } => {
                 "counts mislead until the gateway named restarts: restart it, and report the line"
             }
             Self::OverLent { .. } | Self::LongLease { .. } | Self::OverStored { .. } => {
@@ -164,10 +164,10 @@
             Self::OverTotal { .. } | Self::OverSpent { .. } => {
                 "compare the settings' list of gateways and the totals on all of them: they must be the same"
             }
-            Self::NoQuorum { .. } | Self::OverOut { .. } | Self::OverWeight { .. } => {
+            Self::NoQuorum { .. } | Self::TooMuchEjected { .. } | Self::OverWeight { .. } => {
                 "turn judgements off in the settings, and report the line"
             }
-            Self::OtherRoot { .. } => {
+            Self::ShareMismatch { .. } => {
                 "restart this gateway, which keeps what it promised, and report the line"
             }
             Self::OverFull { .. } => "the list of servers or gateways is longer than this build has room for",
--- a/crates/ashtide-fleet/tests/agreement.rs
+++ b/crates/ashtide-fleet/tests/agreement.rs
@@ -7,13 +7,14 @@
 use std::time::Duration;
 
 use ashtide_fleet::state::{
-    Agreement, Broken, Exchange, Kept, Rules, Setup, Slot, Split, Stale, Terms, Use, Violation, check_total,
+    Allocation, AllocationAgreement, BudgetKind, Exchange, ExchangeConfig, LeaseConfig, Mutation,
+    OutlierLimits, PersistedAllocation, Slot, StaleAllocation, Violation, check_total,
 };
 use chance::{Chance, Clock, STEP, seeds};
 use rand::RngExt;
 
 const SIZE: usize = 6;
-const PACE: Use = Use::Pace { burst: Duration::from_millis(800) };
+const PACE: BudgetKind = BudgetKind::Rate { burst: Duration::from_millis(800) };
 const SECOND: Duration = Duration::from_secs(1);
 
 /// A machine: its process, the settings file that has come to it, and what its processes have written down.
@@ -23,21 +24,21 @@
     life: u64,
     stalled: Duration,
     file: usize,
-    kept: Option<Kept>,
+    kept: Option<PersistedAllocation>,
 }
 
 struct Play {
     chance: Chance<Vec<u8>>,
     machines: Vec<Machine>,
-    splits: Vec<Split>,
+    splits: Vec<Allocation>,
     /// The last generation that anyone has agreed on.
     agreed: u32,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     raises: u32,
 }
 
 impl Play {
-    fn new(seed: u64, broken: Option<Broken>) -> Self {
+    fn new(seed: u64, broken: Option<Mutation>) -> Self {
         let mut chance = Chance::new(seed);
         let clocks: Vec<Clock> = (0..SIZE).map(|_| Clock::new(&mut chance)).collect();
         let machine =
@@ -53,18 +54,18 @@
     fn publish(&mut self) {
         let generation = self.splits.len() as u32 + 1;
         let total = |chance: &mut Chance<Vec<u8>>| (chance.rng.random_range(5_000..60_000), PACE);
-        let mut split = self.splits.last().cloned().unwrap_or(Split {
+        let mut split = self.splits.last().cloned().unwrap_or(Allocation {
             generation,
-            slots: SIZE as u16,
-            floors: 100,
+            slot_count: SIZE as u16,
+            floor_permille: 100,
             totals: BTreeMap::new(),
         });
         split.generation = generation;
         if self.chance.one_in(2) {
-            split.slots = self.chance.rng.random_range(3..=SIZE as u16);
+            split.slot_count = self.chance.rng.random_range(3..=SIZE as u16);
         }
         if self.chance.one_in(4) {
-            split.floors = [50, 100, 400][self.chance.below(3)];
+            split.floor_permille = [50, 100, 400][self.chance.below(3)];
         }
         split.totals.insert(1, total(&mut self.chance));
         if self.chance.one_in(2) {
@@ -80,17 +81,23 @@
         let machine = &mut self.machines[number];
         machine.life += 1;
         let now = machine.clock.read(self.chance.now);
-        let (terms, rules) = (Terms::default(), Rules::default());
-        let setup = Setup { tier: 7, slots: SIZE as u16, datagrams: 40, terms, rules };
+        let (terms, rules) = (LeaseConfig::default(), OutlierLimits::default());
+        let setup = ExchangeConfig {
+            tier: 7,
+            slot_count: SIZE as u16,
+            datagrams_per_second: 40,
+            lease: terms,
+            outlier_limits: rules,
+        };
         let mut exchange = Exchange::new(setup, Slot(number as u16), machine.life, seed, now);
         exchange.set_peers((0..SIZE as u16).map(Slot));
         let split = self.splits[machine.file].clone();
-        let mut agreement = Agreement::new(Slot(number as u16), split, machine.kept.clone())
+        let mut agreement = AllocationAgreement::new(Slot(number as u16), split, machine.kept.clone())
             .expect("files on a machine do not go back");
         if let Some(broken) = self.broken {
-            agreement.break_by(broken);
+            agreement.set_mutation(broken);
         }
-        exchange.share(agreement);
+        exchange.set_agreement(agreement);
         machine.exchange = Some(exchange);
     }
 
@@ -99,7 +106,7 @@
         let machine = &mut self.machines[number];
         machine.file = self.splits.len() - 1;
         if let Some(exchange) = machine.exchange.as_mut().filter(|_| hup) {
-            exchange.reread(self.splits[machine.file].clone()).expect("it is later, or the same");
+            exchange.update_allocation(self.splits[machine.file].clone()).expect("it is later, or the same");
         }
     }
 
@@ -133,14 +140,14 @@
             else {
                 continue;
             };
-            exchange.at(machine.clock.read(self.chance.now));
+            exchange.advance_to(machine.clock.read(self.chance.now));
             let agreement = exchange.agreement().expect("there");
-            let kept = agreement.kept();
+            let kept = agreement.persisted();
             if machine.kept.as_ref() != Some(&kept) {
                 machine.kept = Some(kept);
             }
-            exchange.with_agreement(Agreement::written);
-            while let Some((to, datagram)) = exchange.transmit() {
+            exchange.with_agreement(AllocationAgreement::mark_persisted);
+            while let Some((to, datagram)) = exchange.next_datagram() {
                 self.chance.send(number, usize::from(to.0), datagram);
             }
         }
@@ -149,7 +156,7 @@
             if machine.stalled > self.chance.now {
                 self.chance.keep(from, to, datagram);
             } else if let Some(exchange) = &mut machine.exchange {
-                exchange.receive(&datagram).expect("it is sound");
+                exchange.handle_datagram(&datagram).expect("it is sound");
             }
         }
     }
@@ -162,8 +169,8 @@
             let now = machine.clock.read(self.chance.now);
             let Some(exchange) = &mut machine.exchange else { continue };
             let agreement = exchange.agreement().expect("there");
-            if agreement.agreed() && agreement.split().generation > self.agreed {
-                self.agreed = agreement.split().generation;
+            if agreement.is_agreed() && agreement.allocation().generation > self.agreed {
+                self.agreed = agreement.allocation().generation;
                 self.raises += 1;
             }
             if machine.stalled > self.chance.now {
@@ -171,9 +178,9 @@
             }
             exchange.check(&[])?;
             for id in 1..=2 {
-                if let Some(budget) = exchange.budget(id) {
-                    budget.at(now);
-                    *rights.entry(id).or_default() += budget.escrow().rights();
+                if let Some(budget) = exchange.budget_mut(id) {
+                    budget.advance_to(now);
+                    *rights.entry(id).or_default() += budget.escrow().usable_units();
                 }
             }
         }
@@ -184,7 +191,7 @@
     }
 }
 
-fn play(seed: u64, broken: Option<Broken>, steps: usize) -> Result<Play, Violation> {
+fn play(seed: u64, broken: Option<Mutation>, steps: usize) -> Result<Play, Violation> {
     let mut play = Play::new(seed, broken);
     for _ in 0..steps {
         if play.chance.one_in(30) {
@@ -204,8 +211,8 @@
         // Nearly all is on loan, and moves between holders.
         let wants = [0, 60_000][play.chance.below(2)];
         if let Some(exchange) = play.machines[number].exchange.as_mut().filter(|_| play.chance.one_in(5)) {
-            exchange.want(1, wants);
-            exchange.want(2, wants);
+            exchange.set_wanted_units(1, wants);
+            exchange.set_wanted_units(2, wants);
         }
         play.step();
         play.check()?;
@@ -234,7 +241,7 @@
         }
         for (number, machine) in play.machines.iter().enumerate() {
             let agreement = machine.exchange.as_ref().and_then(Exchange::agreement).expect("there");
-            let at = (agreement.split().generation as usize, agreement.agreed());
+            let at = (agreement.allocation().generation as usize, agreement.is_agreed());
             assert_eq!(at, (play.splits.len(), true), "ASHTIDE_SEED={seed}: {number}: {agreement:?}");
         }
         raises += play.raises;
@@ -247,13 +254,17 @@
 
 #[test]
 fn each_broken_variant_is_found_by_name() {
-    let variants =
-        [Broken::RaisedAtOnce, Broken::LoansForgotten, Broken::LaterCounts, Broken::ForgetsPromise];
+    let variants = [
+        Mutation::RaiseShareImmediately,
+        Mutation::CommitBeforeLeasesEnd,
+        Mutation::CountLaterGeneration,
+        Mutation::ForgetCommitment,
+    ];
     for broken in variants {
         let mut found: BTreeMap<&str, u32> = BTreeMap::new();
         for seed in 0..200 {
             if let Err(violation) = play(seed, Some(broken), 800) {
-                *found.entry(violation.number()).or_default() += 1;
+                *found.entry(violation.invariant_id()).or_default() += 1;
             }
         }
         println!("{broken:?}: found in 200 seeds: {found:?}");
@@ -261,81 +272,82 @@
     }
 }
 
-fn split(generation: u32, total: u64) -> Split {
-    Split { generation, slots: 2, floors: 100, totals: [(1, (total, PACE))].into() }
+fn split(generation: u32, total: u64) -> Allocation {
+    Allocation { generation, slot_count: 2, floor_permille: 100, totals: [(1, (total, PACE))].into() }
 }
 
-fn started(own: u16, generation: u32, kept: Option<Kept>) -> Agreement {
+fn started(own: u16, generation: u32, kept: Option<PersistedAllocation>) -> AllocationAgreement {
     let total = 10_000 * u64::from(generation);
-    let mut agreement = Agreement::new(Slot(own), split(generation, total), kept).expect("it is the newest");
-    agreement.written();
-    agreement.settle(true);
+    let mut agreement =
+        AllocationAgreement::new(Slot(own), split(generation, total), kept).expect("it is the newest");
+    agreement.mark_persisted();
+    agreement.commit(true);
     agreement
 }
 
 #[test]
 fn a_smaller_root_is_used_at_once_and_a_larger_one_when_both_have_promised() {
     let (mut one, mut other) = (started(0, 1, None), started(1, 1, None));
-    assert!(one.agreed() && other.agreed());
-    let root = |it: &Agreement| it.roots()[&1].floor + it.roots()[&1].lendable;
+    assert!(one.is_agreed() && other.is_agreed());
+    let root = |it: &AllocationAgreement| it.active_shares()[&1].floor + it.active_shares()[&1].lendable;
     let at_first = root(&one);
-    one.read(split(2, 30_000)).expect("later");
-    assert_eq!((root(&one), one.missing()), (at_first, vec![Slot(0), Slot(1)]));
-    one.read(split(3, 4_000)).expect("later");
+    one.update(split(2, 30_000)).expect("later");
+    assert_eq!((root(&one), one.uncommitted()), (at_first, vec![Slot(0), Slot(1)]));
+    one.update(split(3, 4_000)).expect("later");
     assert!(root(&one) < at_first, "at once");
-    one.read(split(4, 50_000)).expect("later");
+    one.update(split(4, 50_000)).expect("later");
     assert!(root(&one) < at_first, "what was read between counts");
-    one.settle(false);
-    assert_eq!(one.missing(), [Slot(0), Slot(1)], "nothing is promised before it is written down");
-    one.written();
-    one.settle(false);
-    assert_eq!(one.missing(), [Slot(0), Slot(1)], "nor while more is on loan");
-    one.settle(true);
-    other.read(split(4, 50_000)).expect("later");
-    other.written();
-    other.settle(true);
-    assert!(!other.hear(Slot(0), one.tell()));
-    assert!(other.agreed() && root(&other) > at_first, "both have promised");
-    assert!(other.hear(Slot(0), one.tell()), "the first is to hear of it");
-    one.hear(Slot(1), other.tell());
-    assert!(one.agreed() && one.check().is_ok());
+    one.commit(false);
+    assert_eq!(one.uncommitted(), [Slot(0), Slot(1)], "nothing is promised before it is written down");
+    one.mark_persisted();
+    one.commit(false);
+    assert_eq!(one.uncommitted(), [Slot(0), Slot(1)], "nor while more is on loan");
+    one.commit(true);
+    other.update(split(4, 50_000)).expect("later");
+    other.mark_persisted();
+    other.commit(true);
+    assert!(!other.handle_message(Slot(0), one.next_message()));
+    assert!(other.is_agreed() && root(&other) > at_first, "both have promised");
+    assert!(other.handle_message(Slot(0), one.next_message()), "the first is to hear of it");
+    one.handle_message(Slot(1), other.next_message());
+    assert!(one.is_agreed() && one.check().is_ok());
 }
 
 #[test]
 fn settings_that_are_older_or_others_are_not_taken() {
     let mut one = started(0, 3, None);
-    assert_eq!(one.read(split(2, 1)), Err(Stale::Older { found: 2, at: 3 }));
-    assert_eq!(one.read(split(3, 1)), Err(Stale::Changed { generation: 3 }));
-    assert_eq!(one.read(split(3, 30_000)), Ok(()));
-    let kept = Some(one.kept());
-    assert!(Agreement::new(Slot(0), split(2, 1), kept).is_err());
-    let other = Agreement::new(Slot(1), split(3, 1), None).expect("nothing is known of another");
+    assert_eq!(one.update(split(2, 1)), Err(StaleAllocation::Older { found: 2, at: 3 }));
+    assert_eq!(one.update(split(3, 1)), Err(StaleAllocation::Conflicting { generation: 3 }));
+    assert_eq!(one.update(split(3, 30_000)), Ok(()));
+    let kept = Some(one.persisted());
+    assert!(AllocationAgreement::new(Slot(0), split(2, 1), kept).is_err());
+    let other = AllocationAgreement::new(Slot(1), split(3, 1), None).expect("nothing is known of another");
     let mut other = other;
-    one.hear(Slot(1), other.tell());
-    assert_eq!(one.differs().keys().collect::<Vec<_>>(), [&Slot(1)]);
+    one.handle_message(Slot(1), other.next_message());
+    assert_eq!(one.mismatches().keys().collect::<Vec<_>>(), [&Slot(1)]);
 }
 
 #[test]
 fn a_life_that_knows_nothing_of_an_earlier_one_has_nothing_until_it_hears_that_all_are_there() {
     let (mut one, mut other) = (started(0, 2, None), started(1, 2, None));
-    assert_eq!(one.roots()[&1], Default::default());
-    one.hear(Slot(1), other.tell());
-    assert!(one.agreed() && one.roots()[&1].floor > 0);
-    let again = started(0, 2, Some(one.kept()));
-    assert!(again.agreed(), "its next life knows");
-    other.vouch();
-    assert!(other.agreed() && other.roots()[&1].floor > 0);
+    assert_eq!(one.active_shares()[&1], Default::default());
+    one.handle_message(Slot(1), other.next_message());
+    assert!(one.is_agreed() && one.active_shares()[&1].floor > 0);
+    let again = started(0, 2, Some(one.persisted()));
+    assert!(again.is_agreed(), "its next life knows");
+    other.confirm();
+    assert!(other.is_agreed() && other.active_shares()[&1].floor > 0);
 }
 
 #[test]
 fn a_gateway_that_was_not_on_the_list_has_nothing_of_a_new_partner_before_all_are_there() {
     // It was not asked about settings between, by which the others may use rights of that partner.
-    let later = Split { slots: 3, totals: [(7, (10_000, PACE))].into(), ..split(4, 0) };
+    let later = Allocation { slot_count: 3, totals: [(7, (10_000, PACE))].into(), ..split(4, 0) };
     for (own, has) in [(1, true), (2, false)] {
         let mut one = started(own, 1, None);
-        one.read(later.clone()).expect("later");
-        assert_eq!(one.roots()[&7].floor > 0, has, "gateway {own}");
-        one.vouch();
-        assert!(one.roots()[&7].floor > 0);
+        one.update(later.clone()).expect("later");
+        assert_eq!(one.active_shares()[&7].floor > 0, has, "gateway {own}");
+        one.confirm();
+        assert!(one.active_shares()[&7].floor > 0);
     }
 }
--- a/crates/ashtide-fleet/tests/budgets.rs
+++ b/crates/ashtide-fleet/tests/budgets.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use ashtide_fleet::state::{
-    Ask, Broken, Budget, Escrow, Grant, Root, Slot, Terms, Use, Violation, check_total, fair, roots, split,
+    Budget, BudgetKind, Escrow, InitialShare, LeaseConfig, LeaseGrant, LeaseRequest, Mutation, Slot,
+    Violation, check_total, initial_shares, max_min_fair, split_proportionally,
 };
 use chance::{Chance, Clock, STEP, seeds};
 use rand::RngExt;
@@ -16,8 +17,8 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask(Ask),
-    Grant(Grant),
+    Ask(LeaseRequest),
+    Grant(LeaseGrant),
 }
 
 struct Gateway {
@@ -32,26 +33,29 @@
 struct Play {
     chance: Chance<Message>,
     gateways: Vec<Gateway>,
-    roots: Vec<Root>,
+    roots: Vec<InitialShare>,
     total: u64,
-    broken: Option<Broken>,
-    usage: Use,
+    broken: Option<Mutation>,
+    usage: BudgetKind,
     spent: Vec<Duration>,
     /// The most units of others' roots that were in use at once.
     moved: u64,
 }
 
 impl Play {
-    fn new(seed: u64, broken: Option<Broken>, usage: Use) -> Self {
+    fn new(seed: u64, broken: Option<Mutation>, usage: BudgetKind) -> Self {
         let mut chance = Chance::new(seed);
         let size = 3 + chance.below(4);
         let total = chance.rng.random_range(5_000..60_000);
         let weights: Vec<u64> = (0..size).map(|_| chance.rng.random_range(0..4)).collect();
         let weights = if weights.iter().sum::<u64>() == 0 { vec![1; size] } else { weights };
-        let floors = split(total / 10, &vec![1; size]);
-        let lendable = split(total - total / 10, &weights);
-        let roots: Vec<Root> =
-            floors.into_iter().zip(lendable).map(|(floor, lendable)| Root { floor, lendable }).collect();
+        let floors = split_proportionally(total / 10, &vec![1; size]);
+        let lendable = split_proportionally(total - total / 10, &weights);
+        let roots: Vec<InitialShare> = floors
+            .into_iter()
+            .zip(lendable)
+            .map(|(floor, lendable)| InitialShare { floor, lendable })
+            .collect();
         let mut gateways = Vec::new();
         for _ in 0..size {
             let clock = Clock::new(&mut chance);
@@ -78,9 +82,9 @@
         gateway.generation += 1;
         let slot = Slot(number as u16);
         let mut escrow =
-            Escrow::new(slot, gateway.generation, self.roots[number], Terms::default(), first, now);
+            Escrow::new(slot, gateway.generation, self.roots[number], LeaseConfig::default(), first, now);
         if let Some(broken) = self.broken {
-            escrow.break_by(broken);
+            escrow.set_mutation(broken);
         }
         gateway.budget = Some(Budget::new(escrow, self.usage, now));
     }
@@ -129,12 +133,12 @@
             let Some(budget) = &mut gateway.budget else { continue };
             match message {
                 Message::Ask(ask) => {
-                    if let Ok(grant) = budget.lend(now, Slot(from as u16), ask) {
+                    if let Ok(grant) = budget.grant_lease(now, Slot(from as u16), ask) {
                         self.chance.send(to, from, Message::Grant(grant));
                     }
                 }
                 Message::Grant(grant) => {
-                    let _ = budget.take(now, Slot(from as u16), grant);
+                    let _ = budget.accept_lease(now, Slot(from as u16), grant);
                 }
             }
         }
@@ -148,19 +152,19 @@
             return;
         }
         let Some(budget) = &mut gateway.budget else { return };
-        budget.with(now, |escrow| escrow.want(gateway.wants));
+        budget.with_escrow(now, |escrow| escrow.set_wanted_units(gateway.wants));
         let tries = gateway.wants * 2 * STEP.as_millis() as u64 / 1_000_000 + 1;
         for _ in 0..tries {
-            if gateway.wants > 0 && budget.spend(now) {
+            if gateway.wants > 0 && budget.try_spend(now) {
                 self.spent.push(self.chance.now);
             }
         }
-        if self.usage == Use::Hold && self.chance.one_in(10) {
-            budget.give_back();
+        if self.usage == BudgetKind::Concurrency && self.chance.one_in(10) {
+            budget.release();
         }
         if self.chance.one_in(12) {
             for other in (0..size).filter(|&other| other != number) {
-                let ask = budget.ask(now, Slot(other as u16), gateway.wants / (size as u64 - 1));
+                let ask = budget.request_lease(now, Slot(other as u16), gateway.wants / (size as u64 - 1));
                 self.chance.send(number, other, Message::Ask(ask));
             }
         }
@@ -178,10 +182,10 @@
             }
             let now = gateway.clock.read(self.chance.now);
             if let Some(budget) = &mut gateway.budget {
-                budget.at(now);
+                budget.advance_to(now);
                 budget.check()?;
-                rights.push(budget.escrow().rights());
-                moved += budget.escrow().held();
+                rights.push(budget.escrow().usable_units());
+                moved += budget.escrow().held_units();
             }
         }
         self.moved = self.moved.max(moved);
@@ -207,7 +211,7 @@
     }
 }
 
-fn play(seed: u64, broken: Option<Broken>, usage: Use, steps: usize) -> Result<Play, Violation> {
+fn play(seed: u64, broken: Option<Mutation>, usage: BudgetKind, steps: usize) -> Result<Play, Violation> {
     let mut play = Play::new(seed, broken, usage);
     let jumps = seed % 2 == 1;
     for _ in 0..steps {
@@ -224,7 +228,7 @@
         play.deliver();
         play.check()?;
     }
-    if !jumps && matches!(usage, Use::Pace { .. }) {
+    if !jumps && matches!(usage, BudgetKind::Rate { .. }) {
         for ms in [50, 500, 2_000] {
             play.check_spent(Duration::from_millis(ms))?;
         }
@@ -237,7 +241,7 @@
     let (mut moved, mut spent) = (0, 0);
     let count = 2_000;
     for seed in seeds(count) {
-        let usage = if seed % 5 == 4 { Use::Hold } else { Use::Pace { burst: BURST } };
+        let usage = if seed % 5 == 4 { BudgetKind::Concurrency } else { BudgetKind::Rate { burst: BURST } };
         match play(seed, None, usage, 400) {
             Ok(play) => {
                 moved += u64::from(play.moved > play.total / 10);
@@ -254,30 +258,30 @@
 fn the_roots_of_a_budget_make_up_its_total() {
     for (total, slots, floors) in [(0, 3, 100), (1, 9, 100), (7, 3, 1_000), (60_001, 300, 100), (9, 5_000, 0)]
     {
-        let roots = roots(5, total, slots, floors);
+        let roots = initial_shares(5, total, slots, floors);
         let sum: u64 = roots.values().map(|root| root.floor + root.lendable).sum();
         assert_eq!((sum, roots.len()), (total, usize::from(slots)), "{total} over {slots}");
     }
-    assert_eq!(split(10, &[1, 0, 2]), [3, 0, 7]);
-    assert_eq!(fair(10, &[1, 20, 3, 20]), [1, 3, 3, 3]);
+    assert_eq!(split_proportionally(10, &[1, 0, 2]), [3, 0, 7]);
+    assert_eq!(max_min_fair(10, &[1, 20, 3, 20]), [1, 3, 3, 3]);
 }
 
 #[test]
 fn each_broken_variant_is_found_by_name() {
     let variants = [
-        (Broken::RepeatedAsk, "B4"),
-        (Broken::LostGrantMinted, "B4"),
-        (Broken::RepeatedGrant, "B4"),
-        (Broken::CountedFromGrant, "B4"),
-        (Broken::NoQuiet, "B4"),
-        (Broken::NoExpiry, "B2"),
+        (Mutation::AcceptRepeatedRequest, "B4"),
+        (Mutation::ForgetUnconfirmedGrant, "B4"),
+        (Mutation::AcceptRepeatedGrant, "B4"),
+        (Mutation::LeaseFromGrantTime, "B4"),
+        (Mutation::NoLendingDelay, "B4"),
+        (Mutation::NoExpiry, "B2"),
     ];
     let mut missed = Vec::new();
     for (broken, number) in variants {
         let mut found = BTreeMap::new();
         for seed in 0..100 {
-            if let Err(violation) = play(seed, Some(broken), Use::Pace { burst: BURST }, 400) {
-                *found.entry(violation.number()).or_insert(0) += 1;
+            if let Err(violation) = play(seed, Some(broken), BudgetKind::Rate { burst: BURST }, 400) {
+                *found.entry(violation.invariant_id()).or_insert(0) += 1;
             }
         }
         println!("{broken:?}: found in 100 seeds: {found:?}");
--- a/crates/ashtide-fleet/tests/escrow_model.rs
+++ b/crates/ashtide-fleet/tests/escrow_model.rs
@@ -3,18 +3,23 @@
 
 use std::time::Duration;
 
-use ashtide_fleet::state::{Ask, Broken, Escrow, Grant, Root, Slot, Terms, check_total};
+use ashtide_fleet::state::{
+    Escrow, InitialShare, LeaseConfig, LeaseGrant, LeaseRequest, Mutation, Slot, check_total,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const TERMS: Terms =
-    Terms { lease: Duration::from_secs(2), margin: Duration::from_secs(1), gap: Duration::from_secs(1) };
-const ROOT: Root = Root { floor: 1, lendable: 2 };
+const TERMS: LeaseConfig = LeaseConfig {
+    duration: Duration::from_secs(2),
+    margin: Duration::from_secs(1),
+    max_clock_gap: Duration::from_secs(1),
+};
+const ROOT: InitialShare = InitialShare { floor: 1, lendable: 2 };
 const TOTAL: u64 = 9;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask(Ask),
-    Grant(Grant),
+    Ask(LeaseRequest),
+    Grant(LeaseGrant),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,7 +45,7 @@
 }
 
 struct Tier {
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     asks: u8,
     repeats: u8,
     crashes: u8,
@@ -58,7 +63,7 @@
             Duration::from_secs(now),
         );
         if let Some(broken) = self.broken {
-            escrow.break_by(broken);
+            escrow.set_mutation(broken);
         }
         escrow
     }
@@ -106,7 +111,7 @@
         let mut state = last.clone();
         match action {
             Action::Ask(from, to, wants) => {
-                let ask = state.gateways[from].as_mut()?.ask(Slot(to as u16), wants);
+                let ask = state.gateways[from].as_mut()?.request_lease(Slot(to as u16), wants);
                 state.asks += 1;
                 state.wire.push((from, to, Message::Ask(ask)));
             }
@@ -120,12 +125,12 @@
                 if let Some(escrow) = &mut state.gateways[to] {
                     match message {
                         Message::Ask(ask) => {
-                            if let Ok(grant) = escrow.lend(Slot(from as u16), ask, 0) {
+                            if let Ok(grant) = escrow.grant_lease(Slot(from as u16), ask, 0) {
                                 state.wire.push((to, from, Message::Grant(grant)));
                             }
                         }
                         Message::Grant(grant) => {
-                            let _ = escrow.take(Slot(from as u16), grant);
+                            let _ = escrow.accept_lease(Slot(from as u16), grant);
                         }
                     }
                 }
@@ -136,7 +141,7 @@
             Action::Second => {
                 state.now += 1;
                 let now = Duration::from_secs(state.now);
-                state.gateways.iter_mut().flatten().for_each(|escrow| escrow.at(now));
+                state.gateways.iter_mut().flatten().for_each(|escrow| escrow.advance_to(now));
             }
             Action::Crash(number) => {
                 state.gateways[number] = None;
@@ -154,13 +159,17 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("B4", |_, state: &State| {
-                check_total(TOTAL, state.gateways.iter().flatten().map(Escrow::rights)).is_ok()
+                check_total(TOTAL, state.gateways.iter().flatten().map(Escrow::usable_units)).is_ok()
             }),
             Property::always("B1, B2", |_, state: &State| {
                 state.gateways.iter().flatten().all(|escrow| escrow.check().is_ok())
             }),
             Property::sometimes("a right is moved", |_, state: &State| {
-                state.gateways.iter().flatten().any(|escrow| escrow.rights() > ROOT.floor + ROOT.lendable)
+                state
+                    .gateways
+                    .iter()
+                    .flatten()
+                    .any(|escrow| escrow.usable_units() > ROOT.floor + ROOT.lendable)
             }),
         ]
     }
@@ -178,12 +187,12 @@
 #[test]
 fn the_model_finds_what_is_broken() {
     let found = [
-        (Broken::RepeatedAsk, "B4"),
-        (Broken::LostGrantMinted, "B4"),
-        (Broken::RepeatedGrant, "B4"),
-        (Broken::CountedFromGrant, "B4"),
-        (Broken::NoQuiet, "B4"),
-        (Broken::NoExpiry, "B1, B2"),
+        (Mutation::AcceptRepeatedRequest, "B4"),
+        (Mutation::ForgetUnconfirmedGrant, "B4"),
+        (Mutation::AcceptRepeatedGrant, "B4"),
+        (Mutation::LeaseFromGrantTime, "B4"),
+        (Mutation::NoLendingDelay, "B4"),
+        (Mutation::NoExpiry, "B1, B2"),
     ];
     for (broken, name) in found {
         let tier = Tier { broken: Some(broken), asks: 3, repeats: 1, crashes: 1, seconds: 4 };
@@ -204,40 +213,41 @@
     let second = Duration::from_secs(1);
     let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
     let (mut grantor, mut holder) = (tier.start(0, 1, 0), tier.start(1, 1, 0));
-    let grant = grantor.lend(Slot(1), holder.ask(Slot(0), 2), 0).expect("it lends");
-    assert_eq!((grant.units, holder.take(Slot(0), grant)), (2, Ok(())));
-    assert_eq!((grantor.rights(), holder.rights()), (1, 5));
+    let grant = grantor.grant_lease(Slot(1), holder.request_lease(Slot(0), 2), 0).expect("it lends");
+    assert_eq!((grant.units, holder.accept_lease(Slot(0), grant)), (2, Ok(())));
+    assert_eq!((grantor.usable_units(), holder.usable_units()), (1, 5));
     // It crashes; a new life asks for what the old one had, and so does another.
     let mut holder = tier.start(1, 2, 0);
     let mut other = tier.start(2, 1, 0);
     for now in 1..3 {
-        [&mut grantor, &mut holder, &mut other].into_iter().for_each(|it| it.at(second * now));
+        [&mut grantor, &mut holder, &mut other].into_iter().for_each(|it| it.advance_to(second * now));
         for (slot, asker) in [(1, &mut holder), (2, &mut other)] {
-            let grant = grantor.lend(Slot(slot), asker.ask(Slot(0), 1), 0).expect("it answers");
+            let grant =
+                grantor.grant_lease(Slot(slot), asker.request_lease(Slot(0), 1), 0).expect("it answers");
             assert_eq!(grant.units, 0, "after {now} s of a lease of 2 s, and 1 s");
         }
     }
-    [&mut grantor, &mut other].into_iter().for_each(|it| it.at(second * 3));
-    let grant = grantor.lend(Slot(2), other.ask(Slot(0), 1), 0).expect("it answers");
+    [&mut grantor, &mut other].into_iter().for_each(|it| it.advance_to(second * 3));
+    let grant = grantor.grant_lease(Slot(2), other.request_lease(Slot(0), 1), 0).expect("it answers");
     assert_eq!((grant.units, grantor.check()), (1, Ok(())));
     // A later life of the grantor lends nothing until all this has ended.
     let mut grantor = Escrow::new(Slot(0), 2, ROOT, TERMS, false, second * 3);
-    (4..=5).for_each(|now| grantor.at(second * now));
-    assert!(grantor.lend(Slot(2), other.ask(Slot(0), 1), 0).is_err());
-    assert_eq!(grantor.rights(), ROOT.floor, "its floor it never lent");
-    grantor.at(second * 6);
-    assert!(grantor.lend(Slot(2), other.ask(Slot(0), 1), 0).is_ok());
+    (4..=5).for_each(|now| grantor.advance_to(second * now));
+    assert!(grantor.grant_lease(Slot(2), other.request_lease(Slot(0), 1), 0).is_err());
+    assert_eq!(grantor.usable_units(), ROOT.floor, "its floor it never lent");
+    grantor.advance_to(second * 6);
+    assert!(grantor.grant_lease(Slot(2), other.request_lease(Slot(0), 1), 0).is_ok());
 }
 
 #[test]
 fn of_two_processes_of_one_name_the_earlier_lends_and_uses_its_root_no_more() {
     let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
     let (mut earlier, mut other) = (tier.start(0, 1, 0), tier.start(2, 1, 0));
-    let grant = other.lend(Slot(0), earlier.ask(Slot(2), 1), 0).expect("it lends");
-    earlier.take(Slot(2), grant).expect("it is the latest");
-    earlier.stand_down();
-    assert_eq!(earlier.rights(), 1, "a lease is its own until it ends");
-    assert!(earlier.lend(Slot(1), other.ask(Slot(0), 1), 0).is_err());
+    let grant = other.grant_lease(Slot(0), earlier.request_lease(Slot(2), 1), 0).expect("it lends");
+    earlier.accept_lease(Slot(2), grant).expect("it is the latest");
+    earlier.relinquish();
+    assert_eq!(earlier.usable_units(), 1, "a lease is its own until it ends");
+    assert!(earlier.grant_lease(Slot(1), other.request_lease(Slot(0), 1), 0).is_err());
 }
 
 #[test]
@@ -245,14 +255,15 @@
     let second = Duration::from_secs(1);
     let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
     let (mut grantor, mut holder) = (tier.start(0, 1, 0), tier.start(1, 1, 0));
-    let grant = grantor.lend(Slot(1), holder.ask(Slot(0), 2), 0).expect("it lends");
-    holder.take(Slot(0), grant).expect("it is the latest");
-    grantor.reshare(Root { floor: 1, lendable: 1 });
-    assert_eq!((grantor.rights(), grantor.check()), (1, Ok(())), "two are out, of one");
-    let grant = grantor.lend(Slot(2), tier.start(2, 1, 0).ask(Slot(0), 1), 0).expect("it answers");
-    assert_eq!((grant.units, grantor.settled()), (0, false));
+    let grant = grantor.grant_lease(Slot(1), holder.request_lease(Slot(0), 2), 0).expect("it lends");
+    holder.accept_lease(Slot(0), grant).expect("it is the latest");
+    grantor.set_share(InitialShare { floor: 1, lendable: 1 });
+    assert_eq!((grantor.usable_units(), grantor.check()), (1, Ok(())), "two are out, of one");
+    let grant =
+        grantor.grant_lease(Slot(2), tier.start(2, 1, 0).request_lease(Slot(0), 1), 0).expect("it answers");
+    assert_eq!((grant.units, grantor.is_within_share()), (0, false));
     for now in 1..=3 {
-        grantor.at(second * now);
+        grantor.advance_to(second * now);
     }
-    assert_eq!((grantor.rights(), grantor.check(), grantor.settled()), (2, Ok(()), true));
+    assert_eq!((grantor.usable_units(), grantor.check(), grantor.is_within_share()), (2, Ok(()), true));
 }
--- a/crates/ashtide-fleet/tests/exchange.rs
+++ b/crates/ashtide-fleet/tests/exchange.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashtide_fleet::state::{Key, Kind};
+use ashtide_fleet::state::{CounterKey, EvidenceKind};
 use chance::seeds;
 use exchanges::{READY, Tier};
 use proptest::collection::vec;
@@ -28,9 +28,15 @@
                 let value = tier.chance.below(30);
                 let now = tier.gateways[number].clock.read(tier.chance.now);
                 if let Some(exchange) = &mut tier.gateways[number].exchange {
-                    exchange.count(Key::OpenAt(key), value as u32);
-                    exchange.want(key % 3, value as u64 * 1_000);
-                    exchange.judgements().saw(now, key, Kind::Failing, value as u16, 20);
+                    exchange.set_count(CounterKey::OpenOnServer(key), value as u32);
+                    exchange.set_wanted_units(key % 3, value as u64 * 1_000);
+                    exchange.outlier_reports_mut().record_observation(
+                        now,
+                        key,
+                        EvidenceKind::Failing,
+                        value as u16,
+                        20,
+                    );
                 }
             }
             tier.step();
@@ -42,16 +48,16 @@
         // A word of an earlier life may be 3 s late, and counts for 10 s.
         tier.run(14 * SECOND);
         // Each sum, as every gateway reads it, is what all have.
-        for key in (0..5).map(Key::OpenAt) {
+        for key in (0..5).map(CounterKey::OpenOnServer) {
             let truth: u64 = tier.gateways.iter().flat_map(|it| &it.exchange).fold(0, |sum, it| {
-                sum + u64::from(it.counts().own().cells.get(&key).map_or(0, |cell| cell.value))
+                sum + u64::from(it.counts().own_row().cells.get(&key).map_or(0, |cell| cell.value))
             });
             for number in 0..size {
-                tier.gateways[number].exchange.as_mut().expect("there").read(key);
+                tier.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
             }
             tier.run(SECOND / 2);
             for number in 0..size {
-                let read = tier.gateways[number].exchange.as_mut().expect("there").read(key);
+                let read = tier.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
                 assert_eq!(read.map(|it| it.sum), Some(truth), "ASHTIDE_SEED={seed}: {key:?} at {number}");
             }
         }
@@ -65,7 +71,7 @@
         let mut tier = Tier::new(seed, 9, 1, 90_000);
         let want = |tier: &mut Tier, from: usize, units: u64| {
             for number in from..from + 3 {
-                tier.gateways[number].exchange.as_mut().expect("there").want(0, units);
+                tier.gateways[number].exchange.as_mut().expect("there").set_wanted_units(0, units);
             }
         };
         want(&mut tier, 0, 30_000);
@@ -74,8 +80,8 @@
         want(&mut tier, 6, 30_000);
         tier.run(3 * SECOND);
         let rights: u64 = tier.gateways[6..].iter_mut().fold(0, |sum, it| {
-            let budget = it.exchange.as_mut().and_then(|it| it.budget(0)).expect("there");
-            sum + budget.escrow().rights()
+            let budget = it.exchange.as_mut().and_then(|it| it.budget_mut(0)).expect("there");
+            sum + budget.escrow().usable_units()
         });
         // All but the floors of the other six, which are theirs for certain.
         assert!((81_000..=84_000).contains(&rights), "ASHTIDE_SEED={seed}: {rights} of 90000");
@@ -88,12 +94,12 @@
     tier.run(SECOND);
     let out = |tier: &mut Tier| {
         let all = tier.gateways.iter_mut().flat_map(|it| &mut it.exchange);
-        all.map(|it| usize::from(!it.judgements().out(&READY).is_empty())).sum::<usize>()
+        all.map(|it| usize::from(!it.outlier_reports_mut().outliers(&READY).is_empty())).sum::<usize>()
     };
     for server in 0..10 {
         let now = tier.gateways[3].clock.read(tier.chance.now);
         let liar = tier.gateways[3].exchange.as_mut().expect("there");
-        liar.judgements().saw(now, server, Kind::Failing, 60_000, 60_000);
+        liar.outlier_reports_mut().record_observation(now, server, EvidenceKind::Failing, 60_000, 60_000);
     }
     tier.run(4 * SECOND);
     assert_eq!(out(&mut tier), 0);
@@ -101,7 +107,7 @@
         for number in 4..30 {
             let now = tier.gateways[number].clock.read(tier.chance.now);
             let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-            exchange.judgements().saw(now, 2, Kind::Failing, 8, 8);
+            exchange.outlier_reports_mut().record_observation(now, 2, EvidenceKind::Failing, 8, 8);
         }
         tier.run(SECOND);
     }
@@ -114,8 +120,8 @@
         let mut tier = Tier::new(3, size, 4, 1_000_000);
         for number in 0..size {
             let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-            (0..20).for_each(|key| exchange.count(Key::OpenAt(key), number as u32));
-            exchange.want(number as u32 % 4, 10_000);
+            (0..20).for_each(|key| exchange.set_count(CounterKey::OpenOnServer(key), number as u32));
+            exchange.set_wanted_units(number as u32 % 4, 10_000);
         }
         tier.run(5 * SECOND);
         tier.price(5)
@@ -133,10 +139,10 @@
     let mut tier = Tier::new(1, 3, 1, 3_000);
     let gateway = &mut tier.gateways[0];
     let asker = gateway.exchange.as_mut().expect("there");
-    asker.want(0, 3_000);
+    asker.set_wanted_units(0, 3_000);
     let later = gateway.clock.read(tier.chance.now + SECOND);
-    asker.at(later);
-    let (_, good) = asker.transmit().expect("it asks");
+    asker.advance_to(later);
+    let (_, good) = asker.next_datagram().expect("it asks");
     runner
         .run(&(vec(any::<u8>(), 0..280), vec((0..good.len(), any::<u8>()), 0..4)), |(tail, flips)| {
             let mut tier = Tier::new(1, 3, 1, 3_000);
@@ -145,11 +151,11 @@
             for (at, byte) in flips {
                 flipped[at] = byte;
             }
-            let _ = exchange.receive(&flipped);
-            let _ = exchange.receive(&tail);
-            let _ = exchange.receive(&[&good[..15], &tail[..]].concat());
+            let _ = exchange.handle_datagram(&flipped);
+            let _ = exchange.handle_datagram(&tail);
+            let _ = exchange.handle_datagram(&[&good[..15], &tail[..]].concat());
             prop_assert_eq!(exchange.check(&READY), Ok(()));
-            let rights = exchange.budget(0).expect("there").escrow().rights();
+            let rights = exchange.budget_mut(0).expect("there").escrow().usable_units();
             prop_assert!(rights <= 1_000, "{} by a grant that was not asked for", rights);
             Ok(())
         })
--- a/crates/ashtide-fleet/tests/exchanges/mod.rs
+++ b/crates/ashtide-fleet/tests/exchanges/mod.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ashtide_fleet::state::{Exchange, Root, Rules, Setup, Slot, Terms, Use, Violation, check_total, roots};
+use ashtide_fleet::state::{
+    BudgetKind, Exchange, ExchangeConfig, InitialShare, LeaseConfig, OutlierLimits, Slot, Violation,
+    check_total, initial_shares,
+};
 use rand::RngExt;
 
 use super::chance::{Chance, Clock, STEP};
@@ -23,14 +26,14 @@
     pub chance: Chance<Vec<u8>>,
     pub gateways: Vec<Gateway>,
     pub totals: Vec<u64>,
-    roots: Vec<BTreeMap<Slot, Root>>,
+    roots: Vec<BTreeMap<Slot, InitialShare>>,
 }
 
 impl Tier {
     pub fn new(seed: u64, size: usize, budgets: usize, total: u64) -> Self {
         let chance = Chance::new(seed);
         let totals = vec![total; budgets];
-        let roots = (0..budgets).map(|id| roots(id as u32, total, size as u16, 100)).collect();
+        let roots = (0..budgets).map(|id| initial_shares(id as u32, total, size as u16, 100)).collect();
         let mut tier = Self { chance, gateways: Vec::new(), totals, roots };
         for number in 0..size {
             let clock = Clock::new(&mut tier.chance);
@@ -43,12 +46,12 @@
 
     pub fn start(&mut self, number: usize, first: bool) {
         let size = self.gateways.len().max(self.roots[0].len());
-        let setup = Setup {
+        let setup = ExchangeConfig {
             tier: 7,
-            slots: size as u16,
-            datagrams: 40,
-            terms: Terms::default(),
-            rules: Rules::default(),
+            slot_count: size as u16,
+            datagrams_per_second: 40,
+            lease: LeaseConfig::default(),
+            outlier_limits: OutlierLimits::default(),
         };
         let seed = self.chance.rng.random();
         let gateway = &mut self.gateways[number];
@@ -57,7 +60,7 @@
         let mut exchange = Exchange::new(setup, Slot(number as u16), gateway.generation, seed, now);
         exchange.set_peers((0..size as u16).map(Slot));
         for (id, roots) in self.roots.iter().enumerate() {
-            exchange.add_budget(id as u32, roots, Use::Pace { burst: BURST }, first);
+            exchange.add_budget(id as u32, roots, BudgetKind::Rate { burst: BURST }, first);
         }
         gateway.exchange = Some(exchange);
     }
@@ -110,8 +113,8 @@
             else {
                 continue;
             };
-            exchange.at(gateway.clock.read(self.chance.now));
-            while let Some((to, datagram)) = exchange.transmit() {
+            exchange.advance_to(gateway.clock.read(self.chance.now));
+            while let Some((to, datagram)) = exchange.next_datagram() {
                 assert!(datagram.len() <= 256, "{} bytes", datagram.len());
                 self.chance.send(number, usize::from(to.0), datagram);
             }
@@ -121,7 +124,7 @@
             if gateway.stalled > self.chance.now {
                 self.chance.keep(from, to, datagram);
             } else if let Some(exchange) = &mut gateway.exchange {
-                exchange.receive(&datagram).expect("it is sound");
+                exchange.handle_datagram(&datagram).expect("it is sound");
             }
         }
     }
@@ -140,9 +143,9 @@
             let Some(exchange) = &mut gateway.exchange else { continue };
             exchange.check(&READY)?;
             for (id, sum) in rights.iter_mut().enumerate() {
-                let Some(budget) = exchange.budget(id as u32) else { continue };
-                budget.at(now);
-                *sum += budget.escrow().rights();
+                let Some(budget) = exchange.budget_mut(id as u32) else { continue };
+                budget.advance_to(now);
+                *sum += budget.escrow().usable_units();
             }
         }
         let all = self.totals.iter().zip(rights);
--- a/crates/ashtide-fleet/tests/judgements.rs
+++ b/crates/ashtide-fleet/tests/judgements.rs
@@ -3,26 +3,31 @@
 use std::time::Duration;
 
 use ashtide_fleet::state::{
-    Board, Broken, EVIDENCE_LASTS, Evidence, Judgements, Kind, MAX_OBSERVERS, Rules, Slot, Told, Violation,
+    EVIDENCE_LIFETIME, Evidence, EvidenceKind, EvidenceMessage, EvidenceSet, MAX_OBSERVERS, Mutation,
+    OutlierLimits, OutlierReports, Slot, Violation,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 
-fn board() -> impl Strategy<Value = Board> {
+fn board() -> impl Strategy<Value = EvidenceSet> {
     let evidence = (0..40u16, 0..2u64, 0..3u32, 0..4u16, 0..4u16, 0..3u64);
     vec(evidence, 0..30).prop_map(|all| {
-        let mut board = Board::default();
+        let mut board = EvidenceSet::default();
         for (observer, generation, number, saw, of, at) in all {
             let at = Duration::from_secs(at);
-            board.put(7, Slot(observer), Evidence { stamp: (generation, number), saw, of, at });
+            board.insert(
+                7,
+                Slot(observer),
+                Evidence { stamp: (generation, number), observed: saw, attempts: of, observed_at: at },
+            );
         }
         board
     })
 }
 
-fn joined<'a>(boards: impl IntoIterator<Item = &'a Board>) -> Board {
-    let mut all = Board::default();
+fn joined<'a>(boards: impl IntoIterator<Item = &'a EvidenceSet>) -> EvidenceSet {
+    let mut all = EvidenceSet::default();
     boards.into_iter().for_each(|board| all.merge(board, 7));
     all
 }
@@ -44,8 +49,16 @@
         .unwrap();
 }
 
-fn told(server: u32, number: u32, saw: u16, of: u16) -> Told {
-    Told { server, kind: Kind::Failing, generation: 1, number, saw, of, age_ms: 100 }
+fn told(server: u32, number: u32, saw: u16, of: u16) -> EvidenceMessage {
+    EvidenceMessage {
+        server,
+        kind: EvidenceKind::Failing,
+        incarnation: 1,
+        sequence: number,
+        observed: saw,
+        attempts: of,
+        age_ms: 100,
+    }
 }
 
 const READY: [(u32, u64); 10] =
@@ -54,18 +67,18 @@
 #[test]
 fn whatever_is_told_the_invariants_hold_and_without_a_quorum_it_is_found() {
     let events = vec((0..6u16, 0..10u32, any::<u16>(), any::<u16>(), 0..3_000u64), 1..80);
-    let play = |broken: Option<Broken>, events: &[(u16, u32, u16, u16, u64)]| {
+    let play = |broken: Option<Mutation>, events: &[(u16, u32, u16, u16, u64)]| {
         let mut now = Duration::from_secs(50);
-        let mut judgements = Judgements::new(Slot(0), 1, Rules::default(), now);
+        let mut judgements = OutlierReports::new(Slot(0), 1, OutlierLimits::default(), now);
         if let Some(broken) = broken {
-            judgements.break_by(broken);
+            judgements.set_mutation(broken);
         }
         for (number, &(observer, server, saw, of, passed)) in events.iter().enumerate() {
             now += Duration::from_millis(passed);
             if observer == 0 {
-                judgements.saw(now, server, Kind::Failing, saw, of);
+                judgements.record_observation(now, server, EvidenceKind::Failing, saw, of);
             } else {
-                judgements.hear(now, Slot(observer), told(server, number as u32, saw, of));
+                judgements.handle_message(now, Slot(observer), told(server, number as u32, saw, of));
             }
             judgements.check(&READY)?;
         }
@@ -78,7 +91,7 @@
         })
         .unwrap();
     let found = runner().run(&events, |events| {
-        prop_assert_eq!(play(Some(Broken::NoQuorum), &events), Ok(()));
+        prop_assert_eq!(play(Some(Mutation::NoQuorum), &events), Ok(()));
         Ok(())
     });
     let found = format!("{:?}", found.expect_err("it is broken"));
@@ -91,19 +104,19 @@
     let rows = (vec((0..20u16, 0..20u16), 0..12), any::<u16>(), any::<u16>());
     runner()
         .run(&rows, |(honest, saw, of)| {
-            let mut judgements = Judgements::new(Slot(0), 1, Rules::default(), now);
+            let mut judgements = OutlierReports::new(Slot(0), 1, OutlierLimits::default(), now);
             for (observer, &(saw, of)) in honest.iter().enumerate() {
-                judgements.hear(now, Slot(observer as u16 + 2), told(3, 1, saw, of));
+                judgements.handle_message(now, Slot(observer as u16 + 2), told(3, 1, saw, of));
             }
-            let before = judgements.against(3, Kind::Failing);
-            judgements.hear(now, Slot(1), told(3, 1, saw, of));
-            let after = judgements.against(3, Kind::Failing);
+            let before = judgements.evidence_weight(3, EvidenceKind::Failing);
+            judgements.handle_message(now, Slot(1), told(3, 1, saw, of));
+            let after = judgements.evidence_weight(3, EvidenceKind::Failing);
             prop_assert!(before.abs_diff(after) <= 334, "{} to {}", before, after);
             // A liar that repeats itself, louder, is still one; for another it cannot speak.
             for number in 2..50 {
-                judgements.hear(now, Slot(1), told(3, number, 65_000, 65_000));
+                judgements.handle_message(now, Slot(1), told(3, number, 65_000, 65_000));
             }
-            let louder = judgements.against(3, Kind::Failing);
+            let louder = judgements.evidence_weight(3, EvidenceKind::Failing);
             prop_assert!(before.abs_diff(louder) <= 334, "{} to {}", before, louder);
             Ok(())
         })
@@ -113,28 +126,28 @@
 #[test]
 fn a_failing_server_is_out_by_a_quorum_and_back_when_the_evidence_is_old() {
     let mut now = Duration::from_secs(50);
-    let mut judgements = Judgements::new(Slot(0), 1, Rules::default(), now);
-    judgements.saw(now, 3, Kind::Failing, 9, 9);
-    judgements.hear(now, Slot(1), told(3, 1, 9, 9));
-    assert_eq!(judgements.out(&READY), []);
-    judgements.hear(now, Slot(2), told(3, 1, 9, 9));
-    assert_eq!(judgements.out(&READY), [(3, Kind::Failing)]);
+    let mut judgements = OutlierReports::new(Slot(0), 1, OutlierLimits::default(), now);
+    judgements.record_observation(now, 3, EvidenceKind::Failing, 9, 9);
+    judgements.handle_message(now, Slot(1), told(3, 1, 9, 9));
+    assert_eq!(judgements.outliers(&READY), []);
+    judgements.handle_message(now, Slot(2), told(3, 1, 9, 9));
+    assert_eq!(judgements.outliers(&READY), [(3, EvidenceKind::Failing)]);
     // Those who reach it speak for it.
     for observer in 3..8 {
-        judgements.hear(now, Slot(observer), told(3, 1, 0, 9));
+        judgements.handle_message(now, Slot(observer), told(3, 1, 0, 9));
     }
-    assert_eq!(judgements.out(&READY), []);
+    assert_eq!(judgements.outliers(&READY), []);
     // Everything fails, as for a gateway that is blind: no more than a fifth of 880.
     for server in 0..10 {
         for observer in 1..8 {
-            judgements.hear(now, Slot(observer), told(server, 2, 20, 20));
+            judgements.handle_message(now, Slot(observer), told(server, 2, 20, 20));
         }
     }
-    let out: u64 = judgements.out(&READY).iter().map(|it| READY[it.0 as usize].1).sum();
+    let out: u64 = judgements.outliers(&READY).iter().map(|it| READY[it.0 as usize].1).sum();
     assert!(out > 0 && out <= 176, "{out}");
-    now += EVIDENCE_LASTS;
-    judgements.at(now);
-    assert_eq!((judgements.out(&READY), judgements.check(&READY)), (vec![], Ok(())));
-    assert_eq!(judgements.own().count(), 0);
-    assert!(MAX_OBSERVERS >= 2 * Rules::default().quorum);
+    now += EVIDENCE_LIFETIME;
+    judgements.advance_to(now);
+    assert_eq!((judgements.outliers(&READY), judgements.check(&READY)), (vec![], Ok(())));
+    assert_eq!(judgements.own_evidence().count(), 0);
+    assert!(MAX_OBSERVERS >= 2 * OutlierLimits::default().quorum);
 }
--- a/crates/ashtide-fleet/tests/settles.rs
+++ b/crates/ashtide-fleet/tests/settles.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashtide_fleet::{Change, Fleet, Options, State};
+use ashtide_fleet::{MemberState, Membership, ViewChange, ViewConfig};
 use tier::{Tier, address, ms};
 
 fn settled(size: usize, seed: u64) -> Tier {
@@ -17,14 +17,14 @@
 
 fn deaths(tier: &Tier) -> Vec<(usize, std::net::SocketAddr)> {
     let dead = tier.changes.iter().filter_map(|&(_, by, change)| match change {
-        Change::Dead(member) => Some((by, member.address)),
+        ViewChange::Dead(member) => Some((by, member.address)),
         _ => None,
     });
     dead.collect()
 }
 
 /// How one member holds another.
-fn held(tier: &Tier, by: usize, other: usize) -> Option<State> {
+fn held(tier: &Tier, by: usize, other: usize) -> Option<MemberState> {
     let mut rows = tier.fleets[by].as_ref()?.members();
     rows.find(|row| row.member.address == address(other)).map(|row| row.state)
 }
@@ -48,7 +48,7 @@
         assert_eq!(deaths(&tier).len(), 8, "each sees one death");
         tier.start(4, 1_030_000);
         tier.settle(ms(20_000));
-        let false_deaths: u64 = tier.fleets.iter().flatten().map(|it| it.figures().false_deaths).sum();
+        let false_deaths: u64 = tier.fleets.iter().flatten().map(|it| it.metrics().false_deaths).sum();
         assert_eq!(false_deaths, 0, "a restart is no false death");
     }
 }
@@ -78,15 +78,18 @@
         let mut tier = settled(5, seed);
         tier.part(&[0, 1, 2], &[3, 4]);
         tier.run(ms(20_000));
-        assert_eq!((held(&tier, 0, 3), held(&tier, 4, 1)), (Some(State::Dead), Some(State::Dead)));
-        assert_eq!(held(&tier, 3, 4), Some(State::Alive), "each part goes on");
+        assert_eq!(
+            (held(&tier, 0, 3), held(&tier, 4, 1)),
+            (Some(MemberState::Dead), Some(MemberState::Dead))
+        );
+        assert_eq!(held(&tier, 3, 4), Some(MemberState::Alive), "each part goes on");
         tier.cut.clear();
         tier.settle(ms(20_000));
     }
 }
 
-fn seedless(number: usize, generation: u64, now: Duration) -> Fleet {
-    Fleet::new(Options::new(tier::TIER, 2), address(number), generation, vec![], number as u64, now)
+fn seedless(number: usize, generation: u64, now: Duration) -> Membership {
+    Membership::new(ViewConfig::new(tier::TIER, 2), address(number), generation, vec![], number as u64, now)
 }
 
 #[test]
@@ -137,7 +140,7 @@
         tier.settle(ms(12_000));
         let by_it: Vec<_> = deaths(&tier).into_iter().filter(|&(by, _)| by == 3).collect();
         assert!(by_it.is_empty(), "{by_it:?}");
-        let stalls = tier.fleets[3].as_ref().map(|it| it.figures().stalls);
+        let stalls = tier.fleets[3].as_ref().map(|it| it.metrics().stalls);
         assert_eq!(stalls, Some(1));
     }
 }
@@ -161,7 +164,7 @@
     tier.run(ms(5_000));
     assert!(deaths(&tier).is_empty(), "{:?}", deaths(&tier));
     for number in [0, 1, 3, 4, 5, 6] {
-        assert_eq!(held(&tier, number, 2), Some(State::Left), "by {number}");
+        assert_eq!(held(&tier, number, 2), Some(MemberState::Left), "by {number}");
     }
 }
 
@@ -176,7 +179,7 @@
         tier.leave(2);
         tier.run(ms(10_000));
         for number in [0, 1] {
-            assert_eq!(held(&tier, number, 2), Some(State::Left), "by {number}, seed {seed}");
+            assert_eq!(held(&tier, number, 2), Some(MemberState::Left), "by {number}, seed {seed}");
         }
     }
 }
@@ -229,7 +232,7 @@
         let (count, longest) = tier.false_deaths();
         assert!(longest <= ms(5_000), "{count} of {size} members, {longest:?}");
         // A suspicion that was contradicted ends no life either.
-        let lives = tier.fleets.iter().flatten().map(|it| it.figures().own_deaths).sum::<u64>();
+        let lives = tier.fleets.iter().flatten().map(|it| it.metrics().own_deaths).sum::<u64>();
         assert!(lives <= count as u64, "{lives} new lives for {count} deaths");
         // One that is killed is missed all the same.
         tier.kill(3);
--- a/crates/ashtide-fleet/tests/tier/mod.rs
+++ b/crates/ashtide-fleet/tests/tier/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_fleet::{Change, Fleet, Options, digest};
+use ashtide_fleet::{Membership, ViewChange, ViewConfig, digest};
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,14 +21,14 @@
 
 pub struct Tier {
     pub now: Duration,
-    pub fleets: Vec<Option<Fleet>>,
+    pub fleets: Vec<Option<Membership>>,
     /// Which directions lose everything.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub repeat: f64,
     /// Members that stand still, and what has come for them meanwhile.
     pub stalled: BTreeMap<usize, Vec<Bytes>>,
-    pub changes: Vec<(Duration, usize, Change)>,
+    pub changes: Vec<(Duration, usize, ViewChange)>,
     wire: BTreeMap<(Duration, u64), (usize, Bytes)>,
     number: u64,
     rng: ChaCha8Rng,
@@ -63,8 +63,8 @@
             self.fleets.resize_with(number + 1, || None);
         }
         let seeds = vec![address(0), address(1)];
-        let options = Options::new(TIER, self.size as u32);
-        let fleet = Fleet::new(options, address(number), unix_ms, seeds, self.rng.random(), self.now);
+        let options = ViewConfig::new(TIER, self.size as u32);
+        let fleet = Membership::new(options, address(number), unix_ms, seeds, self.rng.random(), self.now);
         self.fleets[number] = Some(fleet);
     }
 
@@ -91,7 +91,7 @@
 
     fn send(&mut self, number: usize) {
         let Some(fleet) = &mut self.fleets[number] else { return };
-        while let Some((to, datagram)) = fleet.transmit() {
+        while let Some((to, datagram)) = fleet.next_datagram() {
             assert!(datagram.len() <= 256, "{} bytes", datagram.len());
             let std::net::IpAddr::V4(ip) = to.ip() else { continue };
             let to = usize::from(ip.octets()[2]) * 250 + usize::from(ip.octets()[3]);
@@ -109,7 +109,7 @@
 
     fn note(&mut self, number: usize) {
         let Some(fleet) = &mut self.fleets[number] else { return };
-        while let Some(change) = fleet.change() {
+        while let Some(change) = fleet.next_change() {
             self.changes.push((self.now, number, change));
         }
     }
@@ -118,9 +118,9 @@
     pub fn wake(&mut self, number: usize) {
         let unread = self.stalled.remove(&number).unwrap_or_default();
         if let Some(fleet) = &mut self.fleets[number] {
-            fleet.fire(self.now);
+            fleet.handle_timeout(self.now);
             for datagram in unread {
-                let _ = fleet.receive(self.now, &datagram);
+                let _ = fleet.handle_datagram(self.now, &datagram);
             }
         }
         self.send(number);
@@ -138,7 +138,7 @@
                         unread.push(datagram);
                     }
                 } else if let Some(fleet) = self.fleets.get_mut(to).and_then(Option::as_mut) {
-                    let _ = fleet.receive(self.now, &datagram);
+                    let _ = fleet.handle_datagram(self.now, &datagram);
                     self.send(to);
                 }
             }
@@ -148,9 +148,9 @@
                 }
                 let now = self.now;
                 if let Some(fleet) =
-                    self.fleets[number].as_mut().filter(|it| it.due().is_some_and(|at| at <= now))
+                    self.fleets[number].as_mut().filter(|it| it.next_timeout().is_some_and(|at| at <= now))
                 {
-                    fleet.fire(now);
+                    fleet.handle_timeout(now);
                     self.send(number);
                 }
                 self.note(number);
@@ -161,7 +161,7 @@
     /// Datagrams, and their bytes, that a member sends a second, over so many.
     pub fn sent_a_second(&mut self, seconds: u64) -> (f64, f64) {
         let sent = |tier: &Self| {
-            let each = tier.fleets.iter().flatten().map(|it| it.figures().sent);
+            let each = tier.fleets.iter().flatten().map(|it| it.metrics().sent);
             each.fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
         };
         let before = sent(self);
@@ -178,7 +178,7 @@
     /// Which part of the live members hold the truth of all: who is there, in which life, and nobody suspected. By
     /// digests: what it costs grows with the members' number squared, and no more.
     pub fn agree(&self) -> f64 {
-        let live: Vec<&Fleet> = self.fleets.iter().flatten().collect();
+        let live: Vec<&Membership> = self.fleets.iter().flatten().collect();
         let truth = digest(live.iter().map(|it| it.own()));
         let right = live.iter().filter(|it| it.digest() == truth).count();
         right as f64 / live.len().max(1) as f64
@@ -210,11 +210,11 @@
         let (mut count, mut longest) = (0, ms(0));
         for &(at, by, change) in &self.changes {
             match change {
-                Change::Dead(member) => {
+                ViewChange::Dead(member) => {
                     count += 1;
                     held.insert((by, member.address), at);
                 }
-                Change::Up(member) => {
+                ViewChange::Up(member) => {
                     if let Some(since) = held.remove(&(by, member.address)) {
                         longest = longest.max(at - since);
                     }
--- a/crates/ashtide-maintenance/src/broken.rs
+++ b/crates/ashtide-maintenance/src/broken.rs
@@ -3,43 +3,43 @@
 
 /// One fault put in on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Broken {
+pub enum Mutation {
     /// A change made under an old token is taken.
     NoFencing,
     /// A voter answers before its vote is on disk.
     UnsyncedVote,
     /// What is known of the table holds from when it was heard, not from when it was asked for.
-    CountedFromAnswer,
+    LeaseFromAnswerTime,
     /// A majority of those that answer is enough, not of the settings' list.
-    MajorityOfHeard,
+    MajorityOfResponders,
     /// What has been released makes room at once.
     NoCooling,
     /// What is known of the table never becomes too old to act on.
     NoLease,
     /// A restarted gateway acts on what its disk says.
     #[cfg(feature = "broken")]
-    OldGrant,
+    ActOnPersistedGrant,
     /// A voter that has lost its memory votes at once.
     #[cfg(feature = "broken")]
-    Forgetful,
+    VoteWithoutCatchUp,
 }
 
 /// The fault of a core, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Fault {
+pub(crate) struct ActiveMutation {
     #[cfg(feature = "broken")]
-    pub(crate) chosen: Option<Broken>,
+    pub(crate) mutation: Option<Mutation>,
 }
 
-impl Fault {
+impl ActiveMutation {
     #[cfg(feature = "broken")]
-    pub(crate) fn is(self, which: Broken) -> bool {
-        self.chosen == Some(which)
+    pub(crate) fn is(self, which: Mutation) -> bool {
+        self.mutation == Some(which)
     }
 
     #[cfg(not(feature = "broken"))]
     #[allow(clippy::unused_self)]
-    pub(crate) fn is(self, _: Broken) -> bool {
+    pub(crate) fn is(self, _: Mutation) -> bool {
         false
     }
 }
--- a/crates/ashtide-maintenance/src/lib.rs
+++ b/crates/ashtide-maintenance/src/lib.rs
@@ -19,10 +19,16 @@
 mod violation;
 
 #[cfg(feature = "broken")]
-pub use broken::Broken;
-pub use message::{Halves, MAX_PARTS, Message, Unheard, split};
-pub use node::{Action, Facts, Figures, MAX_WAITING, Memory, Node, Outcome, Setup, Terms, check_out};
-pub use register::{Ballot, Behind, Knowledge, Round, Vote, Voter, majority};
+pub use broken::Mutation;
+pub use message::{DecodeError, MAX_PARTS, Message, MessageAssembler, encode_message};
+pub use node::{
+    Action, MAX_PENDING_REQUESTS, Observations, PersistedVote, Replica, ReplicaConfig, ReplicaMetrics,
+    RequestOutcome, TimingConfig, check_machines_out,
+};
+pub use register::{Acceptor, AcceptorState, Ballot, LeasedState, Proposal, StaleBallot, majority};
 pub use store::{Store, StoreError};
-pub use table::{Change, Kind, MAX_CALLS, MAX_NAME, MAX_REASON, MAX_ROWS, Phase, Refused, Row, Rules, Table};
+pub use table::{
+    Change, ChangeRejected, Limits, MAX_COMPLETED_REQUESTS, MAX_ENTRIES, MAX_NAME, MAX_REASON, MachineKind,
+    MaintenanceEntry, MaintenanceQueue, Phase,
+};
 pub use violation::Violation;
--- a/crates/ashtide-maintenance/src/message.rs
+++ b/crates/ashtide-maintenance/src/message.rs
@@ -8,18 +8,18 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
-use crate::register::{Ballot, Vote};
-use crate::table::Table;
+use crate::register::{AcceptorState, Ballot};
+use crate::table::MaintenanceQueue;
 
 /// The version spoken here; other datagrams of the tier begin with other bytes.
 const VERSION: u8 = 0x4d;
 /// Version, tier, sender, digest, part, parts.
-const FRAME: usize = 1 + 4 + 2 + 8 + 1 + 1;
-const INSIDE: usize = MAX_DATAGRAM - FRAME;
+const HEADER_LEN: usize = 1 + 4 + 2 + 8 + 1 + 1;
+const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_LEN;
 /// Datagrams that one message may take; a full table's vote takes fewer.
 pub const MAX_PARTS: usize = 24;
 /// Messages that are put together at a time; the oldest goes.
-const MAX_HALVES: usize = 64;
+const MAX_PARTIAL_MESSAGES: usize = 64;
 
 /// What a gateway says.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -36,14 +36,14 @@
         /// The value's ballot.
         accepted: Ballot,
         /// The value.
-        table: Table,
+        queue: MaintenanceQueue,
     },
     /// A proposer offers the changed value.
     Accept {
         /// Its round.
         ballot: Ballot,
         /// The value.
-        table: Table,
+        queue: MaintenanceQueue,
     },
     /// A voter has taken it.
     Accepted {
@@ -51,53 +51,53 @@
         ballot: Ballot,
     },
     /// A voter has promised a later round.
-    Behind {
+    Nack {
         /// The round that is refused.
         ballot: Ballot,
         /// The later one.
         promised: Ballot,
     },
     /// A gateway asks a voter for its value, and says how it stands.
-    Ask {
+    ReadRequest {
         /// The asker's life.
-        life: u64,
+        incarnation: u64,
         /// Counts its asks.
-        number: u64,
+        sequence: u64,
         /// The ballot of the newest value that it has.
-        known: Ballot,
+        known_ballot: Ballot,
         /// The version that it acts on; nothing where what it knows is too old.
-        acts: u64,
+        acting_version: u64,
         /// How many connections it still has, by token.
-        open: Vec<(u64, u32)>,
+        open_connections: Vec<(u64, u32)>,
     },
     /// A voter's value.
-    Answer {
+    ReadReply {
         /// The asker's life.
-        life: u64,
+        incarnation: u64,
         /// The ask.
-        number: u64,
+        sequence: u64,
         /// The value's ballot.
         accepted: Ballot,
         /// The value, where the asker does not have it.
-        table: Option<Table>,
+        queue: Option<MaintenanceQueue>,
     },
     /// A voter without a memory asks another what it remembers.
-    Recall {
+    CatchUpRequest {
         /// The asker's life.
-        life: u64,
+        incarnation: u64,
     },
     /// What a voter remembers, if it does.
-    Recalled {
+    CatchUpReply {
         /// The asker's life.
-        life: u64,
+        incarnation: u64,
         /// Its memory.
-        memory: Option<Vote>,
+        state: Option<AcceptorState>,
     },
 }
 
 /// Why a datagram is not heard. It has changed nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Unheard {
+pub enum DecodeError {
     /// Over [`MAX_DATAGRAM`] bytes, or too few for a frame.
     #[error("a length that no datagram has")]
     Length,
@@ -112,10 +112,10 @@
     Malformed,
     /// Its sender is not on the settings' list, or is this gateway itself.
     #[error("of nobody on the list")]
-    Foreign,
+    UnknownSender,
 }
 
-impl Unheard {
+impl DecodeError {
     /// What an operator can do.
     #[must_use]
     pub fn help(self) -> &'static str {
@@ -125,25 +125,27 @@
             }
             Self::Version => "finish the upgrade of the tier",
             Self::Tier => "see that each tier has a key of its own, the same at all its gateways",
-            Self::Foreign => "compare the list of gateways on all of them, and that no two have one slot",
+            Self::UnknownSender => {
+                "compare the list of gateways on all of them, and that no two have one slot"
+            }
         }
     }
 }
 
-fn digest(bytes: &[u8]) -> u64 {
+fn message_digest(bytes: &[u8]) -> u64 {
     let word = |chunk: &[u8]| chunk.iter().fold(0, |word, &byte| word << 8 | u64::from(byte));
     bytes.chunks(8).fold(bytes.len() as u64, |so_far, chunk| mix(so_far, word(chunk)))
 }
 
 /// The datagrams of one message.
-pub fn split(tier: u32, from: Slot, message: &Message) -> Vec<Bytes> {
+pub fn encode_message(tier: u32, from: Slot, message: &Message) -> Vec<Bytes> {
     // Writing to memory does not fail; what it could not write would be no message, and is not sent.
     let Ok(all) = postcard::to_allocvec(message) else { return Vec::new() };
-    let digest = digest(&all);
-    let parts = all.chunks(INSIDE);
+    let digest = message_digest(&all);
+    let parts = all.chunks(MAX_PAYLOAD);
     let count = parts.len();
     let part = |(number, part): (usize, &[u8])| {
-        let mut datagram = BytesMut::with_capacity(FRAME + part.len());
+        let mut datagram = BytesMut::with_capacity(HEADER_LEN + part.len());
         datagram.put_u8(VERSION);
         datagram.put_u32(tier);
         datagram.put_u16(from.0);
@@ -161,52 +163,57 @@
 
 /// Messages of which some parts are here.
 #[derive(Debug, Clone, Default)]
-pub struct Halves(VecDeque<Half>);
+pub struct MessageAssembler(VecDeque<PartialMessage>);
 
 #[derive(Debug, Clone)]
-struct Half {
-    from: Slot,
+struct PartialMessage {
+    sender: Slot,
     digest: u64,
     parts: Vec<Option<Bytes>>,
 }
 
-impl Halves {
+impl MessageAssembler {
     /// One more datagram; gives the message that it completes, and its sender.
     ///
     /// # Errors
     ///
     /// Says why it is not heard.
-    pub fn join(&mut self, tier: u32, datagram: &[u8]) -> Result<Option<(Slot, Message)>, Unheard> {
+    pub fn add_datagram(
+        &mut self,
+        tier: u32,
+        datagram: &[u8],
+    ) -> Result<Option<(Slot, Message)>, DecodeError> {
         if datagram.len() > MAX_DATAGRAM {
-            return Err(Unheard::Length);
+            return Err(DecodeError::Length);
         }
-        let (frame, inside) = datagram.split_at_checked(FRAME).ok_or(Unheard::Length)?;
-        let frame: [u8; FRAME] = frame.try_into().map_err(|_| Unheard::Length)?;
+        let (frame, inside) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
+        let frame: [u8; HEADER_LEN] = frame.try_into().map_err(|_| DecodeError::Length)?;
         let [version, t0, t1, t2, t3, f0, f1, digested @ .., number, count] = frame;
         if version != VERSION {
-            return Err(Unheard::Version);
+            return Err(DecodeError::Version);
         }
         if u32::from_be_bytes([t0, t1, t2, t3]) != tier {
-            return Err(Unheard::Tier);
+            return Err(DecodeError::Tier);
         }
         let from = Slot(u16::from_be_bytes([f0, f1]));
         let (number, count) = (usize::from(number), usize::from(count));
         if count == 0
             || count > MAX_PARTS
             || number >= count
-            || (inside.len() != INSIDE && number + 1 < count)
+            || (inside.len() != MAX_PAYLOAD && number + 1 < count)
         {
-            return Err(Unheard::Malformed);
+            return Err(DecodeError::Malformed);
         }
         let whole = u64::from_be_bytes(digested);
-        let same = |half: &Half| (half.from, half.digest, half.parts.len()) == (from, whole, count);
+        let same =
+            |half: &PartialMessage| (half.sender, half.digest, half.parts.len()) == (from, whole, count);
         let at = match self.0.iter().position(same) {
             Some(at) => at,
             None => {
-                if self.0.len() >= MAX_HALVES {
+                if self.0.len() >= MAX_PARTIAL_MESSAGES {
                     self.0.pop_front();
                 }
-                self.0.push_back(Half { from, digest: whole, parts: vec![None; count] });
+                self.0.push_back(PartialMessage { sender: from, digest: whole, parts: vec![None; count] });
                 self.0.len() - 1
             }
         };
@@ -215,12 +222,12 @@
         let Some(parts) = half.parts.iter().cloned().collect::<Option<Vec<Bytes>>>() else { return Ok(None) };
         self.0.remove(at);
         let all = parts.concat();
-        if digest(&all) != whole {
-            return Err(Unheard::Malformed);
+        if message_digest(&all) != whole {
+            return Err(DecodeError::Malformed);
         }
         match postcard::take_from_bytes(&all) {
             Ok((message, [])) => Ok(Some((from, message))),
-            _ => Err(Unheard::Malformed),
+            _ => Err(DecodeError::Malformed),
         }
     }
 
