--- a/crates/ashtide-maintenance/src/store.rs
+++ b/crates/ashtide-maintenance/src/store.rs
@@ -12,19 +12,20 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::node::Memory;
-use crate::register::Vote;
+use crate::node::PersistedVote;
+use crate::register::AcceptorState;
 
 /// The first word of a snapshot, and the form that follows.
-const HEAD: &[u8] = b"ashtide-maintenance 1\n";
+const FILE_HEADER: &[u8] = b"ashtide-maintenance 1\n";
 /// Records of the log before a new snapshot is written.
-const MAX_RECORDS: u64 = 64;
+const MAX_LOG_RECORDS: u64 = 64;
 /// Length, its complement, and the first half of a SHA-256.
-const FRAME: usize = 4 + 4 + 16;
+const RECORD_HEADER_LEN: usize = 4 + 4 + 16;
 /// Longest record; a full table takes less.
-const MAX_BODY: usize = 8192;
+const MAX_RECORD_LEN: usize = 8192;
 /// Longest file that is read.
-const MAX_FILE: u64 = (MAX_RECORDS + 1) * (MAX_BODY + FRAME) as u64 + HEAD.len() as u64;
+const MAX_FILE_LEN: u64 =
+    (MAX_LOG_RECORDS + 1) * (MAX_RECORD_LEN + RECORD_HEADER_LEN) as u64 + FILE_HEADER.len() as u64;
 
 /// Why a memory could not be kept or read.
 #[derive(Debug, thiserror::Error)]
@@ -37,7 +38,7 @@
     Busy(PathBuf),
     /// Not whole, or not written by this program. The memory is lost.
     #[error("maintenance: {path}: byte {at}: found {found}, expected what this program wrote")]
-    Torn {
+    Corrupt {
         /// Which file.
         path: PathBuf,
         /// Where the record begins that is wrong.
@@ -47,7 +48,7 @@
     },
     /// The last record is not all there. It was never answered for, and is left out.
     #[error("maintenance: {path}: byte {at}: found a last record that is not all there, left it out")]
-    Tail {
+    TruncatedTail {
         /// Which file.
         path: PathBuf,
         /// Where it begins.
@@ -55,7 +56,7 @@
     },
     /// An earlier vote could not be kept; nothing is kept from then on.
     #[error("maintenance: {0}: an earlier vote could not be kept")]
-    Given(PathBuf),
+    Failed(PathBuf),
 }
 
 impl StoreError {
@@ -65,19 +66,19 @@
         match self {
             Self::Io(..) => "see that the folder is there, writable and not full, then restart this gateway",
             Self::Busy(_) => "end the other process, or give this one a name of its own",
-            Self::Torn { .. } => {
+            Self::Corrupt { .. } => {
                 "look at the disk; this gateway votes again once enough others have told it what it forgot"
             }
-            Self::Tail { .. } => "nothing: the machine or the process ended while it wrote",
-            Self::Given(_) => "mend what the log says of the first failure, then restart this gateway",
+            Self::TruncatedTail { .. } => "nothing: the machine or the process ended while it wrote",
+            Self::Failed(_) => "mend what the log says of the first failure, then restart this gateway",
         }
     }
 }
 
 #[derive(Serialize, Deserialize)]
 struct Record {
-    number: u64,
-    vote: Vote,
+    sequence: u64,
+    state: AcceptorState,
 }
 
 /// A folder with one voter's memory, which no other process may have at the same time.
@@ -87,9 +88,9 @@
     name: String,
     log: File,
     _lock: File,
-    number: u64,
-    records: u64,
-    given: bool,
+    sequence: u64,
+    log_records: u64,
+    has_failed: bool,
 }
 
 impl Store {
@@ -98,35 +99,36 @@
     /// # Errors
     ///
     /// Fails where the folder cannot be used, or another process has the memory.
-    pub fn open(folder: &Path, name: &str) -> Result<(Self, Memory, Option<StoreError>), StoreError> {
+    pub fn open(folder: &Path, name: &str) -> Result<(Self, PersistedVote, Option<StoreError>), StoreError> {
         let folder = folder.to_owned();
-        fs::create_dir_all(&folder).map_err(io(&folder))?;
+        fs::create_dir_all(&folder).map_err(io_error(&folder))?;
         let path = |what: &str| folder.join(format!("maintenance.{name}.{what}"));
         let (locked, logged) = (path("lock"), path("log"));
         let open = |path: &Path| {
             let options = OpenOptions::new().create(true).append(true).read(true).open(path);
-            options.map_err(io(path))
+            options.map_err(io_error(path))
         };
         let lock = open(&locked)?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| StoreError::Busy(locked))?;
         let log = open(&logged)?;
-        let (read, wrong) = match recall(&path("snapshot"), &logged) {
+        let (read, wrong) = match load(&path("snapshot"), &logged) {
             Ok((read, wrong)) => (read, wrong),
-            Err(error @ StoreError::Torn { .. }) => (None, Some(error)),
+            Err(error @ StoreError::Corrupt { .. }) => (None, Some(error)),
             Err(error) => return Err(error),
         };
-        let number = read.as_ref().map_or(0, |read| read.number);
+        let number = read.as_ref().map_or(0, |read| read.sequence);
         let name = name.to_owned();
-        let mut store = Self { folder, name, log, _lock: lock, number, records: 0, given: false };
+        let mut store =
+            Self { folder, name, log, _lock: lock, sequence: number, log_records: 0, has_failed: false };
         let memory = match read {
-            Some(Record { vote, .. }) => {
+            Some(Record { state: vote, .. }) => {
                 // Whatever follows is written behind what is whole.
-                store.snapshot(&vote)?;
-                Memory::Kept(vote)
+                store.write_snapshot(&vote)?;
+                PersistedVote::Stored(vote)
             }
             None => {
-                store.forget()?;
-                Memory::Lost
+                store.set_aside()?;
+                PersistedVote::Lost
             }
         };
         Ok((store, memory, wrong))
@@ -141,65 +143,66 @@
     /// # Errors
     ///
     /// Fails where it cannot be written. Then the voter must not answer, and the store keeps nothing more.
-    pub fn keep(&mut self, vote: &Vote) -> Result<(), StoreError> {
-        if self.given {
-            return Err(StoreError::Given(self.path("log")));
+    pub fn persist(&mut self, vote: &AcceptorState) -> Result<(), StoreError> {
+        if self.has_failed {
+            return Err(StoreError::Failed(self.path("log")));
         }
-        self.number += 1;
-        let kept = match self.number == 1 || self.records >= MAX_RECORDS {
-            true => self.snapshot(vote),
+        self.sequence += 1;
+        let kept = match self.sequence == 1 || self.log_records >= MAX_LOG_RECORDS {
+            true => self.write_snapshot(vote),
             false => self.append(vote),
         };
-        self.given = kept.is_err();
+        self.has_failed = kept.is_err();
         kept
     }
 
     /// Puts aside what cannot be used. The snapshot goes first: without it the log is not read, and a log that is
     /// gone must not make an older snapshot look whole.
-    fn forget(&mut self) -> Result<(), StoreError> {
+    fn set_aside(&mut self) -> Result<(), StoreError> {
         let (path, torn, logged) = (self.path("snapshot"), self.path("torn"), self.path("log"));
         match fs::rename(&path, &torn) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(StoreError::Io(path, error)),
             _ => {}
         }
-        File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(io(&self.folder))?;
-        self.log.set_len(0).and_then(|()| self.log.sync_all()).map_err(io(&logged))
+        File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(io_error(&self.folder))?;
+        self.log.set_len(0).and_then(|()| self.log.sync_all()).map_err(io_error(&logged))
     }
 
-    fn append(&mut self, vote: &Vote) -> Result<(), StoreError> {
+    fn append(&mut self, vote: &AcceptorState) -> Result<(), StoreError> {
         let path = self.path("log");
-        let record = record(self.number, vote).map_err(io(&path))?;
-        self.log.write_all(&record).and_then(|()| self.log.sync_data()).map_err(io(&path))?;
-        self.records += 1;
+        let record = encode_record(self.sequence, vote).map_err(io_error(&path))?;
+        self.log.write_all(&record).and_then(|()| self.log.sync_data()).map_err(io_error(&path))?;
+        self.log_records += 1;
         Ok(())
     }
 
-    fn snapshot(&mut self, vote: &Vote) -> Result<(), StoreError> {
+    fn write_snapshot(&mut self, vote: &AcceptorState) -> Result<(), StoreError> {
         let (path, aside, logged) = (self.path("snapshot"), self.path("next"), self.path("log"));
-        let record = record(self.number, vote).map_err(io(&path))?;
+        let record = encode_record(self.sequence, vote).map_err(io_error(&path))?;
         let written = File::create(&aside).and_then(|mut file| {
-            file.write_all(HEAD)?;
+            file.write_all(FILE_HEADER)?;
             file.write_all(&record)?;
             file.sync_all()
         });
-        written.and_then(|()| fs::rename(&aside, &path)).map_err(io(&aside))?;
-        File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(io(&self.folder))?;
+        written.and_then(|()| fs::rename(&aside, &path)).map_err(io_error(&aside))?;
+        File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(io_error(&self.folder))?;
         // Records that are in the snapshot are passed over by their number, so a crash here does no harm.
-        self.log.set_len(0).and_then(|()| self.log.sync_all()).map_err(io(&logged))?;
-        self.records = 0;
+        self.log.set_len(0).and_then(|()| self.log.sync_all()).map_err(io_error(&logged))?;
+        self.log_records = 0;
         Ok(())
     }
 }
 
-fn io(path: &Path) -> impl Fn(io::Error) -> StoreError {
+fn io_error(path: &Path) -> impl Fn(io::Error) -> StoreError {
     let path = path.to_owned();
     move |error| StoreError::Io(path.clone(), error)
 }
 
-fn record(number: u64, vote: &Vote) -> io::Result<Vec<u8>> {
-    let body = postcard::to_allocvec(&Record { number, vote: vote.clone() }).map_err(io::Error::other)?;
+fn encode_record(number: u64, vote: &AcceptorState) -> io::Result<Vec<u8>> {
+    let body =
+        postcard::to_allocvec(&Record { sequence: number, state: vote.clone() }).map_err(io::Error::other)?;
     let length = u32::try_from(body.len()).map_err(io::Error::other)?;
-    let mut all = Vec::with_capacity(FRAME + body.len());
+    let mut all = Vec::with_capacity(RECORD_HEADER_LEN + body.len());
     all.extend_from_slice(&length.to_be_bytes());
     all.extend_from_slice(&(!length).to_be_bytes());
     all.extend_from_slice(&Sha256::digest(&body)[..16]);
@@ -208,11 +211,11 @@
 }
 
 /// One record of what is left of a file, and its length; none where it is not all there.
-fn read_record(rest: &[u8]) -> Result<Option<(Record, usize)>, &'static str> {
-    let Some((frame, rest)) = rest.split_at_checked(FRAME) else { return Ok(None) };
+fn decode_record(rest: &[u8]) -> Result<Option<(Record, usize)>, &'static str> {
+    let Some((frame, rest)) = rest.split_at_checked(RECORD_HEADER_LEN) else { return Ok(None) };
     let number = |at: usize| frame[at..at + 4].iter().fold(0, |so_far: u32, &it| so_far << 8 | u32::from(it));
     let length = number(0) as usize;
-    if number(4) != !number(0) || length > MAX_BODY {
+    if number(4) != !number(0) || length > MAX_RECORD_LEN {
         return Err("a length that does not hold");
     }
     let Some(body) = rest.get(..length) else { return Ok(None) };
@@ -220,49 +223,51 @@
         return Err("a checksum that does not hold");
     }
     match postcard::take_from_bytes(body) {
-        Ok((record, [])) => Ok(Some((record, FRAME + length))),
+        Ok((record, [])) => Ok(Some((record, RECORD_HEADER_LEN + length))),
         _ => Err("a record of another form"),
     }
 }
 
-fn bytes(path: &Path) -> Result<Option<Vec<u8>>, StoreError> {
+fn read_file(path: &Path) -> Result<Option<Vec<u8>>, StoreError> {
     let file = match File::open(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        file => file.map_err(io(path))?,
+        file => file.map_err(io_error(path))?,
     };
     let mut bytes = Vec::new();
-    file.take(MAX_FILE + 1).read_to_end(&mut bytes).map_err(io(path))?;
+    file.take(MAX_FILE_LEN + 1).read_to_end(&mut bytes).map_err(io_error(path))?;
     Ok(Some(bytes))
 }
 
-fn recall(snapshot: &Path, log: &Path) -> Result<(Option<Record>, Option<StoreError>), StoreError> {
-    let torn = |path: &Path, at, found| StoreError::Torn { path: path.to_owned(), at, found };
-    let logged = bytes(log)?.unwrap_or_default();
-    let Some(whole) = bytes(snapshot)? else {
+fn load(snapshot: &Path, log: &Path) -> Result<(Option<Record>, Option<StoreError>), StoreError> {
+    let torn = |path: &Path, at, found| StoreError::Corrupt { path: path.to_owned(), at, found };
+    let logged = read_file(log)?.unwrap_or_default();
+    let Some(whole) = read_file(snapshot)? else {
         return match logged.is_empty() {
             true => Ok((None, None)),
             false => Err(torn(log, 0, "a log without its snapshot")),
         };
     };
-    let rest = whole.strip_prefix(HEAD).ok_or_else(|| torn(snapshot, 0, "another head"))?;
-    let mut last = match read_record(rest) {
+    let rest = whole.strip_prefix(FILE_HEADER).ok_or_else(|| torn(snapshot, 0, "another head"))?;
+    let mut last = match decode_record(rest) {
         Ok(Some((record, length))) if length == rest.len() => record,
-        Ok(_) => return Err(torn(snapshot, HEAD.len(), "a length that does not hold")),
-        Err(found) => return Err(torn(snapshot, HEAD.len(), found)),
+        Ok(_) => return Err(torn(snapshot, FILE_HEADER.len(), "a length that does not hold")),
+        Err(found) => return Err(torn(snapshot, FILE_HEADER.len(), found)),
     };
     let mut at = 0;
     while at < logged.len() {
-        match read_record(&logged[at..]) {
+        match decode_record(&logged[at..]) {
             Ok(Some((record, length))) => {
-                if record.number > last.number + 1 {
+                if record.sequence > last.sequence + 1 {
                     return Err(torn(log, at, "a gap before it"));
                 }
-                if record.number == last.number + 1 {
+                if record.sequence == last.sequence + 1 {
                     last = record;
                 }
                 at += length;
             }
-            Ok(None) => return Ok((Some(last), Some(StoreError::Tail { path: log.to_owned(), at }))),
+            Ok(None) => {
+                return Ok((Some(last), Some(StoreError::TruncatedTail { path: log.to_owned(), at })));
+            }
             Err(found) => return Err(torn(log, at, found)),
         }
     }
--- a/crates/ashtide-maintenance/src/violation.rs
+++ b/crates/ashtide-maintenance/src/violation.rs
@@ -17,7 +17,7 @@
     },
     /// M2: a table gives out no more than its limits allow.
     #[error("M2: version {version} of the table gives out {found}, at most {most} may be")]
-    OverGiven {
+    TooManyGranted {
         /// The table's version.
         version: u64,
         /// How many are given out.
@@ -27,7 +27,7 @@
     },
     /// M3: a token is given once, and none is higher than the last one.
     #[error("M3: version {version} of the table has token {token} twice, or over the last one, {last}")]
-    Token {
+    InvalidToken {
         /// The table's version.
         version: u64,
         /// The token.
@@ -37,7 +37,7 @@
     },
     /// M4: a machine stands in the table once.
     #[error("M4: version {version} of the table names '{name}' twice")]
-    Twice {
+    DuplicateMachine {
         /// The table's version.
         version: u64,
         /// The machine.
@@ -55,7 +55,7 @@
     },
     /// M6: nothing is kept out by what was known longer ago than a lease.
     #[error("M6: machines are kept out by what was known {age:?} ago, at most {lease:?} is allowed")]
-    Stale {
+    LeaseExpired {
         /// How long ago it was asked for.
         age: Duration,
         /// How long it may be acted on.
@@ -63,7 +63,7 @@
     },
     /// M7: two tables of one version are the same.
     #[error("M7: version {version} of the table has been chosen with two contents")]
-    Forked {
+    DivergentValues {
         /// The version.
         version: u64,
     },
@@ -74,14 +74,14 @@
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
-            Self::TooManyOut { .. } | Self::OverGiven { .. } => {
+            Self::TooManyOut { .. } | Self::TooManyGranted { .. } => {
                 "compare max_out, the voters and their order on all gateways, cancel what is queued, and report the line"
             }
-            Self::Token { .. } | Self::Twice { .. } | Self::Forked { .. } => {
+            Self::InvalidToken { .. } | Self::DuplicateMachine { .. } | Self::DivergentValues { .. } => {
                 "cancel what is queued, see that no two gateways run under one slot, and report the line"
             }
             Self::OverFull { .. } => "restart this gateway and report the line",
-            Self::Stale { .. } => {
+            Self::LeaseExpired { .. } => {
                 "restart this gateway, which then keeps nothing out until it has asked, and report"
             }
         }
--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -8,8 +8,9 @@
 
 use ashtide_fleet::state::Slot;
 use ashtide_maintenance::{
-    Action, Ballot, Facts, Halves, Kind, Memory, Message, Node, Outcome, Phase, Refused, Row, Rules, Setup,
-    Store, StoreError, Table, Terms, Unheard, Violation, Vote, split,
+    AcceptorState, Action, Ballot, ChangeRejected, DecodeError, Limits, MachineKind, MaintenanceEntry,
+    MaintenanceQueue, Message, MessageAssembler, Observations, PersistedVote, Phase, Replica, ReplicaConfig,
+    RequestOutcome, Store, StoreError, TimingConfig, Violation, encode_message,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -44,45 +45,65 @@
     }
 }
 
-fn row(kind: Kind, name: &str, call: u64, phase: Phase) -> Row {
+fn row(kind: MachineKind, name: &str, call: u64, phase: Phase) -> MaintenanceEntry {
     let (name, reason) = (name.to_owned(), "a new disk".to_owned());
-    Row { kind, name, reason, asked_ms: 1_700_000_000_000, call, since: 900 + call % 10, phase }
+    MaintenanceEntry {
+        kind,
+        name,
+        reason,
+        requested_at_ms: 1_700_000_000_000,
+        request_id: call,
+        phase_version: 900 + call % 10,
+        phase,
+    }
 }
 
 /// One machine of each phase.
-fn table() -> Table {
+fn table() -> MaintenanceQueue {
     let rows = vec![
-        row(Kind::Server, "s-1", 1, Phase::Queued),
-        row(Kind::Gateway, "127.0.0.1:7947", 2, Phase::Draining { token: 500, holder: Slot(1) }),
-        row(Kind::Server, "s-3", u64::MAX - 300, Phase::Out { token: 501, holder: Slot(300) }),
-        row(Kind::Server, "s-4", 4, Phase::Cooling { token: 502 }),
+        row(MachineKind::Server, "s-1", 1, Phase::Queued),
+        row(MachineKind::Gateway, "127.0.0.1:7947", 2, Phase::Draining { token: 500, holder: Slot(1) }),
+        row(MachineKind::Server, "s-3", u64::MAX - 300, Phase::Out { token: 501, holder: Slot(300) }),
+        row(MachineKind::Server, "s-4", 4, Phase::Released { token: 502 }),
     ];
-    Table { version: 1_000, token: 502, rows, calls: vec![1, 2, u64::MAX] }
+    MaintenanceQueue {
+        version: 1_000,
+        last_token: 502,
+        entries: rows,
+        completed_requests: vec![1, 2, u64::MAX],
+    }
 }
 
-fn vote() -> Vote {
-    Vote {
-        promised: Ballot { round: 300, slot: 2, life: 1_700_000_000_000 },
-        accepted: Ballot { round: 299, slot: 513, life: 7 },
-        table: table(),
+fn vote() -> AcceptorState {
+    AcceptorState {
+        promised: Ballot { round: 300, slot: 2, incarnation: 1_700_000_000_000 },
+        accepted: Ballot { round: 299, slot: 513, incarnation: 7 },
+        queue: table(),
     }
 }
 
 fn messages() -> Vec<Message> {
-    let Vote { promised: ballot, accepted, table } = vote();
-    let (life, number) = (1_700_000_000_001, 70_000);
+    let AcceptorState { promised: ballot, accepted, queue: table } = vote();
+    let incarnation = 1_700_000_000_001;
+    let sequence = 70_000;
     vec![
         Message::Prepare { ballot },
-        Message::Promise { ballot, accepted, table: table.clone() },
-        Message::Accept { ballot, table: table.clone() },
+        Message::Promise { ballot, accepted, queue: table.clone() },
+        Message::Accept { ballot, queue: table.clone() },
         Message::Accepted { ballot },
-        Message::Behind { ballot, promised: accepted },
-        Message::Ask { life, number, known: accepted, acts: 1_000, open: vec![(500, 3), (501, 70_000)] },
-        Message::Answer { life, number, accepted, table: Some(table) },
-        Message::Answer { life, number, accepted, table: None },
-        Message::Recall { life },
-        Message::Recalled { life, memory: Some(vote()) },
-        Message::Recalled { life, memory: None },
+        Message::Nack { ballot, promised: accepted },
+        Message::ReadRequest {
+            incarnation,
+            sequence,
+            known_ballot: accepted,
+            acting_version: 1_000,
+            open_connections: vec![(500, 3), (501, 70_000)],
+        },
+        Message::ReadReply { incarnation, sequence, accepted, queue: Some(table) },
+        Message::ReadReply { incarnation, sequence, accepted, queue: None },
+        Message::CatchUpRequest { incarnation },
+        Message::CatchUpReply { incarnation, state: Some(vote()) },
+        Message::CatchUpReply { incarnation, state: None },
     ]
 }
 
@@ -92,11 +113,11 @@
         Message::Promise { .. } => "promise",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Behind { .. } => "behind",
-        Message::Ask { .. } => "ask",
-        Message::Answer { .. } => "answer",
-        Message::Recall { .. } => "recall",
-        Message::Recalled { .. } => "recalled",
+        Message::Nack { .. } => "behind",
+        Message::ReadRequest { .. } => "ask",
+        Message::ReadReply { .. } => "answer",
+        Message::CatchUpRequest { .. } => "recall",
+        Message::CatchUpReply { .. } => "recalled",
     }
 }
 
@@ -105,40 +126,48 @@
     let mut text = String::new();
     for message in messages() {
         let datagrams: Vec<String> =
-            split(7, Slot(513), &message).iter().map(|datagram| hex(datagram)).collect();
+            encode_message(7, Slot(513), &message).iter().map(|datagram| hex(datagram)).collect();
         let _ = writeln!(text, "{} {}", message_kind(&message), datagrams.join(" "));
     }
     same_as_stored("messages.txt", &text);
     for (line, message) in stored("messages.txt").lines().zip(messages()) {
-        let mut halves = Halves::default();
+        let mut halves = MessageAssembler::default();
         let mut datagrams: Vec<Vec<u8>> = line.split(' ').skip(1).map(unhex).collect();
         let last = datagrams.remove(0);
         // In any order: the first comes last.
         for datagram in datagrams.iter().rev() {
-            assert_eq!(halves.join(7, datagram), Ok(None), "{line}");
+            assert_eq!(halves.add_datagram(7, datagram), Ok(None), "{line}");
         }
-        assert_eq!(halves.join(7, &last), Ok(Some((Slot(513), message))), "{line}");
+        assert_eq!(halves.add_datagram(7, &last), Ok(Some((Slot(513), message))), "{line}");
         assert!(halves.is_empty());
     }
 }
 
-fn unheard_text(why: Unheard) -> &'static str {
+fn unheard_text(why: DecodeError) -> &'static str {
     match why {
-        Unheard::Length => "length",
-        Unheard::Version => "version",
-        Unheard::Tier => "tier",
-        Unheard::Malformed => "malformed",
-        Unheard::Foreign => "foreign",
+        DecodeError::Length => "length",
+        DecodeError::Version => "version",
+        DecodeError::Tier => "tier",
+        DecodeError::Malformed => "malformed",
+        DecodeError::UnknownSender => "foreign",
     }
 }
 
 #[test]
 fn why_a_datagram_is_not_heard_is_told_the_same() {
     let mut text = String::new();
-    for why in [Unheard::Length, Unheard::Version, Unheard::Tier, Unheard::Malformed, Unheard::Foreign] {
+    for why in [
+        DecodeError::Length,
+        DecodeError::Version,
+        DecodeError::Tier,
+        DecodeError::Malformed,
+        DecodeError::UnknownSender,
+    ] {
         let _ = writeln!(text, "{}: {why}; {}", unheard_text(why), why.help());
     }
-    let [good] = &split(7, Slot(1), &Message::Recall { life: 9 })[..] else { panic!("one datagram") };
+    let [good] = &encode_message(7, Slot(1), &Message::CatchUpRequest { incarnation: 9 })[..] else {
+        panic!("one datagram")
+    };
     let with = |at: usize, value: u8| {
         let mut bytes = good.to_vec();
         bytes[at] = value;
@@ -159,17 +188,20 @@
         ("kind", with(17, 9)),
     ];
     for (name, bytes) in cases {
-        let told = match Halves::default().join(7, &bytes) {
+        let told = match MessageAssembler::default().add_datagram(7, &bytes) {
             Ok(Some((from, message))) => format!("{} of {}", message_kind(&message), from.0),
             Ok(None) => "a part".to_owned(),
             Err(why) => format!("{} {why}", unheard_text(why)),
         };
         let _ = writeln!(text, "{name} {}: {told}", hex(&bytes[..bytes.len().min(30)]));
     }
-    let mut node = node(0, Memory::Lost);
+    let mut node = node(0, PersistedVote::Lost);
     for from in [0, 1, 9] {
-        let [datagram] = &split(7, Slot(from), &Message::Recall { life: 9 })[..] else { panic!("one") };
-        let told = node.receive(Duration::ZERO, datagram).err().map_or("heard", unheard_text);
+        let [datagram] = &encode_message(7, Slot(from), &Message::CatchUpRequest { incarnation: 9 })[..]
+        else {
+            panic!("one")
+        };
+        let told = node.handle_datagram(Duration::ZERO, datagram).err().map_or("heard", unheard_text);
         let _ = writeln!(text, "of {from}: {told}");
     }
     same_as_stored("unheard.txt", &text);
@@ -179,26 +211,26 @@
 fn refusals_and_broken_invariants_are_told_the_same() {
     let mut text = String::new();
     for it in [
-        Refused::Text,
-        Refused::Full,
-        Refused::Known,
-        Refused::Unknown,
-        Refused::IsOut,
-        Refused::NotOut,
-        Refused::Fenced,
-        Refused::Room,
-        Refused::Floor,
+        ChangeRejected::InvalidText,
+        ChangeRejected::QueueFull,
+        ChangeRejected::AlreadyQueued,
+        ChangeRejected::NotQueued,
+        ChangeRejected::AlreadyOut,
+        ChangeRejected::NotOut,
+        ChangeRejected::Fenced,
+        ChangeRejected::LimitReached,
+        ChangeRejected::TooFewReady,
     ] {
         let _ = writeln!(text, "{it}; {}", it.help());
     }
     for it in [
         Violation::TooManyOut { found: 2, names: "a, b".to_owned(), most: 1 },
-        Violation::OverGiven { version: 1, found: 2, most: 1 },
-        Violation::Token { version: 1, token: 5, last: 4 },
-        Violation::Twice { version: 1, name: "a".to_owned() },
+        Violation::TooManyGranted { version: 1, found: 2, most: 1 },
+        Violation::InvalidToken { version: 1, token: 5, last: 4 },
+        Violation::DuplicateMachine { version: 1, name: "a".to_owned() },
         Violation::OverFull { what: "the table", found: 33, room: 32 },
-        Violation::Stale { age: Duration::from_secs(7), lease: Duration::from_secs(6) },
-        Violation::Forked { version: 1 },
+        Violation::LeaseExpired { age: Duration::from_secs(7), lease: Duration::from_secs(6) },
+        Violation::DivergentValues { version: 1 },
     ] {
         let _ = writeln!(text, "{it}; {}", it.help());
     }
@@ -237,8 +269,8 @@
     }
 }
 
-fn later_vote() -> Vote {
-    Vote { accepted: vote().promised, ..vote() }
+fn later_vote() -> AcceptorState {
+    AcceptorState { accepted: vote().promised, ..vote() }
 }
 
 /// A vote in a snapshot, and two that came after it in the log.
@@ -246,9 +278,9 @@
 fn a_vote_is_on_disk_the_same() {
     let folder = Folder::new("written");
     let (mut store, memory, wrong) = Store::open(&folder.0, "n0").expect("it opens");
-    assert!(memory == Memory::Lost && wrong.is_none());
-    for vote in [vote(), Vote::default(), later_vote()] {
-        store.keep(&vote).expect("it is kept");
+    assert!(memory == PersistedVote::Lost && wrong.is_none());
+    for vote in [vote(), AcceptorState::default(), later_vote()] {
+        store.persist(&vote).expect("it is kept");
     }
     let mut names: Vec<String> = fs::read_dir(&folder.0)
         .expect("a folder")
@@ -271,11 +303,11 @@
         let (_, memory, wrong) = Store::open(&folder.0, "n0").expect("it opens");
         let wrong = wrong.map_or_else(String::new, |it| format!("{it}; {}", it.help()));
         let memory = match memory {
-            Memory::Kept(kept) if kept == vote() => "first",
-            Memory::Kept(kept) if kept == Vote::default() => "second",
-            Memory::Kept(kept) if kept == later_vote() => "last",
-            Memory::Kept(_) => "another",
-            Memory::Lost => "lost",
+            PersistedVote::Stored(kept) if kept == vote() => "first",
+            PersistedVote::Stored(kept) if kept == AcceptorState::default() => "second",
+            PersistedVote::Stored(kept) if kept == later_vote() => "last",
+            PersistedVote::Stored(_) => "another",
+            PersistedVote::Lost => "lost",
         };
         format!("{memory} {}\n", wrong.replace(&folder.0.display().to_string(), "FOLDER"))
     };
@@ -307,33 +339,40 @@
     let told = |it: StoreError| format!("{it}; {}", it.help());
     let file = || PathBuf::from("FOLDER/file");
     let io = std::io::Error::other("no room");
-    for it in [StoreError::Io(file(), io), StoreError::Busy(file()), StoreError::Given(file())] {
+    for it in [StoreError::Io(file(), io), StoreError::Busy(file()), StoreError::Failed(file())] {
         let _ = writeln!(text, "{}", told(it));
     }
     same_as_stored("store-read.txt", &text);
 }
 
-fn node(own: u16, memory: Memory) -> Node {
+fn node(own: u16, memory: PersistedVote) -> Replica {
     let slots: Vec<Slot> = (0..3).map(Slot).collect();
-    let rules = Rules { max_out: 1, max_gateways: 1, floor: 1 };
-    let terms = Terms { work: Duration::from_secs(20), ..Terms::default() };
-    let setup = Setup { tier: 7, own: Slot(own), members: slots.clone(), voters: slots, rules, terms };
-    Node::new(setup, 1_000 + u64::from(own), memory, Duration::ZERO)
+    let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 1 };
+    let terms = TimingConfig { max_work: Duration::from_secs(20), ..TimingConfig::default() };
+    let setup = ReplicaConfig {
+        tier: 7,
+        own_slot: Slot(own),
+        members: slots.clone(),
+        acceptors: slots,
+        limits: rules,
+        timing: terms,
+    };
+    Replica::new(setup, 1_000 + u64::from(own), memory, Duration::ZERO)
 }
 
-fn outcome_text(outcome: Outcome) -> String {
+fn outcome_text(outcome: RequestOutcome) -> String {
     match outcome {
-        Outcome::Done => "done".to_owned(),
-        Outcome::Refused(why) => format!("refused, {why}"),
-        Outcome::Unknown => "unknown".to_owned(),
+        RequestOutcome::Committed => "done".to_owned(),
+        RequestOutcome::Rejected(why) => format!("refused, {why}"),
+        RequestOutcome::Unknown => "unknown".to_owned(),
     }
 }
 
 /// What the driver is told, but for the lines of the log; datagrams go to `sent`.
 fn action_text(action: Action, sent: &mut Vec<(Slot, Vec<u8>)>) -> Option<String> {
     let kind = |kind| match kind {
-        Kind::Server => "server",
-        Kind::Gateway => "gateway",
+        MachineKind::Server => "server",
+        MachineKind::Gateway => "gateway",
     };
     Some(match action {
         Action::Persist(vote) => format!("persist {}", hex(&postcard::to_allocvec(&vote).expect("bytes"))),
@@ -344,16 +383,21 @@
         }
         Action::Drain { kind: it, name, token } => format!("drain {} {name} {token}", kind(it)),
         Action::Return { kind: it, name } => format!("return {} {name}", kind(it)),
-        Action::Answer { call, outcome } => format!("answer {call} {}", outcome_text(outcome)),
-        Action::Say(_) => return None,
+        Action::Answer { request_id: call, outcome } => format!("answer {call} {}", outcome_text(outcome)),
+        Action::Log(_) => return None,
     })
 }
 
 /// Three gateways take machines out, one of them with an empty disk and cut off for a while.
 #[test]
 fn gateways_settle_the_same() {
-    let mut nodes: Vec<Node> = (0..3)
-        .map(|own| node(own, if own == 2 { Memory::Lost } else { Memory::Kept(Vote::default()) }))
+    let mut nodes: Vec<Replica> = (0..3)
+        .map(|own| {
+            node(
+                own,
+                if own == 2 { PersistedVote::Lost } else { PersistedVote::Stored(AcceptorState::default()) },
+            )
+        })
         .collect();
     let servers: BTreeSet<String> = ["s-1", "s-2", "s-3"].map(str::to_owned).into();
     let there: BTreeSet<Slot> = (0..3).map(Slot).collect();
@@ -362,26 +406,30 @@
         let now = Duration::from_millis(step * 50);
         for at in 0..nodes.len() {
             let open = BTreeMap::from([("s-1".to_owned(), if step < 150 { 2 } else { 0 })]);
-            nodes[at].facts(Facts { ready: servers.clone(), open, there: there.clone() });
+            nodes[at].set_observations(Observations {
+                ready_servers: servers.clone(),
+                open_connections: open,
+                present_gateways: there.clone(),
+            });
             let call = match (step, at) {
-                (40, 0) => nodes[0].request(Kind::Server, "s-1", "a new disk", 5_000),
-                (45, 1) => nodes[1].request(Kind::Server, "s-2", "", 5_001),
-                (46, 2) => nodes[2].request(Kind::Gateway, "127.0.0.1:7947", "an upgrade", 5_002),
-                (47, 0) => nodes[0].request(Kind::Server, "s-1", "again", 5_003),
+                (40, 0) => nodes[0].request(MachineKind::Server, "s-1", "a new disk", 5_000),
+                (45, 1) => nodes[1].request(MachineKind::Server, "s-2", "", 5_001),
+                (46, 2) => nodes[2].request(MachineKind::Gateway, "127.0.0.1:7947", "an upgrade", 5_002),
+                (47, 0) => nodes[0].request(MachineKind::Server, "s-1", "again", 5_003),
                 (60, 1) => nodes[1].cancel("s-9"),
-                (260, 2) => nodes[2].done("s-1"),
-                (500, 0) => nodes[0].done("127.0.0.1:7947"),
-                (520, 1) => nodes[1].request(Kind::Server, "s-3", "late", 5_004),
+                (260, 2) => nodes[2].complete("s-1"),
+                (500, 0) => nodes[0].complete("127.0.0.1:7947"),
+                (520, 1) => nodes[1].request(MachineKind::Server, "s-3", "late", 5_004),
                 (530, 1) => nodes[1].cancel("s-3"),
                 _ => None,
             };
             if let Some(call) = call {
                 let _ = writeln!(text, "{} {at}: call {call}", now.as_millis());
             }
-            nodes[at].at(now);
+            nodes[at].advance_to(now);
             let mut sent = Vec::new();
             loop {
-                while let Some(action) = nodes[at].action() {
+                while let Some(action) = nodes[at].next_action() {
                     if let Some(line) = action_text(action, &mut sent) {
                         let _ = writeln!(text, "{} {at}: {line}", now.as_millis());
                     }
@@ -392,27 +440,27 @@
                 for (to, datagram) in std::mem::take(&mut sent) {
                     let cut = (300..480).contains(&step) && (at == 2) != (to.0 == 2);
                     if !cut {
-                        nodes[usize::from(to.0)].receive(now, &datagram).expect("sound");
+                        nodes[usize::from(to.0)].handle_datagram(now, &datagram).expect("sound");
                     }
                 }
             }
             if step % 100 == 99 {
-                let (table, fresh) = nodes[at].table();
-                let it = nodes[at].figures();
+                let (table, fresh) = nodes[at].queue();
+                let it = nodes[at].metrics();
                 let _ = writeln!(
                     text,
                     "{} {at}: version {} token {} {fresh} votes {} rounds {} {} {} sent {} {} {} {}",
                     now.as_millis(),
                     table.version,
-                    table.token,
-                    nodes[at].votes(),
-                    it.rounds,
+                    table.last_token,
+                    nodes[at].is_voting(),
+                    it.proposals,
                     it.chosen,
                     it.fenced,
                     it.sent.0,
                     it.sent.1,
-                    it.unheard,
-                    it.lapses
+                    it.rejected_datagrams,
+                    it.lease_lapses
                 );
             }
             nodes[at].check().expect("all invariants hold");
--- a/crates/ashtide-maintenance/tests/model.rs
+++ b/crates/ashtide-maintenance/tests/model.rs
@@ -7,11 +7,12 @@
 
 use ashtide_fleet::state::Slot;
 use ashtide_maintenance::{
-    Ballot, Broken, Change, Kind, Knowledge, Phase, Round, Rules, Table, Vote, Voter, check_out,
+    Acceptor, AcceptorState, Ballot, Change, LeasedState, Limits, MachineKind, MaintenanceQueue, Mutation,
+    Phase, Proposal, check_machines_out,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const RULES: Rules = Rules { max_out: 1, max_gateways: 0, floor: 0 };
+const RULES: Limits = Limits { max_servers_out: 1, max_gateways_out: 0, min_ready_servers: 0 };
 const LEASE: u64 = 2;
 const MARGIN: u64 = 1;
 /// How long a round may take.
@@ -20,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Prepare(Ballot),
-    Accept(Ballot, Table),
+    Accept(Ballot, MaintenanceQueue),
 }
 
 /// What a gateway proposes, by what it knows.
@@ -38,15 +39,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    voter: Option<Voter>,
-    disk: Vote,
+    voter: Option<Acceptor>,
+    disk: AcceptorState,
     life: u64,
-    round: Option<(Round, Vec<Change>)>,
-    knowledge: Knowledge,
+    round: Option<(Proposal, Vec<Change>)>,
+    knowledge: LeasedState,
     /// Since when it knows the phase of `a`: that phase's version.
     watched: (u64, u64),
     /// An answer on its way: when it was asked for, and what it says.
-    answer: Option<(u64, Table)>,
+    answer: Option<(u64, MaintenanceQueue)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -75,7 +76,7 @@
 }
 
 struct Tier {
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     proposals: u8,
     asks: u8,
     /// Messages that come twice, and answers that are lost.
@@ -95,7 +96,7 @@
 
 fn request(call: u64, name: &str) -> Change {
     let (name, reason) = (name.to_owned(), String::new());
-    Change::Request { call, kind: Kind::Server, name, reason, asked_ms: call }
+    Change::Request { request_id: call, kind: MachineKind::Server, name, reason, requested_at_ms: call }
 }
 
 fn named<T>(make: impl Fn(String) -> T, name: &str) -> T {
@@ -103,32 +104,32 @@
 }
 
 impl Tier {
-    fn apply(&self, table: &mut Table, changes: &[Change]) {
+    fn apply(&self, table: &mut MaintenanceQueue, changes: &[Change]) {
         for change in changes {
-            let _ = table.change_by(change, &RULES, &BTreeSet::new(), self.broken);
+            let _ = table.apply_with_mutation(change, &RULES, &BTreeSet::new(), self.broken);
         }
     }
 
-    fn knowledge(&self) -> Knowledge {
-        let mut knowledge = Knowledge::new(seconds(LEASE));
+    fn knowledge(&self) -> LeasedState {
+        let mut knowledge = LeasedState::new(seconds(LEASE));
         if let Some(broken) = self.broken {
-            knowledge.break_by(broken);
+            knowledge.set_mutation(broken);
         }
         knowledge
     }
 
     /// A tier in which this has been chosen, known everywhere since a second ago, `a` as it is for so long.
     fn tier(&self, changes: &[Change], now: u64, age: u64) -> State {
-        let mut table = Table::default();
+        let mut table = MaintenanceQueue::default();
         self.apply(&mut table, changes);
-        let ballot = Ballot { round: 1, slot: 0, life: 1 };
-        let vote = Vote { promised: ballot, accepted: ballot, table: table.clone() };
+        let ballot = Ballot { round: 1, slot: 0, incarnation: 1 };
+        let vote = AcceptorState { promised: ballot, accepted: ballot, queue: table.clone() };
         let gateway = || {
             let mut knowledge = self.knowledge();
             knowledge.learn(seconds(now - 1), seconds(now), &table);
-            let since = table.rows.iter().find(|row| row.name == "a").map_or(0, |row| row.since);
+            let since = table.entries.iter().find(|row| row.name == "a").map_or(0, |row| row.phase_version);
             Gateway {
-                voter: Some(Voter::new(vote.clone())),
+                voter: Some(Acceptor::new(vote.clone())),
                 disk: vote.clone(),
                 life: 1,
                 round: None,
@@ -143,26 +144,28 @@
 
     fn changes(&self, state: &State, at: usize, plan: Plan) -> Option<Vec<Change>> {
         let gateway = &state.gateways[at];
-        gateway.knowledge.fresh(seconds(state.now))?;
-        let table = gateway.knowledge.table();
+        gateway.knowledge.valid_as_of(seconds(state.now))?;
+        let table = gateway.knowledge.queue();
         let holder = Slot(at as u16);
         let grant = |name: &str| Change::Grant { name: name.to_owned(), holder };
-        let row = table.rows.iter().find(|row| row.name == "a");
+        let row = table.entries.iter().find(|row| row.name == "a");
         let cooled = || {
-            let row = row.filter(|row| matches!(row.phase, Phase::Cooling { .. }))?;
+            let row = row.filter(|row| matches!(row.phase, Phase::Released { .. }))?;
             let acts = |it: &Gateway| {
-                it.knowledge.fresh(seconds(state.now)).is_some() && it.knowledge.table().version >= row.since
+                it.knowledge.valid_as_of(seconds(state.now)).is_some()
+                    && it.knowledge.queue().version >= row.phase_version
             };
-            let known = gateway.watched.0 == row.since && state.now >= gateway.watched.1 + LEASE + MARGIN;
+            let known =
+                gateway.watched.0 == row.phase_version && state.now >= gateway.watched.1 + LEASE + MARGIN;
             let token = row.phase.token()?;
             (known || state.gateways.iter().all(acts))
-                .then(|| named(|name| Change::Cooled { name, token }, "a"))
+                .then(|| named(|name| Change::Removed { name, token }, "a"))
         };
         Some(match plan {
-            Plan::Grant => vec![grant(&table.next(Kind::Server)?.name)],
+            Plan::Grant => vec![grant(&table.next_queued(MachineKind::Server)?.name)],
             Plan::Done => {
                 row.filter(|row| row.phase.holder().is_some())?;
-                vec![named(|name| Change::Done { call: 9, name }, "a")]
+                vec![named(|name| Change::Done { request_id: 9, name }, "a")]
             }
             Plan::Next => vec![cooled()?, grant("b")],
             Plan::Again => vec![cooled()?, request(3, "a"), grant("a")],
@@ -170,8 +173,8 @@
     }
 
     fn persist(&self, gateway: &mut Gateway) {
-        if let (Some(voter), true) = (&gateway.voter, self.broken != Some(Broken::UnsyncedVote)) {
-            gateway.disk = voter.vote().clone();
+        if let (Some(voter), true) = (&gateway.voter, self.broken != Some(Mutation::UnsyncedVote)) {
+            gateway.disk = voter.state().clone();
         }
     }
 
@@ -183,7 +186,7 @@
                 if voter.prepare(*ballot).is_err() {
                     return;
                 }
-                let Vote { accepted, table, .. } = voter.vote().clone();
+                let AcceptorState { accepted, queue: table, .. } = voter.state().clone();
                 self.persist(&mut state.gateways[from]);
                 self.promised(state, from, to, *ballot, accepted, table);
             }
@@ -204,12 +207,14 @@
         to: usize,
         ballot: Ballot,
         accepted: Ballot,
-        table: Table,
+        table: MaintenanceQueue,
     ) {
         let Some((round, changes)) = &mut state.gateways[to].round else { return };
-        let Some(mut table) = round.promised(Slot(from as u16), ballot, accepted, table) else { return };
+        let Some(mut table) = round.handle_promise(Slot(from as u16), ballot, accepted, table) else {
+            return;
+        };
         self.apply(&mut table, changes);
-        round.offer(table.clone());
+        round.propose(table.clone());
         let message = Message::Accept(ballot, table);
         for other in (0..3).filter(|&other| other != to) {
             state.wire.push((to, other, message.clone()));
@@ -219,19 +224,19 @@
 
     fn accepted(&self, state: &mut State, from: usize, to: usize, ballot: Ballot) {
         let Some((round, _)) = &mut state.gateways[to].round else { return };
-        if round.accepted(Slot(from as u16), ballot) {
-            let (began, table) = (round.began, round.offered().cloned().unwrap_or_default());
+        if round.handle_accepted(Slot(from as u16), ballot) {
+            let (began, table) = (round.started_at, round.proposed().cloned().unwrap_or_default());
             state.gateways[to].round = None;
             Self::learn(state, to, began, &table);
         }
     }
 
-    fn learn(state: &mut State, at: usize, asked: Duration, table: &Table) {
+    fn learn(state: &mut State, at: usize, asked: Duration, table: &MaintenanceQueue) {
         let now = state.now;
         let gateway = &mut state.gateways[at];
         gateway.knowledge.learn(asked, seconds(now), table);
-        let row = gateway.knowledge.table().rows.iter().find(|row| row.name == "a");
-        let since = row.map_or(0, |row| row.since);
+        let row = gateway.knowledge.queue().entries.iter().find(|row| row.name == "a");
+        let since = row.map_or(0, |row| row.phase_version);
         if since != gateway.watched.0 {
             gateway.watched = (since, now);
         }
@@ -240,7 +245,7 @@
     /// A question to which a test wants to know every state.
     fn out(state: &State) -> Vec<String> {
         let running = state.gateways.iter().filter(|it| it.voter.is_some());
-        running.flat_map(|it| it.knowledge.out(seconds(state.now)).into_keys()).collect()
+        running.flat_map(|it| it.knowledge.machines_out(seconds(state.now)).into_keys()).collect()
     }
 }
 
@@ -251,13 +256,13 @@
     fn init_states(&self) -> Vec<State> {
         let queue = [request(1, "a"), request(2, "b")];
         let granted = named(|name| Change::Grant { name, holder: Slot(0) }, "a");
-        let done = named(|name| Change::Done { call: 8, name }, "a");
+        let done = named(|name| Change::Done { request_id: 8, name }, "a");
         let out = [queue.to_vec(), vec![granted.clone()]].concat();
         let cooling = [queue.to_vec(), vec![granted, done]].concat();
         // The third has stood still since before the release, and an answer from then waits for it.
         let mut stalled = self.tier(&cooling, 4, 3);
         let mut before = self.tier(&out, 1, 0).gateways.remove(2);
-        before.answer = Some((1, before.knowledge.table().clone()));
+        before.answer = Some((1, before.knowledge.queue().clone()));
         stalled.gateways[2] = before;
         let all = [self.tier(&queue, 1, 0), self.tier(&out, 1, 0), self.tier(&cooling, 4, 3), stalled];
         match self.from {
@@ -307,13 +312,13 @@
                 state.proposals += 1;
                 let gateway = &mut state.gateways[at];
                 let (slot, life) = (at as u16, gateway.life);
-                let round = gateway.voter.as_ref()?.vote().promised.round + 1;
-                let ballot = Ballot { round, slot, life };
+                let round = gateway.voter.as_ref()?.state().promised.round + 1;
+                let ballot = Ballot { round, slot, incarnation: life };
                 let voters = match self.broken {
-                    Some(Broken::MajorityOfHeard) => vec![Slot(slot)],
+                    Some(Mutation::MajorityOfResponders) => vec![Slot(slot)],
                     _ => (0..3).map(Slot).collect(),
                 };
-                gateway.round = Some((Round::new(ballot, seconds(state.now), voters), changes));
+                gateway.round = Some((Proposal::new(ballot, seconds(state.now), voters), changes));
                 for other in (0..3).filter(|&other| other != at) {
                     state.wire.push((at, other, Message::Prepare(ballot)));
                 }
@@ -336,12 +341,13 @@
             }
             Action::Ask(at, without) => {
                 let asked = state.gateways.iter().enumerate().filter(|&(other, _)| other != without);
-                let votes: Vec<&Vote> = asked.filter_map(|(_, it)| Some(it.voter.as_ref()?.vote())).collect();
+                let votes: Vec<&AcceptorState> =
+                    asked.filter_map(|(_, it)| Some(it.voter.as_ref()?.state())).collect();
                 let [one, other] = votes[..] else { return None };
                 if one.accepted != other.accepted {
                     return None;
                 }
-                let table = one.table.clone();
+                let table = one.queue.clone();
                 state.asks += 1;
                 state.gateways[at].answer = Some((state.now, table));
             }
@@ -353,13 +359,16 @@
                 state.now += 1;
                 let now = state.now;
                 for gateway in &mut state.gateways {
-                    if gateway.round.as_ref().is_some_and(|(it, _)| seconds(now) >= it.began + seconds(ROUND))
+                    if gateway
+                        .round
+                        .as_ref()
+                        .is_some_and(|(it, _)| seconds(now) >= it.started_at + seconds(ROUND))
                     {
                         gateway.round = None;
                     }
                     // The broken variant writes at its leisure.
                     if let Some(voter) = &gateway.voter {
-                        gateway.disk = voter.vote().clone();
+                        gateway.disk = voter.state().clone();
                     }
                 }
             }
@@ -369,17 +378,17 @@
                 let gateway = &mut state.gateways[at];
                 (gateway.voter, gateway.round, gateway.answer) = (None, None, None);
                 (gateway.knowledge, gateway.watched) = (knowledge, (0, 0));
-                if self.broken == Some(Broken::Forgetful) {
-                    gateway.disk = Vote::default();
+                if self.broken == Some(Mutation::VoteWithoutCatchUp) {
+                    gateway.disk = AcceptorState::default();
                 }
             }
             Action::Start(at) => {
                 let now = seconds(state.now);
                 let gateway = &mut state.gateways[at];
                 gateway.life += 1;
-                gateway.voter = Some(Voter::new(gateway.disk.clone()));
-                if self.broken == Some(Broken::OldGrant) {
-                    gateway.knowledge.learn(now, now, &gateway.disk.table);
+                gateway.voter = Some(Acceptor::new(gateway.disk.clone()));
+                if self.broken == Some(Mutation::ActOnPersistedGrant) {
+                    gateway.knowledge.learn(now, now, &gateway.disk.queue);
                 }
             }
         }
@@ -389,7 +398,7 @@
             Message::Prepare(ballot) => gateways[*from]
                 .round
                 .as_ref()
-                .is_some_and(|(it, _)| it.ballot == *ballot && it.offered().is_none()),
+                .is_some_and(|(it, _)| it.ballot == *ballot && it.proposed().is_none()),
             Message::Accept(..) => true,
         });
         state.wire.sort();
@@ -399,13 +408,13 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("M1", |_, state: &State| {
-                check_out(RULES.max_out, Tier::out(state).iter().map(String::as_str)).is_ok()
+                check_machines_out(RULES.max_servers_out, Tier::out(state).iter().map(String::as_str)).is_ok()
             }),
             Property::always("M2 to M5", |_, state: &State| {
-                state.gateways.iter().all(|it| it.knowledge.table().check(&RULES).is_ok())
+                state.gateways.iter().all(|it| it.knowledge.queue().check(&RULES).is_ok())
             }),
             Property::always("M7", |_, state: &State| {
-                let table = |at: usize| state.gateways[at].knowledge.table();
+                let table = |at: usize| state.gateways[at].knowledge.queue();
                 let same =
                     |one, other| table(one).version != table(other).version || table(one) == table(other);
                 same(0, 1) && same(1, 2) && same(0, 2)
@@ -413,7 +422,7 @@
             Property::sometimes("b is out after a", |_, state: &State| {
                 let out = Tier::out(state);
                 out.contains(&"b".to_owned())
-                    && state.gateways.iter().any(|it| it.knowledge.table().token == 2)
+                    && state.gateways.iter().any(|it| it.knowledge.queue().last_token == 2)
             }),
         ]
     }
@@ -435,14 +444,14 @@
 fn the_model_finds_what_is_broken() {
     // With the faults that each needs.
     let found = [
-        (Broken::NoFencing, "M1", 2, (2, 0, 0)),
-        (Broken::UnsyncedVote, "M7", 0, (2, 0, 1)),
-        (Broken::CountedFromAnswer, "M1", 3, (1, 0, 0)),
-        (Broken::MajorityOfHeard, "M7", 0, (2, 0, 0)),
-        (Broken::NoCooling, "M1", 1, (2, 0, 0)),
-        (Broken::NoLease, "M1", 1, (2, 0, 0)),
-        (Broken::OldGrant, "M1", 3, (1, 0, 1)),
-        (Broken::Forgetful, "M7", 0, (2, 0, 1)),
+        (Mutation::NoFencing, "M1", 2, (2, 0, 0)),
+        (Mutation::UnsyncedVote, "M7", 0, (2, 0, 1)),
+        (Mutation::LeaseFromAnswerTime, "M1", 3, (1, 0, 0)),
+        (Mutation::MajorityOfResponders, "M7", 0, (2, 0, 0)),
+        (Mutation::NoCooling, "M1", 1, (2, 0, 0)),
+        (Mutation::NoLease, "M1", 1, (2, 0, 0)),
+        (Mutation::ActOnPersistedGrant, "M1", 3, (1, 0, 1)),
+        (Mutation::VoteWithoutCatchUp, "M7", 0, (2, 0, 1)),
     ];
     for (broken, name, from, (proposals, asks, crashes)) in found {
         let seconds = 6;
--- a/crates/ashtide-maintenance/tests/store.rs
+++ b/crates/ashtide-maintenance/tests/store.rs
@@ -3,7 +3,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use ashtide_maintenance::{Ballot, Change, Kind, Memory, Rules, Store, StoreError, Table, Vote};
+use ashtide_maintenance::{
+    AcceptorState, Ballot, Change, Limits, MachineKind, MaintenanceQueue, PersistedVote, Store, StoreError,
+};
 
 /// A folder of its own, gone at the end.
 struct Folder(PathBuf);
@@ -26,19 +28,20 @@
     }
 }
 
-fn vote(round: u32) -> Vote {
-    let rules = Rules { max_out: 1, max_gateways: 1, floor: 0 };
-    let mut table = Table::default();
+fn vote(round: u32) -> AcceptorState {
+    let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 0 };
+    let mut table = MaintenanceQueue::default();
     for call in 1..=u64::from(round.min(3)) {
         let (name, reason) = (format!("s-{call}"), "disk".to_owned());
-        let change = Change::Request { call, kind: Kind::Server, name, reason, asked_ms: 5 };
-        table.change(&change, &rules, &Default::default()).expect("there is room");
+        let change =
+            Change::Request { request_id: call, kind: MachineKind::Server, name, reason, requested_at_ms: 5 };
+        table.apply(&change, &rules, &Default::default()).expect("there is room");
     }
-    let ballot = Ballot { round, slot: 1, life: 7 };
-    Vote { promised: ballot, accepted: ballot, table }
+    let ballot = Ballot { round, slot: 1, incarnation: 7 };
+    AcceptorState { promised: ballot, accepted: ballot, queue: table }
 }
 
-fn read(folder: &Path) -> (Memory, Option<StoreError>) {
+fn read(folder: &Path) -> (PersistedVote, Option<StoreError>) {
     let (_, memory, wrong) = Store::open(folder, "n0").expect("it opens");
     (memory, wrong)
 }
@@ -46,17 +49,17 @@
 #[test]
 fn what_was_kept_is_read_back_over_many_snapshots() {
     let folder = Folder::new("kept");
-    assert_eq!(read(&folder.0).0, Memory::Lost);
+    assert_eq!(read(&folder.0).0, PersistedVote::Lost);
     let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
     assert!(matches!(Store::open(&folder.0, "n0"), Err(StoreError::Busy(_))), "two have one memory");
     for round in 1..=200 {
-        store.keep(&vote(round)).expect("it is kept");
+        store.persist(&vote(round)).expect("it is kept");
         if round % 17 == 0 {
             // As after a kill: the next life finds it.
             drop(store);
             let (next, memory, wrong) = Store::open(&folder.0, "n0").expect("it opens");
             assert!(wrong.is_none(), "{wrong:?}");
-            assert_eq!(memory, Memory::Kept(vote(round)));
+            assert_eq!(memory, PersistedVote::Stored(vote(round)));
             store = next;
         }
     }
@@ -70,7 +73,7 @@
     let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
     let mut ends = vec![0];
     for round in 1..=4 {
-        store.keep(&vote(round)).expect("it is kept");
+        store.persist(&vote(round)).expect("it is kept");
         ends.push(fs::metadata(folder.file("log")).expect("a log").len() as usize);
     }
     drop(store);
@@ -80,14 +83,14 @@
         fs::write(folder.file("log"), &log[..length]).unwrap();
         let whole = ends.iter().skip(1).filter(|&&end| end <= length).count() as u32;
         let (memory, wrong) = read(&folder.0);
-        assert_eq!(memory, Memory::Kept(vote(whole)), "cut at {length}");
+        assert_eq!(memory, PersistedVote::Stored(vote(whole)), "cut at {length}");
         assert_eq!(wrong.is_some(), !ends.contains(&length), "cut at {length}: {wrong:?}");
-        assert!(wrong.is_none_or(|it| matches!(it, StoreError::Tail { .. })), "cut at {length}");
+        assert!(wrong.is_none_or(|it| matches!(it, StoreError::TruncatedTail { .. })), "cut at {length}");
         // What follows is written behind what is whole.
         let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
-        store.keep(&vote(9)).expect("it is kept");
+        store.persist(&vote(9)).expect("it is kept");
         drop(store);
-        assert_eq!(read(&folder.0).0, Memory::Kept(vote(9)), "cut at {length}");
+        assert_eq!(read(&folder.0).0, PersistedVote::Stored(vote(9)), "cut at {length}");
     }
 }
 
@@ -95,7 +98,7 @@
 fn a_flipped_bit_anywhere_loses_the_memory_and_is_named() {
     let folder = Folder::new("flipped");
     let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
-    (1..=3).for_each(|round| store.keep(&vote(round)).expect("it is kept"));
+    (1..=3).for_each(|round| store.persist(&vote(round)).expect("it is kept"));
     drop(store);
     let (snapshot, log) = (fs::read(folder.file("snapshot")).unwrap(), fs::read(folder.file("log")).unwrap());
     for (what, whole) in [("snapshot", &snapshot), ("log", &log)] {
@@ -106,11 +109,14 @@
             spoilt[at] ^= 1 << (at % 8);
             fs::write(folder.file(what), spoilt).unwrap();
             let (memory, wrong) = read(&folder.0);
-            assert_eq!(memory, Memory::Lost, "byte {at} of the {what}");
+            assert_eq!(memory, PersistedVote::Lost, "byte {at} of the {what}");
             let wrong = wrong.expect("it is named");
-            assert!(matches!(&wrong, StoreError::Torn { path, .. } if *path == folder.file(what)), "{wrong}");
+            assert!(
+                matches!(&wrong, StoreError::Corrupt { path, .. } if *path == folder.file(what)),
+                "{wrong}"
+            );
             // It stays lost until something is kept, however often it is opened.
-            assert_eq!(read(&folder.0).0, Memory::Lost, "byte {at} of the {what}, opened again");
+            assert_eq!(read(&folder.0).0, PersistedVote::Lost, "byte {at} of the {what}, opened again");
         }
     }
 }
--- a/crates/ashtide-maintenance/tests/tiers.rs
+++ b/crates/ashtide-maintenance/tests/tiers.rs
@@ -6,29 +6,30 @@
 
 use ashtide_fleet::state::Slot;
 use ashtide_maintenance::{
-    Action, Broken, Change, Facts, Kind, Memory, Node, Outcome, Phase, Rules, Setup, Table, Terms, Violation,
-    Vote, check_out,
+    AcceptorState, Action, Change, Limits, MachineKind, MaintenanceQueue, Mutation, Observations,
+    PersistedVote, Phase, Replica, ReplicaConfig, RequestOutcome, TimingConfig, Violation,
+    check_machines_out,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const STEP: Duration = Duration::from_millis(50);
-const TERMS: Terms = Terms {
+const TERMS: TimingConfig = TimingConfig {
     lease: Duration::from_millis(2_000),
     margin: Duration::from_millis(500),
-    round: Duration::from_millis(1_000),
-    ask: Duration::from_millis(250),
-    step: Duration::from_millis(250),
-    drain: Duration::from_millis(1_500),
-    work: Duration::from_millis(1_000),
-    back: false,
+    proposal_timeout: Duration::from_millis(1_000),
+    read_interval: Duration::from_millis(250),
+    takeover_step: Duration::from_millis(250),
+    max_drain: Duration::from_millis(1_500),
+    max_work: Duration::from_millis(1_000),
+    return_when_drained: false,
 };
 const SERVERS: usize = 10;
 const FLOOR: usize = 7;
 
 struct Gateway {
-    node: Option<Node>,
-    disk: Option<Vote>,
+    node: Option<Replica>,
+    disk: Option<AcceptorState>,
     life: u64,
     stalled: bool,
     /// Its clock, and how fast that runs.
@@ -42,8 +43,8 @@
 struct Tier {
     rng: ChaCha8Rng,
     now: Duration,
-    rules: Rules,
-    setups: Vec<Setup>,
+    rules: Limits,
+    setups: Vec<ReplicaConfig>,
     gateways: Vec<Gateway>,
     wire: BTreeMap<(Duration, u64), (usize, usize, Vec<u8>)>,
     number: u64,
@@ -52,33 +53,37 @@
     repeat: f64,
     slow: f64,
     ready: BTreeSet<String>,
-    broken: Option<Broken>,
+    broken: Option<Mutation>,
     /// Calls that were said to be done, and what they were.
     wanted: BTreeMap<(usize, u64), String>,
     asked: BTreeSet<String>,
     /// What an operator took back: whoever looks seldom may never see it in a table.
     cancelled: BTreeSet<String>,
-    chosen: BTreeMap<u64, Table>,
+    chosen: BTreeMap<u64, MaintenanceQueue>,
     longest: usize,
 }
 
 impl Tier {
-    fn new(seed: u64, broken: Option<Broken>) -> Self {
+    fn new(seed: u64, broken: Option<Mutation>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let members = rng.random_range(3..=6);
         let voters = [3, 5][rng.random_range(0..2)].min(members);
         let slots = |count: usize| (0..count as u16).map(Slot).collect::<Vec<_>>();
-        let rules = Rules { max_out: rng.random_range(1..=3), max_gateways: 1, floor: FLOOR };
-        let terms = Terms { back: rng.random_bool(0.3), ..TERMS };
-        let setup = |own: u16| Setup {
+        let rules = Limits {
+            max_servers_out: rng.random_range(1..=3),
+            max_gateways_out: 1,
+            min_ready_servers: FLOOR,
+        };
+        let terms = TimingConfig { return_when_drained: rng.random_bool(0.3), ..TERMS };
+        let setup = |own: u16| ReplicaConfig {
             tier: 1,
-            own: Slot(own),
+            own_slot: Slot(own),
             members: slots(members),
-            voters: slots(voters),
-            rules,
-            terms,
+            acceptors: slots(voters),
+            limits: rules,
+            timing: terms,
         };
-        let setups: Vec<Setup> = (0..members as u16).map(setup).collect();
+        let setups: Vec<ReplicaConfig> = (0..members as u16).map(setup).collect();
         let gateway = |_| Gateway {
             node: None,
             disk: None,
@@ -123,10 +128,10 @@
     fn start(&mut self, at: usize) {
         let gateway = &mut self.gateways[at];
         gateway.life += 1;
-        let memory = gateway.disk.clone().map_or(Memory::Lost, Memory::Kept);
-        let mut node = Node::new(self.setups[at].clone(), gateway.life, memory, gateway.clock);
+        let memory = gateway.disk.clone().map_or(PersistedVote::Lost, PersistedVote::Stored);
+        let mut node = Replica::new(self.setups[at].clone(), gateway.life, memory, gateway.clock);
         if let Some(broken) = self.broken {
-            node.break_by(broken);
+            node.set_mutation(broken);
         }
         gateway.node = Some(node);
         gateway.stalled = false;
@@ -141,11 +146,11 @@
 
     /// Whether a voter's disk may be lost: no other is without a memory at that moment.
     fn may_lose(&self, at: usize) -> bool {
-        let voters = &self.setups[at].voters;
+        let voters = &self.setups[at].acceptors;
         let whole = |(other, gateway): (usize, &Gateway)| {
             other == at
                 || !voters.contains(&Slot(other as u16))
-                || (gateway.disk.is_some() && gateway.node.as_ref().is_some_and(Node::votes))
+                || (gateway.disk.is_some() && gateway.node.as_ref().is_some_and(Replica::is_voting))
         };
         self.gateways.iter().enumerate().all(whole)
     }
@@ -153,7 +158,7 @@
     fn operate(&mut self, at: usize, name: &str, how: usize) {
         let asked_ms = self.now.as_millis() as u64;
         let Some(node) = &mut self.gateways[at].node else { return };
-        let kind = if name.starts_with('g') { Kind::Gateway } else { Kind::Server };
+        let kind = if name.starts_with('g') { MachineKind::Gateway } else { MachineKind::Server };
         match how {
             0 => {
                 if let Some(call) = node.request(kind, name, "work", asked_ms) {
@@ -164,12 +169,12 @@
                 node.cancel(name);
                 self.cancelled.insert(name.to_owned());
             }
-            _ => drop(node.done(name)),
+            _ => drop(node.complete(name)),
         }
     }
 
     fn act(&mut self, at: usize) {
-        while let Some(action) = self.gateways[at].node.as_mut().and_then(Node::action) {
+        while let Some(action) = self.gateways[at].node.as_mut().and_then(Replica::next_action) {
             match action {
                 Action::Persist(vote) => self.gateways[at].disk = Some(*vote),
                 Action::Send(to, datagram) => {
@@ -186,14 +191,14 @@
                         self.wire.insert((self.now + delay, self.number), (at, to, datagram.to_vec()));
                     }
                 }
-                Action::Answer { call, outcome } => {
+                Action::Answer { request_id: call, outcome } => {
                     if let Some(name) = self.wanted.remove(&(at, call))
-                        && outcome == Outcome::Done
+                        && outcome == RequestOutcome::Committed
                     {
                         self.asked.insert(name);
                     }
                 }
-                Action::Drain { .. } | Action::Return { .. } | Action::Say(_) => {}
+                Action::Drain { .. } | Action::Return { .. } | Action::Log(_) => {}
             }
             // In the midst of what it was about to do.
             if self.loss > 0.0 && self.one_in(400) {
@@ -211,7 +216,7 @@
                 continue;
             }
             let Some(node) = &mut gateway.node else { continue };
-            let kept: Vec<String> = node.keeps_out(Kind::Server).map(str::to_owned).collect();
+            let kept: Vec<String> = node.machines_kept_out(MachineKind::Server).map(str::to_owned).collect();
             for name in &kept {
                 let open = gateway.open.entry(name.clone()).or_default();
                 if *open > 0 && self.rng.random_bool(0.05) {
@@ -222,10 +227,14 @@
                 .map(Slot)
                 .filter(|it| !self.cut.contains(&(usize::from(it.0), at)))
                 .collect();
-            node.facts(Facts { ready: self.ready.clone(), open: gateway.open.clone(), there });
-            node.at(gateway.clock);
+            node.set_observations(Observations {
+                ready_servers: self.ready.clone(),
+                open_connections: gateway.open.clone(),
+                present_gateways: there,
+            });
+            node.advance_to(gateway.clock);
             for datagram in std::mem::take(&mut gateway.inbox) {
-                node.receive(gateway.clock, &datagram).expect("it is of this tier");
+                node.handle_datagram(gateway.clock, &datagram).expect("it is of this tier");
             }
             node.check()?;
             self.act(at);
@@ -239,7 +248,7 @@
             if gateway.stalled {
                 gateway.inbox.push(datagram);
             } else if let Some(node) = &mut gateway.node {
-                node.receive(gateway.clock, &datagram).expect("it is of this tier");
+                node.handle_datagram(gateway.clock, &datagram).expect("it is of this tier");
                 self.act(to);
             }
         }
@@ -251,15 +260,15 @@
             let awake = self.gateways.iter().filter(|gateway| !gateway.stalled);
             awake.filter_map(|gateway| gateway.node.as_ref())
         };
-        let out = |kind| running().flat_map(move |node| node.keeps_out(kind));
-        check_out(self.rules.max_out, out(Kind::Server))?;
-        check_out(self.rules.max_gateways, out(Kind::Gateway))?;
-        self.longest = self.longest.max(out(Kind::Server).collect::<BTreeSet<_>>().len());
+        let out = |kind| running().flat_map(move |node| node.machines_kept_out(kind));
+        check_machines_out(self.rules.max_servers_out, out(MachineKind::Server))?;
+        check_machines_out(self.rules.max_gateways_out, out(MachineKind::Gateway))?;
+        self.longest = self.longest.max(out(MachineKind::Server).collect::<BTreeSet<_>>().len());
         for node in self.gateways.iter().filter_map(|gateway| gateway.node.as_ref()) {
-            let table = node.table().0;
+            let table = node.queue().0;
             let chosen = self.chosen.entry(table.version).or_insert_with(|| table.clone());
             if chosen != table {
-                return Err(Violation::Forked { version: table.version });
+                return Err(Violation::DivergentValues { version: table.version });
             }
         }
         Ok(())
@@ -309,11 +318,11 @@
     /// Half a minute of faults, then all is well; the queue is worked off.
     fn play(&mut self) -> Result<(), Violation> {
         // The first start has no memory to lose.
-        let voters = self.setups[0].voters.clone();
+        let voters = self.setups[0].acceptors.clone();
         for _ in 0..200 {
             self.step()?;
         }
-        assert!(voters.iter().all(|it| self.gateways[usize::from(it.0)].node.as_ref().unwrap().votes()));
+        assert!(voters.iter().all(|it| self.gateways[usize::from(it.0)].node.as_ref().unwrap().is_voting()));
         for server in 0..6 {
             let at = self.rng.random_range(0..self.gateways.len());
             self.operate(at, &format!("s-{server}"), 0);
@@ -344,7 +353,7 @@
         for _ in 0..1_600 {
             self.step()?;
             let idle = |gateway: &Gateway| {
-                gateway.node.as_ref().is_some_and(|it| it.table().1 && it.table().0.rows.is_empty())
+                gateway.node.as_ref().is_some_and(|it| it.queue().1 && it.queue().0.entries.is_empty())
             };
             if self.wanted.is_empty() && self.gateways.iter().all(idle) {
                 break;
@@ -356,23 +365,23 @@
     /// What was promised to operators: nothing is lost, nothing stays, and nothing goes back in its course.
     fn kept(&self, seed: u64) {
         for gateway in &self.gateways {
-            let (table, fresh) = gateway.node.as_ref().expect("it runs").table();
+            let (table, fresh) = gateway.node.as_ref().expect("it runs").queue();
             assert!(fresh, "seed {seed}: a gateway knows nothing of the others");
-            assert!(table.rows.is_empty(), "seed {seed}: these stayed: {:?}", table.rows);
+            assert!(table.entries.is_empty(), "seed {seed}: these stayed: {:?}", table.entries);
         }
         let mut courses: BTreeMap<u64, (u8, u64)> = BTreeMap::new();
         let mut seen = BTreeSet::new();
         for (version, table) in &self.chosen {
-            for row in &table.rows {
+            for row in &table.entries {
                 seen.insert(row.name.clone());
                 let course = match row.phase {
                     Phase::Queued => 0,
                     Phase::Draining { .. } => 1,
                     Phase::Out { .. } => 2,
-                    Phase::Cooling { .. } => 3,
+                    Phase::Released { .. } => 3,
                 };
                 let (before, last) =
-                    courses.insert(row.call, (course, *version)).unwrap_or((course, *version));
+                    courses.insert(row.request_id, (course, *version)).unwrap_or((course, *version));
                 assert!(before <= course, "seed {seed}: {} went back", row.name);
                 let gap = (last < *version).then(|| self.chosen.range(last + 1..*version).next()).flatten();
                 assert!(gap.is_none(), "seed {seed}: {} was gone and is back", row.name);
@@ -421,9 +430,9 @@
         }
         tier.kept(seed);
         let nodes = tier.gateways.iter().filter_map(|it| it.node.as_ref());
-        let counts = nodes.map(|it| [it.figures().chosen, it.figures().fenced, it.figures().lapses]);
+        let counts = nodes.map(|it| [it.metrics().chosen, it.metrics().fenced, it.metrics().lease_lapses]);
         let sum = counts.fold([0; 3], |one, other| std::array::from_fn(|at| one[at] + other[at]));
-        Some((tier.longest == tier.rules.max_out, sum))
+        Some((tier.longest == tier.rules.max_servers_out, sum))
     });
     let full = played.iter().filter(|it| it.0).count();
     let [chosen, fenced, lapses] =
@@ -435,12 +444,12 @@
 #[test]
 fn broken_variants_are_found_by_name() {
     let found = [
-        (Broken::NoCooling, "M1"),
-        (Broken::NoLease, "M"),
-        (Broken::OldGrant, "M"),
-        (Broken::MajorityOfHeard, "M"),
-        (Broken::UnsyncedVote, "M"),
-        (Broken::Forgetful, "M"),
+        (Mutation::NoCooling, "M1"),
+        (Mutation::NoLease, "M"),
+        (Mutation::ActOnPersistedGrant, "M"),
+        (Mutation::MajorityOfResponders, "M"),
+        (Mutation::UnsyncedVote, "M"),
+        (Mutation::VoteWithoutCatchUp, "M"),
     ];
     for (broken, name) in found {
         let violations: Vec<String> = side_by_side(1, 300, |seed| {
@@ -454,7 +463,7 @@
 }
 
 /// Settled, with six requests in the queue and three gateways.
-fn queued(seed: u64, broken: Option<Broken>) -> Tier {
+fn queued(seed: u64, broken: Option<Mutation>) -> Tier {
     let mut tier = Tier::new(seed, broken);
     (0..200).for_each(|_| tier.step().expect("nothing has happened yet"));
     (0..6).for_each(|server| tier.operate(0, &format!("s-{server}"), 0));
@@ -465,13 +474,14 @@
 #[test]
 fn a_stalled_gateway_that_wakes_does_not_act_on_an_old_grant() {
     let mut woken = 0;
-    for (broken, found) in [(None, false), (Some(Broken::CountedFromAnswer), true)] {
+    for (broken, found) in [(None, false), (Some(Mutation::LeaseFromAnswerTime), true)] {
         let mut violations = 0;
         for seed in 1..=60 {
             let mut tier = queued(seed, broken);
             let last = tier.gateways.len() - 1;
-            let keeps =
-                |tier: &Tier| tier.gateways[last].node.as_ref().unwrap().keeps_out(Kind::Server).count();
+            let keeps = |tier: &Tier| {
+                tier.gateways[last].node.as_ref().unwrap().machines_kept_out(MachineKind::Server).count()
+            };
             while keeps(&tier) == 0 || tier.rng.random_range(0..5) > 0 {
                 tier.step().expect("all is well");
             }
@@ -490,28 +500,28 @@
 /// Only so that a change that nobody proposes is not a change that works.
 #[test]
 fn a_table_refuses_what_it_should() {
-    let rules = Rules { max_out: 1, max_gateways: 1, floor: 1 };
+    let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 1 };
     let ready: BTreeSet<String> = ["a", "b"].map(str::to_owned).into();
-    let mut table = Table::default();
+    let mut table = MaintenanceQueue::default();
     let request = |call, name: &str| Change::Request {
-        call,
-        kind: Kind::Server,
+        request_id: call,
+        kind: MachineKind::Server,
         name: name.to_owned(),
         reason: String::new(),
-        asked_ms: 1,
+        requested_at_ms: 1,
     };
-    table.change(&request(1, "a"), &rules, &ready).unwrap();
-    table.change(&request(2, "b"), &rules, &ready).unwrap();
+    table.apply(&request(1, "a"), &rules, &ready).unwrap();
+    table.apply(&request(2, "b"), &rules, &ready).unwrap();
     let grant = |name: &str| Change::Grant { name: name.to_owned(), holder: Slot(0) };
-    table.change(&grant("a"), &rules, &ready).unwrap();
-    let refused = table.change(&grant("b"), &rules, &ready).unwrap_err();
+    table.apply(&grant("a"), &rules, &ready).unwrap();
+    let refused = table.apply(&grant("b"), &rules, &ready).unwrap_err();
     assert!(refused.to_string().contains("as many are out"), "{refused}");
-    let rules = Rules { max_out: 2, ..rules };
-    let refused = table.change(&grant("b"), &rules, &ready).unwrap_err();
+    let rules = Limits { max_servers_out: 2, ..rules };
+    let refused = table.apply(&grant("b"), &rules, &ready).unwrap_err();
     assert!(refused.to_string().contains("floor"), "{refused}: a is out, b would be");
-    let take = Change::Take { name: "a".to_owned(), token: 1, holder: Slot(1) };
-    table.change(&take, &rules, &ready).unwrap();
-    let old = Change::Drained { name: "a".to_owned(), token: 1, back: false };
-    let refused = table.change(&old, &rules, &ready).unwrap_err();
+    let take = Change::TakeOver { name: "a".to_owned(), token: 1, holder: Slot(1) };
+    table.apply(&take, &rules, &ready).unwrap();
+    let old = Change::Drained { name: "a".to_owned(), token: 1, return_at_once: false };
+    let refused = table.apply(&old, &rules, &ready).unwrap_err();
     assert!(refused.to_string().contains("fencing token"), "{refused}");
 }
--- a/crates/ashtide-wire/src/lib.rs
+++ b/crates/ashtide-protocol/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use ashtide_wire::{Asking, GatewayEvent, GatewaySide};
+//! use ashtide_protocol::{Asking, GatewayEvent, GatewaySide};
 //!
 //! let asking = Asking { class: "resident-reading".into(), key: "meter-77".into(), ..Asking::default() };
 //! let line = asking.line("9b1f03aa5c7e2d41", Duration::from_millis(2000)).unwrap();
--- a/crates/ashtide-wire/tests/compatibility.rs
+++ b/crates/ashtide-protocol/tests/compatibility.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide_wire::{
+use ashtide_protocol::{
     Asking, ClientEvent, ClientSide, Ending, FAILED, GatewayEvent, GatewaySide, LineCodec, MAX_FIELD,
     MAX_LINE, MOVE, Open, OpenError, PONG, PeerFault, ServerEvent, ServerSide, busy,
 };
--- a/crates/ashtide-wire/tests/lines.rs
+++ b/crates/ashtide-protocol/tests/lines.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashtide_wire::{
+use ashtide_protocol::{
     Asking, AskingError, ClientEvent, ClientSide, GatewayEvent, GatewaySide, LineCodec, MAX_LINE, Open,
     OpenError, PeerFault, ServerSide, busy,
 };
--- a/crates/ashtide-quota/src/lib.rs
+++ b/crates/ashtide-quota/src/lib.rs
@@ -10,31 +10,31 @@
 
 use ashtide_fleet::state::{Exchange, Violation};
 
-use demand::Demand;
+use demand::DemandEstimator;
 
 /// Longest time that a refused client is told to wait, by default.
-pub const MAX_WAIT: Duration = Duration::from_secs(2);
+pub const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(2);
 /// How much more than the demand is asked for, so that a demand that rises has room: an eighth.
-const HEADROOM: u64 = 8;
+const HEADROOM_DIVISOR: u64 = 8;
 /// Time for which open connections are asked for ahead, by the demand.
-const AHEAD: Duration = Duration::from_secs(2);
+const LOOKAHEAD: Duration = Duration::from_secs(2);
 /// Of a partner's pace here, the part that connections which had to move may have without it being counted: a tenth.
-const MOVED: u64 = 10;
+const MIGRATION_DIVISOR: u64 = 10;
 
 /// A partner's budgets, by their ids in the exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Partner {
+pub struct PartnerBudgets {
     /// New connections a second: units are thousandths a second.
-    pub pace: u32,
+    pub rate_budget: u32,
     /// How long unspent rights to new connections are stored: the same as the budget's.
     pub burst: Duration,
     /// Open connections; none where they are not limited.
-    pub held: Option<u32>,
+    pub connections_budget: Option<u32>,
 }
 
 /// What asks for a place. Attempts of one request are one offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum ConnectionKind {
     /// A connection that its client has not asked for before.
     New,
     /// One that its client asks for again after a refusal or a failure (`r=1`). It costs what a new one does, as a
@@ -42,44 +42,44 @@
     Retry,
     /// One that a gateway or server made move (`again=1`). Free, up to a tenth of the partner's pace here: beyond that it
     /// costs what a new one does, as anyone can say so.
-    Again,
+    Migrated,
 }
 
 /// What is decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Within the partner's quota.
-    Within,
+    WithinQuota,
     /// A move, not counted against the pace.
-    Moved,
+    Migrated,
     /// On what another partner leaves unused here.
     Borrowed {
         /// Whose right it took.
-        of: usize,
+        owner: usize,
     },
     /// Refused: to be told `BUSY` with so long. It is when a right is expected here by the present pace, after those
     /// who were refused before; so clients come back spread, and are then served.
-    Refused {
+    Rejected {
         /// How long.
-        wait: Duration,
+        retry_after: Duration,
     },
 }
 
 #[derive(Debug, Clone)]
-struct Account {
-    partner: Partner,
-    demand: Demand,
+struct PartnerAccount {
+    budgets: PartnerBudgets,
+    demand: DemandEstimator,
     /// Until when those who were refused have been promised a right.
-    promised: Duration,
+    promised_until: Duration,
     /// Moves that are still free, in thousandths.
-    moves: u64,
-    wants: u64,
+    free_migrations: u64,
+    wanted_rate: u64,
 }
 
 /// The decisions of one gateway.
 #[derive(Debug, Clone)]
 pub struct Quota {
-    accounts: Vec<Account>,
+    accounts: Vec<PartnerAccount>,
     now: Duration,
     max_wait: Duration,
 }
@@ -87,122 +87,134 @@
 impl Quota {
     /// Quotas of these partners, numbered as they stand.
     #[must_use]
-    pub fn new(partners: impl IntoIterator<Item = Partner>, max_wait: Duration, now: Duration) -> Self {
-        let account =
-            |partner| Account { partner, demand: Demand::new(now), promised: now, moves: 0, wants: 0 };
+    pub fn new(
+        partners: impl IntoIterator<Item = PartnerBudgets>,
+        max_wait: Duration,
+        now: Duration,
+    ) -> Self {
+        let account = |partner| PartnerAccount {
+            budgets: partner,
+            demand: DemandEstimator::new(now),
+            promised_until: now,
+            free_migrations: 0,
+            wanted_rate: 0,
+        };
         Self { accounts: partners.into_iter().map(account).collect(), now, max_wait }
     }
 
     /// Other partners from now on, numbered as they stand: what is known of those who stay is kept.
-    pub fn change(&mut self, partners: impl IntoIterator<Item = Partner>, max_wait: Duration) {
+    pub fn set_partners(&mut self, partners: impl IntoIterator<Item = PartnerBudgets>, max_wait: Duration) {
         let before = std::mem::replace(self, Self::new(partners, max_wait, self.now));
         for account in &mut self.accounts {
-            let same = before.accounts.iter().find(|it| it.partner.pace == account.partner.pace);
+            let same =
+                before.accounts.iter().find(|it| it.budgets.rate_budget == account.budgets.rate_budget);
             if let Some(same) = same {
-                *account = Account { partner: account.partner, ..same.clone() };
-                account.promised = account.promised.min(self.now + max_wait);
+                *account = PartnerAccount { budgets: account.budgets, ..same.clone() };
+                account.promised_until = account.promised_until.min(self.now + max_wait);
             }
         }
     }
 
     /// Lets time pass, and tells the shared state what is wanted here; call it every 100 ms, after the exchange's own.
-    pub fn at(&mut self, now: Duration, state: &mut Exchange) {
+    pub fn advance_to(&mut self, now: Duration, state: &mut Exchange) {
         let passed = now.saturating_sub(self.now).as_millis().min(1_000) as u64;
         if now < self.now {
             // Promises by a clock that was put back would keep clients waiting.
-            self.accounts.iter_mut().for_each(|account| account.promised = now);
+            self.accounts.iter_mut().for_each(|account| account.promised_until = now);
         }
         self.now = now;
         for account in &mut self.accounts {
-            let rate = account.demand.at(now);
-            let burst = account.partner.burst.as_millis().max(1) as u64;
+            let rate = account.demand.rate_at(now);
+            let burst = account.budgets.burst.as_millis().max(1) as u64;
             // Below this a right cannot store one whole connection, so it is of no use.
             let least = 1_000_000u64.div_ceil(burst) + 1;
-            account.wants = if rate == 0 { 0 } else { (rate + rate / HEADROOM).max(least) };
-            state.want(account.partner.pace, account.wants);
-            if let Some(id) = account.partner.held {
-                let taken = state.budget(id).map_or(0, |it| it.taken());
-                let ahead = (rate * AHEAD.as_millis() as u64).div_ceil(1_000_000);
-                state.want(id, taken + ahead);
+            account.wanted_rate = if rate == 0 { 0 } else { (rate + rate / HEADROOM_DIVISOR).max(least) };
+            state.set_wanted_units(account.budgets.rate_budget, account.wanted_rate);
+            if let Some(id) = account.budgets.connections_budget {
+                let taken = state.budget_mut(id).map_or(0, |it| it.in_use());
+                let ahead = (rate * LOOKAHEAD.as_millis() as u64).div_ceil(1_000_000);
+                state.set_wanted_units(id, taken + ahead);
             }
-            let rights = state.budget(account.partner.pace).map_or(0, |it| it.escrow().rights());
-            let room = 1_000.max(rights / MOVED * 5);
-            account.moves = (account.moves + rights / MOVED * passed / 1_000).min(room);
+            let rights =
+                state.budget_mut(account.budgets.rate_budget).map_or(0, |it| it.escrow().usable_units());
+            let room = 1_000.max(rights / MIGRATION_DIVISOR * 5);
+            account.free_migrations =
+                (account.free_migrations + rights / MIGRATION_DIVISOR * passed / 1_000).min(room);
         }
     }
 
     /// Decides about one connection of `partner`. `room` says that the fleet has place beyond what the quotas promise:
     /// without it only what is within a quota is placed. `now` is not before the time that `state` was told last.
-    pub fn offer(
+    pub fn decide(
         &mut self,
         now: Duration,
         state: &mut Exchange,
         partner: usize,
-        offer: Offer,
+        offer: ConnectionKind,
         room: bool,
-    ) -> Verdict {
+    ) -> Decision {
         let Some(account) = self.accounts.get_mut(partner) else {
-            return Verdict::Refused { wait: self.max_wait };
+            return Decision::Rejected { retry_after: self.max_wait };
         };
-        if offer == Offer::New {
-            account.demand.note();
+        if offer == ConnectionKind::New {
+            account.demand.record();
         }
-        let Partner { pace, held, .. } = account.partner;
-        if held.is_some_and(|id| !state.budget(id).is_some_and(|it| it.spend(now))) {
-            return self.refuse(now, state, partner);
+        let PartnerBudgets { rate_budget: pace, connections_budget: held, .. } = account.budgets;
+        if held.is_some_and(|id| !state.budget_mut(id).is_some_and(|it| it.try_spend(now))) {
+            return self.reject(now, state, partner);
         }
-        if offer == Offer::Again && account.moves >= 1_000 {
-            account.moves -= 1_000;
-            return Verdict::Moved;
+        if offer == ConnectionKind::Migrated && account.free_migrations >= 1_000 {
+            account.free_migrations -= 1_000;
+            return Decision::Migrated;
         }
-        if state.budget(pace).is_some_and(|it| it.spend(now)) {
-            return Verdict::Within;
+        if state.budget_mut(pace).is_some_and(|it| it.try_spend(now)) {
+            return Decision::WithinQuota;
         }
         if room && let Some(of) = self.borrow(now, state, partner) {
-            return Verdict::Borrowed { of };
+            return Decision::Borrowed { owner: of };
         }
-        if let Some(budget) = held.and_then(|id| state.budget(id)) {
-            budget.give_back();
+        if let Some(budget) = held.and_then(|id| state.budget_mut(id)) {
+            budget.release();
         }
-        self.refuse(now, state, partner)
+        self.reject(now, state, partner)
     }
 
     /// Takes a right of another partner who wants none here. It refills at its pace, so an owner who returns finds it
     /// within one spend's time, and nothing is borrowed of it from its first connection on.
     fn borrow(&self, now: Duration, state: &mut Exchange, partner: usize) -> Option<usize> {
-        let idle = self.accounts.iter().enumerate().filter(|(at, it)| *at != partner && it.demand.idle());
-        idle.map(|(at, it)| (at, it.partner.pace))
-            .find(|&(_, pace)| state.budget(pace).is_some_and(|it| it.spend(now)))
+        let idle = self.accounts.iter().enumerate().filter(|(at, it)| *at != partner && it.demand.is_idle());
+        idle.map(|(at, it)| (at, it.budgets.rate_budget))
+            .find(|&(_, pace)| state.budget_mut(pace).is_some_and(|it| it.try_spend(now)))
             .map(|it| it.0)
     }
 
-    fn refuse(&mut self, now: Duration, state: &mut Exchange, partner: usize) -> Verdict {
+    fn reject(&mut self, now: Duration, state: &mut Exchange, partner: usize) -> Decision {
         let account = &mut self.accounts[partner];
-        let budget = state.budget(account.partner.pace);
-        let rights = budget.as_ref().map_or(0, |it| it.escrow().rights());
+        let budget = state.budget_mut(account.budgets.rate_budget);
+        let rights = budget.as_ref().map_or(0, |it| it.escrow().usable_units());
         // What is asked for is about to come; without it, by the rights there are.
         let every = Duration::from_nanos(1_000_000_000_000 / rights.max(1)).min(self.max_wait);
-        let first = budget.and_then(|it| it.wait()).unwrap_or(every).min(self.max_wait);
-        let at = account.promised.max(now + first);
+        let first = budget.and_then(|it| it.time_until_available()).unwrap_or(every).min(self.max_wait);
+        let at = account.promised_until.max(now + first);
         let most = now + self.max_wait;
-        account.promised =
+        account.promised_until =
             if at + every > most { now + first + (at + every).saturating_sub(most) } else { at + every };
-        account.promised = account.promised.min(most);
-        Verdict::Refused { wait: at.min(most) - now }
+        account.promised_until = account.promised_until.min(most);
+        Decision::Rejected { retry_after: at.min(most) - now }
     }
 
     /// A connection of `partner` has ended.
-    pub fn ended(&mut self, state: &mut Exchange, partner: usize) {
-        let held = self.accounts.get(partner).and_then(|it| it.partner.held);
-        if let Some(budget) = held.and_then(|id| state.budget(id)) {
-            budget.give_back();
+    pub fn release(&mut self, state: &mut Exchange, partner: usize) {
+        let held = self.accounts.get(partner).and_then(|it| it.budgets.connections_budget);
+        if let Some(budget) = held.and_then(|id| state.budget_mut(id)) {
+            budget.release();
         }
     }
 
     /// What `partner` wants here of its pace, in thousandths a second.
     #[must_use]
-    pub fn wants(&self, partner: usize) -> u64 {
-        self.accounts.get(partner).map_or(0, |it| it.wants)
+    pub fn wanted_rate(&self, partner: usize) -> u64 {
+        self.accounts.get(partner).map_or(0, |it| it.wanted_rate)
     }
 
     /// Holds the decisions against the bound on waits; the rights have [`Exchange::check`].
@@ -212,8 +224,11 @@
     /// Names what is broken.
     pub fn check(&self) -> Result<(), Violation> {
         let most = self.max_wait.as_millis() as usize;
-        let far =
-            self.accounts.iter().map(|it| it.promised.saturating_sub(self.now).as_millis() as usize).max();
+        let far = self
+            .accounts
+            .iter()
+            .map(|it| it.promised_until.saturating_sub(self.now).as_millis() as usize)
+            .max();
         match far.filter(|&found| found > most) {
             Some(found) => {
                 Err(Violation::OverFull { table: "promised waits, in milliseconds,", found, most })
--- a/crates/ashtide-quota/tests/load/mod.rs
+++ b/crates/ashtide-quota/tests/load/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashtide_quota::{MAX_WAIT, Offer, Partner, Quota, Verdict};
+use ashtide_quota::{ConnectionKind, DEFAULT_MAX_WAIT, Decision, PartnerBudgets, Quota};
 use rand::RngExt;
 
 use super::chance::STEP;
@@ -62,11 +62,11 @@
 /// Plays 12 s and measures them.
 pub fn measure(way: Way, load: Load, seed: u64) -> Measured {
     let mut tier = Tier::new(seed, 9, PARTNERS, PACE * 1_000);
-    let partner = |id| Partner { pace: id as u32, burst: BURST, held: None };
+    let partner = |id| PartnerBudgets { rate_budget: id as u32, burst: BURST, connections_budget: None };
     let mut quotas: Vec<Quota> = (0..9)
         .map(|number| {
             let now = tier.gateways[number].clock.read(tier.chance.now);
-            Quota::new((0..PARTNERS).map(partner), MAX_WAIT, now)
+            Quota::new((0..PARTNERS).map(partner), DEFAULT_MAX_WAIT, now)
         })
         .collect();
     let begin = tier.chance.now;
@@ -88,7 +88,7 @@
         for number in 0..9 {
             let own = tier.gateways[number].clock.read(now);
             let exchange = tier.gateways[number].exchange.as_mut().expect("there");
-            quotas[number].at(own, exchange);
+            quotas[number].advance_to(own, exchange);
             for partner in 0..PARTNERS {
                 let times = match load {
                     Load::Moved if time < Duration::from_secs(6) => {
@@ -127,12 +127,12 @@
                         Way::Central if parted && number >= 6 => true,
                         Way::Central => take(&mut buckets[0][partner], now, PACE as f64),
                         Way::Shared => {
-                            let offer = if tries == 0 { Offer::New } else { Offer::Retry };
-                            let verdict = quotas[number].offer(own, exchange, partner, offer, false);
-                            if let Verdict::Refused { wait: told } = verdict {
+                            let offer = if tries == 0 { ConnectionKind::New } else { ConnectionKind::Retry };
+                            let verdict = quotas[number].decide(own, exchange, partner, offer, false);
+                            if let Decision::Rejected { retry_after: told } = verdict {
                                 wait = told;
                             }
-                            verdict == Verdict::Within
+                            verdict == Decision::WithinQuota
                         }
                     };
                     if may {
--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -11,8 +11,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ashtide_fleet::state::{Exchange, Root, Rules, Setup, Slot, Terms, Use};
-use ashtide_quota::{MAX_WAIT, Offer, Partner, Quota, Verdict};
+use ashtide_fleet::state::{
+    BudgetKind, Exchange, ExchangeConfig, InitialShare, LeaseConfig, OutlierLimits, Slot,
+};
+use ashtide_quota::{ConnectionKind, DEFAULT_MAX_WAIT, Decision, PartnerBudgets, Quota};
 use load::{Load, Way, measure};
 
 #[test]
@@ -41,17 +43,23 @@
 impl Alone {
     fn new() -> Self {
         let now = Duration::from_secs(9);
-        let terms = Terms::default();
-        let setup = Setup { tier: 1, slots: 1, datagrams: 10, terms, rules: Rules::default() };
+        let terms = LeaseConfig::default();
+        let setup = ExchangeConfig {
+            tier: 1,
+            slot_count: 1,
+            datagrams_per_second: 10,
+            lease: terms,
+            outlier_limits: OutlierLimits::default(),
+        };
         let mut state = Exchange::new(setup, Slot(0), 1, 1, now);
         let burst = Duration::from_secs(1);
-        let roots = |floor| BTreeMap::from([(Slot(0), Root { floor, lendable: 0 })]);
+        let roots = |floor| BTreeMap::from([(Slot(0), InitialShare { floor, lendable: 0 })]);
         for id in 0..2 {
-            state.add_budget(id, &roots(10_000), Use::Pace { burst }, true);
-            state.add_budget(id + 10, &roots(20), Use::Hold, true);
+            state.add_budget(id, &roots(10_000), BudgetKind::Rate { burst }, true);
+            state.add_budget(id + 10, &roots(20), BudgetKind::Concurrency, true);
         }
-        let partner = |id| Partner { pace: id, burst, held: Some(id + 10) };
-        let mut alone = Self { state, quota: Quota::new((0..2).map(partner), MAX_WAIT, now), now };
+        let partner = |id| PartnerBudgets { rate_budget: id, burst, connections_budget: Some(id + 10) };
+        let mut alone = Self { state, quota: Quota::new((0..2).map(partner), DEFAULT_MAX_WAIT, now), now };
         alone.pass(1_000);
         alone
     }
@@ -59,18 +67,20 @@
     fn pass(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now += Duration::from_millis(50);
-            self.state.at(self.now);
-            self.quota.at(self.now, &mut self.state);
+            self.state.advance_to(self.now);
+            self.quota.advance_to(self.now, &mut self.state);
             self.quota.check().expect("waits are bounded");
         }
     }
 
-    fn offer(&mut self, partner: usize, offer: Offer, room: bool) -> Verdict {
-        self.quota.offer(self.now, &mut self.state, partner, offer, room)
+    fn offer(&mut self, partner: usize, offer: ConnectionKind, room: bool) -> Decision {
+        self.quota.decide(self.now, &mut self.state, partner, offer, room)
     }
 
     fn within(&mut self, partner: usize, times: usize) -> usize {
-        (0..times).filter(|_| self.offer(partner, Offer::New, false) == Verdict::Within).count()
+        (0..times)
+            .filter(|_| self.offer(partner, ConnectionKind::New, false) == Decision::WithinQuota)
+            .count()
     }
 }
 
@@ -79,8 +89,8 @@
     let mut alone = Alone::new();
     assert_eq!(alone.within(0, 12), 10, "the burst");
     let waits: Vec<Duration> = (0..10)
-        .map(|_| match alone.offer(0, Offer::Retry, false) {
-            Verdict::Refused { wait } => wait,
+        .map(|_| match alone.offer(0, ConnectionKind::Retry, false) {
+            Decision::Rejected { retry_after: wait } => wait,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -91,8 +101,11 @@
     alone.pass(waits[0].as_millis() as u64 + 50);
     assert!(alone.within(0, 10) >= 2);
     for _ in 0..1_000 {
-        let verdict = alone.offer(0, Offer::New, false);
-        assert!(!matches!(verdict, Verdict::Refused { wait } if wait > MAX_WAIT), "{verdict:?}");
+        let verdict = alone.offer(0, ConnectionKind::New, false);
+        assert!(
+            !matches!(verdict, Decision::Rejected { retry_after } if retry_after > DEFAULT_MAX_WAIT),
+            "{verdict:?}"
+        );
     }
 }
 
@@ -100,10 +113,13 @@
 fn what_one_leaves_is_borrowed_while_there_is_room_and_its_owner_is_first() {
     let mut alone = Alone::new();
     assert_eq!(alone.within(0, 10), 10);
-    assert_eq!(alone.offer(0, Offer::New, true), Verdict::Borrowed { of: 1 });
-    assert!(matches!(alone.offer(0, Offer::New, false), Verdict::Refused { .. }), "no room");
+    assert_eq!(alone.offer(0, ConnectionKind::New, true), Decision::Borrowed { owner: 1 });
+    assert!(matches!(alone.offer(0, ConnectionKind::New, false), Decision::Rejected { .. }), "no room");
     assert_eq!(alone.within(1, 9), 9, "the rest is its owner's");
-    assert!(matches!(alone.offer(0, Offer::New, true), Verdict::Refused { .. }), "its owner is back");
+    assert!(
+        matches!(alone.offer(0, ConnectionKind::New, true), Decision::Rejected { .. }),
+        "its owner is back"
+    );
     alone.pass(1_000);
     assert_eq!(alone.within(1, 10), 10, "within a second it has all");
 }
@@ -116,11 +132,11 @@
     assert_eq!(alone.within(0, 10), 10);
     alone.pass(1_000);
     assert_eq!(alone.within(0, 5), 0, "20 are open");
-    alone.quota.ended(&mut alone.state, 0);
+    alone.quota.release(&mut alone.state, 0);
     assert_eq!(alone.within(0, 5), 1);
-    let taken = |alone: &mut Alone| alone.state.budget(10).map(|it| it.taken());
+    let taken = |alone: &mut Alone| alone.state.budget_mut(10).map(|it| it.in_use());
     assert_eq!(taken(&mut alone), Some(20));
-    (0..20).for_each(|_| alone.quota.ended(&mut alone.state, 0));
+    (0..20).for_each(|_| alone.quota.release(&mut alone.state, 0));
     assert_eq!(alone.within(0, 20), 9, "the pace had lost nothing to refusals");
     assert_eq!(taken(&mut alone), Some(9), "nor have the open ones");
 }
@@ -129,7 +145,7 @@
 fn moves_are_free_up_to_a_tenth_and_cost_beyond() {
     let mut alone = Alone::new();
     alone.pass(5_000);
-    let all: Vec<Verdict> = (0..20).map(|_| alone.offer(0, Offer::Again, false)).collect();
-    let count = |which: Verdict| all.iter().filter(|&&it| it == which).count();
-    assert_eq!((count(Verdict::Moved), count(Verdict::Within)), (5, 10), "{all:?}");
+    let all: Vec<Decision> = (0..20).map(|_| alone.offer(0, ConnectionKind::Migrated, false)).collect();
+    let count = |which: Decision| all.iter().filter(|&&it| it == which).count();
+    assert_eq!((count(Decision::Migrated), count(Decision::WithinQuota)), (5, 10), "{all:?}");
 }
--- a/crates/ashtide-rehearsal/src/bin/ashtide-rehearse.rs
+++ b/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_rehearsal::scenarios::{MIGRANTS, NAMES, play};
+use ashtide_testkit::scenarios::{MIGRANTS, NAMES, play};
 
-const USAGE: &str = "usage: ashtide-rehearse [--daemon FILE] [--clients N] [SCENARIO ...]";
+const USAGE: &str = "usage: ashtide-testkit [--daemon FILE] [--clients N] [SCENARIO ...]";
 /// Stand-in clients that a rehearsal may have: it checks correctness and is no load.
 const MOST_CLIENTS: usize = 4000;
 
@@ -51,7 +51,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("ashtide-rehearse: {error}");
+            eprintln!("ashtide-testkit: {error}");
             return ExitCode::from(2);
         }
     };
--- a/crates/ashtide-rehearsal/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -18,13 +18,13 @@
 
 use crate::fleet::{CLIENT_ID, PACKET, crypto_frame};
 use crate::{ID_LENGTH, RESET_KEY, RehearsalError, within};
-use ashtide::config::hex;
-use ashtide::quic::header::{MIN_INITIAL, put_long};
+use ashtide::config::decode_hex;
+use ashtide::quic::header::{MIN_INITIAL_DATAGRAM, write_long_header};
 use ashtide::quic::initial::{self, Side};
-use ashtide::quic::placing::{SERVER_ID, ServerKey, server_of};
-use ashtide::quic::reset::{ResetKey, TOKEN};
-use ashtide::quic::{ConnectionId, Header, LongKind};
-use ashtide_wire::LineCodec;
+use ashtide::quic::placing::{QuicServerId, SERVER_ID_LENGTH, decode_server_id};
+use ashtide::quic::reset::{RESET_TOKEN_LENGTH, ResetKey};
+use ashtide::quic::{ConnectionId, Header, LongPacketType};
+use ashtide_protocol::LineCodec;
 
 /// Clients that speak at the same time: few enough for every socket's queue.
 const AT_ONCE: usize = 40;
@@ -186,7 +186,7 @@
     /// A further id that its server has issued.
     pub spare: Option<ConnectionId>,
     /// The server that took it.
-    pub server: Option<ServerKey>,
+    pub server: Option<QuicServerId>,
     /// The last message that was answered.
     pub answered: u64,
     /// Refusals and failures: the error code and the reason of each.
@@ -200,7 +200,7 @@
     /// The clients, by number.
     pub all: Vec<Client>,
     key: ResetKey,
-    tokens: HashMap<[u8; TOKEN], usize>,
+    tokens: HashMap<[u8; RESET_TOKEN_LENGTH], usize>,
     /// Answers that came from another server than the one that took the client.
     pub wrong_server: u64,
     /// Version negotiations that came.
@@ -232,7 +232,7 @@
         });
         Self {
             all: all.collect(),
-            key: ResetKey::new(hex(RESET_KEY).unwrap_or_default()),
+            key: ResetKey::new(decode_hex(RESET_KEY).unwrap_or_default()),
             tokens: HashMap::new(),
             wrong_server: 0,
             versions: 0,
@@ -243,7 +243,7 @@
     /// A client's Initial.
     pub fn initial(&self, client: usize) -> Vec<u8> {
         let Client { number, first, own, .. } = &self.all[client];
-        initial::seal(first, Side::Client, first, own, 0, &crypto_frame(*number), MIN_INITIAL)
+        initial::seal(first, Side::Client, first, own, 0, &crypto_frame(*number), MIN_INITIAL_DATAGRAM)
     }
 
     /// A message of a standing connection, under the id that it uses now.
@@ -260,37 +260,45 @@
 
     /// Takes one datagram in.
     pub fn hear(&mut self, datagram: &[u8]) {
-        let token = datagram.last_chunk::<TOKEN>().and_then(|token| self.tokens.get(token));
+        let token = datagram.last_chunk::<RESET_TOKEN_LENGTH>().and_then(|token| self.tokens.get(token));
         if let Some(&client) = token {
             self.all[client].resets += 1;
             return;
         }
         match Header::parse(datagram, CLIENT_ID) {
-            Ok(Header::Long { kind: LongKind::Initial, to, from }) if self.own(&to).is_some() => {
+            Ok(Header::Long {
+                packet_type: LongPacketType::Initial,
+                destination_id: to,
+                source_id: from,
+            }) if self.own(&to).is_some() => {
                 let Some(at) = self.own(&to) else { return };
                 let client = &mut self.all[at];
                 let Some(opened) = initial::open(datagram, &client.first, Side::Server) else {
                     self.strange += 1;
                     return;
                 };
-                if let Some(closed) = initial::closes(&opened.frames) {
+                if let Some(closed) = initial::find_connection_close(&opened.frames) {
                     client.closed.push(closed);
                 } else if client.id.is_none() {
-                    (client.id, client.server) = (Some(from), server_of(&from, 0));
+                    (client.id, client.server) = (Some(from), decode_server_id(&from, 0));
                     self.expect_resets(&[from], at);
                 }
             }
-            Ok(Header::Short { to }) if datagram.len() == PACKET && self.own(&to).is_some() => {
+            Ok(Header::Short { destination_id: to })
+                if datagram.len() == PACKET && self.own(&to).is_some() =>
+            {
                 let Some(at) = self.own(&to) else { return };
                 let rest = &datagram[1 + CLIENT_ID..];
                 let (answered, rest) = (u64_at(rest, 8), &rest[16..]);
                 let client = &mut self.all[at];
-                if client.server.as_ref().map(<[u8; SERVER_ID]>::as_slice) != rest.get(..SERVER_ID) {
+                if client.server.as_ref().map(<[u8; SERVER_ID_LENGTH]>::as_slice)
+                    != rest.get(..SERVER_ID_LENGTH)
+                {
                     self.wrong_server += 1;
                     return;
                 }
                 client.answered = client.answered.max(answered);
-                client.spare = rest.get(SERVER_ID..SERVER_ID + ID_LENGTH).map(id);
+                client.spare = rest.get(SERVER_ID_LENGTH..SERVER_ID_LENGTH + ID_LENGTH).map(id);
             }
             Ok(Header::VersionNegotiation { .. }) => self.versions += 1,
             _ => self.strange += 1,
@@ -378,7 +386,7 @@
 /// A datagram of a version that nobody speaks.
 pub fn other_version() -> Vec<u8> {
     let mut out = Vec::new();
-    put_long(&mut out, 0xc0, 0x1a2a_3a4a, &[1; 8], &[2; 8]);
-    out.resize(MIN_INITIAL, 0);
+    write_long_header(&mut out, 0xc0, 0x1a2a_3a4a, &[1; 8], &[2; 8]);
+    out.resize(MIN_INITIAL_DATAGRAM, 0);
     out
 }
--- a/crates/ashtide-rehearsal/src/fleet.rs
+++ b/crates/ashtide-testkit/src/fleet.rs
@@ -17,12 +17,12 @@
 
 use crate::ledger::{Arrival, Ledger, Out};
 use crate::{ID_LENGTH, RehearsalError};
-use ashtide::discovery::{Entry, News, Status};
-use ashtide::quic::header::MIN_INITIAL;
+use ashtide::discovery::{Endpoint, EndpointList, EndpointStatus};
+use ashtide::quic::header::MIN_INITIAL_DATAGRAM;
 use ashtide::quic::initial::{self, CONNECTION_REFUSED, Side};
-use ashtide::quic::placing::{issue, server_key};
-use ashtide::quic::{ConnectionId, Header, LongKind};
-use ashtide_wire::{LineCodec, Open, PONG};
+use ashtide::quic::placing::{encode_routable_id, server_id_for_name};
+use ashtide::quic::{ConnectionId, Header, LongPacketType};
+use ashtide_protocol::{LineCodec, Open, PONG};
 
 /// Length of the ids that stand-in clients choose for themselves.
 pub const CLIENT_ID: usize = 8;
@@ -217,7 +217,7 @@
 
     fn issue(&mut self, session: usize) -> ConnectionId {
         self.issued += 1;
-        let id = issue(0, server_key(&self.name), ID_LENGTH, self.issued);
+        let id = encode_routable_id(0, server_id_for_name(&self.name), ID_LENGTH, self.issued);
         self.ids.insert(id, session);
         id
     }
@@ -234,7 +234,7 @@
     fn answer(&mut self, datagram: &[u8]) -> Option<Vec<u8>> {
         let mood = *self.mood.borrow();
         match Header::parse(datagram, ID_LENGTH).ok()? {
-            Header::Long { kind: LongKind::Initial, to, from } => {
+            Header::Long { packet_type: LongPacketType::Initial, destination_id: to, source_id: from } => {
                 let opened = initial::open(datagram, &to, Side::Client)?;
                 if !self.offered.contains_key(&to) {
                     self.seen.offered.fetch_add(1, Ordering::Relaxed);
@@ -243,7 +243,7 @@
                     Mood::Silent => None,
                     Mood::Refuses => {
                         self.offered.insert(to, to);
-                        let frames = initial::close_frame(CONNECTION_REFUSED, "full");
+                        let frames = initial::encode_connection_close(CONNECTION_REFUSED, "full");
                         Some(initial::seal(&to, Side::Server, &from, &to, 0, &frames, 0))
                     }
                     Mood::Well | Mood::Late | Mood::HalfOut | Mood::Talks => {
@@ -259,11 +259,11 @@
                             }
                         };
                         let frames = [&[0x02, 0, 0, 0, 0][..], &opened.frames].concat();
-                        Some(initial::seal(&to, Side::Server, &from, &own, 0, &frames, MIN_INITIAL))
+                        Some(initial::seal(&to, Side::Server, &from, &own, 0, &frames, MIN_INITIAL_DATAGRAM))
                     }
                 }
             }
-            Header::Short { to } => {
+            Header::Short { destination_id: to } => {
                 let Some(&session) = self.ids.get(&to) else {
                     self.seen.misplaced.fetch_add(1, Ordering::Relaxed);
                     return None;
@@ -279,7 +279,7 @@
                 out.extend_from_slice(client);
                 out.extend_from_slice(&number.to_be_bytes());
                 out.extend_from_slice(asked.get(..8)?);
-                out.extend_from_slice(&server_key(&self.name));
+                out.extend_from_slice(&server_id_for_name(&self.name));
                 out.extend_from_slice(&spare);
                 out.resize(PACKET, 0);
                 Some(out)
@@ -315,24 +315,25 @@
 #[derive(Clone, Default)]
 struct List {
     version: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, Endpoint>,
     late: Duration,
 }
 
 impl List {
     fn json(&self) -> Value {
         let endpoints = self.entries.values().cloned().collect();
-        serde_json::to_value(News { index: self.version, snapshot: true, endpoints }).unwrap_or_default()
+        serde_json::to_value(EndpointList { index: self.version, snapshot: true, endpoints })
+            .unwrap_or_default()
     }
 
     fn put(&mut self, server: &Server, zone: &str, since_ms: u64) {
-        let entry = Entry {
+        let entry = Endpoint {
             name: server.name.clone(),
             address: server.address,
             zone: zone.to_owned(),
             kind: "one".to_owned(),
             group: 0,
-            status: Status::Serving,
+            status: EndpointStatus::Serving,
             weight: 1.0,
             since_ms: since_ms as f64,
         };
@@ -411,7 +412,7 @@
     }
 
     /// Changes a server's state on the list, or puts it there.
-    pub fn set(&self, server: usize, state: Status) {
+    pub fn set(&self, server: usize, state: EndpointStatus) {
         self.list.send_modify(|list| {
             list.version += 1;
             let server = &self.servers[server];
--- a/crates/ashtide-rehearsal/src/ledger.rs
+++ b/crates/ashtide-testkit/src/ledger.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ashtide_wire::Open;
+use ashtide_protocol::Open;
 use bytes::Bytes;
 use tokio::time::Instant;
 
--- a/crates/ashtide-rehearsal/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -12,10 +12,10 @@
 use crate::daemon::{DEADLINE_MS, Daemon, Options, Shared};
 use crate::fleet::{Fleet, Mood};
 use crate::{Checks, ID_LENGTH, RehearsalError, within};
-use ashtide::discovery::Status;
+use ashtide::discovery::EndpointStatus;
 use ashtide::quic::ConnectionId;
 use ashtide::quic::initial::CONNECTION_REFUSED;
-use ashtide::quic::placing::{issue, server_key};
+use ashtide::quic::placing::{encode_routable_id, server_id_for_name};
 
 /// The names of all scenarios.
 pub const NAMES: [&str; 13] = [
@@ -128,7 +128,7 @@
     let mut clients = Clients::new(3, 2);
     let strangers = [
         ConnectionId::new(&[0xff; ID_LENGTH]).unwrap_or_default(),
-        issue(0, server_key("no such server"), ID_LENGTH, 1),
+        encode_routable_id(0, server_id_for_name("no such server"), ID_LENGTH, 1),
     ];
     for (at, stranger) in strangers.iter().enumerate() {
         clients.expect_resets(&[*stranger], at);
@@ -155,7 +155,7 @@
         0,
     );
     // An id that its server does not know goes to that server, which is the one to answer.
-    pool.send(0, &short(&issue(0, server_key("s-0"), ID_LENGTH, 1 << 40), 9)).await;
+    pool.send(0, &short(&encode_routable_id(0, server_id_for_name("s-0"), ID_LENGTH, 1 << 40), 9)).await;
     let mut tries = 0;
     while fleet.sum(|seen| &seen.misplaced) == 0 && tries < PATIENT {
         clients.fence(&mut pool).await;
@@ -211,9 +211,9 @@
     let server = &stage.fleet.servers[0];
     let taken = server.seen.taken.load(Ordering::Relaxed);
     checks.that("the server that is to drain has clients", taken > 0, taken);
-    let there = server_key(&server.name);
+    let there = server_id_for_name(&server.name);
     let quic_there = clients.all.iter().filter(|c| c.server == Some(there)).count();
-    stage.fleet.set(0, Status::Draining);
+    stage.fleet.set(0, EndpointStatus::Draining);
 
     // The first client that is sent away shows that the daemon has been told.
     let moved = {
@@ -357,7 +357,7 @@
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     // The old service's versions are ahead of those of the new one.
-    (0..4).for_each(|_| fleet.set(1, Status::Serving));
+    (0..4).for_each(|_| fleet.set(1, EndpointStatus::Serving));
     let daemon = Daemon::start(program, &fleet, &Options::default()).await?;
     let mut stage = Stage { fleet, daemon, pool: Pool::open(1, ([127, 0, 0, 1], 9).into()).await? };
     let (mut lines, up) = stage.line_clients(FEW).await?;
@@ -373,7 +373,7 @@
         stage.daemon.reload("discovery", discovery.as_str().into())?;
     }
     // Only the new service tells of this.
-    stage.fleet.set(0, Status::Draining);
+    stage.fleet.set(0, EndpointStatus::Draining);
     let taken = stage.fleet.servers[0].seen.taken.load(Ordering::Relaxed) as usize;
     let next = lines.iter_mut().map(|client| Box::pin(client.next()));
     let (first, at, _) = within("a first MOVE", futures_util::future::select_all(next)).await?;
@@ -404,7 +404,7 @@
     checks.equal("line clients come up", up, FEW);
     let taken = |stage: &Stage| stage.fleet.servers[0].seen.taken.load(Ordering::Relaxed);
     checks.that("the server that is to drain has clients", taken(&stage) > 0, taken(&stage));
-    stage.fleet.set(0, Status::Draining);
+    stage.fleet.set(0, EndpointStatus::Draining);
     let next = lines.iter_mut().map(|client| Box::pin(client.next()));
     let (first, ..) = within("a first MOVE", futures_util::future::select_all(next)).await?;
     checks.equal("a client hears of a drain that only the agent tells", first?.as_deref(), Some("MOVE"));
@@ -412,7 +412,7 @@
     let (_more, up) = stage.line_clients(FEW).await?;
     checks.equal("new clients come up", up, FEW);
     checks.equal("none of them at the draining server", taken(&stage), before);
-    stage.fleet.set(0, Status::Serving);
+    stage.fleet.set(0, EndpointStatus::Serving);
     let mut tries = 0;
     while taken(&stage) == before && tries < PATIENT {
         tries += 1;
--- a/src/bin/ashtide-adapter/wire.rs
+++ b/src/bin/ashtide-adapter/wire.rs
@@ -4,11 +4,11 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-use ashtide::facts::{Facts, Names, group, span};
-use ashtide::quic::placing::server_key;
+use ashtide::quic::placing::server_id_for_name;
+use ashtide::settings::{NameTables, PlatformSettings, group_id, span_from_seconds};
 use ashtide::{
-    Action, Balancer, CellId, ClassId, Event, KindId, ListNews, Listing, Outcome, Report, Request, RequestId,
-    ServerId, ServerState, Settings, Span, TenantId, Time, TimerToken, ZoneId,
+    Action, Balancer, CellId, ClassId, EndpointEntry, Event, KindId, ListUpdate, LoadReport, Outcome,
+    Request, RequestId, ServerId, ServerState, Settings, Span, TenantId, Time, TimerToken, ZoneId,
 };
 
 /// Why the adapter stops early.
@@ -40,13 +40,13 @@
         let mut pairs = Vec::with_capacity(8);
         while !text.is_empty() {
             let (name, tail) =
-                text.split_once('=').ok_or_else(|| format!("'{}' is no name=value pair", shorten(text)))?;
+                text.split_once('=').ok_or_else(|| format!("'{}' is no name=value pair", truncated(text)))?;
             if !rest.is_empty() && name == rest {
                 pairs.push((name, tail));
                 break;
             }
             if name.is_empty() || name.contains(' ') {
-                return Err(format!("'{}' is no name=value pair", shorten(text)));
+                return Err(format!("'{}' is no name=value pair", truncated(text)));
             }
             let (value, tail) = tail.split_once(' ').unwrap_or((tail, ""));
             pairs.push((name, value));
@@ -59,59 +59,59 @@
         self.pairs.iter().find(|(n, _)| *n == name).map(|&(_, value)| value)
     }
 
-    fn need(&self, name: &str) -> Parsed<&'a str> {
+    fn required(&self, name: &str) -> Parsed<&'a str> {
         self.get(name).ok_or_else(|| format!("field '{name}' is missing"))
     }
 
-    fn whole(&self, name: &str) -> Parsed<u64> {
-        whole(name, self.need(name)?)
+    fn required_integer(&self, name: &str) -> Parsed<u64> {
+        parse_integer(name, self.required(name)?)
     }
 
-    fn whole32(&self, name: &str) -> Parsed<u32> {
-        narrow(name, self.whole(name)?)
+    fn required_u32(&self, name: &str) -> Parsed<u32> {
+        to_u32(name, self.required_integer(name)?)
     }
 
-    fn number(&self, name: &str) -> Parsed<Option<f64>> {
-        self.get(name).map(|value| number(name, value)).transpose()
+    fn optional_number(&self, name: &str) -> Parsed<Option<f64>> {
+        self.get(name).map(|value| parse_number(name, value)).transpose()
     }
 
     fn span(&self, name: &str) -> Parsed<Span> {
-        Ok(self.number(name)?.map_or(Span::ZERO, span))
+        Ok(self.optional_number(name)?.map_or(Span::ZERO, span_from_seconds))
     }
 
     fn flag(&self, name: &str) -> Parsed<bool> {
         match self.get(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("field '{name}': '{}' is neither 0 nor 1", shorten(other))),
+            Some(other) => Err(format!("field '{name}': '{}' is neither 0 nor 1", truncated(other))),
         }
     }
 }
 
-fn shorten(text: &str) -> String {
+fn truncated(text: &str) -> String {
     text.chars().take(40).collect()
 }
 
-fn narrow(name: &str, value: u64) -> Parsed<u32> {
+fn to_u32(name: &str, value: u64) -> Parsed<u32> {
     u32::try_from(value).map_err(|_| format!("field '{name}': {value} is out of range"))
 }
 
-fn whole(name: &str, value: &str) -> Parsed<u64> {
-    let bad = || format!("field '{name}': '{}' is no whole number", shorten(value));
+fn parse_integer(name: &str, value: &str) -> Parsed<u64> {
+    let bad = || format!("field '{name}': '{}' is no whole number", truncated(value));
     value.parse().map_err(|_| bad())
 }
 
-fn number(name: &str, value: &str) -> Parsed<f64> {
-    let bad = || format!("field '{name}': '{}' is no number", shorten(value));
+fn parse_number(name: &str, value: &str) -> Parsed<f64> {
+    let bad = || format!("field '{name}': '{}' is no number", truncated(value));
     value.parse().map_err(|_| bad())
 }
 
 fn time(seconds: f64) -> Time {
-    Time::from_micros(span(seconds).as_micros())
+    Time::from_micros(span_from_seconds(seconds).as_micros())
 }
 
 /// A row of a `DIRECTORY`, with its names as they came.
-struct Row {
+struct DirectoryRow {
     server: String,
     zone: String,
     kind: String,
@@ -121,141 +121,147 @@
     started: Option<Time>,
 }
 
-impl Row {
+impl DirectoryRow {
     fn parse(text: &str) -> Parsed<Self> {
         let fields = Fields::split(text, "")?;
         Ok(Self {
-            server: fields.need("backend")?.to_owned(),
+            server: fields.required("backend")?.to_owned(),
             zone: fields.get("rackZone").unwrap_or("").to_owned(),
             kind: fields.get("model").unwrap_or("").to_owned(),
             cell: match fields.get("cluster") {
-                Some(value) => narrow("cluster", whole("cluster", value)?)?,
+                Some(value) => to_u32("cluster", parse_integer("cluster", value)?)?,
                 None => 0,
             },
             state: match fields.get("state") {
                 None | Some("on") => ServerState::Ready,
                 Some("fading") => ServerState::Draining,
-                Some("off") => ServerState::Gone,
-                Some(other) => return Err(format!("unknown state '{}'", shorten(other))),
+                Some("off") => ServerState::Removed,
+                Some(other) => return Err(format!("unknown state '{}'", truncated(other))),
             },
-            size: fields.number("size")?.unwrap_or(1.0),
-            started: fields.number("startTime")?.filter(|&t| t != 0.0).map(time),
+            size: fields.optional_number("size")?.unwrap_or(1.0),
+            started: fields.optional_number("startTime")?.filter(|&t| t != 0.0).map(time),
         })
     }
 }
 
 /// One relay: its module and the names it has met.
-struct Relay {
-    module: Balancer,
-    names: Names,
+struct Gateway {
+    balancer: Balancer,
+    names: NameTables,
 }
 
-impl Relay {
+impl Gateway {
     fn start(fields: &Fields) -> Parsed<Self> {
-        let seed = fields.whole("initSeed")?;
-        let facts =
-            Facts::parse(fields.need("facts")?).map_err(|e| format!("field 'facts' cannot be read: {e}"))?;
-        let names = facts.names();
-        let settings = Settings { peers: false, ..facts.settings(&names) };
+        let seed = fields.required_integer("initSeed")?;
+        let facts = PlatformSettings::parse(fields.required("facts")?)
+            .map_err(|e| format!("field 'facts' cannot be read: {e}"))?;
+        let names = facts.name_tables();
+        let settings = Settings { fleet_permits: false, ..facts.balancer_settings(&names) };
         let module = Balancer::new(settings, seed);
-        Ok(Self { module, names })
+        Ok(Self { balancer: module, names })
     }
 
-    fn server(&mut self, fields: &Fields) -> Parsed<ServerId> {
-        Ok(ServerId(self.names.servers.intern(fields.need("backend")?)))
+    fn server_id(&mut self, fields: &Fields) -> Parsed<ServerId> {
+        Ok(ServerId(self.names.servers.intern(fields.required("backend")?)))
     }
 
-    fn listing(&mut self, row: &Row) -> Listing {
-        Listing {
+    fn endpoint_entry(&mut self, row: &DirectoryRow) -> EndpointEntry {
+        EndpointEntry {
             server: ServerId(self.names.servers.intern(&row.server)),
-            key: u32::from_be_bytes(server_key(&row.server)),
+            hash_key: u32::from_be_bytes(server_id_for_name(&row.server)),
             zone: ZoneId(self.names.zones.intern(&row.zone)),
-            kind: KindId(self.names.kinds.intern(&row.kind)),
+            machine_kind: KindId(self.names.kinds.intern(&row.kind)),
             cell: CellId(row.cell),
             state: row.state,
-            size: row.size,
-            started: row.started,
+            weight: row.size,
+            started_at: row.started,
         }
     }
 
-    fn request(&mut self, fields: &Fields) -> Parsed<Request> {
-        let band = fields.need("band")?;
+    fn parse_request(&mut self, fields: &Fields) -> Parsed<Request> {
+        let band = fields.required("band")?;
         let class = self
             .names
             .classes
             .find(band)
-            .ok_or_else(|| format!("class '{}' is not in the settings", shorten(band)))?;
+            .ok_or_else(|| format!("class '{}' is not in the settings", truncated(band)))?;
         Ok(Request {
-            id: RequestId(fields.whole32("opId")?),
+            id: RequestId(fields.required_u32("opId")?),
             class: ClassId(class),
             tenant: fields.get("owner").and_then(|t| self.names.tenants.find(t)).map(TenantId),
-            group: fields.get("room").map(group),
+            group: fields.get("room").map(group_id),
             time_left: fields.span("ttl")?,
-            load: fields.number("workHint")?,
+            load: fields.optional_number("workHint")?,
         })
     }
 
     /// Turns one line into an event of the module; `None` for what the module has no use for.
-    fn event(&mut self, name: &str, fields: &Fields, rows: &Slots) -> Parsed<Option<Event>> {
-        let id = || fields.whole32("opId").map(RequestId);
-        let attempt = || fields.whole32("trial");
+    fn parse_event(&mut self, name: &str, fields: &Fields, rows: &Directories) -> Parsed<Option<Event>> {
+        let id = || fields.required_u32("opId").map(RequestId);
+        let attempt = || fields.required_u32("trial");
         Ok(Some(match name {
             "DISCOVERY" => {
-                let news = match fields.need("how")? {
-                    "patch" => ListNews::Changes,
-                    "whole" => ListNews::Whole,
-                    "stale_copy" => ListNews::Stale,
-                    "broken" => ListNews::Broken,
-                    other => return Err(format!("unknown list news '{}'", shorten(other))),
+                let news = match fields.required("how")? {
+                    "patch" => ListUpdate::Delta,
+                    "whole" => ListUpdate::Snapshot,
+                    "stale_copy" => ListUpdate::Cached,
+                    "broken" => ListUpdate::WatchFailed,
+                    other => return Err(format!("unknown list news '{}'", truncated(other))),
                 };
                 let mut entries = Vec::new();
-                if news != ListNews::Broken {
-                    let slot = fields.whole("slot")?;
+                if news != ListUpdate::WatchFailed {
+                    let slot = fields.required_integer("slot")?;
                     let rows = rows.get(&slot).ok_or_else(|| format!("no DIRECTORY {slot}"))?;
-                    entries.extend(rows.iter().map(|row| self.listing(row)));
+                    entries.extend(rows.iter().map(|row| self.endpoint_entry(row)));
                 }
-                Event::List { news, entries }
+                Event::EndpointList { update: news, entries }
             }
-            "QUERY" => Event::Request(self.request(fields)?),
-            "EXISTING" => Event::Existing { request: self.request(fields)?, server: self.server(fields)? },
+            "QUERY" => Event::Request(self.parse_request(fields)?),
+            "EXISTING" => Event::ExistingConnection {
+                request: self.parse_request(fields)?,
+                server: self.server_id(fields)?,
+            },
             "UNDER_WAY" => {
-                Event::Established { id: id()?, attempt: attempt()?, after: fields.span("delaySeen")? }
+                Event::Established { id: id()?, attempt: attempt()?, elapsed: fields.span("delaySeen")? }
             }
-            "RESULT" => Event::Ended {
+            "RESULT" => Event::AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
-                outcome: outcome(fields.need("verdict")?)?,
-                request_over: fields.flag("noMore")?,
+                outcome: parse_outcome(fields.required("verdict")?)?,
+                request_done: fields.flag("noMore")?,
             },
             "GONE" => Event::ClientLeft { id: id()? },
             "UPDATE_OF" => {
-                let amount = fields.number("amount")?.unwrap_or(0.0);
-                match fields.whole("what")? {
+                let amount = fields.optional_number("amount")?.unwrap_or(0.0);
+                match fields.required_integer("what")? {
                     1 => Event::LoadChanged { id: id()?, load: amount / 1e6 },
-                    2 => Event::SlowMessages { server: self.server(fields)?, takes: span(amount / 1e3) },
+                    2 => Event::SlowResponses {
+                        server: self.server_id(fields)?,
+                        response_time: span_from_seconds(amount / 1e3),
+                    },
                     _ => return Ok(None),
                 }
             }
-            "SAMPLED" => Event::Probed {
-                server: self.server(fields)?,
-                ok: fields.need("verdict")? == "Ok",
-                report: fields.get("healthInfo").map(report).transpose()?,
+            "SAMPLED" => Event::HealthChecked {
+                server: self.server_id(fields)?,
+                healthy: fields.required("verdict")? == "Ok",
+                report: fields.get("healthInfo").map(parse_load_report).transpose()?,
             },
-            "ALARM" => Event::Timer(TimerToken(fields.whole("handle")?)),
+            "ALARM" => Event::Timer(TimerToken(fields.required_integer("handle")?)),
             // What gateways tell each other is spoken by the daemon only: see `settings`.
             "MAIL" => {
-                fields.whole32("author")?;
-                bytes(fields.get("body").unwrap_or("-"))?;
+                fields.required_u32("author")?;
+                parse_hex(fields.get("body").unwrap_or("-"))?;
                 return Ok(None);
             }
-            other => return Err(format!("unknown event '{}'", shorten(other))),
+            other => return Err(format!("unknown event '{}'", truncated(other))),
         }))
     }
 }
 
-type Slots = HashMap<u64, Vec<Row>>;
+type Directories = HashMap<u64, Vec<DirectoryRow>>;
 
-fn outcome(word: &str) -> Parsed<Outcome> {
+fn parse_outcome(word: &str) -> Parsed<Outcome> {
     Ok(match word {
         "Ok" => Outcome::Ok,
         "Failed" => Outcome::Failed,
@@ -264,28 +270,28 @@
         "ConnectError" => Outcome::ConnectError,
         "ResetByPeer" => Outcome::Reset,
         "Canceled" => Outcome::Cancelled,
-        "Ignored" => Outcome::Ignored,
-        other => return Err(format!("unknown outcome '{}'", shorten(other))),
+        "Ignored" => Outcome::NotSent,
+        other => return Err(format!("unknown outcome '{}'", truncated(other))),
     })
 }
 
-fn report(text: &str) -> Parsed<Report> {
-    let mut report = Report::default();
+fn parse_load_report(text: &str) -> Parsed<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in text.split(',').filter(|pair| !pair.is_empty()) {
         let Some((name, value)) = pair.split_once(':') else {
-            return Err(format!("'{}' is no name:value pair", shorten(pair)));
+            return Err(format!("'{}' is no name:value pair", truncated(pair)));
         };
         match name {
-            "x0" => report.load_ratio = Some(number(name, value)?),
-            "cpu_share" => report.utilisation = Some(number(name, value)?),
+            "x0" => report.load_ratio = Some(parse_number(name, value)?),
+            "cpu_share" => report.utilisation = Some(parse_number(name, value)?),
             _ => {}
         }
     }
     Ok(report)
 }
 
-fn bytes(hex: &str) -> Parsed<Vec<u8>> {
-    let bad = || format!("'{}' is no row of hex digits", shorten(hex));
+fn parse_hex(hex: &str) -> Parsed<Vec<u8>> {
+    let bad = || format!("'{}' is no row of hex digits", truncated(hex));
     if hex == "-" {
         return Ok(Vec::new());
     }
@@ -296,7 +302,7 @@
 }
 
 /// Prints an action; server ids the module names came from `servers`.
-fn print(out: &mut String, relay: u64, servers: &[String], action: &Action) {
+fn write_action(out: &mut String, relay: u64, servers: &[String], action: &Action) {
     let name = |server: ServerId| servers[server.0 as usize].as_str();
     let seconds = |us: i64| us as f64 / 1e6;
     let _ = match *action {
@@ -307,77 +313,77 @@
             name(server),
             seconds(timeout.as_micros())
         ),
-        Action::Refuse { id, retry_after } => writeln!(
+        Action::Reject { id, retry_after } => writeln!(
             out,
             "REJECT relayId={relay} opId={} comeBack={}",
             id.0,
             seconds(retry_after.as_micros())
         ),
         Action::Fail { id } => writeln!(out, "END_FAILED relayId={relay} opId={}", id.0),
-        Action::Recall { id, attempt } => {
+        Action::CancelAttempt { id, attempt } => {
             writeln!(out, "RECALL relayId={relay} opId={} trial={attempt}", id.0)
         }
-        Action::Move { id } => writeln!(out, "GO_AWAY relayId={relay} opId={}", id.0),
-        Action::SetTimer { token, at } => {
+        Action::Migrate { id } => writeln!(out, "GO_AWAY relayId={relay} opId={}", id.0),
+        Action::SetTimer { token, due_at: at } => {
             writeln!(out, "NOTIFY_ME relayId={relay} handle={} when={}", token.0, seconds(at.as_micros()))
         }
-        Action::Probe { server } => {
+        Action::CheckHealth { server } => {
             writeln!(out, "TEST relayId={relay} backend={}", name(server))
         }
         // Switched off where the settings are read.
-        Action::Ask { .. } => Ok(()),
+        Action::RequestPermit { .. } => Ok(()),
         Action::Subscribe => writeln!(out, "SUBSCRIBE relayId={relay} on=1"),
     };
 }
 
 /// All instances of this process and the lists that their events refer to.
 #[derive(Default)]
-struct Host {
-    relays: HashMap<u64, Relay>,
-    slots: Slots,
+struct Simulation {
+    gateways: HashMap<u64, Gateway>,
+    directories: Directories,
     /// The `DIRECTORY` being read and how many rows it still lacks.
-    filling: Option<(u64, u64)>,
+    open_directory: Option<(u64, u64)>,
     actions: Vec<Action>,
 }
 
-impl Host {
-    fn line(&mut self, now: Time, line: &str, out: &mut String) -> Parsed<()> {
+impl Simulation {
+    fn handle_line(&mut self, now: Time, line: &str, out: &mut String) -> Parsed<()> {
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
-        if let Some((slot, missing)) = self.filling {
+        if let Some((slot, missing)) = self.open_directory {
             if name != "ROW" {
-                return Err(format!("'{}' where a ROW was due", shorten(name)));
+                return Err(format!("'{}' where a ROW was due", truncated(name)));
             }
-            self.slots.entry(slot).or_default().push(Row::parse(rest)?);
-            self.filling = (missing > 1).then_some((slot, missing - 1));
+            self.directories.entry(slot).or_default().push(DirectoryRow::parse(rest)?);
+            self.open_directory = (missing > 1).then_some((slot, missing - 1));
             return Ok(());
         }
         let fields = Fields::split(rest, if name == "START" { "facts" } else { "" })?;
         match name {
             "DIRECTORY" => {
-                let (slot, entries) = (fields.whole("slot")?, fields.whole("entries")?);
-                self.slots.insert(slot, Vec::new());
-                self.filling = (entries > 0).then_some((slot, entries));
+                let (slot, entries) = (fields.required_integer("slot")?, fields.required_integer("entries")?);
+                self.directories.insert(slot, Vec::new());
+                self.open_directory = (entries > 0).then_some((slot, entries));
                 return Ok(());
             }
             "START" => {
-                self.relays.insert(fields.whole("relayId")?, Relay::start(&fields)?);
+                self.gateways.insert(fields.required_integer("relayId")?, Gateway::start(&fields)?);
                 return Ok(());
             }
             "SHUTDOWN" => {
-                self.relays.remove(&fields.whole("relayId")?);
+                self.gateways.remove(&fields.required_integer("relayId")?);
                 return Ok(());
             }
             _ => {}
         }
-        let number = fields.whole("relayId")?;
+        let number = fields.required_integer("relayId")?;
         let relay = self
-            .relays
+            .gateways
             .get_mut(&number)
-            .ok_or_else(|| format!("'{}' for relay {number}, which was not started", shorten(name)))?;
-        if let Some(event) = relay.event(name, &fields, &self.slots)? {
-            relay.module.handle(now, event, &mut self.actions);
+            .ok_or_else(|| format!("'{}' for relay {number}, which was not started", truncated(name)))?;
+        if let Some(event) = relay.parse_event(name, &fields, &self.directories)? {
+            relay.balancer.handle(now, event, &mut self.actions);
             for action in self.actions.drain(..) {
-                print(out, number, relay.names.servers.names(), &action);
+                write_action(out, number, relay.names.servers.names(), &action);
             }
         }
         Ok(())
@@ -390,7 +396,7 @@
 ///
 /// Fails on broken pipes and on lines that do not follow the grammar.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
-    let mut host = Host::default();
+    let mut host = Simulation::default();
     let mut now: Option<Time> = None;
     let (mut raw, mut out) = (Vec::new(), String::new());
     let mut line = 0;
@@ -407,7 +413,7 @@
         match (now, text) {
             (_, "") => {}
             (Some(_), "EOB") => {
-                if host.filling.is_some() {
+                if host.open_directory.is_some() {
                     return Err(fail("the batch ends within a DIRECTORY".to_owned()));
                 }
                 out.push_str("DONE\n");
@@ -416,16 +422,16 @@
                 out.clear();
                 now = None;
             }
-            (Some(now), _) => host.line(now, text, &mut out).map_err(fail)?,
-            (None, _) => now = Some(turn(text).map_err(fail)?),
+            (Some(now), _) => host.handle_line(now, text, &mut out).map_err(fail)?,
+            (None, _) => now = Some(parse_turn(text).map_err(fail)?),
         }
     }
 }
 
-fn turn(text: &str) -> Parsed<Time> {
+fn parse_turn(text: &str) -> Parsed<Time> {
     let rest =
-        text.strip_prefix("TURN ").ok_or_else(|| format!("'{}' where a TURN was due", shorten(text)))?;
+        text.strip_prefix("TURN ").ok_or_else(|| format!("'{}' where a TURN was due", truncated(text)))?;
     let fields = Fields::split(rest, "")?;
-    let clock = number("simTime", fields.need("simTime")?)?;
+    let clock = parse_number("simTime", fields.required("simTime")?)?;
     if clock.is_finite() { Ok(time(clock)) } else { Err("the clock is not finite".to_owned()) }
 }
--- a/src/command.rs
+++ b/src/cli.rs
@@ -5,15 +5,15 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ashtide_servers::{Fragment, Generation, Limits, MAX_FILE, Problems, schema};
+use ashtide_endpoints::{Fragment, Generation, Limits, MAX_FILE, Problems, schema};
 use clap::{Parser, Subcommand};
 use ipnet::IpNet;
 use serde_json::json;
 
 /// How long a door may take to answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest answer that is read.
-const MAX_ANSWER: u64 = 65536;
+const MAX_RESPONSE_BYTES: u64 = 65536;
 
 /// A balancer for long-lived connections.
 ///
@@ -79,12 +79,12 @@
         #[arg(long, value_name = "ADDRESS")]
         door: Option<SocketAddr>,
         #[command(subcommand)]
-        order: Work,
+        order: MaintenanceCommand,
     },
 }
 
 #[derive(Debug, Subcommand)]
-enum Work {
+enum MaintenanceCommand {
     /// Ask for a machine: a server's name, or a gateway's address as in the file
     Request {
         /// Which
@@ -108,7 +108,7 @@
 }
 
 /// The files that serving may be given beside its configuration.
-pub struct Files {
+pub struct ConfigFiles {
     /// The deploy file of the fronts.
     pub fronts: Option<PathBuf>,
     /// The file of the fleet view.
@@ -120,58 +120,58 @@
 }
 
 /// What the program is to do.
-pub enum Todo {
+pub enum Action {
     /// Serve, with these files.
-    Serve(Files),
+    Serve(ConfigFiles),
     /// It is done.
-    Done(ExitCode),
+    Exit(ExitCode),
 }
 
 impl Arguments {
     /// Does what was asked for, unless that is to serve.
-    pub fn run(self) -> Todo {
+    pub fn execute(self) -> Action {
         match self.command {
             None => {
                 let Self { fronts, view, maintenance, quota, .. } = self;
-                Todo::Serve(Files { fronts, view, maintenance, quota })
+                Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
             }
             Some(Command::Serve { fronts, view, maintenance, quota }) => {
-                Todo::Serve(Files { fronts, view, maintenance, quota })
+                Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
             }
-            Some(Command::Maintenance { door, order }) => Todo::Done(ask(door, order)),
+            Some(Command::Maintenance { door, order }) => Action::Exit(call_admin_endpoint(door, order)),
             Some(Command::Check { files, allow, json }) => {
-                Todo::Done(check(&files, &Limits { allow, ..Limits::default() }, json))
+                Action::Exit(check_server_lists(&files, &Limits { allow, ..Limits::default() }, json))
             }
             Some(Command::Schema) => {
                 println!("{:#}", schema());
-                Todo::Done(ExitCode::SUCCESS)
+                Action::Exit(ExitCode::SUCCESS)
             }
         }
     }
 }
 
 /// Makes a call at a door, and prints the answer.
-fn ask(door: Option<SocketAddr>, order: Work) -> ExitCode {
+fn call_admin_endpoint(door: Option<SocketAddr>, command: MaintenanceCommand) -> ExitCode {
     use std::io::{Read, Write};
-    let told = || std::env::var("ROUTER_OPERATOR").ok().and_then(|it| it.parse().ok());
-    let Some(door) = door.or_else(told) else {
+    let from_environment = || std::env::var("ROUTER_OPERATOR").ok().and_then(|it| it.parse().ok());
+    let Some(door) = door.or_else(from_environment) else {
         eprintln!("ashtide: --door: found nothing; expected the address of a gateway's operators' door");
         return ExitCode::from(2);
     };
-    let call = match order {
-        Work::Request { name, reason } => format!("request {name} {reason}"),
-        Work::List => "list".to_owned(),
-        Work::Done { name } => format!("done {name}"),
-        Work::Cancel { name } => format!("cancel {name}"),
+    let request = match command {
+        MaintenanceCommand::Request { name, reason } => format!("request {name} {reason}"),
+        MaintenanceCommand::List => "list".to_owned(),
+        MaintenanceCommand::Done { name } => format!("done {name}"),
+        MaintenanceCommand::Cancel { name } => format!("cancel {name}"),
     };
-    let called = || {
-        let mut caller = std::net::TcpStream::connect_timeout(&door, PATIENCE)?;
-        caller.set_read_timeout(Some(PATIENCE))?;
-        caller.write_all(format!("maintenance {}\n", call.trim_end()).as_bytes())?;
+    let exchange = || {
+        let mut stream = std::net::TcpStream::connect_timeout(&door, ADMIN_TIMEOUT)?;
+        stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
+        stream.write_all(format!("maintenance {}\n", request.trim_end()).as_bytes())?;
         let mut answer = String::new();
-        caller.take(MAX_ANSWER).read_to_string(&mut answer).map(|_| answer)
+        stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut answer).map(|_| answer)
     };
-    match called() {
+    match exchange() {
         Ok(answer) => {
             print!("{answer}");
             if answer.starts_with("400") { ExitCode::FAILURE } else { ExitCode::SUCCESS }
@@ -184,21 +184,21 @@
 }
 
 /// A file's bytes; one that is too large is read no further than to see that.
-fn bytes(file: &Path) -> std::io::Result<Vec<u8>> {
+fn read_bounded(file: &Path) -> std::io::Result<Vec<u8>> {
     use std::io::Read;
     let mut bytes = Vec::new();
     std::fs::File::open(file)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-fn check(files: &[PathBuf], limits: &Limits, as_json: bool) -> ExitCode {
-    let (mut fragments, mut wrong) = (Vec::new(), Vec::new());
+fn check_server_lists(files: &[PathBuf], limits: &Limits, as_json: bool) -> ExitCode {
+    let (mut fragments, mut invalid) = (Vec::new(), Vec::new());
     for file in files {
         let name = file.display().to_string();
-        match bytes(file) {
+        match read_bounded(file) {
             Ok(bytes) => match Fragment::read(&name, &bytes, limits) {
                 Ok(fragment) => fragments.push(fragment),
-                Err(problems) => wrong.push(problems),
+                Err(problems) => invalid.push(problems),
             },
             Err(error) => {
                 eprintln!("ashtide: {name}: {error}");
@@ -207,25 +207,25 @@
         }
     }
     let mut list = Generation::default();
-    if wrong.is_empty() {
+    if invalid.is_empty() {
         match list.next(&fragments, limits) {
             Ok(next) => list = next,
-            Err(problems) => wrong.push(problems),
+            Err(problems) => invalid.push(problems),
         }
     }
-    let count: usize = wrong.iter().map(Problems::count).sum();
+    let count: usize = invalid.iter().map(Problems::count).sum();
     if as_json {
-        let each = |problem: &ashtide_servers::Problem| json!({"file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected});
-        let problems: Vec<_> = wrong.iter().flat_map(Problems::iter).map(each).collect();
-        let digest = wrong.is_empty().then(|| list.digest());
-        let told = json!({"usable": wrong.is_empty(), "files": files.len(), "servers": list.len(),
+        let each = |problem: &ashtide_endpoints::Problem| json!({"file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected});
+        let problems: Vec<_> = invalid.iter().flat_map(Problems::iter).map(each).collect();
+        let digest = invalid.is_empty().then(|| list.digest());
+        let summary = json!({"usable": invalid.is_empty(), "files": files.len(), "servers": list.len(),
                           "digest": digest, "count": count, "problems": problems});
-        println!("{told}");
-    } else if wrong.is_empty() {
+        println!("{summary}");
+    } else if invalid.is_empty() {
         println!("{} servers in {} files, digest {}", list.len(), files.len(), list.digest());
     } else {
-        wrong.iter().for_each(|problems| println!("{problems}"));
+        invalid.iter().for_each(|problems| println!("{problems}"));
         println!("{count} problems: the list cannot be used");
     }
-    if wrong.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if invalid.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/src/interface.rs
+++ b/src/decision/interface.rs
@@ -97,7 +97,7 @@
     /// A group of connections that share work on the server that holds them.
     GroupId(u32);
     /// Another relay of the same tier.
-    PeerId(u32);
+    GatewayId(u32);
     /// A timer's token, chosen by the module.
     TimerToken(u64);
 }
@@ -105,9 +105,9 @@
 impl GroupId {
     /// What the group draws of the server of this key: chance, but the same at all relays, whatever they
     /// are built with. The finish of SplitMix64.
-    pub fn lot(self, key: u32, round: u32) -> u64 {
+    pub fn rendezvous_hash(self, server_hash: u32, round: u32) -> u64 {
         let salt = u64::from(round).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let mixed = ((u64::from(self.0) << 32) | u64::from(key)) ^ salt;
+        let mixed = ((u64::from(self.0) << 32) | u64::from(server_hash)) ^ salt;
         let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
@@ -116,23 +116,23 @@
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat at any server.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the servers of one group, for a while.
-    Keyed {
+    WithKey {
         /// Which servers drop a repeat.
-        group: KeyedGroup,
+        scope: DeduplicationScope,
         /// For how long, from the sending of the first attempt that may have run.
-        window: Span,
+        remembered_for: Span,
     },
     /// Never to be repeated once an attempt may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The servers that recognise a keyed request's repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyedGroup {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// Those of the first server's zone.
@@ -143,15 +143,15 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Set-up within this time earns full worth.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// The aim for a message on an open connection; zero where none is stated.
-    pub message_aim: Span,
+    pub message_latency_objective: Span,
     /// Worth of a request, or of a second of its connection.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant that shares the fleet with others. No decision looks at tenants so far.
@@ -165,7 +165,7 @@
 
 /// How the relay hears of changes to the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Pushed,
     /// Changes arrive only after a subscription.
@@ -174,7 +174,7 @@
 
 /// What a server's listed size means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightMode {
     /// Nothing: always the same.
     Off,
     /// Registered or approximate size.
@@ -189,32 +189,32 @@
     /// For each attempt that crosses zones, per first try.
     pub cross_zone: f64,
     /// For each probe, per first try.
-    pub probe: f64,
+    pub health_check: f64,
     /// For each connection moved, per first try.
-    pub moves: f64,
+    pub migration: f64,
 }
 
 /// Everything a relay is told when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many relays share this tier, and the number of this one among them.
-    pub relays: u32,
+    pub gateways: u32,
     /// See above.
-    pub own: PeerId,
+    pub gateway_id: GatewayId,
     /// The zone of this relay.
     pub zone: ZoneId,
     /// How list changes arrive.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// What listed sizes mean.
-    pub weights: Weights,
+    pub weights: WeightMode,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants, if there are any.
     pub tenants: Vec<Tenant>,
     /// Whether a connection's worth already grows with its load.
-    pub worth_by_load: bool,
+    pub priority_scales_with_load: bool,
     /// The shortest time between two batches of events.
-    pub tick: Span,
+    pub batch_interval: Span,
     /// Prices of what the module may do.
     pub prices: Prices,
     /// Most attempts for one request.
@@ -222,25 +222,25 @@
     /// Longest wait that a refused client heeds; zero where none heed one.
     pub max_retry_after: Span,
     /// Whether [`Action::Probe`] is allowed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether [`Action::Ask`] is answered.
-    pub peers: bool,
+    pub fleet_permits: bool,
     /// Whether [`Action::Recall`] is allowed.
-    pub recalls: bool,
+    pub cancellation: bool,
     /// After the client's deadline, how long a final answer still counts.
     pub answer_slack: Span,
     /// An unsubscribed relay counts as told of all that was listed this long ago.
-    pub ask_within: Span,
+    pub list_poll_limit: Span,
     /// A server that drains or is gone gets nothing new this long after that was told.
     pub drain_grace: Span,
     /// The share of its capacity that a server starts with, at least.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// A server is warm this long after its start, at most.
-    pub warm_within: Span,
+    pub warm_up_time: Span,
     /// Sent more than this multiple of its present capacity, a cold server falls over...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ...when it lasts this long.
-    pub overload_for: Span,
+    pub overload_window: Span,
 }
 
 impl Settings {
@@ -248,28 +248,28 @@
     /// embedders and tests to fill in.
     pub fn for_zone(zone: ZoneId) -> Self {
         Self {
-            relays: 1,
-            own: PeerId(0),
+            gateways: 1,
+            gateway_id: GatewayId(0),
             zone,
-            discovery: Discovery::Pushed,
-            weights: Weights::Off,
+            discovery: DiscoveryMode::Pushed,
+            weights: WeightMode::Off,
             classes: Vec::new(),
             tenants: Vec::new(),
-            worth_by_load: false,
-            tick: Span::from_micros(1_000),
+            priority_scales_with_load: false,
+            batch_interval: Span::from_micros(1_000),
             prices: Prices::default(),
             max_attempts: 1,
             max_retry_after: Span::ZERO,
-            probes: false,
-            peers: false,
-            recalls: false,
+            health_checks: false,
+            fleet_permits: false,
+            cancellation: false,
             answer_slack: Span::ZERO,
-            ask_within: Span::from_micros(10_000_000),
+            list_poll_limit: Span::from_micros(10_000_000),
             drain_grace: Span::from_micros(2_000_000),
-            cold_from: 1.0,
-            warm_within: Span::ZERO,
-            fall_multiple: 1.0,
-            overload_for: Span::from_micros(1_000_000),
+            initial_capacity_share: 1.0,
+            warm_up_time: Span::ZERO,
+            overload_factor: 1.0,
+            overload_window: Span::from_micros(1_000_000),
         }
     }
 }
@@ -283,40 +283,40 @@
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
+pub struct EndpointEntry {
     /// Which server.
     pub server: ServerId,
     /// A number drawn from its name, the same at all relays.
-    pub key: u32,
+    pub hash_key: u32,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub machine_kind: KindId,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
     pub state: ServerState,
     /// Its size; see [`Weights`].
-    pub size: f64,
+    pub weight: f64,
     /// When it last started; `None` if long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
-impl Listing {
+impl EndpointEntry {
     /// A ready server of `zone` about which nothing else is known.
     pub fn ready(server: ServerId, zone: ZoneId) -> Self {
-        Self { server, key: server.0, zone, size: 1.0, ..Self::default() }
+        Self { server, hash_key: server.0, zone, weight: 1.0, ..Self::default() }
     }
 }
 
 /// A load report. A field is `None` where the site does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Load asked of the server over what it can do.
     pub load_ratio: Option<f64>,
     /// Share of its cores in use.
@@ -358,7 +358,7 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Ignored,
+    NotSent,
     /// This machine could not try, for want of a port, descriptor or buffer: it never ran, and says nothing of the
     /// server.
     LocalFailure,
@@ -366,70 +366,70 @@
 
 impl Outcome {
     /// Whether the outcome proves that the attempt had no effect.
-    pub const fn never_ran(self) -> bool {
-        matches!(self, Outcome::QueueFull | Outcome::ConnectError | Outcome::Ignored | Outcome::LocalFailure)
+    pub const fn proves_not_executed(self) -> bool {
+        matches!(self, Outcome::QueueFull | Outcome::ConnectError | Outcome::NotSent | Outcome::LocalFailure)
     }
 }
 
 /// What kind of list news arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// Only the entries that changed.
-    Changes,
+    Delta,
     /// The complete list; what it lacks is gone.
-    Whole,
+    Snapshot,
     /// The complete list as last held before a restart, perhaps out of date.
-    Stale,
+    Cached,
     /// A call failed or the subscription broke; the earlier list stands.
-    Broken,
+    WatchFailed,
 }
 
 /// What came of asking for a right to send one connection to a new server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Right {
+pub enum PermitReply {
     /// It may be sent one, until then.
     Granted {
         /// When the right is lost.
-        until: Time,
+        expires_at: Time,
         /// Whether the server still lacks its part of what all hold.
-        lacks: bool,
+        below_fair_share: bool,
     },
     /// Not now.
-    Refused {
+    Denied {
         /// When to ask again, from now.
-        wait: Span,
+        retry_after: Span,
         /// As above.
-        lacks: bool,
+        below_fair_share: bool,
     },
     /// Nobody answers who could grant one.
-    Unheard,
+    NoReply,
 }
 
 /// What one process of a relay holds on a server and has sent it, which others of the relay are to know.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Beside {
+pub struct SiblingState {
     /// Its open connections there, attempts included.
-    pub open: u32,
+    pub open_connections: u32,
     /// What it may still send there while the server recovers.
-    pub allowance: f64,
+    pub recovery_tokens: f64,
     /// The last of the relay's own turns that it has spent there while the server was new.
-    pub spent: u64,
+    pub last_used_permit: u64,
 }
 
 /// What the relay tells the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the server list.
-    List {
+    EndpointList {
         /// What kind of news.
-        news: ListNews,
+        update: ListUpdate,
         /// The entries.
-        entries: Vec<Listing>,
+        entries: Vec<EndpointEntry>,
     },
     /// A client asks for a connection; exactly one final answer is owed.
     Request(Request),
     /// A connection that was already open when this relay's module started.
-    Existing {
+    ExistingConnection {
         /// The request it came from.
         request: Request,
         /// The server that holds it.
@@ -442,10 +442,10 @@
         /// Which of its attempts.
         attempt: u32,
         /// Time since the attempt went out.
-        after: Span,
+        elapsed: Span,
     },
     /// An attempt or a connection has ended.
-    Ended {
+    AttemptEnded {
         /// Which request.
         id: RequestId,
         /// Which of its attempts.
@@ -453,7 +453,7 @@
         /// How.
         outcome: Outcome,
         /// Whether the request is over with it, or was before.
-        request_over: bool,
+        request_done: bool,
     },
     /// The client left, or the answer was overdue; nothing is owed any more.
     ClientLeft {
@@ -461,28 +461,28 @@
         id: RequestId,
     },
     /// Messages on a connection of this relay take so long at their server now.
-    SlowMessages {
+    SlowResponses {
         /// The server.
         server: ServerId,
         /// How long a message takes there.
-        takes: Span,
+        response_time: Span,
     },
     /// A server has said nothing for long on any of this relay's connections, though answers were due.
-    Silent {
+    ServerSilent {
         /// The server.
         server: ServerId,
     },
     /// Operators have put a server back that they had taken out. It may have been restarted meanwhile.
-    CalledBack {
+    Uncordoned {
         /// The server.
         server: ServerId,
     },
     /// Another process of this relay, as in an upgrade, holds and has sent this on a server.
-    Beside {
+    SiblingState {
         /// The server.
         server: ServerId,
         /// What.
-        beside: Beside,
+        state: SiblingState,
     },
     /// A connection's load has changed.
     LoadChanged {
@@ -492,22 +492,22 @@
         load: f64,
     },
     /// A probe's answer.
-    Probed {
+    HealthChecked {
         /// Which server.
         server: ServerId,
         /// Whether it answered properly.
-        ok: bool,
+        healthy: bool,
         /// The load report, where one came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A timer set earlier has come due.
     Timer(TimerToken),
     /// What came of [`Action::Ask`].
-    Right {
+    PermitReply {
         /// For which server.
         server: ServerId,
         /// What.
-        right: Right,
+        reply: PermitReply,
     },
 }
 
@@ -515,11 +515,11 @@
     /// The server that this is word of, where it is of one server's state.
     pub(crate) const fn server(&self) -> Option<ServerId> {
         match self {
-            Event::SlowMessages { server, .. }
-            | Event::Silent { server }
-            | Event::CalledBack { server }
-            | Event::Right { server, .. }
-            | Event::Beside { server, .. } => Some(*server),
+            Event::SlowResponses { server, .. }
+            | Event::ServerSilent { server }
+            | Event::Uncordoned { server }
+            | Event::PermitReply { server, .. }
+            | Event::SiblingState { server, .. } => Some(*server),
             _ => None,
         }
     }
@@ -538,7 +538,7 @@
         timeout: Span,
     },
     /// Final answer: refused; trying again does no harm.
-    Refuse {
+    Reject {
         /// Which request.
         id: RequestId,
         /// The wait advised to the client; zero for no advice.
@@ -550,14 +550,14 @@
         id: RequestId,
     },
     /// Stop waiting for an attempt.
-    Recall {
+    CancelAttempt {
         /// Which request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
     },
     /// Ask an open connection's client to connect anew.
-    Move {
+    Migrate {
         /// Which request.
         id: RequestId,
     },
@@ -566,16 +566,16 @@
         /// Handed back with the event.
         token: TimerToken,
         /// When.
-        at: Time,
+        due_at: Time,
     },
     /// Ask for a right to send one connection to a new server; [`Event::Right`] always follows, soon.
-    Ask {
+    RequestPermit {
         /// The server.
         server: ServerId,
     },
     /// Ask a server for its load report. The module asks for none so far: notes of slow messages tell
     /// of overload at no price.
-    Probe {
+    CheckHealth {
         /// Which server.
         server: ServerId,
     },
--- a/src/discovery.rs
+++ b/src/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! Discovery: the server list, and the chunked HTTP answer in which a watch tells its changes.
 
+pub mod start_times;
+
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -10,32 +12,32 @@
 use serde_inline_default::serde_inline_default;
 use tokio_util::codec::Decoder;
 
-use crate::interface::{ServerState, Span, Time};
+use crate::decision::interface::{ServerState, Span, Time};
 
 /// Longest head of an answer.
-const MAX_HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Longest object of a watch, however it is broken into lines: thousands of entries.
-const MAX_NEWS: usize = 1 << 20;
+const MAX_OBJECT_BYTES: usize = 1 << 20;
 /// Longest chunk-size line, its extension included.
-const MAX_SIZE_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 /// A watch on which nothing changes says so this often (PROTOCOL, "Discovery").
-pub const BEAT: Duration = Duration::from_millis(2000);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
 /// A watch is silent a little after one beat has failed to come, whatever bytes come: what it misses counts as
 /// told [`TOLD`] after the silence began, and a call for it may take 3 s.
-pub const QUIET: Duration = Duration::from_millis(2500);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A call has failed unless it has told something whole by then, from its begin on. Discovery itself fails one
 /// that has waited 3 s.
-pub const CALL: Duration = Duration::from_millis(3500);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(3500);
 /// A change counts as told so long after discovery had it and could be reached (STANDING, "One clock for
 /// silence"); with the grace that the rule gives beside, nothing placed until then can break it.
-pub const TOLD: Span = Span::from_micros(6_000_000);
+pub const MAX_LIST_STALENESS: Span = Span::from_micros(6_000_000);
 /// Longest wait between two calls: [`TOLD`] less a call of 3 s, so that each call can be answered in time.
-pub const WAIT: Span = Span::from_micros(3_000_000);
+pub const MAX_POLL_WAIT: Span = Span::from_micros(3_000_000);
 
 /// One entry of the list.
 #[serde_inline_default]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Endpoint {
     /// The server's name.
     pub name: String,
     /// Where this gateway reaches it.
@@ -50,7 +52,7 @@
     #[serde(default)]
     pub group: u32,
     /// Its state.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Its size.
     #[serde_inline_default(1.0)]
     pub weight: f64,
@@ -62,7 +64,7 @@
 /// A server's state as the list words it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Status {
+pub enum EndpointStatus {
     /// Takes new connections.
     Serving,
     /// Finishes what it has.
@@ -71,19 +73,19 @@
     Deleted,
 }
 
-impl From<Status> for ServerState {
-    fn from(status: Status) -> Self {
+impl From<EndpointStatus> for ServerState {
+    fn from(status: EndpointStatus) -> Self {
         match status {
-            Status::Serving => ServerState::Ready,
-            Status::Draining => ServerState::Draining,
-            Status::Deleted => ServerState::Gone,
+            EndpointStatus::Serving => ServerState::Ready,
+            EndpointStatus::Draining => ServerState::Draining,
+            EndpointStatus::Deleted => ServerState::Removed,
         }
     }
 }
 
 /// The whole list or changes to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct EndpointList {
     /// The list's version.
     #[serde(default)]
     pub index: u64,
@@ -91,24 +93,24 @@
     #[serde(default)]
     pub snapshot: bool,
     /// The entries.
-    pub endpoints: Vec<Entry>,
+    pub endpoints: Vec<Endpoint>,
 }
 
-impl News {
+impl EndpointList {
     /// Whether it can be laid over a list of this version: a whole list always, changes unless they are older.
     /// A service that begins anew counts its versions anew, and what it changed before these changes is unknown.
-    pub fn fits(&self, version: u64) -> bool {
+    pub fn applies_to(&self, version: u64) -> bool {
         self.snapshot || self.index >= version
     }
 }
 
 /// How a call or a watch ended, as far as it bears on what is missed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum WatchEnd {
     /// A watch in step was closed, reset or left: what was written before its end has come.
     Closed,
     /// Nothing listens where discovery should be.
-    Refused,
+    ConnectionRefused,
     /// Anything else: silence, or a call that was answered by 503, reset, given up or not understood.
     Failed,
 }
@@ -122,39 +124,39 @@
 /// could not be reached. It does so only as long as nothing else was found since a watch was in step, and while
 /// the list still stands: else a change may count as told already.
 #[derive(Debug, Clone, Copy)]
-pub struct Vouching {
+pub struct ListLease {
     /// None while a watch is in step.
-    until: Option<Time>,
+    valid_until: Option<Time>,
     /// Something may have listened, and known of changes, since the list was last in step.
-    reached: bool,
+    discovery_reached: bool,
 }
 
-impl Vouching {
+impl ListLease {
     /// For a process that starts now, with whatever list.
     pub fn new(start: Time) -> Self {
-        Self { until: Some(start + TOLD), reached: false }
+        Self { valid_until: Some(start + MAX_LIST_STALENESS), discovery_reached: false }
     }
 
     /// Discovery has told a whole object or a beat, and the list is as it says.
-    pub fn in_step(&mut self) {
-        *self = Self { until: None, reached: false };
+    pub fn renew(&mut self) {
+        *self = Self { valid_until: None, discovery_reached: false };
     }
 
     /// A call or watch has ended now; the list was last in step at `since`. Until when it is vouched for, if that
     /// is new.
-    pub fn ended(&mut self, now: Time, since: Time, end: End) -> Option<Time> {
-        let before = self.until;
-        let until = before.unwrap_or(since + TOLD);
-        self.reached |= end == End::Failed;
-        let unreached = end == End::Refused && !self.reached && now < until;
-        let until = if unreached { now + TOLD } else { until };
-        self.until = Some(until);
-        (before != self.until).then_some(until)
+    pub fn handle_watch_end(&mut self, now: Time, since: Time, end: WatchEnd) -> Option<Time> {
+        let before = self.valid_until;
+        let until = before.unwrap_or(since + MAX_LIST_STALENESS);
+        self.discovery_reached |= end == WatchEnd::Failed;
+        let unreached = end == WatchEnd::ConnectionRefused && !self.discovery_reached && now < until;
+        let until = if unreached { now + MAX_LIST_STALENESS } else { until };
+        self.valid_until = Some(until);
+        (before != self.valid_until).then_some(until)
     }
 
     /// Whether the list stands at this time.
-    pub fn holds(&self, now: Time) -> bool {
-        self.until.is_none_or(|until| now < until)
+    pub fn is_valid(&self, now: Time) -> bool {
+        self.valid_until.is_none_or(|until| now < until)
     }
 }
 
@@ -163,22 +165,22 @@
 pub enum WatchError {
     /// The head is no HTTP answer, or the answer is not chunked.
     #[error("not a chunked HTTP answer: {0}")]
-    Head(&'static str),
+    InvalidHead(&'static str),
     /// Discovery would not.
     #[error("status {0}")]
     Status(u16),
     /// The chunks do not follow HTTP.
     #[error("bad chunk")]
-    Chunk,
+    InvalidChunk,
     /// An object is no list.
     #[error("bad list: {0}")]
-    List(#[from] serde_json::Error),
+    InvalidList(#[from] serde_json::Error),
     /// Nothing whole has come for so long, though something is due every [`BEAT`].
     #[error("silent for {0:?}")]
     Silent(Duration),
     /// Changes are older than the list: discovery has begun its versions anew.
     #[error("changes of version {index} to a list of version {had}")]
-    Behind {
+    StaleChanges {
         /// The list's version.
         had: u64,
         /// That of the changes.
@@ -194,11 +196,13 @@
 
 impl WatchError {
     /// What it shows of discovery, where the watch had told something whole or had not.
-    pub fn end(&self, in_step: bool) -> End {
+    pub fn watch_end(&self, in_step: bool) -> WatchEnd {
         match self {
-            Self::Io(error) if !in_step && error.kind() == io::ErrorKind::ConnectionRefused => End::Refused,
-            Self::Io(_) if in_step => End::Closed,
-            _ => End::Failed,
+            Self::Io(error) if !in_step && error.kind() == io::ErrorKind::ConnectionRefused => {
+                WatchEnd::ConnectionRefused
+            }
+            Self::Io(_) if in_step => WatchEnd::Closed,
+            _ => WatchEnd::Failed,
         }
     }
 }
@@ -207,9 +211,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchEvent {
     /// A list or changes.
-    News(News),
+    List(EndpointList),
     /// Nothing new: discovery is still there.
-    Beat,
+    Heartbeat,
 }
 
 /// The request that opens a watch for what came after version `after`.
@@ -220,30 +224,30 @@
 }
 
 #[derive(Debug, Default)]
-enum Part {
+enum CodecState {
     #[default]
     Head,
-    Size,
-    Data(u64),
-    AfterData,
-    End,
+    ChunkSize,
+    ChunkData(u64),
+    ChunkEnd,
+    Finished,
 }
 
 /// Reads a watch's answer: head, chunks, and the objects in them, each on a line or on many.
 #[derive(Debug, Default)]
 pub struct WatchCodec {
-    part: Part,
+    state: CodecState,
     /// What the chunks so far have begun.
     text: BytesMut,
     /// The line break that comes next ends an object, and is no beat.
-    ended: bool,
-    ready: VecDeque<WatchEvent>,
+    object_ended: bool,
+    ready_events: VecDeque<WatchEvent>,
     /// What is wrong behind those that are ready: they were told all the same.
-    broken: Option<WatchError>,
+    pending_error: Option<WatchError>,
 }
 
 impl WatchCodec {
-    fn head(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
+    fn read_head(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
         match answer.parse(buffer) {
@@ -257,48 +261,50 @@
                         && h.value.eq_ignore_ascii_case(b"chunked")
                 });
                 if !chunked {
-                    return Err(WatchError::Head("no chunks"));
+                    return Err(WatchError::InvalidHead("no chunks"));
                 }
                 buffer.advance(length);
-                self.part = Part::Size;
+                self.state = CodecState::ChunkSize;
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => Err(WatchError::TooLong("head")),
+            Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
+                Err(WatchError::TooLong("head"))
+            }
             Ok(httparse::Status::Partial) => Ok(false),
-            Err(_) => Err(WatchError::Head("no HTTP")),
+            Err(_) => Err(WatchError::InvalidHead("no HTTP")),
         }
     }
 
-    fn size(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
+    fn read_chunk_size(&mut self, buffer: &mut BytesMut) -> Result<bool, WatchError> {
         match httparse::parse_chunk_size(buffer) {
             Ok(httparse::Status::Complete((length, size))) => {
                 buffer.advance(length);
-                self.part = if size == 0 { Part::End } else { Part::Data(size) };
+                self.state = if size == 0 { CodecState::Finished } else { CodecState::ChunkData(size) };
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if buffer.len() <= MAX_SIZE_LINE => Ok(false),
-            _ => Err(WatchError::Chunk),
+            Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_SIZE_LINE_BYTES => Ok(false),
+            _ => Err(WatchError::InvalidChunk),
         }
     }
 
-    fn data(&mut self, left: u64, buffer: &mut BytesMut) -> Result<bool, WatchError> {
+    fn read_chunk_data(&mut self, left: u64, buffer: &mut BytesMut) -> Result<bool, WatchError> {
         if buffer.is_empty() {
             return Ok(false);
         }
         let take = usize::try_from(left).unwrap_or(usize::MAX).min(buffer.len());
         for line in buffer[..take].split_inclusive(|&byte| byte == b'\n') {
             self.text.extend_from_slice(line);
-            if let Err(error) = self.objects(line.ends_with(b"\n")) {
-                self.broken = Some(error);
+            if let Err(error) = self.take_objects(line.ends_with(b"\n")) {
+                self.pending_error = Some(error);
                 return Ok(true);
             }
         }
-        if self.text.len() > MAX_NEWS {
+        if self.text.len() > MAX_OBJECT_BYTES {
             return Err(WatchError::TooLong("object"));
         }
         buffer.advance(take);
         let left = left - take as u64;
-        self.part = if left == 0 { Part::AfterData } else { Part::Data(left) };
+        self.state = if left == 0 { CodecState::ChunkEnd } else { CodecState::ChunkData(left) };
         Ok(true)
     }
 }
@@ -306,13 +312,13 @@
 impl WatchCodec {
     /// Takes the objects that are whole off the text; at the end of a line, an empty text is a beat. A text that
     /// cannot be whole yet is not looked at: an object ends with its brace.
-    fn objects(&mut self, line_ends: bool) -> Result<(), WatchError> {
+    fn take_objects(&mut self, line_ends: bool) -> Result<(), WatchError> {
         let text = self.text.trim_ascii();
         if text.is_empty() {
             if line_ends {
                 self.text.clear();
-                if !std::mem::take(&mut self.ended) {
-                    self.ready.push_back(WatchEvent::Beat);
+                if !std::mem::take(&mut self.object_ended) {
+                    self.ready_events.push_back(WatchEvent::Heartbeat);
                 }
             }
             return Ok(());
@@ -326,14 +332,14 @@
             match objects.next() {
                 Some(Ok(news)) => {
                     whole = objects.byte_offset();
-                    self.ready.push_back(WatchEvent::News(news));
+                    self.ready_events.push_back(WatchEvent::List(news));
                 }
                 Some(Err(error)) if !error.is_eof() => return Err(error.into()),
                 Some(Err(_)) | None => break,
             }
         }
         self.text.advance(whole);
-        self.ended = self.text.trim_ascii().is_empty() && !line_ends;
+        self.object_ended = self.text.trim_ascii().is_empty() && !line_ends;
         if self.text.trim_ascii().is_empty() {
             self.text.clear();
         }
@@ -347,24 +353,24 @@
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<WatchEvent>, WatchError> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.ready_events.pop_front() {
                 return Ok(Some(event));
             }
-            if let Some(error) = self.broken.take() {
+            if let Some(error) = self.pending_error.take() {
                 return Err(error);
             }
-            let more = match self.part {
-                Part::Head => self.head(buffer)?,
-                Part::Size => self.size(buffer)?,
-                Part::Data(left) => self.data(left, buffer)?,
-                Part::AfterData if buffer.len() < 2 => false,
-                Part::AfterData if buffer.starts_with(b"\r\n") => {
+            let more = match self.state {
+                CodecState::Head => self.read_head(buffer)?,
+                CodecState::ChunkSize => self.read_chunk_size(buffer)?,
+                CodecState::ChunkData(left) => self.read_chunk_data(left, buffer)?,
+                CodecState::ChunkEnd if buffer.len() < 2 => false,
+                CodecState::ChunkEnd if buffer.starts_with(b"\r\n") => {
                     buffer.advance(2);
-                    self.part = Part::Size;
+                    self.state = CodecState::ChunkSize;
                     true
                 }
-                Part::AfterData => return Err(WatchError::Chunk),
-                Part::End => {
+                CodecState::ChunkEnd => return Err(WatchError::InvalidChunk),
+                CodecState::Finished => {
                     buffer.clear();
                     false
                 }
--- a/src/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -8,57 +8,57 @@
 
 use std::collections::BTreeMap;
 
-use crate::discovery::{QUIET, TOLD};
-use crate::interface::{ServerId, Span, Time};
+use crate::decision::interface::{ServerId, Span, Time};
+use crate::discovery::{HEARTBEAT_TIMEOUT, MAX_LIST_STALENESS};
 
 /// A start as the list tells it, and as this process takes it.
 #[derive(Debug, Clone, Copy)]
-struct Start {
+struct ServerStart {
     since_ms: f64,
-    started: Time,
+    started_at: Time,
 }
 
 /// The starts of all servers, and when the list was last known to be in step.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    starts: BTreeMap<ServerId, Start>,
+    server_starts: BTreeMap<ServerId, ServerStart>,
     /// When discovery last told something whole, as far as this process has heard.
-    in_step: Option<Time>,
+    last_synced_at: Option<Time>,
     /// Whether a watch is in step: then it has told something whole within the last [`QUIET`].
-    watching: bool,
+    is_watching: bool,
 }
 
 impl StartTimes {
     /// A watch has told something whole now, and is in step.
-    pub fn watching(&mut self, now: Time) {
-        (self.in_step, self.watching) = (Some(now), true);
+    pub fn record_watch_synced(&mut self, now: Time) {
+        (self.last_synced_at, self.is_watching) = (Some(now), true);
     }
 
     /// News have come; they put the list in step only on a watch that is.
-    pub fn news(&mut self, now: Time) {
-        if self.watching {
-            self.in_step = Some(now);
+    pub fn record_update(&mut self, now: Time) {
+        if self.is_watching {
+            self.last_synced_at = Some(now);
         }
     }
 
     /// The watch has ended; the list was last in step then.
-    pub fn watch_ended(&mut self, in_step: Time) {
-        if self.watching {
-            self.in_step = self.in_step.max(Some(in_step));
+    pub fn record_watch_end(&mut self, last_synced_at: Time) {
+        if self.is_watching {
+            self.last_synced_at = self.last_synced_at.max(Some(last_synced_at));
         }
-        self.watching = false;
+        self.is_watching = false;
     }
 
     /// Since when a server that is new on a list of this moment may be there at the earliest: none for the first list.
-    pub fn unlisted_until(&self, now: Time) -> Option<Time> {
-        let quiet = Span::from_micros(i64::try_from(QUIET.as_micros()).unwrap_or(i64::MAX));
-        let beat = self.watching.then_some(now - quiet);
-        self.in_step.map(|at| beat.map_or(at, |beat| at.max(beat)))
+    pub fn earliest_new_start(&self, now: Time) -> Option<Time> {
+        let quiet = Span::from_micros(i64::try_from(HEARTBEAT_TIMEOUT.as_micros()).unwrap_or(i64::MAX));
+        let beat = self.is_watching.then_some(now - quiet);
+        self.last_synced_at.map(|at| beat.map_or(at, |beat| at.max(beat)))
     }
 
     /// When a server started that the list says to have started at `since_ms` of Unix time, by the same clock as `now`;
     /// none where that was long ago. `unlisted_until` where the list comes from discovery and is not the first.
-    pub fn started(
+    pub fn start_time(
         &mut self,
         now: Time,
         server: ServerId,
@@ -66,19 +66,19 @@
         unlisted_until: Option<Time>,
     ) -> Option<Time> {
         if since_ms.is_nan() || since_ms <= 0.0 {
-            self.starts.remove(&server);
+            self.server_starts.remove(&server);
             return None;
         }
-        if let Some(start) = self.starts.get(&server).filter(|start| start.since_ms == since_ms) {
-            return Some(start.started);
+        if let Some(start) = self.server_starts.get(&server).filter(|start| start.since_ms == since_ms) {
+            return Some(start.started_at);
         }
         let told = Time::from_micros((since_ms * 1e3) as i64);
         let started = match unlisted_until {
             // Discovery tells a start within this time: the wall clock is wrong, and what it says is no guide.
-            Some(earliest) if told + TOLD < earliest => earliest,
+            Some(earliest) if told + MAX_LIST_STALENESS < earliest => earliest,
             _ => told.min(now),
         };
-        self.starts.insert(server, Start { since_ms, started });
+        self.server_starts.insert(server, ServerStart { since_ms, started_at: started });
         Some(started)
     }
 }
--- a/src/open_ids.rs
+++ b/src/engine/open_ids.rs
@@ -11,7 +11,7 @@
 
 /// Holds an id; gives it back when dropped.
 #[derive(Debug)]
-pub struct Claim {
+pub struct RequestIdClaim {
     ids: OpenIds,
     id: Bytes,
 }
@@ -19,15 +19,15 @@
 impl OpenIds {
     /// Takes an id that no one else holds. A second bearer would be a second copy of the first's
     /// request at a server, so it gets none.
-    pub fn claim(&self, id: &[u8]) -> Option<Claim> {
+    pub fn claim(&self, id: &[u8]) -> Option<RequestIdClaim> {
         // A copy, so that it does not keep the whole line in memory.
         let id = Bytes::copy_from_slice(id);
         let new = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        new.then(|| Claim { ids: self.clone(), id })
+        new.then(|| RequestIdClaim { ids: self.clone(), id })
     }
 }
 
-impl Drop for Claim {
+impl Drop for RequestIdClaim {
     fn drop(&mut self) {
         self.ids.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
     }
