--- a/src/maintenance.rs
+++ b/src/fleet/maintenance.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use ashtide_fleet::state::Slot;
-use ashtide_maintenance::{Figures, Kind, Node, Phase, Rules, Setup, Terms};
+use ashtide_maintenance::{Limits, MachineKind, Phase, Replica, ReplicaConfig, ReplicaMetrics, TimingConfig};
 use serde_json::{Value, json};
 use toml::{Table, Value as Toml};
 
-use crate::figures::PREFIX;
+use crate::metrics::METRIC_PREFIX;
 
 /// Gateways that a file may name.
 pub const MAX_GATEWAYS: usize = 512;
 
 /// What an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum MaintenanceCommand {
     /// The queue and the grants.
     List,
     /// A machine is to be taken out, and why.
@@ -29,9 +29,9 @@
 }
 
 /// A key that holds a number: its name, least, most, usual value where it may be left out, and what it is.
-type Number = (&'static str, u32, u32, Option<u32>, &'static str);
+type IntegerKey = (&'static str, u32, u32, Option<u32>, &'static str);
 
-const NUMBERS: [Number; 9] = [
+const INTEGER_KEYS: [IntegerKey; 9] = [
     ("slot", 0, 511, None, "Which of 'gateways' this one is, from 0."),
     ("tier", 1, u32::MAX, None, "The tier's key, the same at all its gateways and at none of another tier."),
     (
@@ -54,10 +54,10 @@
         "How long a machine stays out at most once it is drained; 0: a server not at all.",
     ),
 ];
-const LISTEN: &str =
+const LISTEN_DESCRIPTION: &str =
     "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
-const GATEWAYS: &str = "Where all gateways are reached, in one order, the same at all of them.";
-const FOLDER: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
+const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
+const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
 
 /// Why taking machines out cannot be had.
 #[derive(Debug, thiserror::Error)]
@@ -91,7 +91,7 @@
 impl MaintenanceError {
     /// The error with what an operator can do, for the log.
     #[must_use]
-    pub fn told(self) -> String {
+    pub fn with_help(self) -> String {
         format!("{self}; {}", self.help())
     }
 
@@ -114,20 +114,20 @@
     /// Where each gateway is reached, by slot.
     pub gateways: Vec<SocketAddr>,
     /// Where the vote is kept.
-    pub folder: PathBuf,
+    pub state_directory: PathBuf,
     /// What the core is told.
-    pub setup: Setup,
+    pub replica: ReplicaConfig,
 }
 
-fn wrong(key: &str, found: impl ToString, expected: impl ToString) -> MaintenanceError {
+fn invalid_key(key: &str, found: impl ToString, expected: impl ToString) -> MaintenanceError {
     MaintenanceError::Key { key: key.to_owned(), found: found.to_string(), expected: expected.to_string() }
 }
 
-fn address(key: &str, value: &Toml) -> Result<SocketAddr, MaintenanceError> {
+fn parse_address(key: &str, value: &Toml) -> Result<SocketAddr, MaintenanceError> {
     let expected = "an address and a port that others reach, as \"127.0.0.1:7947\"";
-    let text = value.as_str().ok_or_else(|| wrong(key, value, expected))?;
+    let text = value.as_str().ok_or_else(|| invalid_key(key, value, expected))?;
     let usable = |it: &SocketAddr| it.port() != 0 && !it.ip().is_unspecified();
-    text.parse().ok().filter(usable).ok_or_else(|| wrong(key, format_args!("\"{text}\""), expected))
+    text.parse().ok().filter(usable).ok_or_else(|| invalid_key(key, format_args!("\"{text}\""), expected))
 }
 
 impl Settings {
@@ -151,20 +151,20 @@
         let table: Table = text.parse().map_err(|e: toml::de::Error| MaintenanceError::Syntax {
             problem: e.to_string().trim().to_owned(),
         })?;
-        let known = || ["listen", "gateways", "folder"].into_iter().chain(NUMBERS.iter().map(|it| it.0));
+        let known = || ["listen", "gateways", "folder"].into_iter().chain(INTEGER_KEYS.iter().map(|it| it.0));
         if let Some(key) = table.keys().find(|&key| !known().any(|it| it == key)) {
-            return Err(wrong(key, "an unknown key", known().collect::<Vec<_>>().join(", ")));
+            return Err(invalid_key(key, "an unknown key", known().collect::<Vec<_>>().join(", ")));
         }
-        let mut numbers = [0; NUMBERS.len()];
-        for ((key, least, most, usual, _), number) in NUMBERS.into_iter().zip(&mut numbers) {
+        let mut numbers = [0; INTEGER_KEYS.len()];
+        for ((key, least, most, usual, _), number) in INTEGER_KEYS.into_iter().zip(&mut numbers) {
             let expected = format!("a whole number from {least} to {most}");
             *number = match table.get(key) {
                 Some(value) => value
                     .as_integer()
                     .and_then(|it| u32::try_from(it).ok())
                     .filter(|it| (least..=most).contains(it))
-                    .ok_or_else(|| wrong(key, value, &expected))?,
-                None => usual.ok_or_else(|| wrong(key, "nothing", &expected))?,
+                    .ok_or_else(|| invalid_key(key, value, &expected))?,
+                None => usual.ok_or_else(|| invalid_key(key, "nothing", &expected))?,
             };
         }
         let [slot, tier, voters, max_out, max_gateways, floor, lease, drain, work] = numbers;
@@ -172,46 +172,60 @@
         let listed = table.get("gateways").unwrap_or(&none);
         let expected = || format!("a list of 1 to {MAX_GATEWAYS} different addresses");
         let all = listed.as_array().filter(|it| (1..=MAX_GATEWAYS).contains(&it.len()));
-        let all = all.ok_or_else(|| wrong("gateways", listed, expected()))?;
-        let gateways = all.iter().map(|it| address("gateways", it)).collect::<Result<Vec<_>, _>>()?;
+        let all = all.ok_or_else(|| invalid_key("gateways", listed, expected()))?;
+        let gateways = all.iter().map(|it| parse_address("gateways", it)).collect::<Result<Vec<_>, _>>()?;
         if let Some(at) = (1..gateways.len()).find(|&at| gateways[..at].contains(&gateways[at])) {
-            return Err(wrong("gateways", format_args!("{} twice", gateways[at]), expected()));
+            return Err(invalid_key("gateways", format_args!("{} twice", gateways[at]), expected()));
         }
         let own = gateways.get(slot as usize).copied();
         let own =
-            own.ok_or_else(|| wrong("slot", slot, format_args!("one of {} gateways", gateways.len())))?;
+            own.ok_or_else(|| invalid_key("slot", slot, format_args!("one of {} gateways", gateways.len())))?;
         if voters as usize > gateways.len() {
-            return Err(wrong("voters", voters, format_args!("at most the {} gateways", gateways.len())));
+            return Err(invalid_key(
+                "voters",
+                voters,
+                format_args!("at most the {} gateways", gateways.len()),
+            ));
         }
         if max_gateways > (voters - 1) / 2 && voters > 1 {
             let expected = format!("at most {}, so that a majority of the voters stays", (voters - 1) / 2);
-            return Err(wrong("max_gateways", max_gateways, expected));
+            return Err(invalid_key("max_gateways", max_gateways, expected));
         }
         let folder = table.get("folder").and_then(Toml::as_str).filter(|it| !it.is_empty());
-        let folder = folder.ok_or_else(|| wrong("folder", "nothing", "a folder"))?;
+        let folder = folder.ok_or_else(|| invalid_key("folder", "nothing", "a folder"))?;
         let slots = |count: usize| (0..count as u16).map(Slot).collect::<Vec<_>>();
         let seconds = |count: u32| Duration::from_secs(u64::from(count));
         let (members, voters) = (slots(gateways.len()), slots(voters as usize));
-        let terms = Terms {
+        let terms = TimingConfig {
             lease: seconds(lease),
-            drain: seconds(drain),
-            work: seconds(work),
-            back: work == 0,
-            ..Terms::default()
+            max_drain: seconds(drain),
+            max_work: seconds(work),
+            return_when_drained: work == 0,
+            ..TimingConfig::default()
         };
-        let rules =
-            Rules { max_out: max_out as usize, max_gateways: max_gateways as usize, floor: floor as usize };
-        let setup = Setup { tier, own: Slot(slot as u16), members, voters, rules, terms };
-        let listen = table.get("listen").map_or(Ok(own), |value| address("listen", value))?;
-        Ok(Self { listen, gateways, folder: folder.into(), setup })
+        let rules = Limits {
+            max_servers_out: max_out as usize,
+            max_gateways_out: max_gateways as usize,
+            min_ready_servers: floor as usize,
+        };
+        let setup = ReplicaConfig {
+            tier,
+            own_slot: Slot(slot as u16),
+            members,
+            acceptors: voters,
+            limits: rules,
+            timing: terms,
+        };
+        let listen = table.get("listen").map_or(Ok(own), |value| parse_address("listen", value))?;
+        Ok(Self { listen, gateways, state_directory: folder.into(), replica: setup })
     }
 
     /// What a machine of this name is: a gateway is named by its address.
     #[must_use]
-    pub fn kind(&self, name: &str) -> Kind {
+    pub fn machine_kind(&self, name: &str) -> MachineKind {
         match name.parse().is_ok_and(|address| self.gateways.contains(&address)) {
-            true => Kind::Gateway,
-            false => Kind::Server,
+            true => MachineKind::Gateway,
+            false => MachineKind::Server,
         }
     }
 }
@@ -220,19 +234,19 @@
 #[must_use]
 pub fn schema() -> Value {
     let mut keys = serde_json::Map::new();
-    keys.insert("listen".to_owned(), json!({"type": "string", "description": LISTEN}));
-    keys.insert("folder".to_owned(), json!({"type": "string", "description": FOLDER}));
+    keys.insert("listen".to_owned(), json!({"type": "string", "description": LISTEN_DESCRIPTION}));
+    keys.insert("folder".to_owned(), json!({"type": "string", "description": FOLDER_DESCRIPTION}));
     let gateways = json!({"type": "array", "items": {"type": "string"}, "minItems": 1,
-                          "maxItems": MAX_GATEWAYS, "description": GATEWAYS});
+                          "maxItems": MAX_GATEWAYS, "description": GATEWAYS_DESCRIPTION});
     keys.insert("gateways".to_owned(), gateways);
-    for (key, least, most, usual, what) in NUMBERS {
+    for (key, least, most, usual, what) in INTEGER_KEYS {
         let mut number = json!({"type": "integer", "minimum": least, "maximum": most, "description": what});
         if let Some(usual) = usual {
             number["default"] = usual.into();
         }
         keys.insert(key.to_owned(), number);
     }
-    let numbers = NUMBERS.iter().filter(|it| it.3.is_none()).map(|it| it.0);
+    let numbers = INTEGER_KEYS.iter().filter(|it| it.3.is_none()).map(|it| it.0);
     let required: Vec<&str> = ["folder", "gateways"].into_iter().chain(numbers).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -243,17 +257,17 @@
 
 /// The queue and the grants as the door tells them, in the queue's order, then what this gateway keeps out.
 #[must_use]
-pub fn list(node: &Node) -> String {
-    let (table, fresh) = node.table();
+pub fn queue_text(node: &Replica) -> String {
+    let (table, fresh) = node.queue();
     let known = if fresh { "agreed" } else { "old" };
-    let votes = if node.votes() { "votes" } else { "no vote" };
-    let mut text = format!("table version={} token={} {known}, {votes}\n", table.version, table.token);
-    for row in &table.rows {
+    let votes = if node.is_voting() { "votes" } else { "no vote" };
+    let mut text = format!("table version={} token={} {known}, {votes}\n", table.version, table.last_token);
+    for row in &table.entries {
         let (state, holder) = match row.phase {
             Phase::Queued => ("queued", None),
             Phase::Draining { holder, .. } => ("draining", Some(holder)),
             Phase::Out { holder, .. } => ("out", Some(holder)),
-            Phase::Cooling { .. } => ("released", None),
+            Phase::Released { .. } => ("released", None),
         };
         let _ = write!(text, "{} {state}", row.name);
         if let Some(token) = row.phase.token() {
@@ -262,12 +276,12 @@
         if let Some(holder) = holder {
             let _ = write!(text, " holder={}", holder.0);
         }
-        let age = node.age(&row.name).unwrap_or_default().as_secs();
-        let _ = writeln!(text, " for_s={age} asked_ms={} reason={}", row.asked_ms, row.reason);
+        let age = node.phase_age(&row.name).unwrap_or_default().as_secs();
+        let _ = writeln!(text, " for_s={age} asked_ms={} reason={}", row.requested_at_ms, row.reason);
     }
-    for kind in [Kind::Server, Kind::Gateway] {
-        for name in node.keeps_out(kind) {
-            let token = table.rows.iter().find(|row| row.name == name).and_then(|row| row.phase.token());
+    for kind in [MachineKind::Server, MachineKind::Gateway] {
+        for name in node.machines_kept_out(kind) {
+            let token = table.entries.iter().find(|row| row.name == name).and_then(|row| row.phase.token());
             let _ = writeln!(text, "kept-out {name} token={}", token.unwrap_or(0));
         }
     }
@@ -276,20 +290,28 @@
 
 /// The figures, one a line.
 #[must_use]
-pub fn figures(node: &Node) -> String {
+pub fn metrics_text(node: &Replica) -> String {
     let mut text = String::new();
-    let (table, fresh) = node.table();
-    let Figures { rounds, chosen, fenced, sent, unheard, lapses } = node.figures();
-    let queued = table.rows.iter().filter(|row| row.phase == Phase::Queued).count() as u64;
-    let kept = [Kind::Server, Kind::Gateway].map(|kind| node.keeps_out(kind).count() as u64);
+    let (table, fresh) = node.queue();
+    let ReplicaMetrics {
+        proposals: rounds,
+        chosen,
+        fenced,
+        sent,
+        rejected_datagrams: unheard,
+        lease_lapses: lapses,
+    } = node.metrics();
+    let queued = table.entries.iter().filter(|row| row.phase == Phase::Queued).count() as u64;
+    let kept =
+        [MachineKind::Server, MachineKind::Gateway].map(|kind| node.machines_kept_out(kind).count() as u64);
     for (name, value) in [
         ("queued", queued),
-        ("given", table.rows.len() as u64 - queued),
+        ("given", table.entries.len() as u64 - queued),
         ("kept_out{kind=\"server\"}", kept[0]),
         ("kept_out{kind=\"gateway\"}", kept[1]),
         ("agreed", u64::from(fresh)),
-        ("votes", u64::from(node.votes())),
-        ("last_token", table.token),
+        ("votes", u64::from(node.is_voting())),
+        ("last_token", table.last_token),
         ("rounds_total", *rounds),
         ("rounds_chosen_total", *chosen),
         ("fenced_total", *fenced),
@@ -298,7 +320,7 @@
         ("sent_bytes_total", sent.1),
         ("unheard_datagrams_total", *unheard),
     ] {
-        let _ = writeln!(text, "{PREFIX}_maintenance_{name} {value}");
+        let _ = writeln!(text, "{METRIC_PREFIX}_maintenance_{name} {value}");
     }
     text
 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -9,20 +9,20 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::codec::Decoder;
 
-use crate::discovery::News;
+use crate::discovery::EndpointList;
 
 /// Longest word: a list of thousands of servers.
-pub const MAX_WORD: usize = 1 << 20;
+pub const MAX_MESSAGE_LENGTH: usize = 1 << 20;
 
 /// Why a word cannot be read.
 #[derive(Debug, thiserror::Error)]
-pub enum WordError {
+pub enum SiblingMessageError {
     /// More than [`MAX_WORD`] bytes without an end of line.
-    #[error("over {MAX_WORD} bytes")]
+    #[error("over {MAX_MESSAGE_LENGTH} bytes")]
     TooLong,
     /// Not a word of this version.
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// The socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -56,7 +56,7 @@
     /// - One that listens elsewhere is another: only one can have an address, and an upgrade keeps it.
     /// - One that serves none of the same customers is another customer's. Where either names none, that goes
     ///   for classes. A name in common is enough, as any may be added, removed or renamed.
-    pub fn same(&self, other: &Self) -> bool {
+    pub fn is_same_deployment(&self, other: &Self) -> bool {
         if self.name != other.name {
             return false;
         }
@@ -84,7 +84,7 @@
 /// What a process holds on one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Share {
+pub struct ServerUsage {
     /// Open connections, attempts included.
     pub open: u32,
     /// Connections that it may still send while the server recovers.
@@ -98,7 +98,7 @@
 /// How a process stands.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct State {
+pub struct ProcessState {
     /// Whose process it is.
     pub whose: Option<Deployment>,
     /// Its rank among the processes of its gateway: the highest is the successor. See [`rank`].
@@ -112,31 +112,32 @@
     /// Descriptors that it holds or keeps for itself.
     pub sockets: usize,
     /// By server's name, what it holds there.
-    pub shares: BTreeMap<String, Share>,
+    pub shares: BTreeMap<String, ServerUsage>,
     /// What operators have called out.
     pub cordons: Cordons,
 }
 
 /// The rank of a process that starts at `unix_micros` of a wall clock, which may be stepped between two starts, and
 /// finds processes of these ranks: higher than all of them, and another than that of a process which starts beside it.
-pub fn rank(unix_micros: u64, found: impl Iterator<Item = u64>, process_id: u32) -> u64 {
-    let above = found.max().map_or(0, |highest| highest.saturating_add(1).saturating_add(process_id.into()));
+pub fn rank_after(unix_micros: u64, existing_ranks: impl Iterator<Item = u64>, process_id: u32) -> u64 {
+    let above =
+        existing_ranks.max().map_or(0, |highest| highest.saturating_add(1).saturating_add(process_id.into()));
     unix_micros.max(above)
 }
 
 /// One word from process to process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum SiblingMessage {
     /// The server list as the sender has it.
-    List(News),
+    List(EndpointList),
     /// How the sender stands.
-    State(State),
+    State(ProcessState),
 }
 
-impl Word {
+impl SiblingMessage {
     /// The word as a line.
-    pub fn line(&self) -> Bytes {
+    pub fn encode_line(&self) -> Bytes {
         // Names and numbers only: this does not fail.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
@@ -146,63 +147,63 @@
 
 /// Cuts a stream into words.
 #[derive(Debug, Default)]
-pub struct WordCodec {
+pub struct SiblingMessageCodec {
     /// How much of the buffer has been searched.
-    seen: usize,
+    scanned_length: usize,
 }
 
-impl Decoder for WordCodec {
-    type Item = Word;
-    type Error = WordError;
+impl Decoder for SiblingMessageCodec {
+    type Item = SiblingMessage;
+    type Error = SiblingMessageError;
 
-    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Word>, WordError> {
-        let from = self.seen.min(buffer.len());
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<SiblingMessage>, SiblingMessageError> {
+        let from = self.scanned_length.min(buffer.len());
         let end = buffer[from..].iter().position(|&byte| byte == b'\n').map(|at| from + at);
-        self.seen = if end.is_some() { 0 } else { buffer.len() };
+        self.scanned_length = if end.is_some() { 0 } else { buffer.len() };
         match end {
-            Some(end) if end < MAX_WORD => {
+            Some(end) if end < MAX_MESSAGE_LENGTH => {
                 Ok(Some(serde_json::from_slice(&buffer.split_to(end + 1)[..end])?))
             }
-            None if buffer.len() < MAX_WORD => Ok(None),
-            _ => Err(WordError::TooLong),
+            None if buffer.len() < MAX_MESSAGE_LENGTH => Ok(None),
+            _ => Err(SiblingMessageError::TooLong),
         }
     }
 
     /// What is left without an end of line is no word.
-    fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<Word>, WordError> {
+    fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<SiblingMessage>, SiblingMessageError> {
         self.decode(buffer)
     }
 }
 
 /// What all other processes of this balancer are, together.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Others {
+pub struct SiblingSummary {
     /// Whether a younger one takes the clients.
-    pub succeeded: bool,
+    pub has_ready_successor: bool,
     /// When the youngest of those started that takes over standing connections.
-    pub heir: Option<u64>,
+    pub successor_rank: Option<u64>,
     /// The run has begun for one of them.
-    pub begun: bool,
+    pub restore_phase_over: bool,
     /// Descriptors that they use.
-    pub sockets: usize,
+    pub descriptors: usize,
     /// By server's name, what they hold there.
-    pub shares: BTreeMap<String, Share>,
+    pub server_usage: BTreeMap<String, ServerUsage>,
     /// What operators have called out at them.
     pub cordons: Cordons,
 }
 
-impl Others {
+impl SiblingSummary {
     /// The sum of these, as one that started at `started` sees them.
-    pub fn sum<'a>(started: u64, states: impl Iterator<Item = &'a State>) -> Self {
+    pub fn aggregate<'a>(started: u64, states: impl Iterator<Item = &'a ProcessState>) -> Self {
         states.fold(Self::default(), |mut all, state| {
             let succeeds = state.ready && state.started > started;
-            all.succeeded |= succeeds;
-            all.heir = all.heir.max((succeeds && state.adopts).then_some(state.started));
-            all.begun |= state.begun;
-            all.sockets += state.sockets;
+            all.has_ready_successor |= succeeds;
+            all.successor_rank = all.successor_rank.max((succeeds && state.adopts).then_some(state.started));
+            all.restore_phase_over |= state.begun;
+            all.descriptors += state.sockets;
             all.cordons.merge(&state.cordons);
             for (server, share) in &state.shares {
-                let sum = all.shares.entry(server.clone()).or_default();
+                let sum = all.server_usage.entry(server.clone()).or_default();
                 sum.open += share.open;
                 sum.budget += share.budget;
                 sum.spent = sum.spent.max(share.spent);
@@ -215,20 +216,20 @@
 
 /// Most bytes that go with a connection's sockets: a line of each side that has been begun, and what was
 /// read behind it.
-pub const MAX_STANDING: usize = 64 << 10;
+pub const MAX_HANDOFF_LENGTH: usize = 64 << 10;
 
 /// Why what goes with a connection's sockets cannot be read.
 #[derive(Debug, thiserror::Error)]
-pub enum StandingError {
+pub enum HandoffDecodeError {
     /// No end of the head.
     #[error("no head")]
-    NoHead,
+    MissingHeader,
     /// Not a head of this version.
     #[error("{0}")]
-    Form(#[from] serde_json::Error),
+    MalformedHeader(#[from] serde_json::Error),
     /// The bytes behind the head are not those that it tells of.
     #[error("{told} bytes told, {found} found")]
-    Length {
+    LengthMismatch {
         /// By the head.
         told: usize,
         /// Behind it.
@@ -238,11 +239,11 @@
 
 /// A standing connection on its way to a younger process: what goes with its two sockets, in one datagram.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Standing {
+pub struct EstablishedConnection {
     /// The name of the server that holds it.
     pub server: String,
     /// The client's `OPEN` line as it came.
-    pub open: Bytes,
+    pub open_line: Bytes,
     /// The rest of a line that has been begun towards the client, and what was read of the server behind it.
     pub to_client: (Bytes, Bytes),
     /// The same towards the server, and of the client.
@@ -250,24 +251,24 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct HandoffHeader {
     server: String,
     lengths: [usize; 5],
 }
 
-impl Standing {
-    fn parts(&self) -> [&Bytes; 5] {
-        [&self.open, &self.to_client.0, &self.to_client.1, &self.to_server.0, &self.to_server.1]
+impl EstablishedConnection {
+    fn sections(&self) -> [&Bytes; 5] {
+        [&self.open_line, &self.to_client.0, &self.to_client.1, &self.to_server.0, &self.to_server.1]
     }
 
     /// The datagram; nothing where it would be longer than [`MAX_STANDING`].
-    pub fn datagram(&self) -> Option<Vec<u8>> {
-        let parts = self.parts();
-        let head = Head { server: self.server.clone(), lengths: parts.map(Bytes::len) };
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        let parts = self.sections();
+        let head = HandoffHeader { server: self.server.clone(), lengths: parts.map(Bytes::len) };
         let mut all = serde_json::to_vec(&head).ok()?;
         all.push(b'\n');
         parts.iter().for_each(|part| all.extend_from_slice(part));
-        (all.len() <= MAX_STANDING).then_some(all)
+        (all.len() <= MAX_HANDOFF_LENGTH).then_some(all)
     }
 
     /// Reads a datagram.
@@ -275,22 +276,22 @@
     /// # Errors
     ///
     /// Fails where it is not whole or has another form.
-    pub fn read(mut datagram: Bytes) -> Result<Self, StandingError> {
-        let end = datagram.iter().position(|&byte| byte == b'\n').ok_or(StandingError::NoHead)?;
-        let Head { server, lengths } = serde_json::from_slice(&datagram.split_to(end))?;
+    pub fn decode(mut datagram: Bytes) -> Result<Self, HandoffDecodeError> {
+        let end = datagram.iter().position(|&byte| byte == b'\n').ok_or(HandoffDecodeError::MissingHeader)?;
+        let HandoffHeader { server, lengths } = serde_json::from_slice(&datagram.split_to(end))?;
         datagram.advance(1);
         let told = lengths.iter().fold(0, |sum: usize, &length| sum.saturating_add(length));
         if told != datagram.len() {
-            return Err(StandingError::Length { told, found: datagram.len() });
+            return Err(HandoffDecodeError::LengthMismatch { told, found: datagram.len() });
         }
         let [open, begun, said, begun_back, said_back] = lengths.map(|length| datagram.split_to(length));
-        Ok(Self { server, open, to_client: (begun, said), to_server: (begun_back, said_back) })
+        Ok(Self { server, open_line: open, to_client: (begun, said), to_server: (begun_back, said_back) })
     }
 }
 
 /// The last call on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Call {
+pub struct CordonChange {
     /// Orders the calls on a server: microseconds of Unix time, or more where the clock was stepped back.
     pub at: u64,
     /// Whether the server is out since.
@@ -300,18 +301,18 @@
 /// The servers that operators have called out or back, with the last call on each. Merging two in any
 /// order, any number of times, gives the same: the later call counts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cordons(BTreeMap<String, Call>);
+pub struct Cordons(BTreeMap<String, CordonChange>);
 
 impl Cordons {
     /// Takes a call that is made now, by a wall clock that may have been stepped back: it comes after all calls on the
     /// server that are known here.
-    pub fn call_now(&mut self, server: &str, unix_micros: u64, out: bool) {
+    pub fn record_now(&mut self, server: &str, unix_micros: u64, out: bool) {
         let after = self.0.get(server).map_or(0, |last| last.at.saturating_add(1));
-        self.call(server, Call { at: unix_micros.max(after), out });
+        self.record(server, CordonChange { at: unix_micros.max(after), out });
     }
 
     /// Takes a call; whether it changes anything for the server.
-    pub fn call(&mut self, server: &str, call: Call) -> bool {
+    pub fn record(&mut self, server: &str, call: CordonChange) -> bool {
         let last = self.0.get(server).copied();
         if last.is_some_and(|last| last >= call) {
             return false;
@@ -322,17 +323,17 @@
 
     /// Takes another's calls; the servers for which that changes anything, and whether they are out.
     pub fn merge(&mut self, others: &Self) -> Vec<(String, bool)> {
-        let calls = others.0.iter().filter(|(server, call)| self.call(server, **call));
+        let calls = others.0.iter().filter(|(server, call)| self.record(server, **call));
         calls.map(|(server, call)| (server.clone(), call.out)).collect()
     }
 
     /// Whether a server is out.
-    pub fn out(&self, server: &str) -> bool {
+    pub fn is_cordoned(&self, server: &str) -> bool {
         self.0.get(server).is_some_and(|call| call.out)
     }
 
     /// The servers that are out.
-    pub fn all_out(&self) -> impl Iterator<Item = &str> {
+    pub fn cordoned_servers(&self) -> impl Iterator<Item = &str> {
         self.0.iter().filter(|(_, call)| call.out).map(|(server, _)| server.as_str())
     }
 }
@@ -340,7 +341,7 @@
 /// What outlives a process, as one file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Kept {
+pub struct PersistedState {
     /// Whose it is.
     pub whose: Option<Deployment>,
     /// The run has begun.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,29 +44,18 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { id: RequestId(7), .. })));
 //! ```
 
-mod brain;
-mod interface;
-
+pub mod admin;
 pub mod config;
+pub mod decision;
 pub mod discovery;
 pub mod engine;
-pub mod facts;
-pub mod figures;
+pub mod fleet;
 pub mod handover;
-pub mod maintenance;
+pub mod metrics;
 pub mod net;
-pub mod open_ids;
-pub mod operator;
-pub mod probing;
 pub mod quic;
-pub mod quota;
-pub mod ramp;
-pub mod request_invariants;
-pub mod rights;
-pub mod start_times;
-pub mod state;
-pub mod view;
+pub mod settings;
 pub mod vrrp;
 
-pub use brain::Balancer;
-pub use interface::*;
+pub use decision::Balancer;
+pub use decision::interface::*;
--- a/src/net/socket.rs
+++ b/src/net/bind_retry.rs
@@ -11,45 +11,45 @@
 use tracing::info;
 
 /// Connections that wait to be accepted: all clients of a restart at once.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// Binds the address on which clients come.
 ///
 /// # Errors
 ///
 /// Fails where the address cannot be bound.
-pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     // A balancer comes back at once on the address of its predecessor.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// How many descriptors the system lets this process have, whatever it is told: what clients may fill is
 /// reckoned from the lower of both, or the rest of the process would find none.
-pub fn descriptors() -> usize {
-    let most = getrlimit(Resource::Nofile).current;
-    most.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
+pub fn descriptor_limit() -> usize {
+    let limit = getrlimit(Resource::Nofile).current;
+    limit.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
 }
 
 /// Between two tries to bind an address for datagrams.
-const BIND_AGAIN: Duration = Duration::from_millis(500);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Binds an address for datagrams as soon as it can be had: another process of this gateway may still have it, as
 /// in an upgrade. The first failure is logged, under this topic.
-pub async fn bind_in_time(topic: &str, address: SocketAddr) -> UdpSocket {
-    let mut tries = 0_u64;
+pub async fn bind_udp_with_retry(subsystem: &str, address: SocketAddr) -> UdpSocket {
+    let mut attempts = 0_u64;
     loop {
         let error = match UdpSocket::bind(address).await {
             Ok(socket) => break socket,
             Err(error) => error,
         };
-        if tries == 0 {
-            info!("{topic}: {address}: {error}; tried again, silently, until it can be had");
+        if attempts == 0 {
+            info!("{subsystem}: {address}: {error}; tried again, silently, until it can be had");
         }
-        tries += 1;
-        sleep(BIND_AGAIN).await;
+        attempts += 1;
+        sleep(BIND_RETRY_DELAY).await;
     }
 }
 
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// Fails where there is no such descriptor or it does not listen.
-pub fn adopt(number: i32) -> io::Result<TcpListener> {
+pub fn adopt_listener(number: i32) -> io::Result<TcpListener> {
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     // Closed on exec, as every descriptor got this way is.
     let copy = pidfd_getfd(own, number, PidfdGetfdFlags::empty())?;
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -12,37 +12,37 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Wait before the first retry after an error of this machine. It doubles with each.
-const RETRY_FIRST: Duration = Duration::from_millis(1);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(1);
 /// Longest wait between two tries.
-const RETRY_LONGEST: Duration = Duration::from_millis(16);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(16);
 
 /// Why no connection came up.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
     /// The other side refused, its network answered so, or there was no route to it all the time.
     #[error(transparent)]
-    Unreached(io::Error),
+    Unreachable(io::Error),
     /// Nothing came in time.
     #[error("no connection in time")]
-    Late,
+    TimedOut,
     /// This machine had no port, descriptor or buffer all the time: nothing has been sent.
     #[error("not tried, for want of resources of this machine: {0}")]
-    Local(io::Error),
+    LocalResources(io::Error),
 }
 
 impl ConnectFailure {
     /// The error of the system.
     pub fn into_io(self) -> io::Error {
         match self {
-            Self::Unreached(error) | Self::Local(error) => error,
-            Self::Late => io::ErrorKind::TimedOut.into(),
+            Self::Unreachable(error) | Self::LocalResources(error) => error,
+            Self::TimedOut => io::ErrorKind::TimedOut.into(),
         }
     }
 }
 
 /// What an error of connect(2) or socket(2) says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
+enum ErrorOrigin {
     /// Of the other side or of the network on the way.
     Remote,
     /// Of this machine's resources.
@@ -51,8 +51,8 @@
     Route,
 }
 
-impl Cause {
-    fn of(error: &io::Error) -> Self {
+impl ErrorOrigin {
+    fn classify(error: &io::Error) -> Self {
         match Errno::from_io_error(error) {
             Some(
                 Errno::ADDRNOTAVAIL
@@ -76,22 +76,22 @@
 ///
 /// Says whose failure it was.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, ConnectFailure> {
-    let mut wait = RETRY_FIRST;
+    let mut delay = INITIAL_RETRY_DELAY;
     loop {
         let error = match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) => error,
-            Err(_) => return Err(ConnectFailure::Late),
+            Err(_) => return Err(ConnectFailure::TimedOut),
         };
-        let cause = Cause::of(&error);
-        let again = cause != Cause::Remote && Instant::now() + wait < deadline;
-        if !again {
-            return Err(match cause {
-                Cause::Resources => ConnectFailure::Local(error),
-                Cause::Remote | Cause::Route => ConnectFailure::Unreached(error),
+        let origin = ErrorOrigin::classify(&error);
+        let retries = origin != ErrorOrigin::Remote && Instant::now() + delay < deadline;
+        if !retries {
+            return Err(match origin {
+                ErrorOrigin::Resources => ConnectFailure::LocalResources(error),
+                ErrorOrigin::Remote | ErrorOrigin::Route => ConnectFailure::Unreachable(error),
             });
         }
-        sleep(wait).await;
-        wait = (wait * 2).min(RETRY_LONGEST);
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
--- a/src/net/passing.rs
+++ b/src/net/connection_handoff.rs
@@ -18,22 +18,22 @@
 use tokio::net::UnixDatagram;
 use tokio::time::timeout;
 
-use crate::handover::{MAX_STANDING, Standing};
+use crate::handover::{EstablishedConnection, MAX_HANDOFF_LENGTH};
 
 /// How long a connection may wait for room in the successor's queue. Its client is moved then.
-const PASS: Duration = Duration::from_millis(800);
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The way to the successor.
 #[derive(Debug)]
-pub struct Heir {
+pub struct Successor {
     /// When the successor started.
-    pub started: u64,
+    pub rank: u64,
     socket: UnixDatagram,
     /// Connections that are being passed.
-    passing: AtomicUsize,
+    handoffs_in_flight: AtomicUsize,
 }
 
-impl Heir {
+impl Successor {
     /// The way to the process that started then and receives here.
     ///
     /// # Errors
@@ -42,12 +42,12 @@
     pub fn connect(path: &Path, started: u64) -> io::Result<Self> {
         let socket = UnixDatagram::unbound()?;
         socket.connect(path)?;
-        Ok(Self { started, socket, passing: AtomicUsize::new(0) })
+        Ok(Self { rank: started, socket, handoffs_in_flight: AtomicUsize::new(0) })
     }
 
     /// Whether connections are on their way.
-    pub fn busy(&self) -> bool {
-        self.passing.load(Ordering::Relaxed) > 0
+    pub fn has_handoffs_in_flight(&self) -> bool {
+        self.handoffs_in_flight.load(Ordering::Relaxed) > 0
     }
 
     /// Passes a connection on. Once this succeeds it is the successor's, and the caller's copies of the
@@ -56,8 +56,8 @@
     /// # Errors
     ///
     /// Fails where the successor is gone or takes too long; the connection is still the caller's then.
-    pub async fn pass(&self, datagram: &[u8], fds: [BorrowedFd<'_>; 2]) -> io::Result<()> {
-        self.passing.fetch_add(1, Ordering::Relaxed);
+    pub async fn hand_off(&self, datagram: &[u8], fds: [BorrowedFd<'_>; 2]) -> io::Result<()> {
+        self.handoffs_in_flight.fetch_add(1, Ordering::Relaxed);
         let sent = self.socket.async_io(Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
             let mut beside = SendAncillaryBuffer::new(&mut space);
@@ -65,19 +65,20 @@
             sendmsg(&self.socket, &[IoSlice::new(datagram)], &mut beside, SendFlags::NOSIGNAL)?;
             Ok(())
         });
-        let sent = timeout(PASS, sent).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-        self.passing.fetch_sub(1, Ordering::Relaxed);
+        let sent =
+            timeout(HANDOFF_TIMEOUT, sent).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+        self.handoffs_in_flight.fetch_sub(1, Ordering::Relaxed);
         sent
     }
 }
 
 /// Where a process receives the connections of one that leaves.
 #[derive(Debug)]
-pub struct Inbox {
+pub struct HandoffReceiver {
     socket: UnixDatagram,
 }
 
-impl Inbox {
+impl HandoffReceiver {
     /// Receives here.
     ///
     /// # Errors
@@ -93,12 +94,12 @@
     /// # Errors
     ///
     /// Fails where the datagram is no connection; its descriptors, if any, are closed.
-    pub async fn next(&self) -> io::Result<(Standing, [OwnedFd; 2])> {
+    pub async fn receive(&self) -> io::Result<(EstablishedConnection, [OwnedFd; 2])> {
         let bad = |why: String| io::Error::new(io::ErrorKind::InvalidData, why);
         let (bytes, fds) = self
             .socket
             .async_io(Interest::READABLE, || {
-                let mut bytes = vec![0; MAX_STANDING];
+                let mut bytes = vec![0; MAX_HANDOFF_LENGTH];
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
                 let mut beside = RecvAncillaryBuffer::new(&mut space);
                 let into = &mut [IoSliceMut::new(&mut bytes)];
@@ -118,7 +119,8 @@
                 Ok((bytes, fds))
             })
             .await?;
-        let standing = Standing::read(Bytes::from(bytes)).map_err(|error| bad(error.to_string()))?;
+        let standing =
+            EstablishedConnection::decode(Bytes::from(bytes)).map_err(|error| bad(error.to_string()))?;
         let fds = fds.try_into().map_err(|fds: Vec<_>| bad(format!("{} descriptors", fds.len())))?;
         Ok((standing, fds))
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -12,23 +12,32 @@
 use tracing::info;
 
 use super::connect::{ConnectFailure, connect};
-use super::report::{Handle, Report};
+use super::messages::{DriverEvent, EventLoopHandle};
 
-use crate::discovery::{CALL, End, News, QUIET, WatchCodec, WatchError, WatchEvent, watch_request};
+use crate::discovery::{
+    CALL_TIMEOUT, EndpointList, HEARTBEAT_TIMEOUT, WatchCodec, WatchEnd, WatchError, WatchEvent,
+    watch_request,
+};
 
 /// What is read of a watch at a time.
-const ROOM: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// Watches once for each `()` on `subscribe`, and says when a watch has ended. When discovery has
 /// another address, the old watch is left at once and the new one begun, unasked: versions of
 /// another service say nothing, so it is asked for all, and until it answers the last list stands.
-pub async fn follow(
+pub async fn follow_endpoint_list(
     mut address: watch::Receiver<SocketAddr>,
-    after: u64,
+    list_version: u64,
     mut subscribe: mpsc::Receiver<()>,
-    core: Handle,
+    event_loop: EventLoopHandle,
 ) {
-    let mut follower = Follower { core, number: 0, after, in_step: Instant::now(), answered: false };
+    let mut follower = WatchFollower {
+        event_loop,
+        watch_number: 0,
+        list_version,
+        last_synced_at: Instant::now(),
+        has_answered: false,
+    };
     // Whether the core means to ask, or has asked: of two chains of calls each would be soon.
     let (mut begun, mut moved, mut awaited) = (false, false, true);
     loop {
@@ -47,7 +56,7 @@
         moved |= address.has_changed().unwrap_or(false);
         let at = *address.borrow_and_update();
         if std::mem::take(&mut moved) {
-            follower.after = 0;
+            follower.list_version = 0;
         }
         let why = tokio::select! {
             biased;
@@ -55,19 +64,19 @@
                 moved = true;
                 None
             }
-            ended = follower.call(at) => Some(ended),
+            ended = follower.run_watch(at) => Some(ended),
         };
         let end = match &why {
-            Some(Err(error)) => error.end(follower.answered),
-            _ if follower.answered => End::Closed,
-            _ => End::Failed,
+            Some(Err(error)) => error.watch_end(follower.has_answered),
+            _ if follower.has_answered => WatchEnd::Closed,
+            _ => WatchEnd::Failed,
         };
         if let Some(why) = why {
             let why = why.map_or_else(|error| error.to_string(), |()| "ended".to_owned());
-            info!("discovery: {at}: watch after version {}: {why}", follower.after);
+            info!("discovery: {at}: watch after version {}: {why}", follower.list_version);
         } else {
             // What the old service has told and the core has not heard yet is void from now on.
-            follower.begin();
+            follower.begin_watch();
         }
         // Whatever was asked meanwhile was asked of the watch that has ended.
         while subscribe.try_recv().is_ok() {
@@ -75,85 +84,92 @@
         }
         let ask = !moved && !awaited;
         awaited |= ask;
-        let in_step = follower.in_step.elapsed();
-        follower.core.tell(Report::WatchEnded { in_step, end, ask }).await;
+        let in_step = follower.last_synced_at.elapsed();
+        follower
+            .event_loop
+            .send(DriverEvent::WatchEnded { since_synced: in_step, end, resubscribe: ask })
+            .await;
     }
 }
 
 /// What outlives a single watch.
-struct Follower {
-    core: Handle,
+struct WatchFollower {
+    event_loop: EventLoopHandle,
     /// The present watch's.
-    number: u64,
+    watch_number: u64,
     /// The version of the list.
-    after: u64,
+    list_version: u64,
     /// When the last whole object or beat of any watch came, or the start.
-    in_step: Instant,
+    last_synced_at: Instant,
     /// Whether the present watch has told something whole.
-    answered: bool,
+    has_answered: bool,
 }
 
-impl Follower {
-    fn begin(&mut self) {
-        self.number = self.core.next_watch();
-        self.answered = false;
+impl WatchFollower {
+    fn begin_watch(&mut self) {
+        self.watch_number = self.event_loop.start_watch();
+        self.has_answered = false;
     }
 
-    async fn call(&mut self, address: SocketAddr) -> Result<(), WatchError> {
-        self.begin();
-        let mut deadline = Instant::now() + CALL;
+    async fn run_watch(&mut self, address: SocketAddr) -> Result<(), WatchError> {
+        self.begin_watch();
+        let mut deadline = Instant::now() + CALL_TIMEOUT;
         let late = || io::Error::from(io::ErrorKind::TimedOut);
-        let ask = ask(address, self.after, deadline);
+        let ask = open_watch(address, self.list_version, deadline);
         // The writing half is kept: without it the sending would be shut down.
         let (mut stream, _write) = timeout_at(deadline, ask).await.map_err(|_| late())??;
-        let (mut codec, mut buffer) = (WatchCodec::default(), BytesMut::with_capacity(ROOM));
+        let (mut codec, mut buffer) = (WatchCodec::default(), BytesMut::with_capacity(READ_BUFFER_BYTES));
         loop {
             // Bytes alone put nothing off. What has come by the deadline is read first, also by a process
             // that stalled and wakes late.
             let Ok(read) = timeout_at(deadline, stream.read_buf(&mut buffer)).await else {
-                let silent = self.in_step.elapsed();
-                return Err(if self.answered { WatchError::Silent(silent) } else { late().into() });
+                let silent = self.last_synced_at.elapsed();
+                return Err(if self.has_answered { WatchError::Silent(silent) } else { late().into() });
             };
             if read? == 0 {
                 return Ok(());
             }
             while let Some(event) = codec.decode(&mut buffer)? {
-                self.take(address, event).await?;
-                deadline = self.in_step + QUIET;
+                self.handle_watch_event(address, event).await?;
+                deadline = self.last_synced_at + HEARTBEAT_TIMEOUT;
             }
         }
     }
 
-    async fn take(&mut self, address: SocketAddr, event: WatchEvent) -> Result<(), WatchError> {
-        let first = !std::mem::replace(&mut self.answered, true);
+    async fn handle_watch_event(&mut self, address: SocketAddr, event: WatchEvent) -> Result<(), WatchError> {
+        let first = !std::mem::replace(&mut self.has_answered, true);
         if first {
             let what = match &event {
-                WatchEvent::News(News { snapshot: true, .. }) => "whole list",
-                WatchEvent::News(_) => "changes",
-                WatchEvent::Beat => "nothing new",
+                WatchEvent::List(EndpointList { snapshot: true, .. }) => "whole list",
+                WatchEvent::List(_) => "changes",
+                WatchEvent::Heartbeat => "nothing new",
             };
-            info!("discovery: {address}: watching after version {}, {what}", self.after);
+            info!("discovery: {address}: watching after version {}, {what}", self.list_version);
         }
-        if let WatchEvent::News(news) = event {
-            let (index, fits) = (news.index, news.fits(self.after));
+        if let WatchEvent::List(news) = event {
+            let (index, fits) = (news.index, news.applies_to(self.list_version));
             // Only what has been told counts: this may be given up meanwhile.
-            self.core.tell(Report::News(self.number, news)).await;
-            let had = std::mem::replace(&mut self.after, if fits { index } else { 0 });
+            self.event_loop.send(DriverEvent::ListUpdated(self.watch_number, news)).await;
+            let had = std::mem::replace(&mut self.list_version, if fits { index } else { 0 });
             if !fits {
                 // What these entries say is so, but not what changed before: that takes a whole list.
-                return Err(WatchError::Behind { had, index });
+                return Err(WatchError::StaleChanges { had, index });
             }
         }
-        self.in_step = Instant::now();
+        self.last_synced_at = Instant::now();
         if first {
-            self.core.tell(Report::Watching(self.number)).await;
+            self.event_loop.send(DriverEvent::WatchSynced(self.watch_number)).await;
         }
         Ok(())
     }
 }
 
 /// Connects and asks for what came after this version.
-async fn ask(address: SocketAddr, after: u64, deadline: Instant) -> io::Result<(TcpReader, TcpWriter)> {
+async fn open_watch(
+    address: SocketAddr,
+    after: u64,
+    deadline: Instant,
+) -> io::Result<(TcpReader, TcpWriter)> {
     let stream = connect(address, deadline).await.map_err(ConnectFailure::into_io)?;
     stream.set_nodelay(true)?;
     let (read, mut write) = split_tcp(stream);
--- a/src/net/state.rs
+++ b/src/net/fleet/shared_state.rs
@@ -8,48 +8,48 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-use crate::state::Hub;
+use crate::fleet::shared_state::GatewayState;
 
 /// Steady, and goes on while the machine sleeps: leases end for others then, too.
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), u32::try_from(now.tv_nsec).unwrap_or_default())
 }
 
 /// What is shared, for whoever has to do with it. There is nothing before the view has its socket: until then a gateway
 /// goes by its own, as without it.
-pub struct Board {
-    began: Duration,
-    hub: Mutex<Option<Hub>>,
+pub struct SharedState {
+    epoch: Duration,
+    gateway_state: Mutex<Option<GatewayState>>,
 }
 
-impl Default for Board {
+impl Default for SharedState {
     fn default() -> Self {
-        Self { began: since_boot(), hub: Mutex::default() }
+        Self { epoch: time_since_boot(), gateway_state: Mutex::default() }
     }
 }
 
-impl Board {
+impl SharedState {
     /// The present time of the cores here.
     pub fn now(&self) -> Duration {
-        since_boot().saturating_sub(self.began)
+        time_since_boot().saturating_sub(self.epoch)
     }
 
     /// It begins.
-    pub fn begin(&self, new: impl FnOnce(Duration) -> Hub) {
+    pub fn start(&self, new: impl FnOnce(Duration) -> GatewayState) {
         let now = self.now();
-        *self.hub.lock().unwrap_or_else(PoisonError::into_inner) = Some(new(now));
+        *self.gateway_state.lock().unwrap_or_else(PoisonError::into_inner) = Some(new(now));
     }
 
     /// Does something with it at the present time, or without it before it has begun.
-    pub fn either<T>(&self, work: impl FnOnce(Option<&mut Hub>, Duration) -> T) -> T {
+    pub fn with_optional<T>(&self, work: impl FnOnce(Option<&mut GatewayState>, Duration) -> T) -> T {
         let now = self.now();
-        work(self.hub.lock().unwrap_or_else(PoisonError::into_inner).as_mut(), now)
+        work(self.gateway_state.lock().unwrap_or_else(PoisonError::into_inner).as_mut(), now)
     }
 
     /// Does something with it at the present time; none before it has begun.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Hub, Duration) -> T) -> Option<T> {
+    pub fn with<T>(&self, work: impl FnOnce(&mut GatewayState, Duration) -> T) -> Option<T> {
         let now = self.now();
-        self.hub.lock().unwrap_or_else(PoisonError::into_inner).as_mut().map(|hub| work(hub, now))
+        self.gateway_state.lock().unwrap_or_else(PoisonError::into_inner).as_mut().map(|hub| work(hub, now))
     }
 }
--- a/src/net/probe.rs
+++ b/src/net/health_check.rs
@@ -10,14 +10,14 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-use ashtide_wire::{LineCodec, PONG};
+use ashtide_protocol::{LineCodec, PONG};
 
 /// Probes once; whether the server answered properly within `limit`.
-pub async fn run(address: SocketAddr, limit: Duration) -> bool {
-    let probe = async {
+pub async fn check_health(address: SocketAddr, limit: Duration) -> bool {
+    let exchange = async {
         let (read, mut write) = split_tcp(TcpStream::connect(address).await.ok()?);
         write.write_all(b"PING\r\n").await.ok()?;
         FramedRead::new(read, LineCodec::default()).next().await?.ok()
     };
-    matches!(timeout(limit, probe).await, Ok(Some(line)) if line == PONG)
+    matches!(timeout(limit, exchange).await, Ok(Some(line)) if line == PONG)
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -6,37 +6,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::accept::{AcceptRetries, Next, SHORTAGE_RETRY};
-use super::log::Limited;
-use super::passing::Inbox;
-use super::session::Front;
+use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
+use super::connection_handoff::HandoffReceiver;
+use super::rate_limited_log::RateLimitedLog;
+use super::session::Frontend;
 
 /// After a connection that could not be taken over, the next one waits a little.
-const AFTER_FAILURE: Duration = Duration::from_millis(20);
+const ADOPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Clients accepted in a row before those accepted get their turn: a burst must not keep the others
 /// and the core waiting, nor displace a client that has not had the chance to be heard.
-const IN_A_ROW: usize = 8;
+const ACCEPTS_BEFORE_YIELD: usize = 8;
 /// Waits for descriptors as the process ends, at most: less than the core gives last answers to be written.
-const LAST_WAITS: u32 = 5;
+const MAX_FINAL_SHORTAGE_WAITS: u32 = 5;
 
-static TROUBLE: Limited = Limited::new("clients");
-static PASSED: Limited = Limited::new("handover");
+static ACCEPT_FAILURES: RateLimitedLog = RateLimitedLog::new("clients");
+static HANDOFF_FAILURES: RateLimitedLog = RateLimitedLog::new("handover");
 
 /// Accepts for as long as `accepting` says, whoever comes; the lobby decides who may stay. What is not
 /// accepted waits in the listener's queue for whoever shares it. Once the process is `closing`, all that wait in
 /// the queue are taken in and the listener is closed: who comes later is refused, and not taken and dropped.
-pub async fn serve(
+pub async fn accept_clients(
     listener: TcpListener,
-    front: Front,
+    frontend: Frontend,
     mut accepting: watch::Receiver<bool>,
     mut closing: watch::Receiver<bool>,
 ) {
-    let take_in = |client: TcpStream| {
-        let (place, crowded) = front.lobby.enter();
-        tokio::spawn(front.clone().meet(client, place));
-        crowded
+    let start_client = |client: TcpStream| {
+        let (slot, evicted_others) = frontend.pending_clients.add();
+        tokio::spawn(frontend.clone().serve_client(client, slot));
+        evicted_others
     };
-    let (mut row, mut retries) = (0, AcceptRetries::default());
+    let (mut accepted_in_a_row, mut retries) = (0, AcceptRetries::default());
     loop {
         let accepted = tokio::select! {
             biased;
@@ -46,56 +46,56 @@
         };
         match accepted {
             Ok((client, _)) => {
-                retries.succeeded();
-                let crowded = take_in(client);
-                row += 1;
-                if crowded || row >= IN_A_ROW {
-                    row = 0;
+                retries.record_success();
+                let evicted_others = start_client(client);
+                accepted_in_a_row += 1;
+                if evicted_others || accepted_in_a_row >= ACCEPTS_BEFORE_YIELD {
+                    accepted_in_a_row = 0;
                     tokio::task::yield_now().await;
                 }
             }
             Err(error) => {
-                TROUBLE.say(format_args!("accept failed: {error}"));
-                let next = retries.failed(&error);
-                if next == Next::MakeRoom {
-                    front.lobby.short();
+                ACCEPT_FAILURES.log(format_args!("accept failed: {error}"));
+                let next = retries.record_failure(&error);
+                if next == AcceptRecovery::EvictClients {
+                    frontend.pending_clients.evict_for_descriptors();
                 }
-                if next != Next::Retry {
+                if next != AcceptRecovery::Retry {
                     tokio::time::sleep(SHORTAGE_RETRY).await;
                 }
             }
         }
     }
     if let Ok(listener) = listener.into_std() {
-        take_in_the_rest(&listener, &accepting, take_in).await;
+        drain_accept_queue(&listener, &accepting, start_client).await;
     }
 }
 
 /// Takes in all that wait in the queue of a listener that is about to close. One that is the successor's by now is left
 /// to it.
-async fn take_in_the_rest(
+async fn drain_accept_queue(
     listener: &std::net::TcpListener,
     accepting: &watch::Receiver<bool>,
-    take_in: impl Fn(TcpStream) -> bool,
+    start_client: impl Fn(TcpStream) -> bool,
 ) {
     let (mut retries, mut waits) = (AcceptRetries::default(), 0);
     while *accepting.borrow() {
         // Of the socket itself, as the runtime may not have heard yet of those that wait.
         match listener.accept() {
             Ok((client, _)) => {
-                retries.succeeded();
+                retries.record_success();
                 if client.set_nonblocking(true).is_ok()
                     && let Ok(client) = TcpStream::from_std(client)
                 {
-                    take_in(client);
+                    start_client(client);
                 }
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(error) => {
-                TROUBLE.say(format_args!("accept failed: {error}"));
-                if retries.failed(&error) != Next::Retry {
+                ACCEPT_FAILURES.log(format_args!("accept failed: {error}"));
+                if retries.record_failure(&error) != AcceptRecovery::Retry {
                     waits += 1;
-                    if waits > LAST_WAITS {
+                    if waits > MAX_FINAL_SHORTAGE_WAITS {
                         return;
                     }
                     tokio::time::sleep(SHORTAGE_RETRY).await;
@@ -106,15 +106,15 @@
 }
 
 /// Takes over what an older process passes on, for as long as the process runs.
-pub async fn adopt(inbox: Inbox, front: Front) {
+pub async fn adopt_connections(receiver: HandoffReceiver, frontend: Frontend) {
     loop {
-        match inbox.next().await {
-            Ok((standing, [client, server])) => {
-                tokio::spawn(front.clone().adopt(standing, client, server));
+        match receiver.receive().await {
+            Ok((established, [client, server])) => {
+                tokio::spawn(frontend.clone().adopt_connection(established, client, server));
             }
             Err(error) => {
-                PASSED.say(format_args!("a connection that was passed on: {error}"));
-                tokio::time::sleep(AFTER_FAILURE).await;
+                HANDOFF_FAILURES.log(format_args!("a connection that was passed on: {error}"));
+                tokio::time::sleep(ADOPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/net/report.rs
+++ b/src/net/messages.rs
@@ -7,22 +7,22 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use ashtide_wire::Ending;
+use ashtide_protocol::Ending;
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::discovery::{End, News};
-use crate::engine::Answer;
-use crate::figures::{Closed, Count, Figures};
-use crate::handover::{Cordons, Share};
-use crate::interface::{Outcome, PeerId, RequestId, ServerId, Span};
+use crate::decision::interface::{GatewayId, Outcome, RequestId, ServerId, Span};
+use crate::discovery::{EndpointList, WatchEnd};
+use crate::engine::FinalAnswer;
+use crate::handover::{Cordons, ServerUsage};
+use crate::metrics::{CloseReason, Counter, Metrics};
 
 /// Commands that may wait for one session: more than all attempts of a request need.
-pub const COMMANDS: usize = 32;
+pub const SESSION_COMMAND_QUEUE: usize = 32;
 
 /// What a client asks for, in the words of its front.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct ConnectionRequest {
     /// The class's name.
     pub class: String,
     /// The tenant's name.
@@ -30,20 +30,20 @@
     /// The group's name.
     pub group: Option<String>,
     /// How long the client waits.
-    pub wait: Span,
+    pub client_timeout: Span,
     /// Expected load.
-    pub load: Option<f64>,
+    pub expected_load: Option<f64>,
     /// The client asks again, after a refusal or a failure.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Its connection was moved or broke.
-    pub again: bool,
+    pub is_reconnect: bool,
 }
 
 /// What the core asks of a front.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Command {
+pub enum SessionCommand {
     /// Make an attempt.
-    Attempt {
+    StartAttempt {
         /// Its number.
         attempt: u32,
         /// Where.
@@ -52,157 +52,157 @@
         timeout: Span,
     },
     /// Give the attempt up.
-    Close {
+    CancelAttempt {
         /// Its number.
         attempt: u32,
     },
     /// The attempt's connection may be used: its first byte may be written, at once or not at all.
-    Begin {
+    SendFirstLine {
         /// Its number.
         attempt: u32,
     },
     /// The attempt's connection counts as standing: its line may go to the client.
-    Pass {
+    ConfirmEstablished {
         /// Its number.
         attempt: u32,
     },
     /// Give the final answer.
-    Answer(Answer),
+    Answer(FinalAnswer),
     /// Send the client of the standing connection away.
-    Move,
+    Migrate,
     /// Pass the standing connection, which the named server holds, to the successor.
-    Hand(String),
+    HandOff(String),
 }
 
 /// Where a front takes its commands.
-pub type Port = mpsc::Sender<(RequestId, Command)>;
+pub type CommandSender = mpsc::Sender<(RequestId, SessionCommand)>;
 
 /// What fronts and drivers tell the core.
 #[derive(Debug)]
-pub enum Report {
+pub enum DriverEvent {
     /// A client asks for a connection.
-    Request(RequestId, Ask, Port),
+    ConnectionRequested(RequestId, ConnectionRequest, CommandSender),
     /// A connection that stood on the named server before.
-    Existing(RequestId, Ask, String, Port),
+    RestoreRequested(RequestId, ConnectionRequest, String, CommandSender),
     /// A connection that stands at the named server, taken over from an older process.
-    Adopted(RequestId, Ask, String, Port),
+    ConnectionAdopted(RequestId, ConnectionRequest, String, CommandSender),
     /// An attempt's connection has come up; the front writes nothing before `Begin`, and `Close` comes where it
     /// may not, as much may have changed since the attempt was chosen.
-    Connected(RequestId, u32),
+    AttemptConnected(RequestId, u32),
     /// An attempt's connection stands; the front waits for `Pass` or `Close`, as the core may just have given
     /// the attempt up.
-    Up(RequestId, u32),
+    AttemptEstablished(RequestId, u32),
     /// An attempt or connection has ended.
-    Ended(RequestId, u32, Outcome),
+    AttemptEnded(RequestId, u32, Outcome),
     /// The client has gone.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// A message was passed to the server; and whether its answer is due at once.
-    Asked(RequestId, bool),
+    MessageForwarded(RequestId, bool),
     /// The server sent something.
-    Answered(RequestId),
+    ServerResponded(RequestId),
     /// The connection's load as the server has told it: microseconds of work a second.
-    Load(RequestId, f64),
+    LoadReported(RequestId, f64),
     /// News of the list, on the watch of this number.
-    News(u64, News),
+    ListUpdated(u64, EndpointList),
     /// The list as an older process of this balancer has it.
-    Relayed(News),
+    SiblingList(EndpointList),
     /// What other processes of this balancer hold, by server, and what operators have called out there.
-    Beside(BTreeMap<String, Share>, Cordons),
+    SiblingState(BTreeMap<String, ServerUsage>, Cordons),
     /// Discovery has answered on the watch of this number, and what came with the answer has been told: nothing
     /// is missed any longer.
-    Watching(u64),
+    WatchSynced(u64),
     /// A call or watch is over.
     WatchEnded {
         /// How long ago the list was last in step: the last whole object or beat of any watch, or the start.
-        in_step: Duration,
+        since_synced: Duration,
         /// How it ended.
-        end: End,
+        end: WatchEnd,
         /// Whether the core is to ask for another: not where one is asked for already.
-        ask: bool,
+        resubscribe: bool,
     },
     /// A datagram of another gateway.
-    Heard(PeerId, Bytes),
+    DatagramReceived(GatewayId, Bytes),
     /// A probe is back.
-    Probed(ServerId, bool),
+    HealthChecked(ServerId, bool),
     /// A server is to be kept out for work, or no longer: what gateways have settled, not an operator's cordon.
-    Keep(String, bool),
+    MaintenanceCordon(String, bool),
     /// What is seen of the list, and of the connections with these servers.
-    Look(Vec<String>, oneshot::Sender<Seen>),
+    ServersInspected(Vec<String>, oneshot::Sender<ServerObservations>),
     /// Quotas as their file says now.
-    Quotas(Box<crate::quota::Settings>),
+    QuotasReloaded(Box<crate::fleet::quota::Settings>),
     /// Leave within this time.
-    Leave(Duration),
+    ShutdownRequested(Duration),
 }
 
 /// What this gateway sees for itself.
 #[derive(Debug)]
-pub struct Seen {
+pub struct ServerObservations {
     /// Servers that are ready by the list, and not taken out by an operator here.
     pub ready: BTreeSet<String>,
     /// Connections with the servers that were asked about.
-    pub open: BTreeMap<String, u32>,
+    pub open_connections: BTreeMap<String, u32>,
 }
 
 /// What a front holds of the core.
 #[derive(Clone)]
-pub struct Handle {
-    figures: Arc<Figures>,
-    reports: mpsc::Sender<Report>,
-    ids: Arc<AtomicU32>,
-    watch: Arc<AtomicU64>,
+pub struct EventLoopHandle {
+    metrics: Arc<Metrics>,
+    events: mpsc::Sender<DriverEvent>,
+    request_ids: Arc<AtomicU32>,
+    current_watch: Arc<AtomicU64>,
 }
 
-impl Handle {
+impl EventLoopHandle {
     /// A handle whose reports go here.
-    pub fn new(figures: Arc<Figures>, reports: mpsc::Sender<Report>) -> Self {
-        Self { figures, reports, ids: Arc::new(AtomicU32::new(1)), watch: Arc::default() }
+    pub fn new(metrics: Arc<Metrics>, events: mpsc::Sender<DriverEvent>) -> Self {
+        Self { metrics, events, request_ids: Arc::new(AtomicU32::new(1)), current_watch: Arc::default() }
     }
 
     /// The figures that all handles count into.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// A new request's id.
-    pub fn next_id(&self) -> RequestId {
-        RequestId(self.ids.fetch_add(1, Ordering::Relaxed))
+    pub fn next_request_id(&self) -> RequestId {
+        RequestId(self.request_ids.fetch_add(1, Ordering::Relaxed))
     }
 
     /// The number of a watch that begins: what earlier ones have told and nobody has heard yet is void.
-    pub fn next_watch(&self) -> u64 {
-        self.watch.fetch_add(1, Ordering::Relaxed) + 1
+    pub fn start_watch(&self) -> u64 {
+        self.current_watch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// Whether this is what a watch before the present one has told.
-    pub fn is_void(&self, report: &Report) -> bool {
-        let present = self.watch.load(Ordering::Relaxed);
-        matches!(report, Report::News(watch, _) | Report::Watching(watch) if *watch != present)
+    pub fn is_stale(&self, event: &DriverEvent) -> bool {
+        let current = self.current_watch.load(Ordering::Relaxed);
+        matches!(event, DriverEvent::ListUpdated(watch, _) | DriverEvent::WatchSynced(watch) if *watch != current)
     }
 
     /// Counts one of this class.
-    pub fn count(&self, count: Count, class: &str) {
-        self.figures.count(count, class);
+    pub fn count(&self, count: Counter, class: &str) {
+        self.metrics.increment(count, class);
     }
 
     /// Counts a client that was let go.
-    pub fn closed(&self, cause: Closed) {
-        self.figures.closed(cause);
+    pub fn count_closed(&self, reason: CloseReason) {
+        self.metrics.record_close(reason);
     }
 
     /// Tells the core; waits while it has much to do.
-    pub async fn tell(&self, report: Report) {
+    pub async fn send(&self, event: DriverEvent) {
         // The core only ends with the process.
-        let _ = self.reports.send(report).await;
+        let _ = self.events.send(event).await;
     }
 }
 
 /// A span as the runtime counts it.
-pub fn duration(span: Span) -> Duration {
+pub fn to_duration(span: Span) -> Duration {
     Duration::from_micros(u64::try_from(span.as_micros()).unwrap_or_default())
 }
 
 /// A runtime's duration as the core counts it.
-pub fn span(duration: Duration) -> Span {
+pub fn to_span(duration: Duration) -> Span {
     Span::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,25 +1,21 @@
 //! Drivers: what reads and writes sockets, one file a concern. They decide nothing.
 
 pub mod accept;
+pub mod admin;
+pub mod bind_retry;
 pub mod connect;
-pub mod core;
+pub mod connection_handoff;
 pub mod discovery;
-pub mod door;
-pub mod files;
+pub mod event_loop;
+pub mod fleet;
 pub mod handover;
+pub mod health_check;
 pub mod listen;
-pub mod lobby;
-pub mod log;
-pub mod maintenance;
-pub mod passing;
-pub mod probe;
+pub mod messages;
+pub mod pending_clients;
 pub mod quic;
-pub mod quota;
+pub mod rate_limited_log;
 pub mod reload;
-pub mod report;
-pub mod rights;
 pub mod session;
-pub mod socket;
-pub mod state;
-pub mod view;
+pub mod storage;
 pub mod vrrp;
--- a/src/net/log.rs
+++ b/src/net/rate_limited_log.rs
@@ -7,43 +7,43 @@
 
 /// Has events written as their text alone, each line by one write. A log that cannot be written is no reason
 /// to stop serving.
-pub fn start() {
+pub fn init() {
     let lines =
         tracing_subscriber::fmt().without_time().with_level(false).with_target(false).with_ansi(false);
     lines.log_internal_errors(false).with_writer(std::io::stderr).init();
 }
 
 /// Lines that are logged within [`WITHIN`].
-const MOST: u32 = 20;
+const MAX_LINES_PER_WINDOW: u32 = 20;
 /// See [`MOST`].
-const WITHIN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Lines of one kind.
-pub struct Limited {
-    topic: &'static str,
+pub struct RateLimitedLog {
+    subsystem: &'static str,
     /// Since when lines are counted, and how many there were.
-    seen: Mutex<(Option<Instant>, u32)>,
+    window: Mutex<(Option<Instant>, u32)>,
 }
 
-impl Limited {
+impl RateLimitedLog {
     /// Lines that begin with this topic.
-    pub const fn new(topic: &'static str) -> Self {
-        Self { topic, seen: Mutex::new((None, 0)) }
+    pub const fn new(subsystem: &'static str) -> Self {
+        Self { subsystem, window: Mutex::new((None, 0)) }
     }
 
     /// Logs a line, unless there were many.
-    pub fn say(&self, what: impl Display) {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn log(&self, message: impl Display) {
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        if seen.0.is_none_or(|since| now.duration_since(since) >= WITHIN) {
-            if seen.1 > MOST {
-                tracing::warn!("{}: {} more such lines", self.topic, seen.1 - MOST);
+        if window.0.is_none_or(|since| now.duration_since(since) >= WINDOW) {
+            if window.1 > MAX_LINES_PER_WINDOW {
+                tracing::warn!("{}: {} more such lines", self.subsystem, window.1 - MAX_LINES_PER_WINDOW);
             }
-            *seen = (Some(now), 0);
+            *window = (Some(now), 0);
         }
-        seen.1 += 1;
-        if seen.1 <= MOST {
-            tracing::warn!("{}: {what}", self.topic);
+        window.1 += 1;
+        if window.1 <= MAX_LINES_PER_WINDOW {
+            tracing::warn!("{}: {message}", self.subsystem);
         }
     }
 }
--- a/src/net/files.rs
+++ b/src/net/storage.rs
@@ -6,25 +6,25 @@
 use std::time::Duration;
 
 /// Reads that are tried before a file that is there counts as unreadable.
-const READS: u32 = 3;
+const MAX_READ_ATTEMPTS: u32 = 3;
 /// Wait between them.
-const READ_RETRY: Duration = Duration::from_millis(20);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A file that is written and synced beside its place, and removed unless it is put there.
-pub struct Aside {
+pub struct StagedFile {
     path: PathBuf,
 }
 
-impl Aside {
+impl StagedFile {
     /// Writes these bytes beside `place`, under a name of this process's own, and syncs them.
     ///
     /// # Errors
     ///
     /// Fails where the folder cannot be written.
-    pub fn write(place: &Path, bytes: &[u8]) -> io::Result<Self> {
-        let mut name = place.file_name().unwrap_or_default().to_owned();
+    pub fn stage(destination: &Path, bytes: &[u8]) -> io::Result<Self> {
+        let mut name = destination.file_name().unwrap_or_default().to_owned();
         name.push(format!(".{}.next", std::process::id()));
-        let aside = Self { path: place.with_file_name(name) };
+        let aside = Self { path: destination.with_file_name(name) };
         let mut file = File::create(&aside.path)?;
         file.write_all(bytes)?;
         file.sync_all()?;
@@ -36,9 +36,9 @@
     /// # Errors
     ///
     /// Fails where the folder cannot be written; what was there is there still, or the new file.
-    pub fn replace(self, place: &Path) -> io::Result<()> {
-        fs::rename(&self.path, place)?;
-        sync_folder(place)
+    pub fn replace_destination(self, destination: &Path) -> io::Result<()> {
+        fs::rename(&self.path, destination)?;
+        sync_parent_folder(destination)
     }
 
     /// Puts the file in its place, where there is none.
@@ -46,13 +46,13 @@
     /// # Errors
     ///
     /// Fails where there is a file already, or the folder cannot be written or has no links.
-    pub fn put_new(&self, place: &Path) -> io::Result<()> {
-        fs::hard_link(&self.path, place)?;
-        sync_folder(place)
+    pub fn create_destination(&self, destination: &Path) -> io::Result<()> {
+        fs::hard_link(&self.path, destination)?;
+        sync_parent_folder(destination)
     }
 }
 
-impl Drop for Aside {
+impl Drop for StagedFile {
     fn drop(&mut self) {
         // It is gone where it has been renamed.
         let _ = fs::remove_file(&self.path);
@@ -64,8 +64,8 @@
 /// # Errors
 ///
 /// Fails where the folder cannot be written.
-pub fn replace(place: &Path, bytes: &[u8]) -> io::Result<()> {
-    Aside::write(place, bytes)?.replace(place)
+pub fn replace_file(destination: &Path, bytes: &[u8]) -> io::Result<()> {
+    StagedFile::stage(destination, bytes)?.replace_destination(destination)
 }
 
 /// Reads a file that may be missing, which is no error. One that cannot be read for a moment is tried again.
@@ -73,21 +73,21 @@
 /// # Errors
 ///
 /// Fails where there is a file that cannot be read as text.
-pub fn read_if_there(path: &Path) -> io::Result<Option<String>> {
+pub fn read_optional(path: &Path) -> io::Result<Option<String>> {
     let mut reads = 1;
     loop {
         match fs::read_to_string(path) {
             Ok(text) => return Ok(Some(text)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) if reads >= READS => return Err(error),
-            Err(_) => std::thread::sleep(READ_RETRY),
+            Err(error) if reads >= MAX_READ_ATTEMPTS => return Err(error),
+            Err(_) => std::thread::sleep(READ_RETRY_DELAY),
         }
         reads += 1;
     }
 }
 
 /// A new name is on disk once its folder is.
-fn sync_folder(place: &Path) -> io::Result<()> {
+fn sync_parent_folder(place: &Path) -> io::Result<()> {
     let folder = place.parent().filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
--- a/src/net/vrrp.rs
+++ b/src/net/vrrp.rs
@@ -7,11 +7,11 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-use crate::config::VrrpFront;
-use crate::vrrp::{Advertisement, Effect, Machine, State};
+use crate::config::VrrpConfig;
+use crate::vrrp::{Advertisement, RouterAction, RouterState, VirtualRouter};
 
 /// Longer packets are none of ours.
-const MAX_PACKET: usize = 128;
+const MAX_PACKET_LENGTH: usize = 128;
 
 /// Runs until `stop` turns true; `active` tells whether this copy is the active one.
 ///
@@ -19,30 +19,30 @@
 ///
 /// Fails where the address cannot be bound.
 pub async fn run(
-    front: VrrpFront,
+    front: VrrpConfig,
     active: watch::Sender<bool>,
     mut stop: watch::Receiver<bool>,
 ) -> std::io::Result<()> {
     let socket = UdpSocket::bind(front.listen).await?;
     let own = socket.local_addr()?;
-    let mut machine = Machine::new(front.settings());
+    let mut machine = VirtualRouter::new(front.virtual_router_config());
     let mut effects = Vec::new();
-    machine.start(&mut effects);
+    machine.handle_startup(&mut effects);
     let (mut wake, mut dropped) = (None, 0_u64);
-    let mut packet = [0; MAX_PACKET];
+    let mut packet = [0; MAX_PACKET_LENGTH];
     loop {
         for effect in effects.drain(..) {
             match effect {
-                Effect::Send(advertisement) => send(&socket, &front.peers, &advertisement).await,
-                Effect::Enter(state) => {
+                RouterAction::Send(advertisement) => send(&socket, &front.peers, &advertisement).await,
+                RouterAction::EnterState(state) => {
                     info!("vrrp: router {} is {state:?}", front.router);
-                    active.send_replace(state == State::Active);
+                    active.send_replace(state == RouterState::Active);
                 }
-                Effect::Timer(wait) => wake = Some(Instant::now() + wait),
-                Effect::NoTimer => wake = None,
+                RouterAction::StartTimer(wait) => wake = Some(Instant::now() + wait),
+                RouterAction::StopTimer => wake = None,
             }
         }
-        if machine.state() == State::Initialize {
+        if machine.state() == RouterState::Initialize {
             return Ok(());
         }
         tokio::select! {
@@ -52,7 +52,7 @@
                 // Only the routers of the deploy file count: anyone can send to a UDP port.
                 let known = front.peers.contains(&from);
                 match Advertisement::decode(&packet[..length]) {
-                    Ok(heard) if known => machine.heard(&heard, from > own, &mut effects),
+                    Ok(heard) if known => machine.handle_advertisement(&heard, from > own, &mut effects),
                     Ok(_) | Err(_) => {
                         dropped += 1;
                         info!("vrrp: packet of {from} dropped, {dropped} so far");
@@ -61,9 +61,9 @@
             }
             () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => {
                 wake = None;
-                machine.timer(&mut effects);
+                machine.handle_timer(&mut effects);
             }
-            _ = stop.wait_for(|&stop| stop) => machine.stop(&mut effects),
+            _ = stop.wait_for(|&stop| stop) => machine.handle_shutdown(&mut effects),
         }
     }
 }
--- a/src/quic/header.rs
+++ b/src/quic/header.rs
@@ -3,23 +3,23 @@
 use bytes::{Buf, BufMut};
 
 /// Longest connection id of version 1.
-pub const MAX_ID: usize = 20;
+pub const MAX_CONNECTION_ID_LENGTH: usize = 20;
 /// The only version that this gateway places.
 pub const VERSION_1: u32 = 1;
 /// A client's Initial fills at least this much of a datagram.
-pub const MIN_INITIAL: usize = 1200;
+pub const MIN_INITIAL_DATAGRAM: usize = 1200;
 
 /// A connection id.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId {
     length: u8,
-    bytes: [u8; MAX_ID],
+    bytes: [u8; MAX_CONNECTION_ID_LENGTH],
 }
 
 impl ConnectionId {
     /// An id of these bytes, unless they are too many.
     pub fn new(id: &[u8]) -> Option<Self> {
-        let mut bytes = [0; MAX_ID];
+        let mut bytes = [0; MAX_CONNECTION_ID_LENGTH];
         bytes.get_mut(..id.len())?.copy_from_slice(id);
         Some(Self { length: id.len() as u8, bytes })
     }
@@ -40,7 +40,7 @@
 
 /// What kind of long-header packet of version 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LongKind {
+pub enum LongPacketType {
     /// Begins a connection.
     Initial,
     /// Early data.
@@ -57,30 +57,30 @@
     /// A list of versions; ids as on any long header.
     VersionNegotiation {
         /// Whom it is for.
-        to: ConnectionId,
+        destination_id: ConnectionId,
         /// Whom it is from.
-        from: ConnectionId,
+        source_id: ConnectionId,
     },
     /// A long header of a version that is not 1.
     OtherVersion {
         /// Whom it is for.
-        to: ConnectionId,
+        destination_id: ConnectionId,
         /// Whom it is from.
-        from: ConnectionId,
+        source_id: ConnectionId,
     },
     /// A long header of version 1.
     Long {
         /// Its kind.
-        kind: LongKind,
+        packet_type: LongPacketType,
         /// Whom it is for.
-        to: ConnectionId,
+        destination_id: ConnectionId,
         /// Whom it is from.
-        from: ConnectionId,
+        source_id: ConnectionId,
     },
     /// A short header, whose id is as long as its issuer has made it.
     Short {
         /// Whom it is for.
-        to: ConnectionId,
+        destination_id: ConnectionId,
     },
 }
 
@@ -89,13 +89,13 @@
 pub enum HeaderError {
     /// It ends within the header.
     #[error("the datagram ends within its header")]
-    Short,
+    Truncated,
     /// An id of over 20 bytes.
-    #[error("a connection id of over {MAX_ID} bytes")]
-    Id,
+    #[error("a connection id of over {MAX_CONNECTION_ID_LENGTH} bytes")]
+    ConnectionIdTooLong,
     /// The bit that version 1 fixes is not set.
     #[error("the fixed bit is not set")]
-    Fixed,
+    FixedBitUnset,
 }
 
 impl Header {
@@ -106,46 +106,48 @@
     /// Fails on what cannot be a packet of version 1 nor of the invariants.
     pub fn parse(datagram: &[u8], id_length: usize) -> Result<Self, HeaderError> {
         let mut rest = datagram;
-        let first = rest.try_get_u8().map_err(|_| HeaderError::Short)?;
+        let first = rest.try_get_u8().map_err(|_| HeaderError::Truncated)?;
         if first & 0x80 == 0 {
             if first & 0x40 == 0 {
-                return Err(HeaderError::Fixed);
+                return Err(HeaderError::FixedBitUnset);
             }
-            let id = rest.get(..id_length).ok_or(HeaderError::Short)?;
-            return Ok(Header::Short { to: ConnectionId::new(id).ok_or(HeaderError::Id)? });
+            let id = rest.get(..id_length).ok_or(HeaderError::Truncated)?;
+            return Ok(Header::Short {
+                destination_id: ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)?,
+            });
         }
-        let version = rest.try_get_u32().map_err(|_| HeaderError::Short)?;
-        let (to, from) = (take_id(&mut rest)?, take_id(&mut rest)?);
+        let version = rest.try_get_u32().map_err(|_| HeaderError::Truncated)?;
+        let (to, from) = (read_connection_id(&mut rest)?, read_connection_id(&mut rest)?);
         match version {
-            0 => Ok(Header::VersionNegotiation { to, from }),
-            VERSION_1 if first & 0x40 == 0 => Err(HeaderError::Fixed),
+            0 => Ok(Header::VersionNegotiation { destination_id: to, source_id: from }),
+            VERSION_1 if first & 0x40 == 0 => Err(HeaderError::FixedBitUnset),
             VERSION_1 => {
                 let kind = match (first >> 4) & 3 {
-                    0 => LongKind::Initial,
-                    1 => LongKind::ZeroRtt,
-                    2 => LongKind::Handshake,
-                    _ => LongKind::Retry,
+                    0 => LongPacketType::Initial,
+                    1 => LongPacketType::ZeroRtt,
+                    2 => LongPacketType::Handshake,
+                    _ => LongPacketType::Retry,
                 };
-                Ok(Header::Long { kind, to, from })
+                Ok(Header::Long { packet_type: kind, destination_id: to, source_id: from })
             }
-            _ => Ok(Header::OtherVersion { to, from }),
+            _ => Ok(Header::OtherVersion { destination_id: to, source_id: from }),
         }
     }
 }
 
 /// Takes an id with its length before it.
-pub(super) fn take_id(rest: &mut &[u8]) -> Result<ConnectionId, HeaderError> {
-    let length = usize::from(rest.try_get_u8().map_err(|_| HeaderError::Short)?);
-    if length > MAX_ID {
-        return Err(HeaderError::Id);
+pub(super) fn read_connection_id(rest: &mut &[u8]) -> Result<ConnectionId, HeaderError> {
+    let length = usize::from(rest.try_get_u8().map_err(|_| HeaderError::Truncated)?);
+    if length > MAX_CONNECTION_ID_LENGTH {
+        return Err(HeaderError::ConnectionIdTooLong);
     }
-    let id = rest.get(..length).ok_or(HeaderError::Short)?;
+    let id = rest.get(..length).ok_or(HeaderError::Truncated)?;
     rest.advance(length);
-    ConnectionId::new(id).ok_or(HeaderError::Id)
+    ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)
 }
 
 /// Writes the part that all long headers share.
-pub fn put_long(out: &mut Vec<u8>, first: u8, version: u32, to: &[u8], from: &[u8]) {
+pub fn write_long_header(out: &mut Vec<u8>, first: u8, version: u32, to: &[u8], from: &[u8]) {
     out.put_u8(first);
     out.put_u32(version);
     for id in [to, from] {
@@ -155,15 +157,15 @@
 }
 
 /// The answer to a client of a version that is not spoken here.
-pub fn version_negotiation(to: &[u8], from: &[u8], noise: u8) -> Vec<u8> {
+pub fn encode_version_negotiation(to: &[u8], from: &[u8], noise: u8) -> Vec<u8> {
     let mut out = Vec::with_capacity(7 + to.len() + from.len() + 4);
-    put_long(&mut out, 0x80 | noise, 0, to, from);
+    write_long_header(&mut out, 0x80 | noise, 0, to, from);
     out.put_u32(VERSION_1);
     out
 }
 
 /// Reads a variable-length integer.
-pub fn take_varint(rest: &mut &[u8]) -> Option<u64> {
+pub fn read_varint(rest: &mut &[u8]) -> Option<u64> {
     let first = *rest.first()?;
     let length = 1 << (first >> 6);
     let bytes = rest.get(..length)?;
@@ -173,6 +175,6 @@
 }
 
 /// Writes a variable-length integer below 2^14, in two bytes.
-pub fn put_varint2(out: &mut Vec<u8>, value: u16) {
+pub fn write_two_byte_varint(out: &mut Vec<u8>, value: u16) {
     out.put_u16(0x4000 | (value & 0x3fff));
 }
--- a/src/quic.rs
+++ b/src/quic/mod.rs
@@ -7,4 +7,4 @@
 pub mod reset;
 pub mod table;
 
-pub use header::{ConnectionId, Header, HeaderError, LongKind};
+pub use header::{ConnectionId, Header, HeaderError, LongPacketType};
--- a/src/quic/table.rs
+++ b/src/quic/table.rs
@@ -3,32 +3,37 @@
 use std::collections::{HashMap, VecDeque};
 
 use super::header::ConnectionId;
-use crate::interface::RequestId;
+use crate::decision::interface::RequestId;
 
 /// Ids that one connection may have in the table; a client that shows more loses its oldest.
-const IDS_EACH: usize = 8;
+const MAX_IDS_PER_CONNECTION: usize = 8;
 
 /// What is known of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
     /// It belongs to this connection.
-    To(RequestId),
+    Connection(RequestId),
     /// Its final answer has been given: nothing more is said.
     Answered,
 }
 
 /// The table of ids, bounded on all sides.
-pub struct Table {
+pub struct ConnectionIdTable {
     routes: HashMap<ConnectionId, Route>,
     ids: HashMap<RequestId, VecDeque<ConnectionId>>,
-    answered: VecDeque<ConnectionId>,
-    most_answered: usize,
+    answered_ids: VecDeque<ConnectionId>,
+    max_answered_ids: usize,
 }
 
-impl Table {
+impl ConnectionIdTable {
     /// A table that remembers this many answered ids.
     pub fn new(most_answered: usize) -> Self {
-        Self { routes: HashMap::new(), ids: HashMap::new(), answered: VecDeque::new(), most_answered }
+        Self {
+            routes: HashMap::new(),
+            ids: HashMap::new(),
+            answered_ids: VecDeque::new(),
+            max_answered_ids: most_answered,
+        }
     }
 
     /// What is known of an id.
@@ -38,14 +43,14 @@
 
     /// The id belongs to this connection. An id that is taken stays with its first owner: nobody
     /// gets hold of a connection by naming it.
-    pub fn learn(&mut self, id: ConnectionId, owner: RequestId) {
+    pub fn insert(&mut self, id: ConnectionId, owner: RequestId) {
         if id.is_empty() || self.routes.contains_key(&id) {
             return;
         }
-        self.routes.insert(id, Route::To(owner));
+        self.routes.insert(id, Route::Connection(owner));
         let ids = self.ids.entry(owner).or_default();
         ids.push_back(id);
-        if ids.len() > IDS_EACH {
+        if ids.len() > MAX_IDS_PER_CONNECTION {
             if let Some(oldest) = ids.pop_front() {
                 self.routes.remove(&oldest);
             }
@@ -53,27 +58,27 @@
     }
 
     /// The connection is over, and its ids are unknown again.
-    pub fn forget(&mut self, owner: RequestId) {
+    pub fn remove_connection(&mut self, owner: RequestId) {
         for id in self.ids.remove(&owner).unwrap_or_default() {
             self.routes.remove(&id);
         }
     }
 
     /// The connection is over and has been told so: its ids get no further answer.
-    pub fn close(&mut self, owner: RequestId) {
+    pub fn close_connection(&mut self, owner: RequestId) {
         for id in self.ids.remove(&owner).unwrap_or_default() {
             self.routes.remove(&id);
-            self.answer(id);
+            self.mark_answered(id);
         }
     }
 
     /// This id has been given its final answer.
-    pub fn answer(&mut self, id: ConnectionId) {
+    pub fn mark_answered(&mut self, id: ConnectionId) {
         if self.routes.insert(id, Route::Answered).is_none() {
-            self.answered.push_back(id);
+            self.answered_ids.push_back(id);
         }
-        if self.answered.len() > self.most_answered {
-            if let Some(oldest) = self.answered.pop_front() {
+        if self.answered_ids.len() > self.max_answered_ids {
+            if let Some(oldest) = self.answered_ids.pop_front() {
                 self.routes.remove(&oldest);
             }
         }
--- a/src/facts.rs
+++ b/src/settings.rs
@@ -8,17 +8,18 @@
 use serde_json::Value;
 use smart_default::SmartDefault;
 
-use crate::interface::{
-    Class, Discovery, Effect, GroupId, KeyedGroup, PeerId, Prices, Settings, Span, Tenant, Weights, ZoneId,
+use crate::decision::interface::{
+    DeduplicationScope, DiscoveryMode, GatewayId, GroupId, Idempotency, Prices, RequestClass, Settings, Span,
+    Tenant, WeightMode, ZoneId,
 };
 
 /// Seconds as whole microseconds; what is no number counts as zero.
-pub fn span(seconds: f64) -> Span {
+pub fn span_from_seconds(seconds: f64) -> Span {
     Span::from_micros((seconds * 1e6).round() as i64)
 }
 
 /// The group's number, the same at all gateways; a table of names would grow for ever.
-pub fn group(name: &str) -> GroupId {
+pub fn group_id(name: &str) -> GroupId {
     let mut hash = 0x811c_9dc5_u32;
     for byte in name.bytes() {
         hash = (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
@@ -57,7 +58,7 @@
 }
 
 /// The names that the settings define, numbered as the module's ids.
-pub struct Names {
+pub struct NameTables {
     /// Zones, those of the settings first.
     pub zones: Interner,
     /// Kinds of machine, those of the settings first.
@@ -72,24 +73,24 @@
 
 /// A tenant's quota over all gateways.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Allowance {
+pub struct TenantQuota {
     /// The tenant's name.
     pub name: String,
     /// New connections a second.
-    pub per_s: f64,
+    pub connections_per_second: f64,
     /// Open connections; none where they are not limited.
-    pub connections: Option<u64>,
+    pub max_open_connections: Option<u64>,
 }
 
 /// The settings object as it is written.
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Facts {
+pub struct PlatformSettings {
     azs: Vec<String>,
     shapes: Vec<String>,
     zone: String,
-    classes: Vec<FactsClass>,
-    customers: Vec<Customer>,
+    classes: Vec<ClassSettings>,
+    customers: Vec<CustomerSettings>,
     #[default = 1]
     balancers: u32,
     index: u32,
@@ -98,9 +99,9 @@
     weights: String,
     value_by: String,
     family_info: FamilyInfo,
-    limits: Limits,
-    prices: FactsPrices,
-    rules: Rules,
+    limits: LimitSettings,
+    prices: PriceSettings,
+    rules: RuleSettings,
     #[default = 0.001]
     tick: f64,
 }
@@ -108,7 +109,7 @@
 #[serde_inline_default]
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct FactsClass {
+struct ClassSettings {
     name: String,
     #[serde(default)]
     aim: f64,
@@ -117,7 +118,7 @@
     #[serde_inline_default(1.0)]
     worth: f64,
     #[serde(default)]
-    effect: FactsEffect,
+    effect: EffectSetting,
     #[serde(default)]
     group: String,
     #[serde(default)]
@@ -126,7 +127,7 @@
 
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum FactsEffect {
+enum EffectSetting {
     #[default]
     Pure,
     Token,
@@ -135,7 +136,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Customer {
+struct CustomerSettings {
     name: String,
     #[serde(default)]
     quota_per_s: f64,
@@ -150,7 +151,7 @@
 
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default)]
-struct Limits {
+struct LimitSettings {
     #[default = 1]
     max_attempts: u32,
     max_retry_after: f64,
@@ -164,7 +165,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct FactsPrices {
+struct PriceSettings {
     cross_zone: f64,
     probe: f64,
     moves: f64,
@@ -172,7 +173,7 @@
 
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default)]
-struct Rules {
+struct RuleSettings {
     answer_slack: f64,
     #[default = 10.0]
     ask_within: f64,
@@ -190,7 +191,7 @@
 /// A name that stands twice in a list of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
-pub struct TwiceError {
+pub struct DuplicateNameError {
     /// The second place where it stands.
     pub key: String,
     /// The name, and why it may stand once only.
@@ -198,32 +199,32 @@
 }
 
 /// Takes out every `null`: it says no more than a missing key does.
-pub(crate) fn drop_nulls(value: &mut Value) {
+pub(crate) fn remove_nulls(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             fields.retain(|_, value| !value.is_null());
-            fields.values_mut().for_each(drop_nulls);
+            fields.values_mut().for_each(remove_nulls);
         }
         Value::Array(items) => {
             for item in items {
                 if item.is_null() {
                     *item = Value::from(0.0);
                 }
-                drop_nulls(item);
+                remove_nulls(item);
             }
         }
         _ => {}
     }
 }
 
-impl Facts {
+impl PlatformSettings {
     /// Reads the object; keys of the wrong type, unknown effects and names that stand twice are errors, and
     /// name the key.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        drop_nulls(&mut value);
+        remove_nulls(&mut value);
         let facts: Self = serde_path_to_error::deserialize(&value).map_err(|e| e.to_string())?;
-        facts.check().map_err(|e| e.to_string())?;
+        facts.validate().map_err(|e| e.to_string())?;
         Ok(facts)
     }
 
@@ -234,7 +235,7 @@
     /// # Errors
     ///
     /// Says which name stands twice, and where.
-    pub fn check(&self) -> Result<(), TwiceError> {
+    pub fn validate(&self) -> Result<(), DuplicateNameError> {
         let classes: Vec<&str> = self.classes.iter().map(|it| it.name.as_str()).collect();
         let customers: Vec<&str> = self.customers.iter().map(|it| it.name.as_str()).collect();
         for (list, names) in [("classes", classes), ("customers", customers)] {
@@ -242,7 +243,7 @@
             if let Some(at) = names.iter().position(|name| !seen.insert(*name)) {
                 let problem =
                     format!("'{}' stands twice; requests ask by name, so name each once", names[at]);
-                return Err(TwiceError { key: format!("{list}[{at}].name"), problem });
+                return Err(DuplicateNameError { key: format!("{list}[{at}].name"), problem });
             }
         }
         Ok(())
@@ -251,7 +252,7 @@
     /// What is legal and perhaps not meant: a list that goes by the places of another and has another length.
     /// The pages give these lists a figure for each class and each customer and don't say what a shorter one
     /// means, so nothing is refused: what has no figure counts as not limited, and what is over is not used.
-    pub fn remarks(&self) -> Vec<String> {
+    pub fn warnings(&self) -> Vec<String> {
         let info = &self.family_info;
         let (aims, quotas) = (info.message_aim.len(), info.tenant_quota_connections.len());
         let lists = [
@@ -266,13 +267,13 @@
     }
 
     /// The names that the settings define.
-    pub fn names(&self) -> Names {
+    pub fn name_tables(&self) -> NameTables {
         let numbered = |names: &mut dyn Iterator<Item = &String>| {
             let mut interner = Interner::default();
             names.for_each(|name| _ = interner.intern(name));
             interner
         };
-        Names {
+        NameTables {
             zones: numbered(&mut self.azs.iter().chain([&self.zone])),
             kinds: numbered(&mut self.shapes.iter()),
             servers: Interner::default(),
@@ -283,105 +284,105 @@
 
     /// A connection that is not up by then could not be made.
     pub fn connect_timeout(&self) -> Span {
-        span(self.limits.connect_timeout)
+        span_from_seconds(self.limits.connect_timeout)
     }
 
     /// The relay's own number among those of its tier.
-    pub fn index(&self) -> u32 {
+    pub fn gateway_index(&self) -> u32 {
         self.index
     }
 
     /// Whether relays may tell each other anything.
-    pub fn peers(&self) -> bool {
+    pub fn allows_peer_messages(&self) -> bool {
         self.limits.peers
     }
 
     /// The tenants with their quotas, where they are stated.
-    pub fn allowances(&self) -> Vec<Allowance> {
+    pub fn tenant_quotas(&self) -> Vec<TenantQuota> {
         let stated = |it: f64| (it >= 1.0).then_some(it as u64);
         let connections = &self.family_info.tenant_quota_connections;
-        let each = self.customers.iter().enumerate().map(|(at, it)| Allowance {
+        let each = self.customers.iter().enumerate().map(|(at, it)| TenantQuota {
             name: it.name.clone(),
-            per_s: it.quota_per_s,
-            connections: connections.get(at).copied().and_then(stated),
+            connections_per_second: it.quota_per_s,
+            max_open_connections: connections.get(at).copied().and_then(stated),
         });
-        each.filter(|it| it.per_s > 0.0).collect()
+        each.filter(|it| it.connections_per_second > 0.0).collect()
     }
 
     /// The longest deadline of any class.
     pub fn longest_deadline(&self) -> Span {
-        span(self.classes.iter().map(|c| c.deadline).fold(0.0, f64::max))
+        span_from_seconds(self.classes.iter().map(|c| c.deadline).fold(0.0, f64::max))
     }
 
     /// The module's settings, for a relay whose zone `names` holds.
-    pub fn settings(&self, names: &Names) -> Settings {
+    pub fn balancer_settings(&self, names: &NameTables) -> Settings {
         let zone = ZoneId(names.zones.find(&self.zone).unwrap_or_default());
         let info = &self.family_info;
         let secs = |list: &[f64], i: usize| list.get(i).copied().unwrap_or(0.0);
-        let classes = self.classes.iter().enumerate().map(|(i, class)| Class {
-            aim: span(class.aim),
-            message_aim: span(secs(&info.message_aim, i)),
-            worth: class.worth,
-            effect: class.effect(),
+        let classes = self.classes.iter().enumerate().map(|(i, class)| RequestClass {
+            latency_objective: span_from_seconds(class.aim),
+            message_latency_objective: span_from_seconds(secs(&info.message_aim, i)),
+            priority_weight: class.worth,
+            idempotency: class.idempotency(),
         });
         let tenants = self.customers.iter().enumerate().map(|(i, customer)| Tenant {
             quota_per_s: customer.quota_per_s,
             quota_connections: secs(&info.tenant_quota_connections, i),
         });
         Settings {
-            relays: self.balancers.max(1),
-            own: PeerId(self.index),
+            gateways: self.balancers.max(1),
+            gateway_id: GatewayId(self.index),
             zone,
             discovery: match self.discovery.as_str() {
-                "pushed" => Discovery::Pushed,
-                _ => Discovery::OnRequest,
+                "pushed" => DiscoveryMode::Pushed,
+                _ => DiscoveryMode::OnRequest,
             },
             weights: match self.weights.as_str() {
-                "nominal" | "rough" => Weights::Nominal,
-                "live" => Weights::Live,
-                _ => Weights::Off,
+                "nominal" | "rough" => WeightMode::Nominal,
+                "live" => WeightMode::Live,
+                _ => WeightMode::Off,
             },
             classes: classes.collect(),
             tenants: tenants.collect(),
-            worth_by_load: self.value_by == "work",
-            tick: span(self.tick),
+            priority_scales_with_load: self.value_by == "work",
+            batch_interval: span_from_seconds(self.tick),
             prices: Prices {
                 cross_zone: self.prices.cross_zone,
-                probe: self.prices.probe,
-                moves: self.prices.moves,
+                health_check: self.prices.probe,
+                migration: self.prices.moves,
             },
             max_attempts: self.limits.max_attempts,
             max_retry_after: match self.limits.retry_after {
-                true => span(self.limits.max_retry_after),
+                true => span_from_seconds(self.limits.max_retry_after),
                 false => Span::ZERO,
             },
-            probes: self.limits.probes,
-            peers: self.limits.peers,
-            recalls: self.limits.cancelling,
-            answer_slack: span(self.rules.answer_slack),
-            ask_within: span(self.rules.ask_within),
-            drain_grace: span(self.rules.stop_sending_within),
-            cold_from: self.rules.cold_from,
-            warm_within: span(self.rules.warm_within),
-            fall_multiple: self.rules.fall_multiple,
-            overload_for: span(self.rules.overload_for),
+            health_checks: self.limits.probes,
+            fleet_permits: self.limits.peers,
+            cancellation: self.limits.cancelling,
+            answer_slack: span_from_seconds(self.rules.answer_slack),
+            list_poll_limit: span_from_seconds(self.rules.ask_within),
+            drain_grace: span_from_seconds(self.rules.stop_sending_within),
+            initial_capacity_share: self.rules.cold_from,
+            warm_up_time: span_from_seconds(self.rules.warm_within),
+            overload_factor: self.rules.fall_multiple,
+            overload_window: span_from_seconds(self.rules.overload_for),
         }
     }
 }
 
-impl FactsClass {
-    fn effect(&self) -> Effect {
+impl ClassSettings {
+    fn idempotency(&self) -> Idempotency {
         match self.effect {
-            FactsEffect::Pure => Effect::Safe,
-            FactsEffect::Token => Effect::Keyed {
-                group: match self.group.as_str() {
-                    "all" => KeyedGroup::All,
-                    "zone" => KeyedGroup::Zone,
-                    _ => KeyedGroup::Cell,
+            EffectSetting::Pure => Idempotency::Idempotent,
+            EffectSetting::Token => Idempotency::WithKey {
+                scope: match self.group.as_str() {
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 },
-                window: span(self.key_ttl),
+                remembered_for: span_from_seconds(self.key_ttl),
             },
-            FactsEffect::SideEffect => Effect::Unsafe,
+            EffectSetting::SideEffect => Idempotency::NotIdempotent,
         }
     }
 }
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -13,17 +13,17 @@
 /// Virtual addresses that one packet may carry here.
 const MAX_ADDRESSES: usize = 16;
 /// The owner of the address has this priority, and no other router may.
-pub const OWNER: u8 = 255;
+pub const OWNER_PRIORITY: u8 = 255;
 
 /// An advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
     /// The virtual router's number.
-    pub router: u8,
+    pub virtual_router_id: u8,
     /// The sender's priority; 0 means that it leaves.
     pub priority: u8,
     /// The sender's interval, in hundredths of a second, below 4096.
-    pub interval: u16,
+    pub max_advertise_interval: u16,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
 }
@@ -57,8 +57,8 @@
     pub fn encode(&self) -> Vec<u8> {
         let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
         let mut out = Vec::with_capacity(8 + 4 * addresses.len());
-        out.put_slice(&[VERSION_AND_TYPE, self.router, self.priority, addresses.len() as u8]);
-        out.put_u16(self.interval & 0x0fff);
+        out.put_slice(&[VERSION_AND_TYPE, self.virtual_router_id, self.priority, addresses.len() as u8]);
+        out.put_u16(self.max_advertise_interval & 0x0fff);
         out.put_u16(0);
         addresses.iter().for_each(|address| out.put_slice(&address.octets()));
         let sum = checksum(&out);
@@ -92,19 +92,19 @@
         }
         packet.advance(8);
         let addresses = (0..count).map(|_| Ipv4Addr::from(packet.get_u32())).collect();
-        Ok(Self { router, priority, interval, addresses })
+        Ok(Self { virtual_router_id: router, priority, max_advertise_interval: interval, addresses })
     }
 }
 
 /// What a virtual router is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct VirtualRouterConfig {
     /// Its number, 1 to 255.
-    pub router: u8,
+    pub virtual_router_id: u8,
     /// 1 to 254, or [`OWNER`].
     pub priority: u8,
     /// Hundredths of a second between advertisements, 1 to 4095.
-    pub interval: u16,
+    pub advertisement_interval: u16,
     /// Whether it takes over from an active router of lower priority.
     pub preempt: bool,
     /// The virtual addresses.
@@ -113,7 +113,7 @@
 
 /// A router's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RouterState {
     /// Not started.
     Initialize,
     /// Listens for the active router.
@@ -124,131 +124,158 @@
 
 /// What the state machine asks of its driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RouterAction {
     /// Send this to the other routers.
     Send(Advertisement),
     /// The state is now this.
-    Enter(State),
+    EnterState(RouterState),
     /// Call [`Machine::timer`] after this long, instead of what was asked before.
-    Timer(Duration),
+    StartTimer(Duration),
     /// No timer runs any more.
-    NoTimer,
+    StopTimer,
 }
 
 /// The state machine of section 6.4. `id` sets apart senders of one priority, as their primary
 /// addresses do in the standard.
-pub struct Machine {
-    settings: Settings,
-    state: State,
+pub struct VirtualRouter {
+    config: VirtualRouterConfig,
+    state: RouterState,
     /// The active router's interval, learnt from its packets.
-    active_interval: u16,
+    active_advertisement_interval: u16,
 }
 
-fn hundredths(count: u32) -> Duration {
+fn centiseconds(count: u32) -> Duration {
     Duration::from_millis(u64::from(count) * 10)
 }
 
-impl Machine {
+impl VirtualRouter {
     /// A router that has not started.
-    pub fn new(settings: Settings) -> Self {
-        let active_interval = settings.interval;
-        Self { settings, state: State::Initialize, active_interval }
+    pub fn new(settings: VirtualRouterConfig) -> Self {
+        let active_interval = settings.advertisement_interval;
+        Self {
+            config: settings,
+            state: RouterState::Initialize,
+            active_advertisement_interval: active_interval,
+        }
     }
 
     /// Its state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RouterState {
         self.state
     }
 
-    fn advertisement(&self, priority: u8) -> Effect {
-        let Settings { router, interval, ref addresses, .. } = self.settings;
-        Effect::Send(Advertisement { router, priority, interval, addresses: addresses.clone() })
+    fn advertisement(&self, priority: u8) -> RouterAction {
+        let VirtualRouterConfig {
+            virtual_router_id: router,
+            advertisement_interval: interval,
+            ref addresses,
+            ..
+        } = self.config;
+        RouterAction::Send(Advertisement {
+            virtual_router_id: router,
+            priority,
+            max_advertise_interval: interval,
+            addresses: addresses.clone(),
+        })
     }
 
     /// Lower priorities wait longer, so that the highest takes over first.
-    fn skew(&self) -> u32 {
-        (256 - u32::from(self.settings.priority)) * u32::from(self.active_interval) / 256
+    fn skew_time(&self) -> u32 {
+        (256 - u32::from(self.config.priority)) * u32::from(self.active_advertisement_interval) / 256
     }
 
-    fn active_down(&self) -> Effect {
-        Effect::Timer(hundredths(3 * u32::from(self.active_interval) + self.skew()))
+    fn start_active_down_timer(&self) -> RouterAction {
+        RouterAction::StartTimer(centiseconds(
+            3 * u32::from(self.active_advertisement_interval) + self.skew_time(),
+        ))
     }
 
-    fn enter(&mut self, state: State, out: &mut Vec<Effect>) {
+    fn enter_state(&mut self, state: RouterState, out: &mut Vec<RouterAction>) {
         self.state = state;
-        out.push(Effect::Enter(state));
+        out.push(RouterAction::EnterState(state));
     }
 
-    fn become_active(&mut self, out: &mut Vec<Effect>) {
-        out.push(self.advertisement(self.settings.priority));
-        self.enter(State::Active, out);
-        out.push(Effect::Timer(hundredths(u32::from(self.settings.interval))));
+    fn become_active(&mut self, out: &mut Vec<RouterAction>) {
+        out.push(self.advertisement(self.config.priority));
+        self.enter_state(RouterState::Active, out);
+        out.push(RouterAction::StartTimer(centiseconds(u32::from(self.config.advertisement_interval))));
     }
 
     /// The startup event.
-    pub fn start(&mut self, out: &mut Vec<Effect>) {
-        if self.state != State::Initialize {
+    pub fn handle_startup(&mut self, out: &mut Vec<RouterAction>) {
+        if self.state != RouterState::Initialize {
             return;
         }
-        if self.settings.priority == OWNER {
+        if self.config.priority == OWNER_PRIORITY {
             return self.become_active(out);
         }
-        self.active_interval = self.settings.interval;
-        self.enter(State::Backup, out);
-        out.push(self.active_down());
+        self.active_advertisement_interval = self.config.advertisement_interval;
+        self.enter_state(RouterState::Backup, out);
+        out.push(self.start_active_down_timer());
     }
 
     /// The shutdown event: an active router says that it leaves, so that another takes over at once.
-    pub fn stop(&mut self, out: &mut Vec<Effect>) {
-        if self.state == State::Active {
+    pub fn handle_shutdown(&mut self, out: &mut Vec<RouterAction>) {
+        if self.state == RouterState::Active {
             out.push(self.advertisement(0));
         }
-        out.push(Effect::NoTimer);
-        self.enter(State::Initialize, out);
+        out.push(RouterAction::StopTimer);
+        self.enter_state(RouterState::Initialize, out);
     }
 
     /// The timer has run out.
-    pub fn timer(&mut self, out: &mut Vec<Effect>) {
+    pub fn handle_timer(&mut self, out: &mut Vec<RouterAction>) {
         match self.state {
-            State::Initialize => {}
-            State::Backup => self.become_active(out),
-            State::Active => {
-                out.push(self.advertisement(self.settings.priority));
-                out.push(Effect::Timer(hundredths(u32::from(self.settings.interval))));
+            RouterState::Initialize => {}
+            RouterState::Backup => self.become_active(out),
+            RouterState::Active => {
+                out.push(self.advertisement(self.config.priority));
+                out.push(RouterAction::StartTimer(centiseconds(u32::from(
+                    self.config.advertisement_interval,
+                ))));
             }
         }
     }
 
     /// An advertisement of another router; `sender_is_higher` where its address is above ours.
-    pub fn heard(&mut self, heard: &Advertisement, sender_is_higher: bool, out: &mut Vec<Effect>) {
-        if heard.router != self.settings.router {
+    pub fn handle_advertisement(
+        &mut self,
+        heard: &Advertisement,
+        sender_is_higher: bool,
+        out: &mut Vec<RouterAction>,
+    ) {
+        if heard.virtual_router_id != self.config.virtual_router_id {
             return;
         }
         match self.state {
-            State::Initialize => {}
-            State::Backup if heard.priority == 0 => {
-                out.push(Effect::Timer(hundredths(self.skew())));
+            RouterState::Initialize => {}
+            RouterState::Backup if heard.priority == 0 => {
+                out.push(RouterAction::StartTimer(centiseconds(self.skew_time())));
             }
-            State::Backup => {
-                if !self.settings.preempt || heard.priority >= self.settings.priority {
-                    self.active_interval = heard.interval;
-                    out.push(self.active_down());
+            RouterState::Backup => {
+                if !self.config.preempt || heard.priority >= self.config.priority {
+                    self.active_advertisement_interval = heard.max_advertise_interval;
+                    out.push(self.start_active_down_timer());
                 }
             }
-            State::Active if heard.priority == 0 => {
-                out.push(self.advertisement(self.settings.priority));
-                out.push(Effect::Timer(hundredths(u32::from(self.settings.interval))));
+            RouterState::Active if heard.priority == 0 => {
+                out.push(self.advertisement(self.config.priority));
+                out.push(RouterAction::StartTimer(centiseconds(u32::from(
+                    self.config.advertisement_interval,
+                ))));
             }
-            State::Active => {
-                let ours = self.settings.priority;
+            RouterState::Active => {
+                let ours = self.config.priority;
                 if heard.priority > ours || (heard.priority == ours && sender_is_higher) {
-                    self.active_interval = heard.interval;
-                    self.enter(State::Backup, out);
-                    out.push(self.active_down());
+                    self.active_advertisement_interval = heard.max_advertise_interval;
+                    self.enter_state(RouterState::Backup, out);
+                    out.push(self.start_active_down_timer());
                 } else {
                     // RFC 9568 has the lesser one told at once, so that it steps down.
                     out.push(self.advertisement(ours));
-                    out.push(Effect::Timer(hundredths(u32::from(self.settings.interval))));
+                    out.push(RouterAction::StartTimer(centiseconds(u32::from(
+                        self.config.advertisement_interval,
+                    ))));
                 }
             }
         }
--- a/tests/operator.rs
+++ b/tests/admin.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ashtide::figures::{Count, Figures, Gauge};
-use ashtide::net::door::{self, Office};
-use ashtide::operator::{Call, CallCodec, CallError, MAX_CALL};
+use ashtide::admin::protocol::{AdminRequest, AdminRequestCodec, AdminRequestError, MAX_REQUEST_LENGTH};
+use ashtide::metrics::{Counter, Gauge, Metrics};
+use ashtide::net::admin::{self, AdminContext};
 use bytes::BytesMut;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -20,24 +20,24 @@
 }
 
 /// Feeds a codec in pieces, and then the end.
-fn fed(pieces: &[&[u8]]) -> Result<Option<Call>, CallError> {
+fn fed(pieces: &[&[u8]]) -> Result<Option<AdminRequest>, AdminRequestError> {
     let mut buffer = BytesMut::new();
     for piece in pieces {
         buffer.extend_from_slice(piece);
-        if let Some(call) = CallCodec.decode(&mut buffer)? {
+        if let Some(call) = AdminRequestCodec.decode(&mut buffer)? {
             return Ok(Some(call));
         }
     }
-    CallCodec.decode_eof(&mut buffer)
+    AdminRequestCodec.decode_eof(&mut buffer)
 }
 
 #[test]
 fn a_call_reads_the_same_however_it_is_cut() {
-    let cordon = |out| Call::Cordon { server: "s-5be2a07c".to_owned(), out };
+    let cordon = |out| AdminRequest::Cordon { server: "s-5be2a07c".to_owned(), cordon: out };
     let calls = [
-        ("health\n", Call::Health),
-        ("health\r\n", Call::Health),
-        (" counters \n", Call::Counters),
+        ("health\n", AdminRequest::Health),
+        ("health\r\n", AdminRequest::Health),
+        (" counters \n", AdminRequest::Metrics),
         ("cordon s-5be2a07c\r\n", cordon(true)),
         ("uncordon  s-5be2a07c\n", cordon(false)),
     ];
@@ -58,22 +58,22 @@
 #[test]
 fn garbage_is_no_call_and_never_buffers_more_than_a_line() {
     runner()
-        .run(&vec(any::<u8>(), 1..2 * MAX_CALL), |bytes| {
+        .run(&vec(any::<u8>(), 1..2 * MAX_REQUEST_LENGTH), |bytes| {
             prop_assert!(fed(&[&bytes]).is_err());
             Ok(())
         })
         .unwrap();
-    assert!(matches!(fed(&[&[b'h'; MAX_CALL]]), Err(CallError::TooLong)));
+    assert!(matches!(fed(&[&[b'h'; MAX_REQUEST_LENGTH]]), Err(AdminRequestError::TooLong)));
     for words in [&b"health now\n"[..], b"cordon\n", b"cordon s-0 s-1\n"] {
-        assert!(matches!(fed(&[words]), Err(CallError::Words)));
+        assert!(matches!(fed(&[words]), Err(AdminRequestError::WrongArgumentCount)));
     }
-    assert!(matches!(fed(&[b"health"]), Err(CallError::Cut)));
+    assert!(matches!(fed(&[b"health"]), Err(AdminRequestError::Truncated)));
 }
 
 #[test]
 fn all_classes_are_shown_from_the_start_and_no_others_are_added() {
-    let figures = Figures::new(&["a".to_owned(), "b\"x".to_owned()]);
-    let zeros = figures.text("");
+    let figures = Metrics::new(&["a".to_owned(), "b\"x".to_owned()]);
+    let zeros = figures.render("");
     // Whoever reads these lines knows their names and their order.
     let classes = ["passed", "dropped", "bad_gateway", "upstream_tries"].into_iter().flat_map(|name| {
         ["a", "b\\\"x"].map(|class| format!("router_{name}_total{{category=\"{class}\"}} 0\n"))
@@ -85,10 +85,10 @@
     let gauges = ["in_progress"].into_iter().chain(servers).chain(totals);
     let gauges = gauges.map(|name| format!("router_{name} 0\n"));
     assert_eq!(zeros, classes.chain(closed).chain(gauges).chain(["EOF\n".to_owned()]).collect::<String>());
-    figures.count(Count::Tries, "a");
-    figures.count(Count::Dropped, "made up");
-    figures.set(Gauge::InProgress, 14);
-    let text = figures.text("");
+    figures.increment(Counter::Attempts, "a");
+    figures.increment(Counter::Dropped, "made up");
+    figures.set_gauge(Gauge::InProgress, 14);
+    let text = figures.render("");
     assert!(text.contains("\nrouter_upstream_tries_total{category=\"a\"} 1\n"), "{text}");
     assert!(text.contains("router_dropped_total{category=\"b\\\"x\"} 0\n"), "{text}");
     assert!(text.contains("\nrouter_in_progress 14\n") && text.ends_with("\nEOF\n"), "{text}");
@@ -105,24 +105,24 @@
 
 #[tokio::test]
 async fn the_door_answers_past_any_number_of_silent_callers() {
-    let (office, mut calls) = Office::new(Arc::new(Figures::new(&["a".to_owned()])));
+    let (office, mut calls) = AdminContext::new(Arc::new(Metrics::new(&["a".to_owned()])));
     let health = office.health.clone();
-    let door = door::open("127.0.0.1:0".parse().expect("an address"), office).expect("a door");
+    let door = admin::start("127.0.0.1:0".parse().expect("an address"), office).expect("a door");
     let mut silent = Vec::new();
-    for _ in 0..3 * ashtide::config::DOOR_CALLERS {
+    for _ in 0..3 * ashtide::config::MAX_ADMIN_CONNECTIONS {
         silent.push(TcpStream::connect(door).await.expect("the door is open"));
     }
     assert!(ask(door, "health\r\n").await.starts_with("400"), "no list yet");
-    health.ready();
+    health.mark_ready();
     assert!(ask(door, "health\n").await.starts_with("200"));
     assert!(ask(door, "counters\n").await.ends_with("\nEOF\n"));
     assert!(ask(door, "helth\n").await.starts_with("400"));
-    assert!(ask(door, &"x".repeat(MAX_CALL)).await.starts_with("400"));
+    assert!(ask(door, &"x".repeat(MAX_REQUEST_LENGTH)).await.starts_with("400"));
     let core = tokio::spawn(async move {
         for (server, answer) in [("s-0", Ok(())), ("s-9", Err("no server".to_owned()))] {
             let call = calls.recv().await.expect("a call");
-            assert_eq!((&call.server[..], call.out), (server, true));
-            call.done.send(answer).expect("a caller");
+            assert_eq!((&call.server[..], call.cordon), (server, true));
+            call.reply.send(answer).expect("a caller");
         }
         calls.recv().await
     });
@@ -132,9 +132,9 @@
     let start = std::time::Instant::now();
     assert!(ask(door, "uncordon s-0\n").await.starts_with("400"));
     assert!(start.elapsed() < std::time::Duration::from_secs(1));
-    assert!(core.await.expect("the core's part").is_some_and(|call| !call.out));
-    health.leaving();
-    health.ready();
+    assert!(core.await.expect("the core's part").is_some_and(|call| !call.cordon));
+    health.mark_draining();
+    health.mark_ready();
     assert!(ask(door, "health\n").await.starts_with("400"), "it is leaving");
     drop(silent);
 }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide::discovery::Status;
+use ashtide::discovery::EndpointStatus;
 use ashtide_client::{Address, Client, GaveUp, Loss, Session, SessionEvent, Setback, Settings, Wish};
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::{Fleet, Mood};
-use ashtide_rehearsal::relay::{Relay, Weather};
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, Mood};
+use ashtide_testkit::relay::{Relay, Weather};
 use tokio::time::timeout;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_ashtide");
@@ -86,7 +86,7 @@
         let before = fleet.ledger.arrivals().len();
         let there = fleet.servers[0].seen.taken.load(std::sync::atomic::Ordering::Relaxed);
         assert!(there > 0 && before == 24);
-        fleet.set(0, Status::Draining);
+        fleet.set(0, EndpointStatus::Draining);
         for (number, session) in all.iter_mut().enumerate() {
             echoes_through_moves(session, &format!("reading {number}")).await;
         }
@@ -114,7 +114,7 @@
 }
 
 /// Waits until so many attempts have reached the servers.
-async fn wait_for(fleet: &Fleet, count: usize) -> Vec<ashtide_rehearsal::ledger::Arrival> {
+async fn wait_for(fleet: &Fleet, count: usize) -> Vec<ashtide_testkit::ledger::Arrival> {
     let all = async {
         loop {
             let arrivals = fleet.ledger.arrivals();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -1,103 +1,104 @@
 //! How clients and attempts end: sessions on loopback before a core that the test plays. Nobody is let go
 //! without the last line that is due, and nothing of an attempt that was given up reaches anyone.
 
-mod desk;
+mod frontend;
 
 use std::io::Write;
 use std::time::Duration;
 
-use ashtide::config::Room;
-use ashtide::engine::Answer;
-use ashtide::net::report::{Command, Port, Report};
+use ashtide::config::Capacity;
+use ashtide::engine::FinalAnswer;
+use ashtide::net::messages::{CommandSender, DriverEvent, SessionCommand};
 use ashtide::{Outcome, RequestId, Span};
-use desk::{ASKS, CONNECT, Desk, STEP, WIDE, all};
+use frontend::{AMPLE_CAPACITY, CONNECT, OPEN_LINE, STEP, SessionHarness, read_to_end};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-const ONE: Room = Room { sockets: 1, sessions: 1 };
+const ONE: Capacity = Capacity { descriptors: 1, max_sessions: 1 };
 
 #[tokio::test]
 async fn a_displaced_client_reads_its_refusal_whatever_it_has_just_sent() {
-    let desk = Desk::new(ONE).await;
-    let closers: Vec<_> = std::iter::from_fn(|| desk.front.lobby.closer()).collect();
+    let desk = SessionHarness::new(ONE).await;
+    let closers: Vec<_> =
+        std::iter::from_fn(|| desk.frontend.pending_clients.try_acquire_graceful_close()).collect();
     assert_eq!(closers.len(), 8, "few are waited for, as descriptors are short");
     for (closer, cause) in [(closers, "hurried"), (Vec::new(), "displaced")] {
         let client = desk.client("").await.into_std().expect("a socket");
         client.set_nonblocking(false).expect("blocks");
         // It speaks at the moment at which another comes: the runtime has not heard of it yet.
-        (&client).write_all(ASKS.as_bytes()).expect("sent");
-        let _next = desk.front.lobby.enter();
+        (&client).write_all(OPEN_LINE.as_bytes()).expect("sent");
+        let _next = desk.frontend.pending_clients.add();
         tokio::task::yield_now().await;
         client.set_nonblocking(true).expect("waits");
         let mut client = TcpStream::from_std(client).expect("a socket");
-        assert_eq!(all(&mut client).await.expect("no reset"), "BUSY 1000\r\n", "{cause}");
-        assert_eq!(desk.closed(cause), 1);
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n", "{cause}");
+        assert_eq!(desk.closed_count(cause), 1);
         drop(closer);
     }
 }
 
 #[tokio::test]
 async fn a_stop_tells_those_that_have_not_asked_yet_and_those_that_still_come() {
-    let desk = Desk::new(WIDE).await;
+    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut clients = vec![desk.client("").await, desk.client("OPEN 1").await];
-    desk.front.lobby.close();
+    desk.frontend.pending_clients.close();
     clients.push(desk.client("").await);
     for client in &mut clients {
-        assert_eq!(all(client).await.expect("no reset"), "BUSY 1000\r\n");
+        assert_eq!(read_to_end(client).await.expect("no reset"), "BUSY 1000\r\n");
     }
-    assert_eq!((desk.closed("stopped"), desk.front.lobby.sockets()), (3, 0));
+    assert_eq!((desk.closed_count("stopped"), desk.frontend.pending_clients.sockets_in_use()), (3, 0));
 }
 
 #[tokio::test]
 async fn a_first_line_that_ends_half_way_is_answered_and_silence_is_not() {
-    let desk = Desk::new(WIDE).await;
+    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
     for (says, answer) in [("OPEN 1 2 c=me", "ERR\r\n"), ("PING\r\nOPEN", "PONG\r\nERR\r\n"), ("", "")] {
         let mut client = desk.client(says).await;
         client.shutdown().await.expect("ends");
-        assert_eq!(all(&mut client).await.expect("no reset"), answer, "{says:?}");
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), answer, "{says:?}");
     }
-    assert_eq!(desk.closed("unasked"), 1);
+    assert_eq!(desk.closed_count("unasked"), 1);
 }
 
 #[tokio::test]
 async fn a_client_whom_the_core_forgets_is_refused() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     for attempt in [false, true] {
-        let mut client = desk.client(ASKS).await;
-        let (id, port) = desk.request().await;
+        let mut client = desk.client(OPEN_LINE).await;
+        let (id, port) = desk.next_request().await;
         if attempt {
-            drop(desk.send(id, &port, 0).await);
-            assert!(matches!(desk.report().await, Report::Ended(_, 0, Outcome::Reset)));
+            drop(desk.start_attempt(id, &port, 0).await);
+            assert!(matches!(desk.next_event().await, DriverEvent::AttemptEnded(_, 0, Outcome::Reset)));
         }
         drop(port);
-        assert_eq!(all(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
-        assert!(matches!(desk.report().await, Report::Left(it) if it == id));
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
+        assert!(matches!(desk.next_event().await, DriverEvent::ClientLeft(it) if it == id));
     }
-    assert_eq!(desk.closed("forgotten"), 2);
+    assert_eq!(desk.closed_count("forgotten"), 2);
 }
 
 #[tokio::test]
 async fn an_attempt_that_comes_up_as_it_is_given_up_serves_nobody() {
-    let mut desk = Desk::new(WIDE).await;
-    let (mut client, id, port, mut first) = desk.attempted().await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let (mut client, id, port, mut first) = desk.client_with_attempt().await;
     first.write_all(b"UP first\r\n").await.expect("read");
     // The core has not heard of it when the attempt's time is up, and sends another.
-    assert!(matches!(desk.report().await, Report::Up(_, 0)));
-    port.try_send((id, Command::Close { attempt: 0 })).expect("room");
-    port.try_send((id, desk.attempt(1))).expect("room");
-    assert_eq!(all(&mut first).await.expect("an end"), "", "closed before the second is sent");
-    desk.connected(id, 1).await;
-    port.try_send((id, Command::Begin { attempt: 1 })).expect("room");
-    let mut second = desk.arrived().await;
+    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
+    port.try_send((id, SessionCommand::CancelAttempt { attempt: 0 })).expect("room");
+    port.try_send((id, desk.attempt_command(1))).expect("room");
+    assert_eq!(read_to_end(&mut first).await.expect("an end"), "", "closed before the second is sent");
+    desk.expect_connected(id, 1).await;
+    port.try_send((id, SessionCommand::SendFirstLine { attempt: 1 })).expect("room");
+    let mut second = desk.accept_attempt().await;
     second.write_all(b"UP second\r\n").await.expect("read");
-    assert!(matches!(desk.report().await, Report::Up(_, 1)));
-    port.try_send((id, Command::Pass { attempt: 1 })).expect("room");
+    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 1)));
+    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 1 })).expect("room");
     let mut said = [0; 11];
     timeout(STEP, client.read_exact(&mut said)).await.expect("an answer").expect("stands");
     assert_eq!(&said, b"UP second\r\n");
-    port.try_send((id, Command::Move)).expect("room");
-    assert_eq!(all(&mut client).await.expect("no reset"), "MOVE\r\n");
+    port.try_send((id, SessionCommand::Migrate)).expect("room");
+    assert_eq!(read_to_end(&mut client).await.expect("no reset"), "MOVE\r\n");
 }
 
 #[tokio::test]
@@ -118,42 +119,49 @@
         (long.as_bytes(), Outcome::Reset),
         (b"UP without an end", Outcome::Reset),
     ];
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     for (spoilt, outcome) in cases {
         let what = String::from_utf8_lossy(spoilt);
-        let (mut client, id, port, mut server) = desk.attempted().await;
+        let (mut client, id, port, mut server) = desk.client_with_attempt().await;
         server.write_all(spoilt).await.expect("sent");
         server.shutdown().await.expect("ended");
-        let ended = desk.report().await;
-        let is = matches!(&ended, Report::Ended(it, 0, what) if *it == id && *what == outcome);
+        let ended = desk.next_event().await;
+        let is = matches!(&ended, DriverEvent::AttemptEnded(it, 0, what) if *it == id && *what == outcome);
         assert!(is, "{what:?}: {ended:?}");
         // A second answer some milliseconds late finds nobody.
         let _ = server.write_all(b"UP later\r\n").await;
-        port.try_send((id, Command::Answer(Answer::Refused(Span::from_micros(7_000))))).expect("room");
-        assert_eq!(all(&mut client).await.expect("no reset"), "BUSY 7\r\n", "{what:?}");
+        port.try_send((id, SessionCommand::Answer(FinalAnswer::Rejected(Span::from_micros(7_000)))))
+            .expect("room");
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 7\r\n", "{what:?}");
     }
 }
 
 #[tokio::test]
 async fn what_a_server_says_behind_its_answer_passes_as_it_came() {
-    let mut desk = Desk::new(WIDE).await;
-    let (mut client, id, port, mut server) = desk.attempted().await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let (mut client, id, port, mut server) = desk.client_with_attempt().await;
     server.write_all(b"UP one\r\nUP two\r\nhalf a").await.expect("sent");
-    assert!(matches!(desk.report().await, Report::Up(_, 0)));
-    port.try_send((id, Command::Pass { attempt: 0 })).expect("room");
-    assert!(matches!(desk.report().await, Report::Answered(it) if it == id), "its second line");
+    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
+    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 0 })).expect("room");
+    assert!(
+        matches!(desk.next_event().await, DriverEvent::ServerResponded(it) if it == id),
+        "its second line"
+    );
     server.write_all(b" line\r\nBUSY\r\nhalf").await.expect("sent");
     for _ in 0..2 {
-        assert!(matches!(desk.report().await, Report::Answered(it) if it == id), "a line, and no answer");
+        assert!(
+            matches!(desk.next_event().await, DriverEvent::ServerResponded(it) if it == id),
+            "a line, and no answer"
+        );
     }
-    port.try_send((id, Command::Move)).expect("room");
-    let said = all(&mut client).await.expect("no reset");
+    port.try_send((id, SessionCommand::Migrate)).expect("room");
+    let said = read_to_end(&mut client).await.expect("no reset");
     assert_eq!(said, "UP one\r\nUP two\r\nhalf a line\r\nBUSY\r\nMOVE\r\n", "between two lines");
 }
 
 #[tokio::test]
 async fn a_connection_given_up_before_it_comes_up_sends_nothing_later() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     // A full queue keeps connections from coming up, until it is emptied.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -163,10 +171,10 @@
     while let Ok(Ok(filler)) = timeout(CONNECT, TcpStream::connect(at)).await {
         fillers.push(filler);
     }
-    let mut client = desk.client(ASKS).await;
-    let (id, port) = desk.request().await;
-    port.try_send((id, desk.attempt(0))).expect("room");
-    assert!(matches!(desk.report().await, Report::Ended(_, 0, Outcome::ConnectError)));
+    let mut client = desk.client(OPEN_LINE).await;
+    let (id, port) = desk.next_request().await;
+    port.try_send((id, desk.attempt_command(0))).expect("room");
+    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEnded(_, 0, Outcome::ConnectError)));
     // Longer than a system waits before it tries to connect again.
     let late = async {
         let mut bytes = Vec::new();
@@ -177,13 +185,13 @@
         }
     };
     assert!(timeout(Duration::from_millis(1400), late).await.is_err());
-    port.try_send((id, Command::Answer(Answer::Failed))).expect("room");
-    assert_eq!(all(&mut client).await.expect("no reset"), "ERR\r\n");
+    port.try_send((id, SessionCommand::Answer(FinalAnswer::Failed))).expect("room");
+    assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
 }
 
 #[tokio::test]
 async fn who_asks_as_a_resting_connection_ends_has_an_answer_and_is_not_sent_on() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut client = desk.client("PING\r\n").await;
     let mut pong = [0; 6];
     client.read_exact(&mut pong).await.expect("there");
@@ -194,43 +202,43 @@
     while client.read(&mut byte).await.expect("no reset") > 0 {
         said.push(char::from(byte[0]));
         if said.len() == 1 {
-            client.write_all(ASKS.as_bytes()).await.expect("taken");
+            client.write_all(OPEN_LINE.as_bytes()).await.expect("taken");
         }
     }
     assert_eq!(said, "BUSY 1000\r\n");
     client.write_all(b"and more\r\n").await.expect("no reset");
-    assert!(timeout(CONNECT, desk.reports.recv()).await.is_err(), "no request of it");
+    assert!(timeout(CONNECT, desk.events.recv()).await.is_err(), "no request of it");
 }
 
 #[tokio::test]
 async fn a_stop_waits_for_all_that_rest_however_many() {
-    let desk = Desk::new(WIDE).await;
+    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut clients = Vec::new();
     for _ in 0..20 {
         clients.push(desk.client("").await.into_std().expect("a socket"));
     }
-    desk.front.lobby.close();
+    desk.frontend.pending_clients.close();
     // Each asks before it has heard of the stop: unread, that would be a reset at its end.
     for client in &clients {
         client.set_nonblocking(false).expect("blocks");
-        (&*client).write_all(ASKS.as_bytes()).expect("sent");
+        (&*client).write_all(OPEN_LINE.as_bytes()).expect("sent");
     }
     tokio::time::sleep(CONNECT).await;
     for client in clients {
         (&client).write_all(b"more\r\n").expect("not reset");
         client.set_nonblocking(true).expect("waits");
         let mut client = TcpStream::from_std(client).expect("a socket");
-        assert_eq!(all(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
     }
-    assert_eq!((desk.closed("stopped"), desk.closed("hurried")), (20, 0));
+    assert_eq!((desk.closed_count("stopped"), desk.closed_count("hurried")), (20, 0));
 }
 
 /// A standing connection whose server has said something that the client does not read any more.
-async fn talking(desk: &mut Desk) -> (TcpStream, RequestId, Port, TcpStream) {
-    let (mut client, id, port, mut server) = desk.attempted().await;
+async fn talking(desk: &mut SessionHarness) -> (TcpStream, RequestId, CommandSender, TcpStream) {
+    let (mut client, id, port, mut server) = desk.client_with_attempt().await;
     server.write_all(b"UP one\r\n").await.expect("read");
-    assert!(matches!(desk.report().await, Report::Up(_, 0)));
-    port.try_send((id, Command::Pass { attempt: 0 })).expect("room");
+    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
+    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 0 })).expect("room");
     let mut up = [0; 8];
     client.read_exact(&mut up).await.expect("stands");
     (client, id, port, server)
@@ -238,7 +246,7 @@
 
 #[tokio::test]
 async fn a_clients_last_line_reaches_its_server_whatever_that_says_meanwhile() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     for half in [false, true] {
         let (client, _, _port, server) = talking(&mut desk).await;
         let (client, server) = (client.into_std().expect("a socket"), server.into_std().expect("a socket"));
@@ -254,13 +262,13 @@
         timeout(STEP, server.read_exact(&mut line)).await.expect("a line").expect("whole");
         assert_eq!(&line, b"the last\r\n");
         // A client that is gone answers what comes for it with a reset, and that is passed on as one.
-        let end = all(&mut server).await;
+        let end = read_to_end(&mut server).await;
         assert!(!half || end.is_ok_and(|more| more.is_empty()), "a clean end, no reset");
         drop((rest, server));
         loop {
-            match desk.report().await {
-                Report::Ended(_, 0, outcome) => break assert_eq!(outcome, Outcome::Cancelled),
-                Report::Asked(..) | Report::Answered(_) => {}
+            match desk.next_event().await {
+                DriverEvent::AttemptEnded(_, 0, outcome) => break assert_eq!(outcome, Outcome::Cancelled),
+                DriverEvent::MessageForwarded(..) | DriverEvent::ServerResponded(_) => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -269,18 +277,18 @@
 
 #[tokio::test]
 async fn a_server_whose_client_is_moved_has_a_clean_end() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let (mut client, id, port, mut server) = talking(&mut desk).await;
     client.write_all(b"a line\r\n").await.expect("sent");
-    assert!(matches!(desk.report().await, Report::Asked(..)));
+    assert!(matches!(desk.next_event().await, DriverEvent::MessageForwarded(..)));
     let mut line = [0; 8];
     server.read_exact(&mut line).await.expect("passed on");
-    port.try_send((id, Command::Move)).expect("room");
+    port.try_send((id, SessionCommand::Migrate)).expect("room");
     let server = server.into_std().expect("a socket");
     (&server).write_all(b"its answer\r\n").expect("sent");
     let mut server = TcpStream::from_std(server).expect("a socket");
-    assert_eq!(all(&mut server).await.expect("no reset"), "");
+    assert_eq!(read_to_end(&mut server).await.expect("no reset"), "");
     server.write_all(b"more\r\n").await.expect("still read");
     drop(server);
-    assert!(all(&mut client).await.expect("no reset").ends_with("MOVE\r\n"));
+    assert!(read_to_end(&mut client).await.expect("no reset").ends_with("MOVE\r\n"));
 }
--- a/tests/compatibility_admin.rs
+++ b/tests/compatibility_admin.rs
@@ -8,11 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtide::figures::{Closed, Count, Figures, Gauge};
-use ashtide::maintenance::Order;
-use ashtide::net::door::{self, CordonCall, Office};
-use ashtide::operator::{Call, CallCodec, CallError, no, yes};
-use ashtide_rehearsal::daemon::Options;
+use ashtide::admin::protocol::{
+    AdminRequest, AdminRequestCodec, AdminRequestError, error_response, success_response,
+};
+use ashtide::fleet::maintenance::MaintenanceCommand;
+use ashtide::metrics::{CloseReason, Counter, Gauge, Metrics};
+use ashtide::net::admin::{self, AdminContext, CordonRequest};
+use ashtide_testkit::daemon::Options;
 use bytes::BytesMut;
 use serde_json::json;
 use site::Site;
@@ -22,23 +24,25 @@
 use tokio_util::codec::Decoder;
 use transcripts::{assert_outcomes, assert_written, escape, unescape};
 
-fn encode_call(call: Call) -> String {
+fn encode_call(call: AdminRequest) -> String {
     match call {
-        Call::Health => "health".to_owned(),
-        Call::Counters => "counters".to_owned(),
-        Call::Members => "members".to_owned(),
-        Call::State => "state".to_owned(),
-        Call::Quota => "quota".to_owned(),
-        Call::Maintenance(Order::List) => "maintenance list".to_owned(),
-        Call::Maintenance(Order::Request(name, reason)) => format!("maintenance request [{name}] [{reason}]"),
-        Call::Maintenance(Order::Cancel(name)) => format!("maintenance cancel [{name}]"),
-        Call::Maintenance(Order::Done(name)) => format!("maintenance done [{name}]"),
-        Call::Cordon { server, out: true } => format!("out [{server}]"),
-        Call::Cordon { server, out: false } => format!("back [{server}]"),
+        AdminRequest::Health => "health".to_owned(),
+        AdminRequest::Metrics => "counters".to_owned(),
+        AdminRequest::Members => "members".to_owned(),
+        AdminRequest::SharedState => "state".to_owned(),
+        AdminRequest::Quota => "quota".to_owned(),
+        AdminRequest::Maintenance(MaintenanceCommand::List) => "maintenance list".to_owned(),
+        AdminRequest::Maintenance(MaintenanceCommand::Request(name, reason)) => {
+            format!("maintenance request [{name}] [{reason}]")
+        }
+        AdminRequest::Maintenance(MaintenanceCommand::Cancel(name)) => format!("maintenance cancel [{name}]"),
+        AdminRequest::Maintenance(MaintenanceCommand::Done(name)) => format!("maintenance done [{name}]"),
+        AdminRequest::Cordon { server, cordon: true } => format!("out [{server}]"),
+        AdminRequest::Cordon { server, cordon: false } => format!("back [{server}]"),
     }
 }
 
-fn encode(read: Result<Option<Call>, CallError>) -> String {
+fn encode(read: Result<Option<AdminRequest>, AdminRequestError>) -> String {
     match read {
         Ok(Some(call)) => encode_call(call),
         Ok(None) => "nothing".to_owned(),
@@ -50,7 +54,7 @@
 fn every_call_is_read() {
     assert_outcomes("admin/calls.txt", 61, |input| {
         let mut buffer = BytesMut::from(&unescape(input)[..]);
-        let read = encode(CallCodec.decode_eof(&mut buffer));
+        let read = encode(AdminRequestCodec.decode_eof(&mut buffer));
         format!("{read}\nrest {}", escape(&buffer))
     });
 }
@@ -59,7 +63,7 @@
 fn a_call_has_512_bytes_at_most_with_its_end_of_line() {
     let read = |length: usize, end: &str| {
         let line = format!("cordon {}{end}", "x".repeat(length - 7 - end.len()));
-        encode(CallCodec.decode_eof(&mut BytesMut::from(line.as_bytes())))
+        encode(AdminRequestCodec.decode_eof(&mut BytesMut::from(line.as_bytes())))
     };
     assert_eq!(read(512, "\n"), format!("out [{}]", "x".repeat(504)));
     assert_eq!(read(512, "\r\n"), format!("out [{}]", "x".repeat(503)));
@@ -70,46 +74,52 @@
 
 #[test]
 fn answers_are_a_code_and_a_line() {
-    assert_eq!(&yes("ready")[..], b"200 ready\n");
-    assert_eq!(&no("not ready")[..], b"400 not ready\n");
+    assert_eq!(&success_response("ready")[..], b"200 ready\n");
+    assert_eq!(&error_response("not ready")[..], b"400 not ready\n");
 }
 
-fn figures() -> Arc<Figures> {
-    let figures = Figures::new(&["read".to_owned(), "a\\b\"c\nd".to_owned()]);
+fn figures() -> Arc<Metrics> {
+    let figures = Metrics::new(&["read".to_owned(), "a\\b\"c\nd".to_owned()]);
     let mut times = 0;
-    for count in [Count::Passed, Count::Dropped, Count::BadGateway, Count::Tries] {
+    for count in [Counter::Passed, Counter::Dropped, Counter::BadGateway, Counter::Attempts] {
         for class in ["read", "a\\b\"c\nd", "made up"] {
             times += 1;
-            (0..times).for_each(|_| figures.count(count, class));
+            (0..times).for_each(|_| figures.increment(count, class));
         }
     }
     let causes = [
-        Closed::Displaced,
-        Closed::Hurried,
-        Closed::Stopped,
-        Closed::Unasked,
-        Closed::Left,
-        Closed::Unread,
-        Closed::Forgotten,
+        CloseReason::Displaced,
+        CloseReason::Hurried,
+        CloseReason::Stopped,
+        CloseReason::Unasked,
+        CloseReason::Left,
+        CloseReason::Unread,
+        CloseReason::Forgotten,
     ];
     for cause in causes {
         times += 1;
-        (0..times).for_each(|_| figures.closed(cause));
+        (0..times).for_each(|_| figures.record_close(cause));
     }
-    let gauges =
-        [Gauge::InProgress, Gauge::Known, Gauge::Skipped, Gauge::Probes, Gauge::Withheld, Gauge::Violations];
+    let gauges = [
+        Gauge::InProgress,
+        Gauge::KnownServers,
+        Gauge::SkippedServers,
+        Gauge::Probes,
+        Gauge::ProbesWithheld,
+        Gauge::InvariantViolations,
+    ];
     for gauge in gauges {
         times += 1;
-        figures.set(gauge, 1_000 * times);
+        figures.set_gauge(gauge, 1_000 * times);
     }
     Arc::new(figures)
 }
 
 #[test]
 fn metrics_have_their_names_their_order_and_their_text() {
-    assert_written("admin/metrics.txt", figures().text("").as_bytes());
-    assert_written("admin/metrics_and_more.txt", figures().text("router_more 1\n").as_bytes());
-    assert_written("admin/no_metrics.txt", Figures::new(&[]).text("").as_bytes());
+    assert_written("admin/metrics.txt", figures().render("").as_bytes());
+    assert_written("admin/metrics_and_more.txt", figures().render("router_more 1\n").as_bytes());
+    assert_written("admin/no_metrics.txt", Metrics::new(&[]).render("").as_bytes());
 }
 
 async fn answer(at: SocketAddr, call: &[u8]) -> Vec<u8> {
@@ -122,7 +132,7 @@
 }
 
 /// Answers in place of the event loop: a server is known by an `s`, and what is called `silent` gets no answer.
-async fn carry_out(mut calls: mpsc::Receiver<CordonCall>) {
+async fn carry_out(mut calls: mpsc::Receiver<CordonRequest>) {
     let mut unanswered = Vec::new();
     while let Some(call) = calls.recv().await {
         if call.server == "silent" {
@@ -131,24 +141,26 @@
         }
         let done = match call.server.starts_with('s') {
             true => Ok(()),
-            false => Err(format!("no server '{}' ({})", call.server, if call.out { "out" } else { "back" })),
+            false => {
+                Err(format!("no server '{}' ({})", call.server, if call.cordon { "out" } else { "back" }))
+            }
         };
-        call.done.send(done).expect("a caller");
+        call.reply.send(done).expect("a caller");
     }
 }
 
 #[tokio::test]
 async fn the_endpoint_answers_byte_for_byte() {
-    let (office, calls) = Office::new(figures());
+    let (office, calls) = AdminContext::new(figures());
     let health = office.health.clone();
-    let at = door::open("127.0.0.1:0".parse().expect("an address"), office).expect("an endpoint");
+    let at = admin::start("127.0.0.1:0".parse().expect("an address"), office).expect("an endpoint");
     tokio::spawn(carry_out(calls));
     let runtime = tokio::runtime::Handle::current();
     let check = move || {
         assert_outcomes("admin/answers.txt", 38, |input| {
             match input {
-                "it is ready" => health.ready(),
-                "it is leaving" => health.leaving(),
+                "it is ready" => health.mark_ready(),
+                "it is leaving" => health.mark_draining(),
                 call => return escape(&runtime.block_on(answer(at, &unescape(call)))),
             }
             "done".to_owned()
@@ -159,8 +171,8 @@
 
 #[tokio::test]
 async fn a_caller_that_says_nothing_is_told_so_after_five_seconds() {
-    let (office, _calls) = Office::new(figures());
-    let at = door::open("127.0.0.1:0".parse().expect("an address"), office).expect("an endpoint");
+    let (office, _calls) = AdminContext::new(figures());
+    let at = admin::start("127.0.0.1:0".parse().expect("an address"), office).expect("an endpoint");
     let start = std::time::Instant::now();
     let mut caller = TcpStream::connect(at).await.expect("it listens");
     caller.write_all(b"heal").await.expect("taken");
--- a/tests/compatibility_client_lines.rs
+++ b/tests/compatibility_client_lines.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::{Fleet, Mood};
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, Mood};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/compatibility_decision.rs
+++ b/tests/compatibility_decision.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use ashtide::ramp::{Holder, Ramp, Schedule};
+use ashtide::decision::slow_start::{PermitHolder, PermitSchedule, SlowStartConfig};
 use ashtide::*;
 use sha2::{Digest, Sha256};
 
@@ -50,12 +50,17 @@
     Span::from_micros(micros)
 }
 
-fn class(latency: i64, message: i64, weight: f64, idempotency: Effect) -> Class {
-    Class { aim: span(latency), message_aim: span(message), worth: weight, effect: idempotency }
+fn class(latency: i64, message: i64, weight: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: span(latency),
+        message_latency_objective: span(message),
+        priority_weight: weight,
+        idempotency,
+    }
 }
 
 fn settings(seed: u64) -> Settings {
-    let keyed = |scope, window| Effect::Keyed { group: scope, window: span(window) };
+    let keyed = |scope, window| Idempotency::WithKey { scope, remembered_for: span(window) };
     let tenants = match seed % 3 {
         0 => Vec::new(),
         1 => vec![Tenant { quota_per_s: 10.0, quota_connections: 40.0 }],
@@ -66,38 +71,42 @@
     };
     let cold = seed % 7 != 6;
     Settings {
-        relays: [3, 30, 1, 100][(seed / 2 % 4) as usize],
-        own: PeerId((seed % 2) as u32 * u32::from(seed / 2 % 4 != 2)),
+        gateways: [3, 30, 1, 100][(seed / 2 % 4) as usize],
+        gateway_id: GatewayId((seed % 2) as u32 * u32::from(seed / 2 % 4 != 2)),
         zone: ZoneId((seed % 3) as u32),
-        discovery: if seed / 3 % 2 == 0 { Discovery::Pushed } else { Discovery::OnRequest },
-        weights: [Weights::Off, Weights::Nominal, Weights::Live][(seed % 3) as usize],
+        discovery: if seed / 3 % 2 == 0 { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest },
+        weights: [WeightMode::Off, WeightMode::Nominal, WeightMode::Live][(seed % 3) as usize],
         classes: vec![
-            class(500_000, 100_000, 1.0, Effect::Safe),
-            class(200_000, 100_000, 3.5, keyed(KeyedGroup::All, 3_000_000)),
-            class(300_000, 150_000, 0.5, keyed(KeyedGroup::Zone, 900_000)),
-            class(300_000, 400_000, 2.0, keyed(KeyedGroup::Cell, 5_000_000)),
-            class(800_000, 250_000, 9.0, Effect::Unsafe),
+            class(500_000, 100_000, 1.0, Idempotency::Idempotent),
+            class(200_000, 100_000, 3.5, keyed(DeduplicationScope::All, 3_000_000)),
+            class(300_000, 150_000, 0.5, keyed(DeduplicationScope::Zone, 900_000)),
+            class(300_000, 400_000, 2.0, keyed(DeduplicationScope::Cell, 5_000_000)),
+            class(800_000, 250_000, 9.0, Idempotency::NotIdempotent),
         ],
         tenants,
-        worth_by_load: seed % 4 == 1,
-        tick: span(5_000),
-        prices: Prices { cross_zone: if seed % 4 == 0 { 0.0 } else { 0.1 }, probe: 0.001, moves: 0.01 },
+        priority_scales_with_load: seed % 4 == 1,
+        batch_interval: span(5_000),
+        prices: Prices {
+            cross_zone: if seed % 4 == 0 { 0.0 } else { 0.1 },
+            health_check: 0.001,
+            migration: 0.01,
+        },
         max_attempts: [3, 1, 4, 2, 6][(seed % 5) as usize],
         max_retry_after: span(if seed % 6 == 5 { 0 } else { 4_000_000 }),
-        probes: seed % 2 == 0,
-        peers: seed / 2 % 2 == 1,
-        recalls: seed % 3 != 2,
+        health_checks: seed % 2 == 0,
+        fleet_permits: seed / 2 % 2 == 1,
+        cancellation: seed % 3 != 2,
         answer_slack: span(20_000),
-        ask_within: span(10_000_000),
+        list_poll_limit: span(10_000_000),
         drain_grace: span(2_000_000),
-        cold_from: if cold { 0.13 } else { 1.0 },
-        warm_within: if cold {
+        initial_capacity_share: if cold { 0.13 } else { 1.0 },
+        warm_up_time: if cold {
             span([24_000_000, 8_000_000, 900_000][(seed / 3 % 3) as usize])
         } else {
             Span::ZERO
         },
-        fall_multiple: if cold { 2.5 } else { 1.0 },
-        overload_for: span(2_000_000),
+        overload_factor: if cold { 2.5 } else { 1.0 },
+        overload_window: span(2_000_000),
     }
 }
 
@@ -122,7 +131,7 @@
     generator: Generator,
     digest: Sha256,
     now: i64,
-    listings: Vec<Listing>,
+    listings: Vec<EndpointEntry>,
     live: BTreeMap<u32, Live>,
     next_id: u32,
     timers: Vec<(i64, u64)>,
@@ -138,15 +147,15 @@
         let servers = [6, 24, 220, 60, 12][(seed % 5) as usize];
         let mut generator = Generator(seed ^ 0x00a5_a5a5);
         let listings = (0..servers)
-            .map(|number| Listing {
+            .map(|number| EndpointEntry {
                 server: ServerId(number),
-                key: generator.next() as u32,
+                hash_key: generator.next() as u32,
                 zone: ZoneId(number % 3),
-                kind: KindId(number % 2),
+                machine_kind: KindId(number % 2),
                 cell: CellId(number / 4),
                 state: ServerState::Ready,
-                size: 1.0 + f64::from(number % 5) * 0.75,
-                started: None,
+                weight: 1.0 + f64::from(number % 5) * 0.75,
+                started_at: None,
             })
             .collect();
         Self {
@@ -193,7 +202,7 @@
                 live.in_flight = Some(InFlight { server, attempt, sent, established: false });
                 live.attempts += 1;
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.record(1, &[id.0.into(), retry_after.as_micros() as u64]);
                 self.answered(id);
             }
@@ -201,20 +210,20 @@
                 self.record(2, &[id.0.into()]);
                 self.answered(id);
             }
-            Action::Recall { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 self.record(3, &[id.0.into(), attempt.into()]);
                 self.cancelling.push((id.0, attempt));
             }
-            Action::Move { id } => self.record(4, &[id.0.into()]),
-            Action::SetTimer { token, at } => {
+            Action::Migrate { id } => self.record(4, &[id.0.into()]),
+            Action::SetTimer { token, due_at: at } => {
                 self.record(5, &[token.0, at.as_micros() as u64]);
                 self.timers.push((at.as_micros(), token.0));
             }
-            Action::Ask { server } => {
+            Action::RequestPermit { server } => {
                 self.record(6, &[server.0.into()]);
                 self.asked.push(server);
             }
-            Action::Probe { server } => self.record(7, &[server.0.into()]),
+            Action::CheckHealth { server } => self.record(7, &[server.0.into()]),
             Action::Subscribe => self.record(8, &[]),
         }
     }
@@ -275,7 +284,7 @@
         self.send(Event::Request(request));
     }
 
-    fn list(&mut self, news: ListNews) {
+    fn list(&mut self, news: ListUpdate) {
         let mut changed = Vec::new();
         let count = self.listings.len() as u64;
         for _ in 0..1 + self.generator.below(3) {
@@ -284,31 +293,31 @@
                 ServerState::Ready,
                 ServerState::Ready,
                 ServerState::Draining,
-                ServerState::Gone,
+                ServerState::Removed,
             ]);
             let restarted = self.generator.chance(40);
             let age = self.generator.micros(400_000);
             let listing = &mut self.listings[index];
             listing.state = state;
             if restarted {
-                listing.started = Some(Time::from_micros(self.now - age));
+                listing.started_at = Some(Time::from_micros(self.now - age));
             }
             if self.generator.chance(5) {
-                self.listings[index].size =
+                self.listings[index].weight =
                     self.generator.pick(&[0.0, f64::NAN, f64::INFINITY, -2.0, 0.5, 8.0]);
             }
             changed.push(self.listings[index].clone());
         }
         let entries = match news {
-            ListNews::Broken => Vec::new(),
-            ListNews::Changes => changed,
-            ListNews::Whole | ListNews::Stale => {
+            ListUpdate::WatchFailed => Vec::new(),
+            ListUpdate::Delta => changed,
+            ListUpdate::Snapshot | ListUpdate::Cached => {
                 let omitted = self.generator.below(3 * count);
                 let listed = self.listings.iter().enumerate().filter(|(index, _)| *index as u64 != omitted);
                 listed.map(|(_, listing)| listing.clone()).collect()
             }
         };
-        self.send(Event::List { news, entries });
+        self.send(Event::EndpointList { update: news, entries });
     }
 
     fn establish(&mut self) {
@@ -326,10 +335,14 @@
             self.send(Event::Established {
                 id: RequestId(id),
                 attempt: in_flight.attempt + 1,
-                after: span(elapsed),
+                elapsed: span(elapsed),
             });
         }
-        self.send(Event::Established { id: RequestId(id), attempt: in_flight.attempt, after: span(elapsed) });
+        self.send(Event::Established {
+            id: RequestId(id),
+            attempt: in_flight.attempt,
+            elapsed: span(elapsed),
+        });
     }
 
     fn end(&mut self, id: u32, outcome: Outcome, request_over: bool) {
@@ -340,7 +353,7 @@
             self.live.remove(&id);
         }
         let attempt = in_flight.attempt;
-        self.send(Event::Ended { id: RequestId(id), attempt, outcome, request_over: over });
+        self.send(Event::AttemptEnded { id: RequestId(id), attempt, outcome, request_done: over });
     }
 
     fn end_attempt(&mut self) {
@@ -352,7 +365,7 @@
             Outcome::ConnectError,
             Outcome::Reset,
             Outcome::Cancelled,
-            Outcome::Ignored,
+            Outcome::NotSent,
             Outcome::LocalFailure,
             Outcome::Ok,
         ]);
@@ -392,7 +405,7 @@
         for (id, attempt) in std::mem::take(&mut self.cancelling) {
             let current = self.live.get(&id).and_then(|l| l.in_flight).is_some_and(|a| a.attempt == attempt);
             if current {
-                let outcome = self.generator.pick(&[Outcome::Cancelled, Outcome::TimedOut, Outcome::Ignored]);
+                let outcome = self.generator.pick(&[Outcome::Cancelled, Outcome::TimedOut, Outcome::NotSent]);
                 self.end(id, outcome, true);
             }
         }
@@ -412,28 +425,31 @@
         let right = match self.generator.below(8) {
             0..=3 => {
                 let until = Time::from_micros(self.now + self.generator.micros(1_500_000) - 50_000);
-                Right::Granted { until, lacks: below }
+                PermitReply::Granted { expires_at: until, below_fair_share: below }
             }
-            4..=6 => Right::Refused { wait: span(self.generator.micros(600_000)), lacks: below },
-            _ => Right::Unheard,
+            4..=6 => PermitReply::Denied {
+                retry_after: span(self.generator.micros(600_000)),
+                below_fair_share: below,
+            },
+            _ => PermitReply::NoReply,
         };
-        self.send(Event::Right { server, right });
+        self.send(Event::PermitReply { server, reply: right });
     }
 
     fn sibling(&mut self) {
         let server = self.random_server();
-        let beside = Beside {
-            open: self.generator.below(6) as u32,
-            allowance: self.generator.below(300) as f64 / 100.0,
-            spent: self.generator.below(400),
+        let beside = SiblingState {
+            open_connections: self.generator.below(6) as u32,
+            recovery_tokens: self.generator.below(300) as f64 / 100.0,
+            last_used_permit: self.generator.below(400),
         };
-        self.send(Event::Beside { server, beside });
+        self.send(Event::SiblingState { server, state: beside });
     }
 
     fn slow(&mut self) {
         let server = self.random_server();
         let takes = span(self.generator.micros(130_000));
-        self.send(Event::SlowMessages { server, takes });
+        self.send(Event::SlowResponses { server, response_time: takes });
     }
 
     fn existing(&mut self) {
@@ -442,20 +458,24 @@
         let in_flight = InFlight { server, attempt: 0, sent: self.now, established: true };
         let live = Live { attempts: 1, in_flight: Some(in_flight), answered: true };
         self.live.insert(request.id.0, live);
-        self.send(Event::Existing { request, server });
+        self.send(Event::ExistingConnection { request, server });
     }
 
     fn unknown(&mut self) {
         let beyond = ServerId(self.listings.len() as u32 + 50);
         let id = RequestId(4_000_000_000);
         match self.generator.below(8) {
-            0 => self.send(Event::Silent { server: beyond }),
-            1 => self.send(Event::CalledBack { server: beyond }),
-            2 => self.send(Event::Beside { server: beyond, beside: Beside::default() }),
+            0 => self.send(Event::ServerSilent { server: beyond }),
+            1 => self.send(Event::Uncordoned { server: beyond }),
+            2 => self.send(Event::SiblingState { server: beyond, state: SiblingState::default() }),
             3 => self.send(Event::ClientLeft { id }),
-            4 => self.send(Event::Ended { id, attempt: 0, outcome: Outcome::Ok, request_over: true }),
-            5 => self.send(Event::Established { id, attempt: 0, after: Span::ZERO }),
-            6 => self.send(Event::Probed { server: ServerId(0), ok: true, report: Some(Report::default()) }),
+            4 => self.send(Event::AttemptEnded { id, attempt: 0, outcome: Outcome::Ok, request_done: true }),
+            5 => self.send(Event::Established { id, attempt: 0, elapsed: Span::ZERO }),
+            6 => self.send(Event::HealthChecked {
+                server: ServerId(0),
+                healthy: true,
+                report: Some(LoadReport::default()),
+            }),
             _ => self.send(Event::LoadChanged { id, load: 1.0 }),
         }
     }
@@ -477,20 +497,20 @@
             680..=759 => self.end_connection(),
             760..=784 => self.drop_all(),
             785..=804 => self.leave(),
-            805..=824 => self.list(ListNews::Changes),
-            825..=829 => self.list(ListNews::Whole),
-            830..=832 => self.list(ListNews::Stale),
-            833..=839 => self.list(ListNews::Broken),
+            805..=824 => self.list(ListUpdate::Delta),
+            825..=829 => self.list(ListUpdate::Snapshot),
+            830..=832 => self.list(ListUpdate::Cached),
+            833..=839 => self.list(ListUpdate::WatchFailed),
             840..=899 => self.reply_to_permit_request(),
             900..=914 => self.sibling(),
             915..=939 => self.slow(),
             940..=944 => {
                 let server = self.random_server();
-                self.send(Event::Silent { server });
+                self.send(Event::ServerSilent { server });
             }
             945..=959 => {
                 let server = self.random_server();
-                self.send(Event::CalledBack { server });
+                self.send(Event::Uncordoned { server });
             }
             960..=974 => self.existing(),
             975..=989 => {
@@ -507,23 +527,24 @@
         let now = Time::from_micros(self.now);
         for number in 0..self.listings.len() as u32 + 2 {
             let server = ServerId(number);
-            let Beside { open, allowance, spent } = self.module.beside(server);
+            let SiblingState { open_connections: open, recovery_tokens: allowance, last_used_permit: spent } =
+                self.module.sibling_state(server);
             self.digest.update(self.module.open_connections(server).to_le_bytes());
-            self.digest.update([u8::from(self.module.avoids(now, server))]);
+            self.digest.update([u8::from(self.module.is_avoided(now, server))]);
             self.digest.update(open.to_le_bytes());
             self.digest.update(allowance.to_bits().to_le_bytes());
             self.digest.update(spent.to_le_bytes());
         }
         for id in self.live.keys().copied().chain([0, 4_000_000_000]) {
             let id = RequestId(id);
-            let answers = [self.module.harmless(id), self.module.may_begin(now, id)];
+            let answers = [self.module.is_safe_to_retry(id), self.module.may_begin_attempt(now, id)];
             self.digest.update(answers.map(u8::from));
         }
-        self.digest.update(self.module.full(now).to_bits().to_le_bytes());
+        self.digest.update(self.module.fleet_connections_when_full(now).to_bits().to_le_bytes());
     }
 
     fn run(mut self, seed: u64) -> (String, [u64; 9]) {
-        let first = self.generator.pick(&[ListNews::Stale, ListNews::Whole]);
+        let first = self.generator.pick(&[ListUpdate::Cached, ListUpdate::Snapshot]);
         self.list(first);
         let mut checkpoints = String::new();
         for step in 1..=STEPS {
@@ -592,13 +613,13 @@
     ] {
         for peers in [false, true] {
             all.push(Settings {
-                relays: 30,
-                own: PeerId(7),
-                peers,
-                fall_multiple,
-                overload_for: span(overload),
-                cold_from,
-                warm_within: span(warm),
+                gateways: 30,
+                gateway_id: GatewayId(7),
+                fleet_permits: peers,
+                overload_factor: fall_multiple,
+                overload_window: span(overload),
+                initial_capacity_share: cold_from,
+                warm_up_time: span(warm),
                 ..base.clone()
             });
         }
@@ -610,20 +631,21 @@
 fn permits_of_a_warming_server_are_those_recorded() {
     let mut lines = String::new();
     for (index, settings) in slow_start_settings().iter().enumerate() {
-        let ramp = Ramp::new(settings);
-        let (own, granted) = (Schedule::own(settings), ramp.granted(span(400_000)));
+        let ramp = SlowStartConfig::new(settings);
+        let (own, granted) =
+            (PermitSchedule::ungranted_permits(settings), ramp.granted_permits(span(400_000)));
         for age in [0, 1, 100_000, 1_000_000, 5_500_000, 24_000_000, 90_000_000] {
             for full in [0.0, 0.4, 3.0, 54.0, 1e6, 1e300] {
                 let age = span(age);
                 write!(lines, "settings={index} age={} full={full:e}", age.as_micros())
                     .expect("a string takes all");
                 for value in [
-                    ramp.allowed(age, full),
-                    ramp.falls_at(age, full),
-                    own.come(age, full),
-                    own.lost(age, full),
-                    granted.come(age, full),
-                    granted.lost(age, full),
+                    ramp.allowed_requests(age, full),
+                    ramp.overload_threshold(age, full),
+                    own.permits_issued(age, full),
+                    own.permits_expired(age, full),
+                    granted.permits_issued(age, full),
+                    granted.permits_expired(age, full),
                 ] {
                     write!(lines, " {}", bits(value)).expect("a string takes all");
                 }
@@ -631,18 +653,20 @@
                 let now = born + age;
                 for (key, began, spent) in [(0, 0, 0), (0x5be2_a07c, 3_500_000, 2), (u32::MAX, 9_000_000, 40)]
                 {
-                    let holder = Holder::gateway(settings, key, Time::from_micros(began), spent);
+                    let holder = PermitHolder::for_gateway(settings, key, Time::from_micros(began), spent);
                     for schedule in [own, granted] {
-                        let turn = match schedule.turn(now, born, full, holder) {
+                        let turn = match schedule.next_permit(now, born, full, holder) {
                             Ok(turn) => format!("ok:{turn}"),
                             Err(wait) => format!("wait:{}", wait.as_micros()),
                         };
-                        write!(lines, " {}/{}:{turn}", holder.number, holder.of).expect("a string takes all");
+                        write!(lines, " {}/{}:{turn}", holder.index, holder.holders)
+                            .expect("a string takes all");
                     }
                 }
                 let told = [(Some(born), 0), (Some(born), 1), (Some(born), 20), (None, 1), (None, 0)];
                 for (born, spent) in told {
-                    write!(lines, " {}", own.told(now, born, full, spent)).expect("a string takes all");
+                    write!(lines, " {}", own.accept_reported_permit(now, born, full, spent))
+                        .expect("a string takes all");
                 }
                 lines.push('\n');
             }
@@ -657,7 +681,7 @@
     for group in [0, 1, 77, u32::MAX] {
         for key in [0, 1, 0x5be2_a07c, u32::MAX] {
             for round in [0, 1, 6, 11] {
-                let hash = GroupId(group).lot(key, round);
+                let hash = GroupId(group).rendezvous_hash(key, round);
                 writeln!(lines, "{group} {key} {round} {hash:016x}").expect("a string takes all");
             }
         }
--- a/tests/compatibility_discovery.rs
+++ b/tests/compatibility_discovery.rs
@@ -7,14 +7,16 @@
 use std::io;
 use std::time::Duration;
 
+use ashtide::decision::slow_start::SlowStartConfig;
+use ashtide::discovery::start_times::StartTimes;
 use ashtide::discovery::{
-    BEAT, CALL, End, Entry, News, QUIET, Status, TOLD, Vouching, WAIT, WatchCodec, WatchError, WatchEvent,
-    watch_request,
+    CALL_TIMEOUT, Endpoint, EndpointList, EndpointStatus, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, ListLease,
+    MAX_LIST_STALENESS, MAX_POLL_WAIT, WatchCodec, WatchEnd, WatchError, WatchEvent, watch_request,
 };
-use ashtide::ramp::Ramp;
-use ashtide::rights::{ASK, LEASE, LONGEST, PATIENCE, Rights, Step};
-use ashtide::start_times::StartTimes;
-use ashtide::{PeerId, Right, ServerId, ServerState, Span, Time};
+use ashtide::fleet::permits::{
+    MAX_DATAGRAM_LENGTH, PERMIT_LIFETIME, PermitStep, Permits, REPLY_TIMEOUT, REQUEST_LENGTH,
+};
+use ashtide::{GatewayId, PermitReply, ServerId, ServerState, Span, Time};
 use bytes::BytesMut;
 use tokio_util::codec::Decoder;
 
@@ -43,96 +45,104 @@
 
 // ---- Datagrams about new servers ------------------------------------------------------------
 
-fn ramp() -> Ramp {
-    Ramp {
-        fall_multiple: 2.5,
-        overload_for: Span::from_micros(2_000_000),
-        cold_from: 0.13,
-        warm_within: Span::from_micros(24_000_000),
+fn ramp() -> SlowStartConfig {
+    SlowStartConfig {
+        overload_factor: 2.5,
+        overload_window: Span::from_micros(2_000_000),
+        initial_capacity_share: 0.13,
+        warm_up_time: Span::from_micros(24_000_000),
     }
 }
 
-fn gateway(own: u32, key: u32) -> Rights {
-    let mut rights = Rights::new(PeerId(own), GATEWAYS, ramp(), at(0));
-    rights.list(std::iter::once((key, at(0))));
+fn gateway(own: u32, key: u32) -> Permits {
+    let mut rights = Permits::new(GatewayId(own), GATEWAYS, ramp(), at(0));
+    rights.update_servers(std::iter::once((key, at(0))));
     rights
 }
 
-fn reply(right: Right) -> String {
+fn reply(right: PermitReply) -> String {
     match right {
-        Right::Granted { until, lacks } => {
+        PermitReply::Granted { expires_at: until, below_fair_share: lacks } => {
             format!("granted until {} below fair share {lacks}", until.as_micros())
         }
-        Right::Refused { wait, lacks } => format!("denied for {} below fair share {lacks}", wait.as_micros()),
-        Right::Unheard => "no reply".to_owned(),
+        PermitReply::Denied { retry_after: wait, below_fair_share: lacks } => {
+            format!("denied for {} below fair share {lacks}", wait.as_micros())
+        }
+        PermitReply::NoReply => "no reply".to_owned(),
     }
 }
 
-fn step(step: Step) -> String {
+fn step(step: PermitStep) -> String {
     match step {
-        Step::Send(datagram) => format!("send {} {}", datagram.to.0, hex(datagram.bytes())),
-        Step::SendTwice(datagram) => format!("send twice {} {}", datagram.to.0, hex(datagram.bytes())),
-        Step::Asked(datagram, number) => {
+        PermitStep::Send(datagram) => format!("send {} {}", datagram.to.0, hex(datagram.bytes())),
+        PermitStep::SendTwice(datagram) => format!("send twice {} {}", datagram.to.0, hex(datagram.bytes())),
+        PermitStep::AwaitReply(datagram, number) => {
             let (to, bytes) = (datagram.to.0, hex(datagram.bytes()));
             format!("request to {to} {bytes} number {number} key {:08x}", datagram.key())
         }
-        Step::Answer(key, right) => format!("resolved {key:08x} {}", reply(right)),
+        PermitStep::Resolved(key, right) => format!("resolved {key:08x} {}", reply(right)),
     }
 }
 
 /// Gateways ask, answer, time out and grant by themselves.
 fn exchange(key: u32, lines: &mut Vec<String>) {
-    let mut all: Vec<Rights> = (0..GATEWAYS).map(|own| gateway(own, key)).collect();
-    let owners = all[0].owners(key);
+    let mut all: Vec<Permits> = (0..GATEWAYS).map(|own| gateway(own, key)).collect();
+    let owners = all[0].grantors(key);
     let names: Vec<String> = owners.iter().map(|owner| owner.0.to_string()).collect();
     lines.push(format!("key {key:08x} grantors {}", names.join(" ")));
     for (round, now) in (0..40_i64).map(|round| (round, at(round * 170_000))) {
         let asker = (round as u32) % GATEWAYS;
-        let asked = all[asker as usize].ask(now, key, FULL);
+        let asked = all[asker as usize].request_permit(now, key, FULL);
         lines.push(format!("{round} of {asker}: {}", step(asked)));
-        let Step::Asked(datagram, number) = asked else { continue };
+        let PermitStep::AwaitReply(datagram, number) = asked else { continue };
         let later = now + Span::from_micros(20_000);
         let owner = &mut all[datagram.to.0 as usize];
-        let answered = owner.hear(later, PeerId(asker), datagram.bytes(), FULL);
+        let answered = owner.handle_datagram(later, GatewayId(asker), datagram.bytes(), FULL);
         let answered = answered.expect("an owner answers").expect("an ask has an answer");
         lines.push(format!("{round} at {}: {}", datagram.to.0, step(answered)));
         if round % 5 == 4 {
             // The answer is lost.
-            let next = all[asker as usize].overdue(now + PATIENCE, key, number);
+            let next = all[asker as usize].handle_reply_timeout(now + REPLY_TIMEOUT, key, number);
             lines.push(format!("{round} timed out: {}", next.map_or("nothing".to_owned(), step)));
-            if let Some(Step::Asked(_, number)) = next {
-                let next = all[asker as usize].overdue(now + PATIENCE + PATIENCE, key, number);
+            if let Some(PermitStep::AwaitReply(_, number)) = next {
+                let next = all[asker as usize].handle_reply_timeout(
+                    now + REPLY_TIMEOUT + REPLY_TIMEOUT,
+                    key,
+                    number,
+                );
                 lines.push(format!("{round} timed out again: {}", next.map_or("nothing".to_owned(), step)));
             }
             continue;
         }
-        let (Step::Send(answer) | Step::SendTwice(answer)) = answered else { panic!("an answer is sent") };
+        let (PermitStep::Send(answer) | PermitStep::SendTwice(answer)) = answered else {
+            panic!("an answer is sent")
+        };
         for _ in 0..2 {
             let later = now + Span::from_micros(40_000);
-            let heard = all[asker as usize].hear(later, datagram.to, answer.bytes(), FULL);
+            let heard = all[asker as usize].handle_datagram(later, datagram.to, answer.bytes(), FULL);
             let heard = heard.expect("an answer to this ask").map_or("nothing".to_owned(), step);
             lines.push(format!("{round} back: {heard}"));
         }
     }
     for (own, rights) in all.iter().enumerate() {
-        let held = rights.check().map_or_else(|error| error.to_string(), |()| "holds".to_owned());
-        lines.push(format!("last granted by {own}: {} {held}", rights.spent(key)));
+        let held = rights.check_invariants().map_or_else(|error| error.to_string(), |()| "holds".to_owned());
+        lines.push(format!("last granted by {own}: {} {held}", rights.last_granted_permit(key)));
     }
 }
 
 #[test]
 fn datagrams_about_new_servers_are_written_and_read_as_recorded() {
     let mut lines = vec![format!(
-        "request {ASK} longest {LONGEST} lifetime {} time-out {}",
-        LEASE.as_micros(),
-        PATIENCE.as_micros()
+        "request {REQUEST_LENGTH} longest {MAX_DATAGRAM_LENGTH} lifetime {} time-out {}",
+        PERMIT_LIFETIME.as_micros(),
+        REPLY_TIMEOUT.as_micros()
     )];
     for key in [0x5be2_a07c, 1, 0xffff_ffff, 0x0102_0304] {
         exchange(key, &mut lines);
     }
     let key = 0x5be2_a07c;
-    let owners = gateway(0, key).owners(key);
-    let other = (0..GATEWAYS).map(PeerId).find(|it| !owners.contains(it)).expect("another gateway");
+    let owners = gateway(0, key).grantors(key);
+    let other = (0..GATEWAYS).map(GatewayId).find(|it| !owners.contains(it)).expect("another gateway");
     let inputs: [(u32, &[u8]); 22] = [
         (other.0, &[]),
         (other.0, &[18]),
@@ -159,7 +169,7 @@
     ];
     for (from, bytes) in inputs {
         let mut owner = gateway(owners[0].0, key);
-        let heard = owner.hear(at(0), PeerId(from), bytes, FULL);
+        let heard = owner.handle_datagram(at(0), GatewayId(from), bytes, FULL);
         let heard = match heard {
             Ok(next) => next.map_or("nothing".to_owned(), step),
             Err(error) => format!("error: {error}"),
@@ -171,10 +181,12 @@
 }
 
 /// Answers to a real ask: every flag and the ends of the wait, from the gateway asked and from another.
-fn read_replies(key: u32, owners: &[PeerId], other: PeerId, lines: &mut Vec<String>) {
+fn read_replies(key: u32, owners: &[GatewayId], other: GatewayId, lines: &mut Vec<String>) {
     for (flags, steps) in [(0, 0), (0, 1), (0, 255), (1, 0), (1, 7), (2, 3), (3, 0), (0xfc, 9), (0xff, 255)] {
         let mut asker = gateway(other.0, key);
-        let Step::Asked(ask, _) = asker.ask(at(0), key, FULL) else { panic!("it asks an owner") };
+        let PermitStep::AwaitReply(ask, _) = asker.request_permit(at(0), key, FULL) else {
+            panic!("it asks an owner")
+        };
         let forged = *owners.iter().find(|&&owner| owner != ask.to).expect("two owners");
         let mut bytes = ask.bytes().to_vec();
         bytes[0] = 19;
@@ -182,7 +194,7 @@
         for (from, number) in [(forged, 0), (ask.to, 9), (ask.to, 0), (ask.to, 0)] {
             let mut bytes = bytes.clone();
             bytes[1] ^= number;
-            let heard = match asker.hear(at(30_000), from, &bytes, FULL) {
+            let heard = match asker.handle_datagram(at(30_000), from, &bytes, FULL) {
                 Ok(next) => next.map_or("nothing".to_owned(), step),
                 Err(error) => format!("error: {error}"),
             };
@@ -193,15 +205,15 @@
 
 // ---- Discovery's answers --------------------------------------------------------------------
 
-fn status(status: Status) -> &'static str {
+fn status(status: EndpointStatus) -> &'static str {
     match status {
-        Status::Serving => "serving",
-        Status::Draining => "draining",
-        Status::Deleted => "deleted",
+        EndpointStatus::Serving => "serving",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Deleted => "deleted",
     }
 }
 
-fn entry(entry: &Entry) -> String {
+fn entry(entry: &Endpoint) -> String {
     format!(
         "[{} | {} | {} | {} | {} | {} | {:016x} | {:016x}]",
         entry.name,
@@ -215,22 +227,22 @@
     )
 }
 
-fn news(news: &News) -> String {
+fn news(news: &EndpointList) -> String {
     let entries: Vec<String> = news.endpoints.iter().map(entry).collect();
-    let fits: Vec<String> = [0, 5, 6, u64::MAX].map(|version| news.fits(version).to_string()).to_vec();
+    let fits: Vec<String> = [0, 5, 6, u64::MAX].map(|version| news.applies_to(version).to_string()).to_vec();
     format!("list {} snapshot {} applies {} {}", news.index, news.snapshot, fits.join(" "), entries.concat())
 }
 
-fn end(end: End) -> &'static str {
+fn end(end: WatchEnd) -> &'static str {
     match end {
-        End::Closed => "closed",
-        End::Refused => "refused",
-        End::Failed => "failed",
+        WatchEnd::Closed => "closed",
+        WatchEnd::ConnectionRefused => "refused",
+        WatchEnd::Failed => "failed",
     }
 }
 
 fn error(error: &WatchError) -> String {
-    format!("error: {error}; before {} after {}", end(error.end(false)), end(error.end(true)))
+    format!("error: {error}; before {} after {}", end(error.watch_end(false)), end(error.watch_end(true)))
 }
 
 /// What a watch makes of these bytes, given so many at a time.
@@ -241,8 +253,8 @@
         buffer.extend_from_slice(piece);
         loop {
             match codec.decode(&mut buffer) {
-                Ok(Some(WatchEvent::News(list))) => told.push(news(&list)),
-                Ok(Some(WatchEvent::Beat)) => told.push("heartbeat".to_owned()),
+                Ok(Some(WatchEvent::List(list))) => told.push(news(&list)),
+                Ok(Some(WatchEvent::Heartbeat)) => told.push("heartbeat".to_owned()),
                 Ok(None) => break,
                 Err(cause) => {
                     told.push(error(&cause));
@@ -358,7 +370,7 @@
     ];
     lines.extend(io_errors.map(|kind| error(&WatchError::Io(io::Error::new(kind, "by the test")))));
     lines.push(error(&WatchError::Silent(Duration::from_millis(2_500))));
-    lines.push(error(&WatchError::Behind { had: 7, index: 3 }));
+    lines.push(error(&WatchError::StaleChanges { had: 7, index: 3 }));
     compare(&lines, include_str!("fixtures/compatibility/discovery/watch.txt"));
 }
 
@@ -383,7 +395,7 @@
     ];
     for text in texts {
         lines.push(text.to_owned());
-        lines.push(match serde_json::from_str::<Entry>(text) {
+        lines.push(match serde_json::from_str::<Endpoint>(text) {
             Ok(read) => {
                 let written = serde_json::to_string(&read).expect("an entry is written");
                 format!("  {}\n  {written}", entry(&read))
@@ -391,13 +403,13 @@
             Err(error) => format!("  error: {error}"),
         });
     }
-    let list = News { index: 3, snapshot: true, endpoints: Vec::new() };
+    let list = EndpointList { index: 3, snapshot: true, endpoints: Vec::new() };
     lines.push(serde_json::to_string(&list).expect("a list is written"));
-    for listed in [Status::Serving, Status::Draining, Status::Deleted] {
+    for listed in [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Deleted] {
         let state = match ServerState::from(listed) {
             ServerState::Ready => "ready",
             ServerState::Draining => "draining",
-            ServerState::Gone => "gone",
+            ServerState::Removed => "gone",
         };
         lines.push(format!("{} is {state}", serde_json::to_string(&listed).expect("a status is written")));
     }
@@ -411,11 +423,11 @@
 fn the_list_stands_for_as_long_as_recorded() {
     let mut lines = vec![format!(
         "heartbeat {} time-out {} call {} staleness {} wait {}",
-        BEAT.as_micros(),
-        QUIET.as_micros(),
-        CALL.as_micros(),
-        TOLD.as_micros(),
-        WAIT.as_micros()
+        HEARTBEAT_INTERVAL.as_micros(),
+        HEARTBEAT_TIMEOUT.as_micros(),
+        CALL_TIMEOUT.as_micros(),
+        MAX_LIST_STALENESS.as_micros(),
+        MAX_POLL_WAIT.as_micros()
     )];
     // Each word is one event, half a second after the one before: a letter for the end, or `s` for in step.
     let sequences = [
@@ -436,7 +448,7 @@
         "crcrcrs",
     ];
     for events in sequences {
-        let mut lease = Vouching::new(at(0));
+        let mut lease = ListLease::new(at(0));
         let mut told = Vec::new();
         let mut now = at(0);
         for event in events.chars() {
@@ -444,18 +456,19 @@
             now = now + Span::from_micros(500_000);
             let until = match event {
                 's' => {
-                    lease.in_step();
+                    lease.renew();
                     None
                 }
-                'c' => lease.ended(now, since, End::Closed),
-                'r' => lease.ended(now, since, End::Refused),
-                _ => lease.ended(now, since, End::Failed),
+                'c' => lease.handle_watch_end(now, since, WatchEnd::Closed),
+                'r' => lease.handle_watch_end(now, since, WatchEnd::ConnectionRefused),
+                _ => lease.handle_watch_end(now, since, WatchEnd::Failed),
             };
             let until = until.map_or("-".to_owned(), |until| until.since(at(0)).as_micros().to_string());
             told.push(format!("{event} {until}"));
         }
-        let held: Vec<String> =
-            (0..30).map(|half| if lease.holds(at(half * 500_000)) { "1" } else { "0" }.to_owned()).collect();
+        let held: Vec<String> = (0..30)
+            .map(|half| if lease.is_valid(at(half * 500_000)) { "1" } else { "0" }.to_owned())
+            .collect();
         lines.push(format!("{events}: {}; {}", told.join(", "), held.concat()));
     }
     compare(&lines, include_str!("fixtures/compatibility/discovery/list_lease.txt"));
@@ -472,14 +485,14 @@
         for event in events.chars() {
             now = now + Span::from_micros(1_700_000);
             match event {
-                'w' => times.watching(now),
-                'n' => times.news(now),
-                'e' => times.watch_ended(now - Span::from_micros(1_000_000)),
+                'w' => times.record_watch_synced(now),
+                'n' => times.record_update(now),
+                'e' => times.record_watch_end(now - Span::from_micros(1_000_000)),
                 _ => {}
             }
         }
         now = now + Span::from_micros(800_000);
-        let earliest = times.unlisted_until(now);
+        let earliest = times.earliest_new_start(now);
         lines.push(format!("{events}: {}", text(earliest)));
         let now_ms = now.as_micros() as f64 / 1e3;
         let starts = [
@@ -495,11 +508,11 @@
         ];
         for (number, since_ms) in starts.into_iter().enumerate() {
             let server = ServerId(number as u32);
-            let first = times.started(now, server, since_ms, None);
-            let other = times.started(now, ServerId(100 + number as u32), since_ms, earliest);
+            let first = times.start_time(now, server, since_ms, None);
+            let other = times.start_time(now, ServerId(100 + number as u32), since_ms, earliest);
             let later = now + Span::from_micros(900_000);
-            let again = times.started(later, server, since_ms, earliest);
-            let changed = times.started(later, server, since_ms + 50.0, earliest);
+            let again = times.start_time(later, server, since_ms, earliest);
+            let changed = times.start_time(later, server, since_ms + 50.0, earliest);
             let [first, other, again, changed] = [first, other, again, changed].map(text);
             lines.push(format!("  {number}: {first} {other} {again} {changed}"));
         }
