--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -6,14 +6,15 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use ashtide::discovery::End;
-use ashtide::engine::{Answer, Due, Effect, Engine};
-use ashtide::handover::Share;
-use ashtide::request_invariants::Violation;
-use ashtide::rights::Unheard;
+use ashtide::discovery::WatchEnd;
+use ashtide::engine::invariants::Violation;
+use ashtide::engine::{Command, Engine, FinalAnswer, TimerEvent};
+use ashtide::fleet::permits::DecodeError;
+use ashtide::handover::ServerUsage;
 use ashtide::{
-    CellId, Class, ClassId, Discovery, GroupId, KeyedGroup, KindId, ListNews, Listing, Outcome, PeerId,
-    Prices, Request, RequestId, ServerId, ServerState, Settings, Span, Tenant, TenantId, Time, ZoneId,
+    CellId, ClassId, DeduplicationScope, DiscoveryMode, EndpointEntry, GatewayId, GroupId, KindId,
+    ListUpdate, Outcome, Prices, Request, RequestClass, RequestId, ServerId, ServerState, Settings, Span,
+    Tenant, TenantId, Time, ZoneId,
 };
 use futures_util::FutureExt;
 use rand::{Rng, SeedableRng};
@@ -65,33 +66,38 @@
 }
 
 fn settings(rng: &mut ChaCha8Rng) -> Settings {
-    let keyed = |group, window| ashtide::Effect::Keyed { group, window: ms(window) };
+    let keyed = |group, window| ashtide::Idempotency::WithKey { scope: group, remembered_for: ms(window) };
     let classes = [
-        (400, ashtide::Effect::Safe),
-        (500, keyed(KeyedGroup::All, 600)),
-        (600, keyed(KeyedGroup::Zone, 800)),
-        (700, keyed(KeyedGroup::Cell, 700)),
-        (300, ashtide::Effect::Unsafe),
+        (400, ashtide::Idempotency::Idempotent),
+        (500, keyed(DeduplicationScope::All, 600)),
+        (600, keyed(DeduplicationScope::Zone, 800)),
+        (700, keyed(DeduplicationScope::Cell, 700)),
+        (300, ashtide::Idempotency::NotIdempotent),
     ];
-    let class = |(aim, effect)| Class { aim: ms(aim), message_aim: ms(50), worth: 1.0, effect };
+    let class = |(aim, effect)| RequestClass {
+        latency_objective: ms(aim),
+        message_latency_objective: ms(50),
+        priority_weight: 1.0,
+        idempotency: effect,
+    };
     Settings {
-        relays: GATEWAYS,
-        own: PeerId(rng.random_range(0..GATEWAYS)),
-        discovery: if rng.random() { Discovery::Pushed } else { Discovery::OnRequest },
+        gateways: GATEWAYS,
+        gateway_id: GatewayId(rng.random_range(0..GATEWAYS)),
+        discovery: if rng.random() { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest },
         classes: classes.into_iter().map(class).collect(),
         tenants: vec![Tenant { quota_per_s: 100.0, quota_connections: 300.0 }],
-        tick: ms(TICK_MS),
+        batch_interval: ms(TICK_MS),
         prices: Prices { cross_zone: 0.014, ..Prices::default() },
         max_attempts: rng.random_range(2..=4),
         max_retry_after: ms(500),
-        peers: rng.random_bool(0.7),
-        recalls: rng.random(),
+        fleet_permits: rng.random_bool(0.7),
+        cancellation: rng.random(),
         answer_slack: ms(20),
         drain_grace: ms(400),
-        cold_from: 0.3,
-        warm_within: ms(20_000),
-        fall_multiple: 2.5,
-        overload_for: ms(2_000),
+        initial_capacity_share: 0.3,
+        warm_up_time: ms(20_000),
+        overload_factor: 2.5,
+        overload_window: ms(2_000),
         ..Settings::for_zone(ZoneId(0))
     }
 }
@@ -110,14 +116,14 @@
     engine: Engine,
     now: Time,
     hash: Sha256,
-    commands: Vec<Effect>,
+    commands: Vec<Command>,
     returned: u32,
     kinds: BTreeSet<&'static str>,
     clients: BTreeMap<RequestId, Client>,
     next_id: u32,
-    servers: Vec<Listing>,
+    servers: Vec<EndpointEntry>,
     /// Permit requests of this gateway that have no reply yet.
-    permit_requests: VecDeque<(PeerId, Vec<u8>)>,
+    permit_requests: VecDeque<(GatewayId, Vec<u8>)>,
 }
 
 impl RandomRun {
@@ -125,16 +131,16 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let now = Time::from_micros(1_000_000_000);
         let settings = settings(&mut rng);
-        let server = |number: u32| Listing {
-            key: number.wrapping_mul(0x9e37_79b9) | 1,
+        let server = |number: u32| EndpointEntry {
+            hash_key: number.wrapping_mul(0x9e37_79b9) | 1,
             zone: ZoneId(number % 2),
-            kind: KindId(number % 3),
+            machine_kind: KindId(number % 3),
             cell: CellId(number / 2),
-            ..Listing::ready(ServerId(number), ZoneId(0))
+            ..EndpointEntry::ready(ServerId(number), ZoneId(0))
         };
         let mut engine = Engine::new(settings, rng.random(), (now, Instant::now()));
         if rng.random() {
-            engine.witness();
+            engine.enable_outcome_reports();
         }
         Self {
             rng,
@@ -153,9 +159,9 @@
 
     async fn run_random_calls(&mut self) -> String {
         let servers = self.servers.clone();
-        self.engine.list(self.now, ListNews::Whole, servers, &mut self.commands);
+        self.engine.handle_list_update(self.now, ListUpdate::Snapshot, servers, &mut self.commands);
         self.record_commands();
-        self.engine.vouched(self.now, &mut self.commands);
+        self.engine.renew_list_lease(self.now, &mut self.commands);
         self.record_commands();
         for step in 0..STEPS {
             if step == STEPS * 4 / 5 {
@@ -193,7 +199,7 @@
             85 => {
                 let server = self.random_server();
                 let ok = self.rng.random();
-                self.engine.probed(self.now, server, ok, &mut self.commands);
+                self.engine.handle_health_check(self.now, server, ok, &mut self.commands);
             }
             86 => {
                 let span = self.rng.random_range(1_000..2_500);
@@ -232,11 +238,11 @@
         for _ in 0..self.rng.random_range(1..4) {
             let request = self.new_request();
             self.clients.insert(request.id, Client::default());
-            self.engine.request(self.now, request.clone(), &mut self.commands);
+            self.engine.handle_request(self.now, request.clone(), &mut self.commands);
             self.record_commands();
             if self.rng.random_bool(0.05) {
                 // The same id a second time.
-                self.engine.request(self.now, request, &mut self.commands);
+                self.engine.handle_request(self.now, request, &mut self.commands);
             }
         }
     }
@@ -246,9 +252,9 @@
         let client = Client { attempt: Some(0), begun: true, established: true, attempts: 1 };
         self.clients.insert(request.id, client);
         if self.rng.random() {
-            self.engine.existing(self.now, request, server, &mut self.commands);
+            self.engine.handle_existing_connection(self.now, request, server, &mut self.commands);
         } else {
-            self.engine.adopt(self.now, request, server, &mut self.commands);
+            self.engine.adopt_connection(self.now, request, server, &mut self.commands);
         }
     }
 
@@ -262,7 +268,7 @@
         if self.rng.random_bool(0.03) {
             return self.end_attempt(id, attempt, Outcome::LocalFailure);
         }
-        let begins = self.engine.may_begin(self.now, id, attempt, &mut self.commands);
+        let begins = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
         self.record_byte(u8::from(begins));
         if begins {
             self.clients.get_mut(&id).expect("a client").begun = true;
@@ -285,7 +291,7 @@
         match self.rng.random_range(0..10) {
             0..=5 => {
                 self.clients.get_mut(&id).expect("a client").established = true;
-                let up = self.engine.established(self.now, id, attempt, &mut self.commands);
+                let up = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
                 self.record_byte(u8::from(up));
             }
             6 | 7 => self.end_attempt(id, attempt, Outcome::QueueFull),
@@ -303,13 +309,13 @@
                 self.clients.remove(&id);
             }
         }
-        self.engine.ended(self.now, id, attempt, outcome, &mut self.commands);
+        self.engine.handle_attempt_end(self.now, id, attempt, outcome, &mut self.commands);
     }
 
     fn client_leaves(&mut self) {
         let Some((id, _)) = self.pick_client(|_| true) else { return };
         self.clients.remove(&id);
-        self.engine.client_left(self.now, id, &mut self.commands);
+        self.engine.handle_client_left(self.now, id, &mut self.commands);
         self.record_commands();
         self.clients.remove(&id);
     }
@@ -324,16 +330,16 @@
             return;
         }
         match self.rng.random_range(0..4) {
-            0 => self.engine.ended(self.now, id, attempt, Outcome::Reset, &mut self.commands),
+            0 => self.engine.handle_attempt_end(self.now, id, attempt, Outcome::Reset, &mut self.commands),
             1 => {
-                let up = self.engine.established(self.now, id, attempt, &mut self.commands);
+                let up = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
                 self.record_byte(u8::from(up));
             }
             2 => {
-                let begins = self.engine.may_begin(self.now, id, attempt, &mut self.commands);
+                let begins = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
                 self.record_byte(u8::from(begins));
             }
-            _ => self.engine.answered(self.now, id),
+            _ => self.engine.handle_server_message(self.now, id),
         }
     }
 
@@ -342,70 +348,71 @@
         match self.rng.random_range(0..6) {
             0..=3 => {
                 let prompt = self.rng.random_bool(0.7);
-                self.engine.asked(self.now, id, prompt);
+                self.engine.handle_client_message(self.now, id, prompt);
             }
-            4 => self.engine.answered(self.now, id),
+            4 => self.engine.handle_server_message(self.now, id),
             _ => {
                 let load = f64::from(self.rng.random_range(0..20_000));
-                self.engine.load(self.now, id, load, &mut self.commands);
+                self.engine.handle_load_report(self.now, id, load, &mut self.commands);
             }
         }
     }
 
     fn update_list(&mut self) {
         let at = self.rng.random_range(0..self.servers.len());
-        let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Gone]
+        let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Removed]
             [self.rng.random_range(0..4)];
         self.servers[at].state = state;
         if state == ServerState::Ready && self.rng.random() {
-            self.servers[at].started = Some(self.now);
+            self.servers[at].started_at = Some(self.now);
         }
-        let whole: Vec<Listing> =
-            self.servers.iter().filter(|it| it.state != ServerState::Gone).cloned().collect();
+        let whole: Vec<EndpointEntry> =
+            self.servers.iter().filter(|it| it.state != ServerState::Removed).cloned().collect();
         let (news, entries) = match self.rng.random_range(0..10) {
-            0..=5 => (ListNews::Changes, vec![self.servers[at].clone()]),
-            6 | 7 => (ListNews::Whole, whole),
-            8 => (ListNews::Stale, whole),
-            _ => (ListNews::Broken, Vec::new()),
+            0..=5 => (ListUpdate::Delta, vec![self.servers[at].clone()]),
+            6 | 7 => (ListUpdate::Snapshot, whole),
+            8 => (ListUpdate::Cached, whole),
+            _ => (ListUpdate::WatchFailed, Vec::new()),
         };
-        self.engine.list(self.now, news, entries, &mut self.commands);
+        self.engine.handle_list_update(self.now, news, entries, &mut self.commands);
     }
 
     fn change_cordon(&mut self) {
         let (server, out) = (self.random_server(), self.rng.random());
-        self.engine.cordon(self.now, server, out, &mut self.commands);
+        self.engine.set_cordon(self.now, server, out, &mut self.commands);
     }
 
     fn change_quorum_ejections(&mut self) {
         let count = self.rng.random_range(0..3);
         let keys: BTreeSet<u32> =
-            (0..count).map(|_| self.servers[self.rng.random_range(0..self.servers.len())].key).collect();
-        self.engine.judge(self.now, &keys, &mut self.commands);
+            (0..count).map(|_| self.servers[self.rng.random_range(0..self.servers.len())].hash_key).collect();
+        self.engine.set_quorum_ejections(self.now, &keys, &mut self.commands);
     }
 
     fn change_watch(&mut self) {
         if self.rng.random_bool(0.5) {
-            return self.engine.vouched(self.now, &mut self.commands);
+            return self.engine.renew_list_lease(self.now, &mut self.commands);
         }
-        let end = [End::Closed, End::Refused, End::Failed][self.rng.random_range(0..3)];
+        let end =
+            [WatchEnd::Closed, WatchEnd::ConnectionRefused, WatchEnd::Failed][self.rng.random_range(0..3)];
         let since = self.now - ms(self.rng.random_range(0..2_500));
-        self.engine.unheard(self.now, since, end);
+        self.engine.watch_lost(self.now, since, end);
     }
 
     fn share_sibling_state(&mut self) {
         let server = self.random_server();
-        let share = Share {
+        let share = ServerUsage {
             open: self.rng.random_range(0..8),
             budget: f64::from(self.rng.random_range(0..30)) / 4.0,
             spent: self.rng.random_range(0..6),
             granted: self.rng.random_range(0..6),
         };
-        self.engine.beside(self.now, server, share, &mut self.commands);
+        self.engine.handle_sibling_state(self.now, server, share, &mut self.commands);
     }
 
     fn receive_datagram(&mut self) {
-        let key = self.servers[self.rng.random_range(0..self.servers.len())].key;
-        let from = PeerId(self.rng.random_range(0..GATEWAYS + 1));
+        let key = self.servers[self.rng.random_range(0..self.servers.len())].hash_key;
+        let from = GatewayId(self.rng.random_range(0..GATEWAYS + 1));
         let number: u16 = self.rng.random();
         let ask = [&[18][..], &number.to_be_bytes(), &key.to_be_bytes()].concat();
         match self.rng.random_range(0..8) {
@@ -434,14 +441,14 @@
         }
     }
 
-    fn deliver_datagram(&mut self, from: PeerId, bytes: &[u8]) {
-        let heard = self.engine.hear(self.now, from, bytes, &mut self.commands);
+    fn deliver_datagram(&mut self, from: GatewayId, bytes: &[u8]) {
+        let heard = self.engine.handle_datagram(self.now, from, bytes, &mut self.commands);
         let (code, kind) = match heard {
             Ok(()) => (0, None),
-            Err(Unheard::Malformed(_)) => (1, Some("malformed datagram")),
-            Err(Unheard::Foreign) => (2, Some("unknown sender")),
-            Err(Unheard::Elsewhere) => (3, None),
-            Err(Unheard::Unasked) => (4, Some("unexpected reply")),
+            Err(DecodeError::Malformed(_)) => (1, Some("malformed datagram")),
+            Err(DecodeError::UnknownSender) => (2, Some("unknown sender")),
+            Err(DecodeError::NotGrantor) => (3, None),
+            Err(DecodeError::UnexpectedReply) => (4, Some("unexpected reply")),
         };
         self.record_byte(code);
         self.kinds.extend(kind);
@@ -450,9 +457,9 @@
 
     fn shut_down(&mut self) {
         if self.rng.random() {
-            self.engine.hand_over(self.now, ms(2_400), ms(2_800), &mut self.commands);
+            self.engine.hand_over_connections(self.now, ms(2_400), ms(2_800), &mut self.commands);
         } else {
-            self.engine.leave(self.now, ms(2_400), ms(2_800));
+            self.engine.begin_shutdown(self.now, ms(2_400), ms(2_800));
         }
         self.record_commands();
     }
@@ -461,9 +468,9 @@
         for _ in 0..(span + TICK_MS - 1) / TICK_MS {
             tokio::time::advance(Duration::from_millis(TICK_MS.unsigned_abs())).await;
             self.now = self.now + ms(TICK_MS);
-            while let Some(due) = self.engine.due().now_or_never() {
+            while let Some(due) = self.engine.next_timer_event().now_or_never() {
                 self.record_timer(due);
-                self.engine.fire(self.now, due, &mut self.commands);
+                self.engine.handle_timer(self.now, due, &mut self.commands);
                 self.record_commands();
             }
         }
@@ -480,19 +487,19 @@
         numbers.iter().for_each(|number| self.hash.update(number.to_be_bytes()));
     }
 
-    fn record_timer(&mut self, due: Due) {
+    fn record_timer(&mut self, due: TimerEvent) {
         match due {
-            Due::Module(token) => self.record_timer_kind("decision timer", 20, [token.0]),
-            Due::Attempt(id, attempt) => {
+            TimerEvent::Decision(token) => self.record_timer_kind("decision timer", 20, [token.0]),
+            TimerEvent::AttemptTimeout(id, attempt) => {
                 self.record_timer_kind("attempt timer", 21, [u64::from(id.0), u64::from(attempt)])
             }
-            Due::Move(id) => self.record_timer_kind("migration timer", 22, [u64::from(id.0)]),
-            Due::Sweep => self.record_timer_kind("sweep timer", 23, []),
-            Due::Unvouched => self.record_timer_kind("list expiry timer", 24, []),
-            Due::Overdue(key, number) => {
+            TimerEvent::Migrate(id) => self.record_timer_kind("migration timer", 22, [u64::from(id.0)]),
+            TimerEvent::Sweep => self.record_timer_kind("sweep timer", 23, []),
+            TimerEvent::ListExpired => self.record_timer_kind("list expiry timer", 24, []),
+            TimerEvent::PermitReplyTimeout(key, number) => {
                 self.record_timer_kind("reply timer", 25, [u64::from(key), u64::from(number)])
             }
-            Due::Leave => self.record_timer_kind("shutdown deadline", 26, []),
+            TimerEvent::ShutdownDeadline => self.record_timer_kind("shutdown deadline", 26, []),
         }
     }
 
@@ -508,9 +515,9 @@
         }
     }
 
-    fn record_command(&mut self, command: Effect) {
+    fn record_command(&mut self, command: Command) {
         match command {
-            Effect::Attempt { id, attempt, server, timeout } => {
+            Command::Attempt { id, attempt, server, timeout } => {
                 self.kinds.insert(if attempt > 0 { "retry" } else { "first attempt" });
                 let timeout = timeout.as_micros().unsigned_abs();
                 self.record_numbers(1, [u64::from(id.0), u64::from(attempt), u64::from(server.0), timeout]);
@@ -518,7 +525,7 @@
                     *client = Client { attempt: Some(attempt), attempts: attempt + 1, ..Client::default() };
                 }
             }
-            Effect::Close { id, attempt } => {
+            Command::Close { id, attempt } => {
                 self.kinds.insert("attempt closed");
                 self.record_numbers(2, [u64::from(id.0), u64::from(attempt)]);
                 if let Some(client) = self.clients.get_mut(&id) {
@@ -526,36 +533,36 @@
                     client.begun = false;
                 }
             }
-            Effect::Answer { id, answer } => {
+            Command::Answer { id, answer } => {
                 let id_number = u64::from(id.0);
                 match answer {
-                    Answer::Refused(wait) => {
+                    FinalAnswer::Rejected(wait) => {
                         self.kinds.insert("rejected");
                         self.record_numbers(3, [id_number, wait.as_micros().unsigned_abs()]);
                     }
-                    Answer::Failed => {
+                    FinalAnswer::Failed => {
                         self.kinds.insert("failed");
                         self.record_numbers(4, [id_number]);
                     }
                 }
                 self.clients.remove(&id);
             }
-            Effect::Move { id } => {
+            Command::Migrate { id } => {
                 self.kinds.insert("migrated");
                 self.record_numbers(5, [u64::from(id.0)]);
                 self.clients.remove(&id);
             }
-            Effect::Hand { id, server } => {
+            Command::HandOff { id, server } => {
                 self.kinds.insert("handed off");
                 self.record_numbers(6, [u64::from(id.0), u64::from(server.0)]);
                 self.clients.remove(&id);
             }
-            Effect::Probe { server } => self.record_numbers(7, [u64::from(server.0)]),
-            Effect::Subscribe => {
+            Command::CheckHealth { server } => self.record_numbers(7, [u64::from(server.0)]),
+            Command::Subscribe => {
                 self.kinds.insert("subscribe");
                 self.record_numbers(8, []);
             }
-            Effect::Send(datagram) => {
+            Command::SendDatagram(datagram) => {
                 let bytes = datagram.bytes().to_vec();
                 let is_request = bytes[0] == 18;
                 self.kinds.insert(if is_request { "permit request" } else { "permit reply" });
@@ -571,53 +578,53 @@
     /// Records what the engine's getters return.
     fn record_state(&mut self) {
         let now = self.now;
-        let unvouched = self.engine.unvouched();
+        let unvouched = self.engine.list_expired();
         if unvouched {
             self.kinds.insert("list expired");
         }
-        let open = self.engine.open() as u64;
-        let avoided = self.engine.avoided(now) as u64;
-        let (sent, withheld) = self.engine.probes();
+        let open = self.engine.open_request_count() as u64;
+        let avoided = self.engine.avoided_server_count(now) as u64;
+        let (sent, withheld) = self.engine.health_check_counts();
         self.record_numbers(30, [open, avoided, u64::from(unvouched), sent as u64, withheld as u64]);
         for server in (0..SERVERS).map(ServerId) {
-            let Share { open, budget, spent, granted } = self.engine.share(server);
-            let ready = u64::from(self.engine.ready(server));
-            let connections = u64::from(self.engine.open_on(server));
+            let ServerUsage { open, budget, spent, granted } = self.engine.sibling_share(server);
+            let ready = u64::from(self.engine.is_ready(server));
+            let connections = u64::from(self.engine.connections_on(server));
             self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
         }
-        let (servers, tenants) = self.engine.standing_by();
+        let (servers, tenants) = self.engine.established_counts();
         servers
             .iter()
             .for_each(|(server, &count)| self.record_numbers(32, [u64::from(server.0), u64::from(count)]));
         tenants
             .iter()
             .for_each(|(tenant, &count)| self.record_numbers(33, [u64::from(tenant.0), u64::from(count)]));
-        for (key, sight) in self.engine.seen(now) {
-            let [failing, silent, overrun] = sight.seen.map(u64::from);
+        for (key, sight) in self.engine.take_outcome_reports(now) {
+            let [failing, silent, overrun] = sight.observations.map(u64::from);
             for (kind, count) in
                 [("failing server", failing), ("silent server", silent), ("saturated server", overrun)]
             {
                 self.kinds.extend((count > 0).then_some(kind));
             }
-            self.record_numbers(34, [u64::from(key), u64::from(sight.of), failing, silent, overrun]);
+            self.record_numbers(34, [u64::from(key), u64::from(sight.attempts), failing, silent, overrun]);
         }
         let id = RequestId(self.rng.random_range(0..self.next_id + 1));
         let server = self.engine.server_of(id).map_or(u64::MAX, |server| u64::from(server.0));
-        let holds = u64::from(self.engine.holds(id));
+        let holds = u64::from(self.engine.has_request(id));
         self.record_numbers(35, [holds, server]);
         self.record_violations();
     }
 
     fn record_violations(&mut self) {
-        let (found, count) = self.engine.request_violations();
-        self.record_numbers(36, [count, u64::from(self.engine.check().is_ok())]);
+        let (found, count) = self.engine.take_request_violations();
+        self.record_numbers(36, [count, u64::from(self.engine.check_permits().is_ok())]);
         for violation in found {
             let code = match violation {
-                Violation::TwoAttempts { .. } => 1,
-                Violation::AfterItsEnd { .. } => 2,
-                Violation::Repeated { .. } => 3,
-                Violation::Drained { .. } => 4,
-                Violation::FalseRefusal { .. } => 5,
+                Violation::ConcurrentAttempts { .. } => 1,
+                Violation::AttemptAfterEnd { .. } => 2,
+                Violation::ForbiddenRetry { .. } => 3,
+                Violation::AttemptAtDrainingServer { .. } => 4,
+                Violation::FalseRejection { .. } => 5,
                 Violation::LateAnswer { .. } => 6,
             };
             self.record_byte(code);
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -7,14 +7,19 @@
 use std::time::Duration;
 
 use ashtide::RequestId;
-use ashtide::facts::Allowance;
-use ashtide::net::handover::Place;
-use ashtide::state::{Hub, Judging, Look, Sight, Slots, Watched, key_of};
-use ashtide::{maintenance, net, quota, state, view};
-use ashtide_fleet::state::{Exchange, Kept, Root, Rules, Setup, Slot, Terms, Use};
-use ashtide_fleet::{Fleet, Options, Unheard};
-use ashtide_maintenance::{Action, Facts, Kind, Memory, Node, Vote};
-use ashtide_quota::Offer;
+use ashtide::fleet::shared_state::{
+    GatewaySlots, GatewayState, LocalObservation, OutcomeReport, OutlierMode, ServerObservation, name_hash,
+};
+use ashtide::fleet::{maintenance, quota, shared_state, view};
+use ashtide::net::fleet as driver;
+use ashtide::net::handover::StateFolder;
+use ashtide::settings::TenantQuota;
+use ashtide_fleet::state::{
+    BudgetKind, Exchange, ExchangeConfig, InitialShare, LeaseConfig, OutlierLimits, PersistedAllocation, Slot,
+};
+use ashtide_fleet::{DecodeError, Membership, ViewConfig};
+use ashtide_maintenance::{AcceptorState, Action, MachineKind, Observations, PersistedVote, Replica};
+use ashtide_quota::ConnectionKind;
 use toml::{Table, Value};
 
 fn stored(name: &str) -> String {
@@ -101,31 +106,39 @@
     all.iter().map(ToString::to_string).collect::<Vec<_>>().join(",")
 }
 
-fn judging_text(judging: Judging) -> &'static str {
+fn judging_text(judging: OutlierMode) -> &'static str {
     match judging {
-        Judging::Off => "off",
-        Judging::Tell => "tell",
-        Judging::Use => "use",
+        OutlierMode::Off => "off",
+        OutlierMode::Report => "tell",
+        OutlierMode::Enforce => "use",
     }
 }
 
-fn state_text(it: &state::Settings) -> String {
+fn state_text(it: &shared_state::Settings) -> String {
     let gateways = it.gateways.as_deref().map_or("none".to_owned(), addresses);
-    let judgements = judging_text(it.judgements);
-    format!("[{gateways} {} {} {judgements} {}]", it.datagrams, it.check, it.counts)
+    let judgements = judging_text(it.outlier_mode);
+    format!(
+        "[{gateways} {} {} {judgements} {}]",
+        it.max_datagrams_per_second, it.check_invariants, it.count_connections
+    )
 }
 
 fn view_text(text: &str) -> String {
     match view::Settings::parse(text) {
         Ok(it) => {
             let seeds = it.seeds.as_deref().map_or("none".to_owned(), addresses);
-            let (options, state) = (it.options, it.state.as_ref().map_or("none".to_owned(), state_text));
+            let (options, state) = (it.view, it.shared_state.as_ref().map_or("none".to_owned(), state_text));
             format!(
                 "{} {} {seeds} {} {} {} {} {state}",
-                it.listen, it.public, options.tier, options.size, options.messages, options.burst
+                it.listen,
+                it.public,
+                options.tier,
+                options.expected_members,
+                options.datagrams_per_second,
+                options.burst
             )
         }
-        Err(why) => why.told(),
+        Err(why) => why.with_help(),
     }
 }
 
@@ -163,29 +176,29 @@
         "state",
     ];
     let mut text = cases(VIEW, &keys, view_text);
-    let told = |it: Result<String, view::ViewError>| it.unwrap_or_else(view::ViewError::told);
-    let slots_text = |it: Slots| format!("{} of {}", it.own().0, it.len());
+    let told = |it: Result<String, view::ViewError>| it.unwrap_or_else(view::ViewError::with_help);
+    let slots_text = |it: GatewaySlots| format!("{} of {}", it.own().0, it.len());
     let peers: Vec<SocketAddr> = ["127.0.0.1:9", "127.0.0.2:9"].map(|it| it.parse().expect("one")).into();
     let plain = view::Settings::parse("listen = \"127.0.0.2:7946\"\ntier = 1\n").expect("good");
     let whole = view::Settings::parse(VIEW).expect("good");
     for (name, settings) in [("plain", &plain), ("whole", &whole)] {
         let alone = Vec::from(&peers[..1]);
         for (by, peers) in [("nobody", None), ("peers", Some(peers.clone())), ("others", Some(alone))] {
-            let slots = settings.slots(peers.as_deref()).map(slots_text);
+            let slots = settings.gateway_slots(peers.as_deref()).map(slots_text);
             let _ = writeln!(text, "{name} slots by {by}: {}", told(slots));
-            let seeds = settings.seeds(peers).map(|it| addresses(&it));
+            let seeds = settings.seeds_or_peers(peers).map(|it| addresses(&it));
             let _ = writeln!(text, "{name} seeds by {by}: {}", told(seeds));
         }
     }
-    let twice = Slots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text);
+    let twice = GatewaySlots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text);
     let _ = writeln!(text, "twice: {}", told(twice));
-    let many = (0..=state::MAX_GATEWAYS as u16).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let _ = writeln!(text, "many: {}", told(Slots::new(many.collect(), peers[0]).map(slots_text)));
+    let many = (0..=shared_state::MAX_GATEWAYS as u16).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
+    let _ = writeln!(text, "many: {}", told(GatewaySlots::new(many.collect(), peers[0]).map(slots_text)));
     let missing = view::Settings::read(Path::new("/nowhere/view.toml")).map(|_| String::new());
     let _ = writeln!(text, "missing: {}", told(missing));
     let _ = writeln!(text, "schema: {}", view::schema());
     for name in ["s-1", "north", ""] {
-        let _ = writeln!(text, "key of {name:?}: {:08x}", key_of(name));
+        let _ = writeln!(text, "key of {name:?}: {:08x}", name_hash(name));
     }
     same_as_stored("view-settings.txt", &text);
 }
@@ -205,37 +218,38 @@
 "#;
 
 fn quota_text(text: &str) -> String {
-    let customers = [Allowance { name: "east".to_owned(), per_s: 3.0, connections: Some(4) }];
+    let customers =
+        [TenantQuota { name: "east".to_owned(), connections_per_second: 3.0, max_open_connections: Some(4) }];
     match quota::Settings::parse(text, &customers) {
         Ok(it) => {
-            let partner = |it: &Allowance| {
-                let connections = it.connections.map_or("none".to_owned(), |it| it.to_string());
-                format!("{} {} {connections}", it.name, it.per_s)
+            let partner = |it: &TenantQuota| {
+                let connections = it.max_open_connections.map_or("none".to_owned(), |it| it.to_string());
+                format!("{} {} {connections}", it.name, it.connections_per_second)
             };
             let partners: Vec<String> = it.partners.iter().map(partner).collect();
-            let split = it.split(9);
-            let usage = |usage: Use| match usage {
-                Use::Pace { burst } => format!("pace {}", burst.as_millis()),
-                Use::Hold => "hold".to_owned(),
+            let split = it.allocation(9);
+            let usage = |usage: BudgetKind| match usage {
+                BudgetKind::Rate { burst } => format!("pace {}", burst.as_millis()),
+                BudgetKind::Concurrency => "hold".to_owned(),
             };
             let totals = split.totals.iter().map(|(id, it)| format!("{id:08x} {} {}", it.0, usage(it.1)));
             format!(
                 "{} {} {} {} {} {} [{}] {} {} {} [{}] {:x}",
                 it.generation,
-                it.vouched,
-                it.reserve,
+                it.operator_confirmed,
+                it.floor_permille,
                 it.burst.as_millis(),
                 it.max_wait.as_millis(),
-                it.borrow,
+                it.allow_borrowing,
                 partners.join(", "),
                 split.generation,
-                split.slots,
-                split.floors,
+                split.slot_count,
+                split.floor_permille,
                 totals.collect::<Vec<_>>().join(", "),
                 split.digest()
             )
         }
-        Err(why) => why.told(),
+        Err(why) => why.with_help(),
     }
 }
 
@@ -254,11 +268,11 @@
         "partners",
     ];
     let mut text = cases(QUOTA, &keys, quota_text);
-    let none = quota::Settings::parse("generation = 1", &[]).err().map(quota::QuotaError::told);
+    let none = quota::Settings::parse("generation = 1", &[]).err().map(quota::QuotaError::with_help);
     let _ = writeln!(text, "nobody: {}", none.unwrap_or_default());
     let missing = quota::Settings::read(Path::new("/nowhere/quota.toml"), &[]).err();
-    let _ = writeln!(text, "missing: {}", missing.map(quota::QuotaError::told).unwrap_or_default());
-    let _ = writeln!(text, "alone: {}", quota::QuotaError::Alone.told());
+    let _ = writeln!(text, "missing: {}", missing.map(quota::QuotaError::with_help).unwrap_or_default());
+    let _ = writeln!(text, "alone: {}", quota::QuotaError::NoSharedState.with_help());
     let _ = writeln!(text, "schema: {}", quota::schema());
     same_as_stored("quota-settings.txt", &text);
 }
@@ -283,30 +297,30 @@
     let slots = |all: &[Slot]| all.iter().map(|it| it.0.to_string()).collect::<Vec<_>>().join(",");
     match maintenance::Settings::parse(text) {
         Ok(it) => {
-            let (rules, terms) = (it.setup.rules, it.setup.terms);
+            let (rules, terms) = (it.replica.limits, it.replica.timing);
             format!(
                 "{} {} {} tier {} own {} members {} voters {} rules {} {} {} terms {} {} {} {} {} {} {} {}",
                 it.listen,
                 addresses(&it.gateways),
-                it.folder.display(),
-                it.setup.tier,
-                it.setup.own.0,
-                slots(&it.setup.members),
-                slots(&it.setup.voters),
-                rules.max_out,
-                rules.max_gateways,
-                rules.floor,
+                it.state_directory.display(),
+                it.replica.tier,
+                it.replica.own_slot.0,
+                slots(&it.replica.members),
+                slots(&it.replica.acceptors),
+                rules.max_servers_out,
+                rules.max_gateways_out,
+                rules.min_ready_servers,
                 ms(terms.lease),
                 ms(terms.margin),
-                ms(terms.round),
-                ms(terms.ask),
-                ms(terms.step),
-                ms(terms.drain),
-                ms(terms.work),
-                terms.back
+                ms(terms.proposal_timeout),
+                ms(terms.read_interval),
+                ms(terms.takeover_step),
+                ms(terms.max_drain),
+                ms(terms.max_work),
+                terms.return_when_drained
             )
         }
-        Err(why) => why.told(),
+        Err(why) => why.with_help(),
     }
 }
 
@@ -328,13 +342,13 @@
     ];
     let mut text = cases(MAINTENANCE, &keys, maintenance_text);
     let missing = maintenance::Settings::read(Path::new("/nowhere/maintenance.toml")).err();
-    let told = missing.map(maintenance::MaintenanceError::told).unwrap_or_default();
+    let told = missing.map(maintenance::MaintenanceError::with_help).unwrap_or_default();
     let _ = writeln!(text, "missing: {told}");
     let settings = maintenance::Settings::parse(MAINTENANCE).expect("good");
     for name in ["127.0.0.4:7947", "127.0.0.9:7947", "s-1"] {
-        let kind = match settings.kind(name) {
-            Kind::Server => "server",
-            Kind::Gateway => "gateway",
+        let kind = match settings.machine_kind(name) {
+            MachineKind::Server => "server",
+            MachineKind::Gateway => "gateway",
         };
         let _ = writeln!(text, "{name} is a {kind}");
     }
@@ -344,19 +358,29 @@
 
 // ---- Files --------------------------------------------------------------------------------------------------
 
-fn kept() -> Kept {
-    let roots = [(1, Root { floor: 10, lendable: 0 }), (u32::MAX, Root { floor: 0, lendable: 70_000 })];
-    Kept { generation: 7, digest: u64::MAX, agreed: false, slots: 300, listed: true, roots: roots.into() }
+fn kept() -> PersistedAllocation {
+    let roots = [
+        (1, InitialShare { floor: 10, lendable: 0 }),
+        (u32::MAX, InitialShare { floor: 0, lendable: 70_000 }),
+    ];
+    PersistedAllocation {
+        generation: 7,
+        digest: u64::MAX,
+        agreed: false,
+        slots: 300,
+        listed: true,
+        roots: roots.into(),
+    }
 }
 
 #[test]
 fn what_a_gateway_has_promised_is_on_disk_the_same() {
     let written = serde_json::to_string(&kept()).expect("JSON");
     same_as_stored("promise.json", &written);
-    assert_eq!(serde_json::from_str::<Kept>(&stored("promise.json")).expect("JSON"), kept());
+    assert_eq!(serde_json::from_str::<PersistedAllocation>(&stored("promise.json")).expect("JSON"), kept());
     let spaced =
         stored("promise.json").replace(',', " ,\n").replace("{\"generation", "{\"new\":1, \"generation");
-    assert_eq!(serde_json::from_str::<Kept>(&spaced).expect("JSON"), kept());
+    assert_eq!(serde_json::from_str::<PersistedAllocation>(&spaced).expect("JSON"), kept());
     let mut text = String::new();
     for (what, with) in [
         ("\"generation\":7,", ""),
@@ -372,7 +396,7 @@
         ("\"1\"", "\"x\""),
         ("}}}", "}}"),
     ] {
-        let why = serde_json::from_str::<Kept>(&written.replacen(what, with, 1)).err();
+        let why = serde_json::from_str::<PersistedAllocation>(&written.replacen(what, with, 1)).err();
         let _ = writeln!(text, "{what} -> {with}: {}", why.map_or("read".to_owned(), |it| it.to_string()));
     }
     same_as_stored("promise-errors.txt", &text);
@@ -380,25 +404,25 @@
 
 /// What is on disk after a start with this file there, and what the quotas' text begins with.
 fn quota_start(folder: &Path, before: Option<&str>, generation: u32) -> (String, String) {
-    let place = Place::new(folder, "n 0");
-    let path = place.beside("quota");
+    let place = StateFolder::for_balancer(folder, "n 0");
+    let path = place.file_path("quota");
     let _ = std::fs::remove_file(&path);
     if let Some(before) = before {
         std::fs::write(&path, before).expect("written");
     }
     let gateways: Vec<SocketAddr> = (1..=3).map(|it| SocketAddr::from(([127, 0, 0, it], 7946))).collect();
-    let slots = Slots::new(gateways.clone(), gateways[1]).expect("its own is among them");
+    let slots = GatewaySlots::new(gateways.clone(), gateways[1]).expect("its own is among them");
     let text = format!("generation = {generation}\n[partners.a]\nper_s = 30\nconnections = 90\n");
     let settings = quota::Settings::parse(&text, &[]).expect("good");
-    let shared = Arc::new(net::state::Board::default());
+    let shared = Arc::new(driver::shared_state::SharedState::default());
     let view = view::Settings::parse(VIEW).expect("good");
-    let hub_settings = view.state.expect("a table");
-    let desk = net::quota::Desk::new(settings, &slots, shared.clone(), Some(&place));
-    let alone = desk.text().lines().next().unwrap_or_default().to_owned();
+    let hub_settings = view.shared_state.expect("a table");
+    let desk = driver::quota::QuotaService::new(settings, &slots, shared.clone(), Some(&place));
+    let alone = desk.status_text().lines().next().unwrap_or_default().to_owned();
     assert_eq!(alone, "alone");
-    shared.begin(|now| Hub::new(hub_settings, 7, slots, 100, 1, now));
+    shared.start(|now| GatewayState::new(hub_settings, 7, slots, 100, 1, now));
     desk.tick();
-    let first = desk.text().lines().next().unwrap_or_default().to_owned();
+    let first = desk.status_text().lines().next().unwrap_or_default().to_owned();
     (std::fs::read_to_string(&path).unwrap_or_default(), first)
 }
 
@@ -429,7 +453,7 @@
 #[tokio::test]
 async fn the_file_that_tells_lives_apart_is_written_and_read_the_same() {
     let folder = Folder::new("lives");
-    let path = Place::new(&folder.0, "n0").beside("generation");
+    let path = StateFolder::for_balancer(&folder.0, "n0").file_path("generation");
     assert_eq!(path.file_name().and_then(|it| it.to_str()), Some("ashtide.n0.generation"));
     for (before, expected) in [
         (Some("99999999999999\n"), Some("100000000000000\n")),
@@ -452,14 +476,15 @@
         let text = format!("listen = \"{listen}\"\ntier = 7\nseeds = []\n");
         let settings = view::Settings::parse(&text).expect("good");
         let (board, (stop, stopped)) =
-            (Arc::new(net::view::Board::default()), tokio::sync::watch::channel(false));
-        let lives = net::view::Lives::new(Some(&folder.0), "n0");
-        let running = tokio::spawn(net::view::run(settings, Vec::new(), lives, board.clone(), None, stopped));
-        while board.members().is_none() {
+            (Arc::new(driver::view::SharedView::default()), tokio::sync::watch::channel(false));
+        let lives = driver::view::IncarnationStore::new(Some(&folder.0), "n0");
+        let running =
+            tokio::spawn(driver::view::run(settings, Vec::new(), lives, board.clone(), None, stopped));
+        while board.members_text().is_none() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let after = std::fs::read_to_string(&path).expect("a file");
-        let members = board.members().expect("a view");
+        let members = board.members_text().expect("a view");
         assert_eq!(members, format!("{listen} self generation={after}"), "{before:?}");
         match expected {
             Some(expected) => assert_eq!(after, expected, "{before:?}"),
@@ -479,11 +504,11 @@
 fn the_view_is_shown_the_same() {
     let mut text = String::new();
     let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], 9_000 + number));
-    let mut fleets: Vec<Fleet> = (0..4)
+    let mut fleets: Vec<Membership> = (0..4)
         .map(|number| {
             let seeds = vec![address(0)];
-            let options = Options { tier: 7, size: 4, messages: 24, burst: 48 };
-            Fleet::new(options, address(number), 1_000, seeds, number.into(), Duration::ZERO)
+            let options = ViewConfig { tier: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
+            Membership::new(options, address(number), 1_000, seeds, number.into(), Duration::ZERO)
         })
         .collect();
     for step in 0..1_000_u64 {
@@ -494,39 +519,44 @@
             if at == 2 && step == 500 {
                 fleets[at].leave(now);
             }
-            if fleets[at].due().is_some_and(|due| due <= now) {
-                fleets[at].fire(now);
+            if fleets[at].next_timeout().is_some_and(|due| due <= now) {
+                fleets[at].handle_timeout(now);
             }
-            while let Some((to, datagram)) = fleets[at].transmit() {
+            while let Some((to, datagram)) = fleets[at].next_datagram() {
                 let to = usize::from(to.port() - 9_000);
                 if there(to) {
-                    let _ = fleets[to].receive(now, &datagram);
+                    let _ = fleets[to].handle_datagram(now, &datagram);
                 }
             }
         }
         if step == 700 {
             // As each of another tier, another version, or none is.
             for bytes in [&[][..], &[0x41; 20], &[0x42; 20]] {
-                assert!(fleets[0].receive(now, bytes).is_err());
+                assert!(fleets[0].handle_datagram(now, bytes).is_err());
             }
         }
         if [100, 330, 450, 999].contains(&step) {
-            let _ = writeln!(text, "{}\n{}", view::members(&fleets[0], now), view::figures(&fleets[0]));
+            let _ =
+                writeln!(text, "{}\n{}", view::members_text(&fleets[0], now), view::metrics_text(&fleets[0]));
         }
     }
-    let life = [view::generation(50, None), view::generation(50, Some(20)), view::generation(50, Some(70))];
+    let life = [
+        view::next_incarnation(50, None),
+        view::next_incarnation(50, Some(20)),
+        view::next_incarnation(50, Some(70)),
+    ];
     let _ = writeln!(text, "lives {} {} {}", life[0], life[1], life[2]);
     same_as_stored("view-text.txt", &text);
 }
 
-fn pass(hubs: &mut [Hub], gateways: &[SocketAddr], now: Duration) {
+fn pass(hubs: &mut [GatewayState], gateways: &[SocketAddr], now: Duration) {
     for hub in hubs.iter_mut() {
-        hub.at(now);
+        hub.advance_to(now);
     }
     for from in 0..hubs.len() {
-        while let Some((to, datagram)) = hubs[from].transmit() {
+        while let Some((to, datagram)) = hubs[from].next_datagram() {
             let to = gateways.iter().position(|&it| it == to).expect("a gateway");
-            hubs[to].hear(gateways[from], &datagram).expect("sound");
+            hubs[to].handle_datagram(gateways[from], &datagram).expect("sound");
         }
     }
 }
@@ -536,14 +566,14 @@
     let mut text = String::new();
     let gateways: Vec<SocketAddr> = (0..3).map(|it| SocketAddr::from(([127, 0, 0, 1], 9_000 + it))).collect();
     let table = "listen = \"127.0.0.1:9000\"\ntier = 1\n[state]\njudgements = \"use\"\n";
-    let settings = view::Settings::parse(table).expect("good").state.expect("a table");
-    let mut hubs: Vec<Hub> = gateways
+    let settings = view::Settings::parse(table).expect("good").shared_state.expect("a table");
+    let mut hubs: Vec<GatewayState> = gateways
         .iter()
         .zip(0..)
         .map(|(&own, number)| {
-            let slots = Slots::new(gateways.clone(), own).expect("its own is among them");
-            let mut hub = Hub::new(settings.clone(), 1, slots, 100 + number, number, Duration::ZERO);
-            hub.peers(gateways.iter().copied());
+            let slots = GatewaySlots::new(gateways.clone(), own).expect("its own is among them");
+            let mut hub = GatewayState::new(settings.clone(), 1, slots, 100 + number, number, Duration::ZERO);
+            hub.set_peers(gateways.iter().copied());
             hub
         })
         .collect();
@@ -554,58 +584,69 @@
         if step == 100 {
             hubs[2].exchange().add_budget(
                 0xabc,
-                &[(Slot(2), Root { floor: 5, lendable: 7 })].into(),
-                Use::Hold,
+                &[(Slot(2), InitialShare { floor: 5, lendable: 7 })].into(),
+                BudgetKind::Concurrency,
                 true,
             );
-            hubs[1].lives_on(500);
+            hubs[1].handle_new_incarnation(500);
             let stranger = "127.0.0.9:1".parse().expect("an address");
             let good = [0x53, 0, 0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 100];
-            assert_eq!(hubs[0].hear(stranger, &good), Err(Unheard::Foreign));
-            assert_eq!(hubs[0].hear(gateways[1], &good[..9]), Err(Unheard::Length));
-            assert_eq!(hubs[0].hear(gateways[1], &[0x42; 15]), Err(Unheard::Version));
-            assert_eq!(hubs[0].hear(gateways[1], &[0x53; 15]), Err(Unheard::Tier));
-            assert_eq!(hubs[0].hear(gateways[1], &[&good[..], &[0xff]].concat()), Err(Unheard::Malformed));
-            assert_eq!(hubs[1].hear(gateways[1], &good), Err(Unheard::Own));
+            assert_eq!(hubs[0].handle_datagram(stranger, &good), Err(DecodeError::Foreign));
+            assert_eq!(hubs[0].handle_datagram(gateways[1], &good[..9]), Err(DecodeError::Length));
+            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x42; 15]), Err(DecodeError::Version));
+            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x53; 15]), Err(DecodeError::Tier));
+            assert_eq!(
+                hubs[0].handle_datagram(gateways[1], &[&good[..], &[0xff]].concat()),
+                Err(DecodeError::Malformed)
+            );
+            assert_eq!(hubs[1].handle_datagram(gateways[1], &good), Err(DecodeError::Own));
         }
         if step % 5 == 0 {
             for (number, hub) in hubs.iter_mut().enumerate() {
-                let sight = |seen| Sight { of: 4, seen };
-                let look = Look {
+                let sight = |seen| OutcomeReport { attempts: 4, observations: seen };
+                let look = LocalObservation {
                     servers: (1..)
                         .zip(names)
-                        .map(|(open, name)| Watched {
-                            key: key_of(name),
+                        .map(|(open, name)| ServerObservation {
+                            key: name_hash(name),
                             name,
                             size: 1.5,
                             ready: name != "s-6",
-                            open: open * number as u32,
+                            open_connections: open * number as u32,
                         })
                         .collect(),
                     tenants: vec![("north", 2), ("south", number as u32)],
-                    sights: match step > 60 {
-                        true => vec![(key_of("s-1"), sight([4, 0, 0])), (key_of("s-2"), sight([0, 1, 3]))],
+                    outcome_reports: match step > 60 {
+                        true => {
+                            vec![(name_hash("s-1"), sight([4, 0, 0])), (name_hash("s-2"), sight([0, 1, 3]))]
+                        }
                         false => Vec::new(),
                     },
                 };
-                hub.look(now, &look);
-                hub.ask();
+                hub.observe(now, &look);
+                hub.request_totals();
             }
         }
         if [5, 60, 100, 200].contains(&step) {
             for hub in &mut hubs {
-                let (shown, figures) = (hub.text(), hub.figures());
+                let (shown, figures) = (hub.status_text(), hub.metrics_text());
                 let _ = writeln!(text, "{shown}\n{figures}");
             }
         }
     }
     hubs[0].leave();
-    let _ = writeln!(text, "{}", hubs[0].text());
+    let _ = writeln!(text, "{}", hubs[0].status_text());
     same_as_stored("state-text.txt", &text);
 }
 
-fn exchange_setup() -> Setup {
-    Setup { tier: 1, slots: 2, datagrams: 10, terms: Terms::default(), rules: Rules::default() }
+fn exchange_setup() -> ExchangeConfig {
+    ExchangeConfig {
+        tier: 1,
+        slot_count: 2,
+        datagrams_per_second: 10,
+        lease: LeaseConfig::default(),
+        outlier_limits: OutlierLimits::default(),
+    }
 }
 
 #[test]
@@ -616,38 +657,41 @@
     let mut now = Duration::from_secs(50);
     let mut exchange = Exchange::new(exchange_setup(), Slot(0), 7, 7, now);
     let mut admission = quota::Admission::new(settings.clone(), Slot(0), 2, now);
-    let mut alone = admission.alone(now);
-    let _ = writeln!(text, "{}\n{}", admission.text(&mut alone), admission.figures(&mut alone));
-    admission.begin(&mut exchange, None).expect("the first generation");
+    let mut alone = admission.standalone_exchange(now);
+    let _ = writeln!(text, "{}\n{}", admission.status_text(&mut alone), admission.metrics_text(&mut alone));
+    admission.start_sharing(&mut exchange, None).expect("the first generation");
     let mut id = 0;
     for step in 1..=200_u32 {
         now += Duration::from_millis(50);
-        exchange.at(now);
-        admission.at(now, &mut exchange);
-        if let Some(kept) = admission.to_keep(&exchange) {
-            admission.kept(&mut exchange, kept);
+        exchange.advance_to(now);
+        admission.advance_to(now, &mut exchange);
+        if let Some(kept) = admission.allocation_to_persist(&exchange) {
+            admission.mark_persisted(&mut exchange, kept);
         }
-        let offers: &[(&str, Offer)] = match step {
-            60..100 => &[("a", Offer::New), ("nobody", Offer::New)],
-            100..140 => &[("a", Offer::Again), ("a", Offer::Retry), ("b", Offer::New)],
+        let offers: &[(&str, ConnectionKind)] = match step {
+            60..100 => &[("a", ConnectionKind::New), ("nobody", ConnectionKind::New)],
+            100..140 => {
+                &[("a", ConnectionKind::Migrated), ("a", ConnectionKind::Retry), ("b", ConnectionKind::New)]
+            }
             _ => &[],
         };
         for &(tenant, offer) in offers {
             id += 1;
-            let decided = admission.offer((now, &mut exchange), RequestId(id), tenant, offer, step % 2 == 0);
+            let decided = admission.admit((now, &mut exchange), RequestId(id), tenant, offer, step % 2 == 0);
             let wait = decided.err().map_or("placed".to_owned(), |it| it.as_micros().to_string());
             let _ = writeln!(text, "{step} {tenant}: {wait}");
         }
         if step == 120 {
-            admission.adopt(&mut exchange, RequestId(9_000), "a");
-            (1..20).for_each(|id| admission.over(&mut exchange, RequestId(id)));
+            admission.adopt_connection(&mut exchange, RequestId(9_000), "a");
+            (1..20).for_each(|id| admission.release(&mut exchange, RequestId(id)));
         }
         if step == 150 {
             let later = quota::Settings::parse(&file.replacen('1', "2", 1), &[]).expect("good");
             admission.reload(&mut exchange, later).expect("a later one");
         }
         if [60, 99, 139, 149, 199].contains(&step) {
-            let (shown, figures) = (admission.text(&mut exchange), admission.figures(&mut exchange));
+            let (shown, figures) =
+                (admission.status_text(&mut exchange), admission.metrics_text(&mut exchange));
             let _ = writeln!(text, "{shown}\n{figures}");
         }
     }
@@ -660,30 +704,36 @@
     let file = "gateways = [\"127.0.0.1:7947\"]\nslot = 0\ntier = 1\nfolder = \"/tmp\"\nvoters = 1\nmax_out = 1\n\
                 drain_s = 5\nwork_s = 10\n";
     let settings = maintenance::Settings::parse(file).expect("good");
-    let mut node = Node::new(settings.setup, 9, Memory::Kept(Vote::default()), Duration::ZERO);
+    let mut node =
+        Replica::new(settings.replica, 9, PersistedVote::Stored(AcceptorState::default()), Duration::ZERO);
     let servers = ["s-1", "s-2", "s-3"].map(str::to_owned);
     for step in 0..800_u64 {
         let now = Duration::from_millis(step * 50);
         let open = [("s-1".to_owned(), 3)].into();
-        node.facts(Facts { ready: servers.clone().into(), open, there: [Slot(0)].into() });
+        node.set_observations(Observations {
+            ready_servers: servers.clone().into(),
+            open_connections: open,
+            present_gateways: [Slot(0)].into(),
+        });
         let _ = match step {
-            10 => node.request(Kind::Server, "s-1", "a new disk", 5_000),
-            20 => node.request(Kind::Server, "s-2", "", 5_001),
-            30 => node.request(Kind::Server, "s-3", "late", 5_002),
+            10 => node.request(MachineKind::Server, "s-1", "a new disk", 5_000),
+            20 => node.request(MachineKind::Server, "s-2", "", 5_001),
+            30 => node.request(MachineKind::Server, "s-3", "late", 5_002),
             40 => node.cancel("s-3"),
-            190 => node.done("s-1"),
+            190 => node.complete("s-1"),
             _ => None,
         };
-        node.at(now);
-        while let Some(action) = node.action() {
+        node.advance_to(now);
+        while let Some(action) = node.next_action() {
             assert!(!matches!(action, Action::Send(..)), "it is alone");
         }
         if [5, 15, 35, 100, 150, 195, 250, 350, 799].contains(&step) {
-            let _ = writeln!(text, "{}\n{}", maintenance::list(&node), maintenance::figures(&node));
+            let _ =
+                writeln!(text, "{}\n{}", maintenance::queue_text(&node), maintenance::metrics_text(&node));
         }
     }
     // Its clock is put back: what it knows is old until it has asked again.
-    node.at(Duration::from_secs(1));
-    let _ = writeln!(text, "{}\n{}", maintenance::list(&node), maintenance::figures(&node));
+    node.advance_to(Duration::from_secs(1));
+    let _ = writeln!(text, "{}\n{}", maintenance::queue_text(&node), maintenance::metrics_text(&node));
     same_as_stored("maintenance-text.txt", &text);
 }
--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -9,10 +9,13 @@
 use std::os::unix::net::UnixDatagram;
 use std::path::PathBuf;
 
-use ashtide::discovery::News;
-use ashtide::handover::{Call, Cordons, Deployment, Kept, Share, Standing, State, Word, WordCodec};
-use ashtide::net::handover::{CLOCK_OFFSET, Place};
-use ashtide::net::passing::{Heir, Inbox};
+use ashtide::discovery::EndpointList;
+use ashtide::handover::{
+    CordonChange, Cordons, Deployment, EstablishedConnection, PersistedState, ProcessState, ServerUsage,
+    SiblingMessage, SiblingMessageCodec,
+};
+use ashtide::net::connection_handoff::{HandoffReceiver, Successor};
+use ashtide::net::handover::{CLOCK_OFFSET_VARIABLE, StateFolder};
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 use transcripts::{assert_outcomes, assert_written, bytes, escape, unescape};
@@ -33,31 +36,31 @@
 
 fn cordons() -> Cordons {
     let mut cordons = Cordons::default();
-    cordons.call("s-1", Call { at: 1_800_000_000_000_000, out: true });
-    cordons.call("s-0", Call { at: 5, out: true });
-    cordons.call("s-0", Call { at: 6, out: false });
-    cordons.call("s-0", Call { at: 4, out: true });
-    cordons.call_now("s-2", 7, true);
-    cordons.call_now("s-2", 3, false);
-    cordons.call_now("s-2", 3, true);
+    cordons.record("s-1", CordonChange { at: 1_800_000_000_000_000, out: true });
+    cordons.record("s-0", CordonChange { at: 5, out: true });
+    cordons.record("s-0", CordonChange { at: 6, out: false });
+    cordons.record("s-0", CordonChange { at: 4, out: true });
+    cordons.record_now("s-2", 7, true);
+    cordons.record_now("s-2", 3, false);
+    cordons.record_now("s-2", 3, true);
     cordons
 }
 
-fn state() -> State {
-    let share = Share { open: 3, budget: 0.5, spent: 7, granted: 9 };
-    State {
+fn state() -> ProcessState {
+    let share = ServerUsage { open: 3, budget: 0.5, spent: 7, granted: 9 };
+    ProcessState {
         whose: Some(deployment()),
         started: 1_800_000_000_000_001,
         ready: true,
         adopts: true,
         begun: true,
         sockets: 40,
-        shares: BTreeMap::from([("s-1".to_owned(), share), ("s-0".to_owned(), Share::default())]),
+        shares: BTreeMap::from([("s-1".to_owned(), share), ("s-0".to_owned(), ServerUsage::default())]),
         cordons: cordons(),
     }
 }
 
-fn list() -> News {
+fn list() -> EndpointList {
     serde_json::from_str(
         r#"{"index": 9, "snapshot": true, "endpoints": [
             {"name": "s-0", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1, "status": "DRAINING",
@@ -84,18 +87,18 @@
 }
 
 fn encode_cordons(cordons: &Cordons) -> String {
-    format!("{} out {}", json(cordons), cordons.all_out().collect::<Vec<_>>().join(" "))
+    format!("{} out {}", json(cordons), cordons.cordoned_servers().collect::<Vec<_>>().join(" "))
 }
 
-fn encode_kept(kept: &Kept) -> String {
-    let Kept { whose, begun, cordons } = kept;
+fn encode_kept(kept: &PersistedState) -> String {
+    let PersistedState { whose, begun, cordons } = kept;
     let whose = encode_deployment(whose.as_ref());
     format!("deployment {whose}\nbegun {begun}\ncordons {}", encode_cordons(cordons))
 }
 
-fn encode_word(word: &Word) -> String {
+fn encode_word(word: &SiblingMessage) -> String {
     match word {
-        Word::List(list) => {
+        SiblingMessage::List(list) => {
             let mut text = format!("list index {} snapshot {}", list.index, list.snapshot);
             for it in &list.endpoints {
                 let _ = write!(text, "\n{} {} {} {}", it.name, it.address, it.zone, it.kind);
@@ -103,14 +106,14 @@
             }
             text
         }
-        Word::State(state) => {
-            let State { whose, started, ready, adopts, begun, sockets, shares, cordons } = state;
+        SiblingMessage::State(state) => {
+            let ProcessState { whose, started, ready, adopts, begun, sockets, shares, cordons } = state;
             let mut text = format!("state deployment {}\n", encode_deployment(whose.as_ref()));
             let _ = write!(
                 text,
                 "started {started} ready {ready} adopts {adopts} begun {begun} sockets {sockets}"
             );
-            for (server, Share { open, budget, spent, granted }) in shares {
+            for (server, ServerUsage { open, budget, spent, granted }) in shares {
                 let _ =
                     write!(text, "\n{server} open {open} budget {budget} spent {spent} granted {granted}");
             }
@@ -119,8 +122,8 @@
     }
 }
 
-fn encode_standing(standing: &Standing) -> String {
-    let Standing { server, open, to_client, to_server } = standing;
+fn encode_standing(standing: &EstablishedConnection) -> String {
+    let EstablishedConnection { server, open_line: open, to_client, to_server } = standing;
     let mut text = format!("server {}\nopen {}", escape(server.as_bytes()), escape(open));
     for (begun, behind) in [to_client, to_server] {
         let _ = write!(text, "\nbegun {}\nbehind {}", escape(begun), escape(behind));
@@ -129,7 +132,7 @@
 }
 
 fn read_words(input: &[u8]) -> String {
-    let mut codec = WordCodec::default();
+    let mut codec = SiblingMessageCodec::default();
     let mut buffer = BytesMut::from(input);
     let mut text = String::new();
     loop {
@@ -169,20 +172,20 @@
 #[test]
 fn the_state_file_has_its_name_and_its_bytes() {
     let folder = Folder::new("written");
-    let place = Place::of(&folder.0, deployment());
-    place.keep(&Kept { whose: None, begun: true, cordons: cordons() }).expect("kept");
+    let place = StateFolder::for_deployment(&folder.0, deployment());
+    place.store(&PersistedState { whose: None, begun: true, cordons: cordons() }).expect("kept");
     assert_eq!(folder.files(), ["ashtide.north_1__a_.kept"]);
     let written = std::fs::read(folder.0.join("ashtide.north_1__a_.kept")).expect("written");
     assert_written("handover/state_file.json", &written);
-    let read = place.kept();
+    let read = place.load();
     assert_eq!(
         encode_kept(&read),
-        encode_kept(&Kept { whose: Some(deployment()), begun: true, cordons: cordons() })
+        encode_kept(&PersistedState { whose: Some(deployment()), begun: true, cordons: cordons() })
     );
     // Another deployment of the same name keeps its own beside it.
     let other = Deployment { listen: Some("10.0.0.2:8080".parse().expect("an address")), ..deployment() };
-    let other = Place::of(&folder.0, Deployment { socket: None, ..other });
-    other.keep(&Kept::default()).expect("kept");
+    let other = StateFolder::for_deployment(&folder.0, Deployment { socket: None, ..other });
+    other.store(&PersistedState::default()).expect("kept");
     assert_eq!(folder.files(), ["ashtide.north_1__a_.2.kept", "ashtide.north_1__a_.kept"]);
     let written = std::fs::read(folder.0.join("ashtide.north_1__a_.2.kept")).expect("written");
     assert_written("handover/second_state_file.json", &written);
@@ -191,7 +194,7 @@
 #[test]
 fn state_files_of_all_versions_are_read() {
     assert_outcomes("handover/state_files.txt", 30, |input| {
-        match serde_json::from_slice::<Kept>(&unescape(input)) {
+        match serde_json::from_slice::<PersistedState>(&unescape(input)) {
             Ok(kept) => encode_kept(&kept),
             Err(error) => format!("error {error}"),
         }
@@ -201,37 +204,41 @@
 #[test]
 fn a_state_file_that_does_not_say_whose_it_is_is_taken() {
     let folder = Folder::new("older");
-    let place = Place::of(&folder.0, deployment());
+    let place = StateFolder::for_deployment(&folder.0, deployment());
     let file = folder.0.join("ashtide.north_1__a_.kept");
     let older = r#"{"begun":true,"cordons":{"s-0":{"at":9,"out":true}}}"#;
     std::fs::write(&file, older).expect("written");
-    let kept = place.kept();
-    assert!(kept.begun && kept.cordons.out("s-0") && kept.whose.is_none());
+    let kept = place.load();
+    assert!(kept.begun && kept.cordons.is_cordoned("s-0") && kept.whose.is_none());
     std::fs::write(&file, &older[..20]).expect("written");
-    assert_eq!(encode_kept(&place.kept()), encode_kept(&Kept::default()));
+    assert_eq!(encode_kept(&place.load()), encode_kept(&PersistedState::default()));
 }
 
 #[tokio::test]
 async fn the_files_of_a_process_have_their_names() {
     let folder = Folder::new("names");
-    let place = Place::new(&folder.0, "north/1");
-    assert!(place.receive(17).is_some());
+    let place = StateFolder::for_balancer(&folder.0, "north/1");
+    assert!(place.bind_handoff_receiver(17).is_some());
     assert_eq!(folder.files(), ["ashtide.north_1.17.inbox"]);
-    assert_eq!(place.beside("generation"), folder.0.join("ashtide.north_1.generation"));
+    assert_eq!(place.file_path("generation"), folder.0.join("ashtide.north_1.generation"));
     let later = u64::MAX - (1 << 40);
     std::fs::write(folder.0.join(format!("ashtide.north_1.{later}.sock")), "").expect("written");
     std::fs::write(folder.0.join(format!("ashtide.north_1.{}.inbox", u64::MAX)), "").expect("written");
-    assert_eq!(place.rank(), later + 1 + u64::from(std::process::id()));
-    place.leave(17);
-    place.leave(later);
+    assert_eq!(place.next_rank(), later + 1 + u64::from(std::process::id()));
+    place.remove_sockets(17);
+    place.remove_sockets(later);
     assert_eq!(folder.files(), [format!("ashtide.north_1.{}.inbox", u64::MAX)]);
-    assert_eq!(CLOCK_OFFSET, "ASHTIDE_CLOCK_OFFSET_MS");
+    assert_eq!(CLOCK_OFFSET_VARIABLE, "ASHTIDE_CLOCK_OFFSET_MS");
 }
 
 #[test]
 fn messages_between_processes_have_their_bytes() {
-    let words = [Word::List(list()), Word::State(state()), Word::State(State::default())];
-    let lines: Vec<u8> = words.iter().flat_map(|word| word.line().to_vec()).collect();
+    let words = [
+        SiblingMessage::List(list()),
+        SiblingMessage::State(state()),
+        SiblingMessage::State(ProcessState::default()),
+    ];
+    let lines: Vec<u8> = words.iter().flat_map(|word| word.encode_line().to_vec()).collect();
     assert_written("handover/messages.jsonl", &lines);
     let expected = words.iter().map(|word| encode_word(word) + "\n").collect::<String>() + "rest ";
     assert_eq!(read_words(&bytes("handover/messages.jsonl")), expected);
@@ -251,10 +258,10 @@
     assert_eq!(read_words(&longer), "error over 1048576 bytes");
 }
 
-fn standing() -> Standing {
-    Standing {
+fn standing() -> EstablishedConnection {
+    EstablishedConnection {
         server: "s-\n0".to_owned(),
-        open: Bytes::from_static(b"OPEN 1 2 c=meter,d=3000,g=1\r\n"),
+        open_line: Bytes::from_static(b"OPEN 1 2 c=meter,d=3000,g=1\r\n"),
         to_client: (Bytes::from_static(b"beg"), Bytes::from_static(b"said\nby the server")),
         to_server: (Bytes::from_static(b""), Bytes::from_static(b"\x00\xff{}")),
     }
@@ -262,22 +269,27 @@
 
 #[test]
 fn a_connection_that_is_handed_on_has_its_bytes() {
-    let datagram = standing().datagram().expect("short enough");
+    let datagram = standing().encode().expect("short enough");
     assert_written("handover/connection.bin", &datagram);
-    let read = Standing::read(Bytes::from(bytes("handover/connection.bin"))).expect("read");
+    let read = EstablishedConnection::decode(Bytes::from(bytes("handover/connection.bin"))).expect("read");
     assert_eq!(encode_standing(&read), encode_standing(&standing()));
-    let empty = Standing::default().datagram().expect("short enough");
+    let empty = EstablishedConnection::default().encode().expect("short enough");
     assert_written("handover/empty_connection.bin", &empty);
-    let with = |length| Standing { open: vec![b'x'; length].into(), ..Standing::default() }.datagram();
+    let with = |length| {
+        EstablishedConnection { open_line: vec![b'x'; length].into(), ..EstablishedConnection::default() }
+            .encode()
+    };
     // The head has 40 bytes, with the five digits of the one length.
     assert_eq!((with(65_536 - 40).map(|it| it.len()), with(65_536 - 39)), (Some(65_536), None));
 }
 
 #[test]
 fn connections_that_were_handed_on_are_read() {
-    assert_outcomes("handover/connections.txt", 18, |input| match Standing::read(unescape(input).into()) {
-        Ok(standing) => encode_standing(&standing),
-        Err(error) => format!("error {error}"),
+    assert_outcomes("handover/connections.txt", 18, |input| {
+        match EstablishedConnection::decode(unescape(input).into()) {
+            Ok(standing) => encode_standing(&standing),
+            Err(error) => format!("error {error}"),
+        }
     });
 }
 
@@ -286,19 +298,19 @@
     let folder = Folder::new("passed");
     let path = folder.0.join("raw");
     let raw = UnixDatagram::bind(&path).expect("bound");
-    let heir = Heir::connect(&path, 7).expect("connected");
+    let heir = Successor::connect(&path, 7).expect("connected");
     let (one, two) = UnixDatagram::pair().expect("a pair");
-    let datagram = standing().datagram().expect("short enough");
-    heir.pass(&datagram, [one.as_fd(), two.as_fd()]).await.expect("taken");
+    let datagram = standing().encode().expect("short enough");
+    heir.hand_off(&datagram, [one.as_fd(), two.as_fd()]).await.expect("taken");
     let mut received = vec![0; 1 << 17];
     let length = raw.recv(&mut received).expect("a datagram");
     assert_eq!(&received[..length], &bytes("handover/connection.bin")[..]);
 
     let path = folder.0.join("inbox");
-    let inbox = Inbox::bind(&path).expect("bound");
-    let heir = Heir::connect(&path, 8).expect("connected");
-    heir.pass(&bytes("handover/connection.bin"), [one.as_fd(), two.as_fd()]).await.expect("taken");
-    let (read, [first, second]) = inbox.next().await.expect("whole");
+    let inbox = HandoffReceiver::bind(&path).expect("bound");
+    let heir = Successor::connect(&path, 8).expect("connected");
+    heir.hand_off(&bytes("handover/connection.bin"), [one.as_fd(), two.as_fd()]).await.expect("taken");
+    let (read, [first, second]) = inbox.receive().await.expect("whole");
     assert_eq!(encode_standing(&read), encode_standing(&standing()));
     // The client's socket is the first: what is written to it comes out at the second one's end.
     UnixDatagram::from(first).send(b"to the server's end").expect("sent");
@@ -310,7 +322,7 @@
     let mut errors = String::new();
     for datagram in [&bytes("handover/connection.bin")[..], b"no head", b"{}\n"] {
         sender.send(datagram).expect("sent");
-        let error = inbox.next().await.expect_err("no connection");
+        let error = inbox.receive().await.expect_err("no connection");
         errors += &format!("{} {error}\n", error.kind());
     }
     assert_written("handover/receive_errors.txt", errors.as_bytes());
--- a/tests/compatibility_settings.rs
+++ b/tests/compatibility_settings.rs
@@ -7,10 +7,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use ashtide::config::{Config, ConfigError, Fronts, Limits, Peers, QuicFront, Reloaded, VrrpFront};
-use ashtide::discovery::Status;
-use ashtide::facts::{Facts, Interner};
-use ashtide::{Class, Discovery, Effect, KeyedGroup, Prices, Settings, Span, Tenant, Weights};
+use ashtide::config::{
+    Config, ConfigError, FrontendConfig, PeerAddresses, QuicConfig, ReloadOutcome, ResourceLimits, VrrpConfig,
+};
+use ashtide::discovery::EndpointStatus;
+use ashtide::settings::{Interner, PlatformSettings};
+use ashtide::{
+    DeduplicationScope, DiscoveryMode, Idempotency, Prices, RequestClass, Settings, Span, Tenant, WeightMode,
+};
 use transcripts::assert_outcomes;
 
 fn micros(span: Span) -> i64 {
@@ -25,16 +29,21 @@
     names.names().iter().map(|name| format!("[{name}]")).collect()
 }
 
-fn encode_class(class: &Class) -> String {
-    let Class { aim, message_aim, worth, effect } = class;
+fn encode_class(class: &RequestClass) -> String {
+    let RequestClass {
+        latency_objective: aim,
+        message_latency_objective: message_aim,
+        priority_weight: worth,
+        idempotency: effect,
+    } = class;
     let effect = match effect {
-        Effect::Safe => "safe".to_owned(),
-        Effect::Unsafe => "unsafe".to_owned(),
-        Effect::Keyed { group, window } => {
+        Idempotency::Idempotent => "safe".to_owned(),
+        Idempotency::NotIdempotent => "unsafe".to_owned(),
+        Idempotency::WithKey { scope: group, remembered_for: window } => {
             let group = match group {
-                KeyedGroup::All => "all",
-                KeyedGroup::Zone => "zone",
-                KeyedGroup::Cell => "cell",
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Cell => "cell",
             };
             format!("keyed {group} {}", micros(*window))
         }
@@ -51,43 +60,62 @@
         let _ = writeln!(text, "tenant {quota_per_s} {quota_connections}");
     }
     let discovery = match settings.discovery {
-        Discovery::Pushed => "pushed",
-        Discovery::OnRequest => "on request",
+        DiscoveryMode::Pushed => "pushed",
+        DiscoveryMode::OnRequest => "on request",
     };
     let weights = match settings.weights {
-        Weights::Off => "off",
-        Weights::Nominal => "nominal",
-        Weights::Live => "live",
+        WeightMode::Off => "off",
+        WeightMode::Nominal => "nominal",
+        WeightMode::Live => "live",
     };
-    let Prices { cross_zone, probe, moves } = settings.prices;
-    let _ = writeln!(text, "relays {} own {} zone {}", settings.relays, settings.own.0, settings.zone.0);
-    let _ = writeln!(text, "discovery {discovery} weights {weights} by load {}", settings.worth_by_load);
+    let Prices { cross_zone, health_check: probe, migration: moves } = settings.prices;
+    let _ =
+        writeln!(text, "relays {} own {} zone {}", settings.gateways, settings.gateway_id.0, settings.zone.0);
+    let _ = writeln!(
+        text,
+        "discovery {discovery} weights {weights} by load {}",
+        settings.priority_scales_with_load
+    );
     let _ = writeln!(text, "prices cross zone {cross_zone} probe {probe} moves {moves}");
-    let _ = writeln!(text, "tick {} attempts {}", micros(settings.tick), settings.max_attempts);
+    let _ = writeln!(text, "tick {} attempts {}", micros(settings.batch_interval), settings.max_attempts);
     let _ = writeln!(text, "max retry after {}", micros(settings.max_retry_after));
-    let _ =
-        writeln!(text, "probes {} peers {} recalls {}", settings.probes, settings.peers, settings.recalls);
+    let _ = writeln!(
+        text,
+        "probes {} peers {} recalls {}",
+        settings.health_checks, settings.fleet_permits, settings.cancellation
+    );
     let _ = writeln!(text, "answer slack {}", micros(settings.answer_slack));
-    let _ = writeln!(text, "ask within {}", micros(settings.ask_within));
+    let _ = writeln!(text, "ask within {}", micros(settings.list_poll_limit));
     let _ = writeln!(text, "drain grace {}", micros(settings.drain_grace));
-    let _ = writeln!(text, "cold from {} warm within {}", settings.cold_from, micros(settings.warm_within));
-    let _ = write!(text, "fall {} overload {}", settings.fall_multiple, micros(settings.overload_for));
+    let _ = writeln!(
+        text,
+        "cold from {} warm within {}",
+        settings.initial_capacity_share,
+        micros(settings.warm_up_time)
+    );
+    let _ = write!(text, "fall {} overload {}", settings.overload_factor, micros(settings.overload_window));
     text
 }
 
-fn encode_facts(facts: &Facts) -> String {
-    let names = facts.names();
+fn encode_facts(facts: &PlatformSettings) -> String {
+    let names = facts.name_tables();
     let mut text = format!("zones {} kinds {}\n", joined(&names.zones), joined(&names.kinds));
     let _ = writeln!(text, "servers {}", joined(&names.servers));
     let _ = writeln!(text, "classes {} tenants {}", joined(&names.classes), joined(&names.tenants));
-    text += &encode_settings(&facts.settings(&names));
+    text += &encode_settings(&facts.balancer_settings(&names));
     let _ = write!(text, "\nconnect timeout {}", micros(facts.connect_timeout()));
     let _ = write!(text, " longest deadline {}", micros(facts.longest_deadline()));
-    let _ = write!(text, "\nindex {} may tell peers {}", facts.index(), facts.peers());
-    for it in facts.allowances() {
-        let _ = write!(text, "\nallowance {} {} {}", it.name, it.per_s, optional(it.connections));
+    let _ = write!(text, "\nindex {} may tell peers {}", facts.gateway_index(), facts.allows_peer_messages());
+    for it in facts.tenant_quotas() {
+        let _ = write!(
+            text,
+            "\nallowance {} {} {}",
+            it.name,
+            it.connections_per_second,
+            optional(it.max_open_connections)
+        );
     }
-    for remark in facts.remarks() {
+    for remark in facts.warnings() {
         let _ = write!(text, "\nremark {remark}");
     }
     text
@@ -95,28 +123,31 @@
 
 #[test]
 fn every_key_of_the_settings_object_is_read() {
-    assert_outcomes("settings/platform.txt", 92, |input| match Facts::parse(input) {
+    assert_outcomes("settings/platform.txt", 92, |input| match PlatformSettings::parse(input) {
         Ok(facts) => encode_facts(&facts),
         Err(error) => format!("error {error}"),
     });
 }
 
 fn encode_config(config: &Config) -> String {
-    let mut text = format!("name {} listen {} discovery {}\n", config.name, config.listen, config.discovery);
-    let _ = writeln!(text, "inherited {}", optional(config.inherited));
-    let _ = writeln!(text, "folder {}", optional(config.folder.as_ref().map(|it| it.display())));
-    let _ = writeln!(text, "operator {} seed {}", optional(config.operator), config.seed);
-    let Limits { memory_mb, sockets } = config.limits;
+    let mut text = format!(
+        "name {} listen {} discovery {}\n",
+        config.name, config.listen_address, config.discovery_address
+    );
+    let _ = writeln!(text, "inherited {}", optional(config.inherited_listener));
+    let _ = writeln!(text, "folder {}", optional(config.state_folder.as_ref().map(|it| it.display())));
+    let _ = writeln!(text, "operator {} seed {}", optional(config.admin_address), config.seed);
+    let ResourceLimits { memory_mb, sockets } = config.limits;
     let _ = writeln!(text, "memory {memory_mb} sockets {sockets}");
-    match &config.known {
+    match &config.initial_list {
         None => text += "no list\n",
         Some(list) => {
             let _ = writeln!(text, "list {} {}", list.index, list.snapshot);
             for it in &list.endpoints {
                 let status = match it.status {
-                    Status::Serving => "serving",
-                    Status::Draining => "draining",
-                    Status::Deleted => "deleted",
+                    EndpointStatus::Serving => "serving",
+                    EndpointStatus::Draining => "draining",
+                    EndpointStatus::Deleted => "deleted",
                 };
                 let _ = write!(text, "{} {} [{}] [{}] {}", it.name, it.address, it.zone, it.kind, it.group);
                 let _ = writeln!(text, " {status} {} {}", it.weight, it.since_ms);
@@ -126,14 +157,14 @@
     match &config.peers {
         None => text += "no peers\n",
         Some(peers) => {
-            let Peers { listen, each, all, own } = peers;
+            let PeerAddresses { listen, by_index: each, shared: all, own_index: own } = peers;
             let each: String = each.iter().map(|it| format!("[{it}]")).collect();
-            let others: String = peers.others().map(|it| format!("[{it}]")).collect();
+            let others: String = peers.other_addresses().map(|it| format!("[{it}]")).collect();
             let _ = writeln!(text, "peers {listen} {each} all {} own {own} others {others}", optional(*all));
         }
     }
-    let _ = writeln!(text, "grace {} ms", config.grace.as_millis());
-    text + &encode_facts(&config.facts)
+    let _ = writeln!(text, "grace {} ms", config.shutdown_grace.as_millis());
+    text + &encode_facts(&config.settings)
 }
 
 /// Lines like `NAME=value` before the object are the environment.
@@ -209,7 +240,7 @@
         if input != "no file" {
             std::fs::write(&path, input).expect("written");
         }
-        match Fronts::read(&path) {
+        match FrontendConfig::read(&path) {
             Ok(fronts) => encode_fronts(&fronts),
             Err(error) => format!("error {}", told(error)),
         }
@@ -226,8 +257,12 @@
         let variable = |name: &str| variables.get(name).cloned();
         let mut objects = text.lines().map(|line| serde_json::from_str(line).expect("JSON"));
         let config = Config::from_json(objects.next().expect("what runs"), variable).expect("it runs");
-        match config.standing.reload(objects.next().expect("what is new"), variable) {
-            Ok(Reloaded { discovery, restart, remarks }) => {
+        match config.reload_baseline.reload_from_json(objects.next().expect("what is new"), variable) {
+            Ok(ReloadOutcome {
+                discovery_address: discovery,
+                keys_needing_restart: restart,
+                warnings: remarks,
+            }) => {
                 format!(
                     "discovery {discovery}\nrestart {}\nremarks {}",
                     restart.join(" "),
@@ -244,11 +279,11 @@
     let mut text = String::new();
     for (memory_mb, sockets) in [(0, 0), (1, 64), (192, 256), (256, 1024), (256, 100_000), (4096, 100_000)] {
         for others in [0, 16, 300] {
-            let room = Limits { memory_mb, sockets }.room(others);
+            let room = ResourceLimits { memory_mb, sockets }.capacity(others);
             let _ = write!(text, "{memory_mb} MB {sockets} sockets, {others} others: ");
-            let _ = write!(text, "{} sockets {} sessions", room.sockets, room.sessions);
+            let _ = write!(text, "{} sockets {} sessions", room.descriptors, room.max_sessions);
             for beside in [0, 40, 5_000] {
-                let _ = write!(text, ", {} {}", room.sessions(beside), room.waiting(7, beside));
+                let _ = write!(text, ", {} {}", room.session_limit(beside), room.pending_limit(7, beside));
             }
             text.push('\n');
         }
@@ -256,12 +291,12 @@
     transcripts::assert_written("settings/room.txt", text.as_bytes());
 }
 
-fn encode_fronts(fronts: &Fronts) -> String {
+fn encode_fronts(fronts: &FrontendConfig) -> String {
     let mut text = String::new();
     match &fronts.quic {
         None => text += "no quic\n",
         Some(quic) => {
-            let QuicFront {
+            let QuicConfig {
                 listen,
                 class,
                 tenant,
@@ -275,22 +310,22 @@
             let tenant = optional(tenant.as_ref());
             let _ = writeln!(text, "quic {listen} class {class} tenant {tenant} deadline {deadline_ms}");
             let _ = writeln!(text, "id length {id_length} rotation {rotation} paths {paths} idle {idle_ms}");
-            let bytes = quic.key().map(|key| transcripts::to_hex(&key));
+            let bytes = quic.reset_key_bytes().map(|key| transcripts::to_hex(&key));
             let _ = writeln!(text, "reset key {} bytes {}", optional(reset_key.as_ref()), optional(bytes));
         }
     }
     match &fronts.vrrp {
         None => text += "no vrrp",
         Some(vrrp) => {
-            let VrrpFront { router, priority, interval_ms, preempt, listen, peers, addresses } = vrrp;
+            let VrrpConfig { router, priority, interval_ms, preempt, listen, peers, addresses } = vrrp;
             let peers: String = peers.iter().map(|it| format!("[{it}]")).collect();
             let addresses: String = addresses.iter().map(|it| format!("[{it}]")).collect();
             let _ =
                 writeln!(text, "vrrp {router} priority {priority} interval {interval_ms} preempt {preempt}");
             let _ = writeln!(text, "listen {listen} peers {peers} addresses {addresses}");
-            let settings = vrrp.settings();
-            let _ = write!(text, "settings {} {}", settings.router, settings.priority);
-            let _ = write!(text, " {} {}", settings.interval, settings.preempt);
+            let settings = vrrp.virtual_router_config();
+            let _ = write!(text, "settings {} {}", settings.virtual_router_id, settings.priority);
+            let _ = write!(text, " {} {}", settings.advertisement_interval, settings.preempt);
             settings.addresses.iter().for_each(|it| text += &format!(" {it}"));
         }
     }
@@ -299,7 +334,7 @@
 
 #[test]
 fn every_key_of_the_front_ends_file_is_read() {
-    assert_outcomes("settings/fronts.txt", 83, |input| match Fronts::parse(input) {
+    assert_outcomes("settings/fronts.txt", 83, |input| match FrontendConfig::parse(input) {
         Ok(fronts) => encode_fronts(&fronts),
         Err(error) => format!("error {error}"),
     });
@@ -307,6 +342,6 @@
 
 #[test]
 fn the_deploy_file_is_read() {
-    let fronts = Fronts::parse(include_str!("../deploy/quic.toml")).expect("good");
+    let fronts = FrontendConfig::parse(include_str!("../deploy/quic.toml")).expect("good");
     transcripts::assert_written("settings/deploy_quic.txt", encode_fronts(&fronts).as_bytes());
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,64 +14,65 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use ashtide::engine::{Answer, Due, Effect, Engine};
+use ashtide::engine::{Command, Engine, FinalAnswer, TimerEvent};
 use ashtide::{
-    Class, ClassId, ListNews, Listing, Request, RequestId, ServerId, Settings, Span, Time, ZoneId,
+    ClassId, EndpointEntry, ListUpdate, Request, RequestClass, RequestId, ServerId, Settings, Span, Time,
+    ZoneId,
 };
 use crossings::faults::Fault;
 use crossings::invariants::{Invariant, Violation};
-use crossings::world::World;
+use crossings::world::Simulation;
 use paused::with_time;
 use tokio::time::Instant;
 
 /// Seeds that are played without a fault.
 const SEEDS: u64 = 48;
 /// Real time within which one seed is played: it takes a tenth of a second.
-const ENDS_WITHIN: Duration = Duration::from_secs(30);
+const RUN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Seeds within which a fault must be found.
-const FOUND_WITHIN: u64 = 16;
+const MAX_SEEDS_TO_FIND: u64 = 16;
 /// So many seeds are played with forged rights, and so many of them have to find these.
-const FORGED_SEEDS: u64 = 64;
-const FORGED_FOUND: usize = 6;
+const FORGED_PERMIT_SEEDS: u64 = 64;
+const MIN_FORGED_PERMITS_FOUND: usize = 6;
 
 /// Each fault, and the invariant by whose name it is found; forged rights have a test of their own below.
-const TABLE: [(Fault, Invariant); 14] = [
-    (Fault::AnswersWhatIsServed, Invariant::OneFinalAnswer),
+const FAULTS_AND_INVARIANTS: [(Fault, Invariant); 14] = [
+    (Fault::AnswersServedClient, Invariant::OneFinalAnswer),
     (Fault::LosesAnswers, Invariant::OneFinalAnswer),
-    (Fault::KeepsWhatHasEnded, Invariant::OneAttemptOut),
-    (Fault::WritesUnasked, Invariant::NothingNewWhereItDrains),
-    (Fault::LateDrains, Invariant::NothingNewWhereItDrains),
-    (Fault::LosesSilence, Invariant::NothingNewUnvouched),
-    (Fault::LosesWhoLeft, Invariant::NothingForWhoHasLeft),
-    (Fault::WritesUnasked, Invariant::KeyedWithinWindow),
-    (Fault::LongWindow, Invariant::KeyedWithinWindow),
-    (Fault::WideGroup, Invariant::KeyedWithinGroup),
-    (Fault::ResetTakenForRefusal, Invariant::UnsafeOnce),
-    (Fault::RefusesAll, Invariant::HarmlessRefusal),
-    (Fault::EachAlone, Invariant::RightsWithinRule),
-    (Fault::SwapsClasses, Invariant::OwnClass),
+    (Fault::KeepsEndedAttempt, Invariant::OneAttemptInFlight),
+    (Fault::WritesWithoutPermission, Invariant::NothingNewOnDrainingServer),
+    (Fault::LateDrains, Invariant::NothingNewOnDrainingServer),
+    (Fault::LosesWatchSilence, Invariant::NothingNewOnExpiredList),
+    (Fault::LosesClientDeparture, Invariant::NothingForDepartedClient),
+    (Fault::WritesWithoutPermission, Invariant::RetryWithinKeyWindow),
+    (Fault::LongWindow, Invariant::RetryWithinKeyWindow),
+    (Fault::WideGroup, Invariant::RetryWithinKeyGroup),
+    (Fault::ResetReportedAsConnectError, Invariant::NonIdempotentOnce),
+    (Fault::RejectsAll, Invariant::RejectionIsHarmless),
+    (Fault::EachGatewayAlone, Invariant::PermitsWithinLimit),
+    (Fault::SwapsClasses, Invariant::TimeoutOfOwnClass),
 ];
 
-type Seen = BTreeMap<&'static str, u32>;
+type EventCounts = BTreeMap<&'static str, u32>;
 
 /// Plays one seed; a core that goes round in circles is a failure, too, and has no end to wait for.
-fn play(seed: u64, fault: Option<Fault>) -> (Result<(), Violation>, Seen) {
+fn run_seed(seed: u64, fault: Option<Fault>) -> (Result<(), Violation>, EventCounts) {
     let (sender, played) = mpsc::channel();
     std::thread::spawn(move || {
         let played = with_time(async {
-            let mut world = World::new(seed, fault);
-            (world.run().await, world.seen)
+            let mut world = Simulation::new(seed, fault);
+            (world.run().await, world.counts)
         });
         // Whoever waited may have given up.
         let _ = sender.send(played);
     });
     played
-        .recv_timeout(ENDS_WITHIN)
+        .recv_timeout(RUN_TIMEOUT)
         .unwrap_or_else(|_| panic!("CROSSINGS_SEED={seed}: stands still or panics"))
 }
 
 /// What the runs must come to, or they have shown nothing.
-const RARE: [&str; 27] = [
+const REQUIRED_EVENTS: [&str; 27] = [
     "adopted",
     "back",
     "back anew",
@@ -102,54 +103,68 @@
 ];
 
 #[test]
-fn no_invariant_breaks_whatever_crosses() {
+fn no_invariant_breaks_under_random_interleavings() {
     if let Ok(seed) = std::env::var("CROSSINGS_SEED") {
-        let (held, seen) = play(seed.parse().expect("CROSSINGS_SEED is a number"), None);
+        let (held, seen) = run_seed(seed.parse().expect("CROSSINGS_SEED is a number"), None);
         held.unwrap_or_else(|violation| panic!("CROSSINGS_SEED={seed}: {violation}"));
         return eprintln!("{seen:?}");
     }
-    let mut seen = Seen::new();
+    let mut seen = EventCounts::new();
     for seed in 0..SEEDS {
-        let (held, counts) = play(seed, None);
+        let (held, counts) = run_seed(seed, None);
         held.unwrap_or_else(|violation| panic!("CROSSINGS_SEED={seed}: {violation}"));
         for (what, count) in counts {
             *seen.entry(what).or_default() += count;
         }
     }
     eprintln!("{seen:?}");
-    let never: Vec<&str> = RARE.into_iter().filter(|it| !seen.contains_key(it)).collect();
+    let never: Vec<&str> = REQUIRED_EVENTS.into_iter().filter(|it| !seen.contains_key(it)).collect();
     assert!(never.is_empty(), "never came about: {never:?}");
 }
 
 #[test]
-fn each_invariant_finds_its_fault() {
+fn each_invariant_detects_its_fault() {
     let mut unfound = Vec::new();
-    for (fault, invariant) in TABLE {
-        let by_name = |seed: &u64| play(*seed, Some(fault)).0.is_err_and(|it| it.invariant == invariant);
-        match (0..FOUND_WITHIN).find(by_name) {
+    for (fault, invariant) in FAULTS_AND_INVARIANTS {
+        let by_name = |seed: &u64| run_seed(*seed, Some(fault)).0.is_err_and(|it| it.invariant == invariant);
+        match (0..MAX_SEEDS_TO_FIND).find(by_name) {
             Some(seed) => eprintln!("{fault:?}: {invariant:?}, seed {seed}"),
             None => unfound.push((fault, invariant)),
         }
     }
-    assert!(unfound.is_empty(), "not found within {FOUND_WITHIN} seeds: {unfound:?}");
+    assert!(unfound.is_empty(), "not found within {MAX_SEEDS_TO_FIND} seeds: {unfound:?}");
 }
 
 /// Servers fall over forged rights in some plays only: which ones changes with every datagram more or less, how many
 /// they are does not. Found in 6 of these seeds with one copy of each grant, in 9 with two.
 #[test]
-fn forged_rights_break_the_rule_in_one_play_of_eleven_at_least() {
+fn forged_permits_are_detected_in_at_least_six_of_64_seeds() {
     let by_name = |&seed: &u64| {
-        play(seed, Some(Fault::ForgesRights)).0.is_err_and(|it| it.invariant == Invariant::RightsWithinRule)
+        run_seed(seed, Some(Fault::ForgesPermits))
+            .0
+            .is_err_and(|it| it.invariant == Invariant::PermitsWithinLimit)
     };
-    let found: Vec<u64> = (0..FORGED_SEEDS).filter(by_name).collect();
-    assert!(found.len() >= FORGED_FOUND, "found by seeds {found:?} of {FORGED_SEEDS} alone");
+    let found: Vec<u64> = (0..FORGED_PERMIT_SEEDS).filter(by_name).collect();
+    assert!(
+        found.len() >= MIN_FORGED_PERMITS_FOUND,
+        "found by seeds {found:?} of {FORGED_PERMIT_SEEDS} alone"
+    );
 }
 
-fn engine(peers: bool, effect: ashtide::Effect) -> (Engine, Time) {
+fn engine(peers: bool, effect: ashtide::Idempotency) -> (Engine, Time) {
     let (now, ms) = (Time::from_micros(1_000_000), |ms: i64| Span::from_micros(ms * 1_000));
-    let class = Class { aim: ms(400), message_aim: ms(50), worth: 1.0, effect };
-    let settings =
-        Settings { classes: vec![class], peers, warm_within: ms(5_000), ..Settings::for_zone(ZoneId(0)) };
+    let class = RequestClass {
+        latency_objective: ms(400),
+        message_latency_objective: ms(50),
+        priority_weight: 1.0,
+        idempotency: effect,
+    };
+    let settings = Settings {
+        classes: vec![class],
+        fleet_permits: peers,
+        warm_up_time: ms(5_000),
+        ..Settings::for_zone(ZoneId(0))
+    };
     (Engine::new(settings, 7, (now, Instant::now())), now)
 }
 
@@ -165,13 +180,19 @@
     let (sender, over) = mpsc::channel();
     std::thread::spawn(move || {
         with_time(async {
-            let ((mut engine, now), mut effects) = (engine(true, ashtide::Effect::Safe), Vec::new());
+            let ((mut engine, now), mut effects) =
+                (engine(true, ashtide::Idempotency::Idempotent), Vec::new());
             let (server, zone) = (ServerId(0), ZoneId(0));
-            engine.list(now, ListNews::Whole, vec![Listing::ready(server, zone)], &mut effects);
-            engine.cordon(now, server, true, &mut effects);
-            engine.cordon(now, server, false, &mut effects);
-            engine.request(now, request(), &mut effects);
-            let _ = sender.send(engine.open());
+            engine.handle_list_update(
+                now,
+                ListUpdate::Snapshot,
+                vec![EndpointEntry::ready(server, zone)],
+                &mut effects,
+            );
+            engine.set_cordon(now, server, true, &mut effects);
+            engine.set_cordon(now, server, false, &mut effects);
+            engine.handle_request(now, request(), &mut effects);
+            let _ = sender.send(engine.open_request_count());
         });
     });
     assert_eq!(over.recv_timeout(Duration::from_secs(20)), Ok(1), "it waits, and the core goes on");
@@ -180,14 +201,17 @@
 /// Found by seed 5: what had been tried was refused as the process ended, which says that a repeat does no harm.
 #[test]
 fn a_process_that_ends_does_not_refuse_what_may_have_run() {
-    for (servers, answer) in [(1, Answer::Failed), (0, Answer::Refused(Span::from_micros(1_000_000)))] {
+    for (servers, answer) in
+        [(1, FinalAnswer::Failed), (0, FinalAnswer::Rejected(Span::from_micros(1_000_000)))]
+    {
         with_time(async {
-            let ((mut engine, now), mut effects) = (engine(false, ashtide::Effect::Unsafe), Vec::new());
-            let entries = (0..servers).map(|it| Listing::ready(ServerId(it), ZoneId(0))).collect();
-            engine.list(now, ListNews::Whole, entries, &mut effects);
-            engine.request(now, request(), &mut effects);
-            engine.fire(now, Due::Leave, &mut effects);
-            assert_eq!(effects.last(), Some(&Effect::Answer { id: RequestId(1), answer }));
+            let ((mut engine, now), mut effects) =
+                (engine(false, ashtide::Idempotency::NotIdempotent), Vec::new());
+            let entries = (0..servers).map(|it| EndpointEntry::ready(ServerId(it), ZoneId(0))).collect();
+            engine.handle_list_update(now, ListUpdate::Snapshot, entries, &mut effects);
+            engine.handle_request(now, request(), &mut effects);
+            engine.handle_timer(now, TimerEvent::ShutdownDeadline, &mut effects);
+            assert_eq!(effects.last(), Some(&Command::Answer { id: RequestId(1), answer }));
         });
     }
 }
--- a/tests/crossings/faults.rs
+++ b/tests/crossings/faults.rs
@@ -4,31 +4,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// A front writes as soon as its connection is up.
-    WritesUnasked,
+    WritesWithoutPermission,
     /// A front reports an attempt as one that never came up once it is written, and lets it go on.
-    KeepsWhatHasEnded,
+    KeepsEndedAttempt,
     /// A front reports a reset after the last byte as a connection that never came up.
-    ResetTakenForRefusal,
+    ResetReportedAsConnectError,
     /// A front answers a client that it has passed `UP` to.
-    AnswersWhatIsServed,
+    AnswersServedClient,
     /// The driver does not tell the core that a client has left.
-    LosesWhoLeft,
+    LosesClientDeparture,
     /// The driver loses one answer in ten.
     LosesAnswers,
     /// The driver gives every unserved client a refusal.
-    RefusesAll,
+    RejectsAll,
     /// The driver takes each class's name for that of the next.
     SwapsClasses,
     /// The driver passes drains on to the core late.
     LateDrains,
     /// The driver does not tell the core that its watch is silent.
-    LosesSilence,
+    LosesWatchSilence,
     /// The settings that the core is given remember repeats ten times as long as servers do.
     LongWindow,
     /// The settings that the core is given name all servers where only a group remembers.
     WideGroup,
     /// The network makes a right of every refusal.
-    ForgesRights,
+    ForgesPermits,
     /// Each gateway is told that it is alone.
-    EachAlone,
+    EachGatewayAlone,
 }
--- a/tests/crossings/front.rs
+++ b/tests/crossings/front.rs
@@ -3,307 +3,339 @@
 
 use std::time::Duration;
 
-use ashtide::engine::Answer;
+use ashtide::engine::FinalAnswer;
 use ashtide::{Outcome, ServerId, Span};
-use ashtide_wire::{ClientEvent, ClientSide, Open, ServerEvent, ServerSide};
+use ashtide_protocol::{ClientEvent, ClientSide, Open, ServerEvent, ServerSide};
 use bytes::Bytes;
 
 use super::faults::Fault;
-use super::invariants::Final;
+use super::invariants::ClientAnswer;
 
 /// What the core asks of a front.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Command {
+pub enum FrontendCommand {
     Attempt { attempt: u32, server: ServerId, timeout: Span },
     Close { attempt: u32 },
-    Begin { attempt: u32 },
-    Pass { attempt: u32 },
-    Answer(Answer),
-    Move,
-    Hand(ServerId),
+    SendFirstByte { attempt: u32 },
+    ForwardAccepted { attempt: u32 },
+    Answer(FinalAnswer),
+    Migrate,
+    HandOff(ServerId),
 }
 
 /// What a front tells its core.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Word {
+pub enum FrontendEvent {
     Connected(u32),
-    Up(u32),
+    Accepted(u32),
     Ended(u32, Outcome),
-    Left,
-    Asked,
-    Answered,
+    ClientLeft,
+    ClientMessage,
+    ServerMessage,
     Load(f64),
 }
 
 /// What a front does.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Move {
-    Tell(Word),
-    Dial(u32, ServerId),
+pub enum FrontendAction {
+    Report(FrontendEvent),
+    Connect(u32, ServerId),
     FirstByte(u32),
     LastByte(u32),
     /// The server's socket is closed.
     Close(u32, Option<Outcome>),
-    Final(Final),
+    FinalAnswer(ClientAnswer),
     /// The client stands here now.
-    Stands(u32),
+    Established(u32),
     /// The connection goes to the process that succeeds this one.
-    Hand(ServerId),
+    HandOff(ServerId),
     /// The client has been told that it is over, or knows.
-    Over,
+    Finished,
 }
 
 /// What becomes of a dialled connection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Wire {
+pub enum ConnectionEvent {
     Connected,
     Refused,
     /// The last byte is written.
     Written,
     /// It breaks.
-    Broken,
+    Reset,
     Line(Bytes),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum ConnectionStage {
     Connecting,
-    Asking,
+    AwaitingPermission,
     Writing,
     Written,
     /// The server's line has come, the core has not yet agreed.
-    Up,
-    Standing,
+    Accepted,
+    Established,
 }
 
 #[derive(Debug)]
-struct Dial {
+struct ServerConnection {
     attempt: u32,
     server: ServerId,
-    stage: Stage,
+    stage: ConnectionStage,
     side: ServerSide,
     /// It is broken, which shows once it is written to or read.
-    broken: bool,
+    reset_pending: bool,
 }
 
 /// One client's front.
-pub struct Front {
+pub struct SimulatedFrontend {
     pub open: Open,
     side: ClientSide,
-    dial: Option<Dial>,
-    over: bool,
+    connection: Option<ServerConnection>,
+    finished: bool,
     fault: Option<Fault>,
 }
 
-impl Front {
+impl SimulatedFrontend {
     /// The front of a client that has said this; none where it is not understood.
     pub fn new(line: Bytes, fault: Option<Fault>) -> Option<Self> {
         let mut side = ClientSide::default();
         let ClientEvent::Open(open) = side.line(line) else { return None };
-        Some(Self { open: *open, side, dial: None, over: false, fault })
+        Some(Self { open: *open, side, connection: None, finished: false, fault })
     }
 
     /// The front of a connection that an older process has passed on.
-    pub fn standing(open: Open, server: ServerId, fault: Option<Fault>) -> Self {
+    pub fn established(open: Open, server: ServerId, fault: Option<Fault>) -> Self {
         let (mut side, wire) = (ClientSide::default(), ServerSide::standing());
         side.up();
-        let dial = Dial { attempt: 0, server, stage: Stage::Standing, side: wire, broken: false };
-        Self { open, side, dial: Some(dial), over: false, fault }
+        let dial = ServerConnection {
+            attempt: 0,
+            server,
+            stage: ConnectionStage::Established,
+            side: wire,
+            reset_pending: false,
+        };
+        Self { open, side, connection: Some(dial), finished: false, fault }
     }
 
-    pub fn wait(&self) -> Duration {
+    pub fn client_patience(&self) -> Duration {
         self.open.wait.unwrap_or_default()
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over
+    pub fn is_finished(&self) -> bool {
+        self.finished
     }
 
-    pub fn stands(&self) -> bool {
-        self.dial.as_ref().is_some_and(|it| it.stage == Stage::Standing)
+    pub fn is_established(&self) -> bool {
+        self.connection.as_ref().is_some_and(|it| it.stage == ConnectionStage::Established)
     }
 
     /// The attempt whose socket is there, and its server.
-    pub fn dials(&self) -> Option<(u32, ServerId)> {
-        self.dial.as_ref().map(|it| (it.attempt, it.server))
+    pub fn current_attempt(&self) -> Option<(u32, ServerId)> {
+        self.connection.as_ref().map(|it| (it.attempt, it.server))
     }
 
     /// Whether a line of the server would be read now.
-    pub fn reads(&self) -> bool {
-        self.dial.as_ref().is_some_and(|it| it.stage != Stage::Up)
+    pub fn reads_server(&self) -> bool {
+        self.connection.as_ref().is_some_and(|it| it.stage != ConnectionStage::Accepted)
     }
 
-    fn is(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: Fault) -> bool {
         self.fault == Some(fault)
     }
 
-    fn close(&mut self, outcome: Option<Outcome>, moves: &mut Vec<Move>) {
-        if let Some(dial) = self.dial.take() {
-            moves.push(Move::Close(dial.attempt, outcome));
+    fn close_connection(&mut self, outcome: Option<Outcome>, moves: &mut Vec<FrontendAction>) {
+        if let Some(dial) = self.connection.take() {
+            moves.push(FrontendAction::Close(dial.attempt, outcome));
         }
     }
 
     /// The attempt, or the connection that came of it, is over by the server's doing or the network's.
-    fn ended(&mut self, outcome: Outcome, moves: &mut Vec<Move>) {
-        let Some((attempt, _)) = self.dials() else { return };
-        let stood = self.stands();
-        self.close(Some(outcome), moves);
+    fn handle_connection_end(&mut self, outcome: Outcome, moves: &mut Vec<FrontendAction>) {
+        let Some((attempt, _)) = self.current_attempt() else { return };
+        let stood = self.is_established();
+        self.close_connection(Some(outcome), moves);
         let told = match outcome {
-            Outcome::Reset if self.is(Fault::ResetTakenForRefusal) => Outcome::ConnectError,
+            Outcome::Reset if self.has_fault(Fault::ResetReportedAsConnectError) => Outcome::ConnectError,
             outcome => outcome,
         };
-        moves.push(Move::Tell(Word::Ended(attempt, told)));
+        moves.push(FrontendAction::Report(FrontendEvent::Ended(attempt, told)));
         if stood {
-            self.end(moves);
+            self.finish(moves);
         }
     }
 
-    fn end(&mut self, moves: &mut Vec<Move>) {
-        self.over = true;
-        moves.push(Move::Over);
+    fn finish(&mut self, moves: &mut Vec<FrontendAction>) {
+        self.finished = true;
+        moves.push(FrontendAction::Finished);
     }
 
-    pub fn command(&mut self, command: Command, moves: &mut Vec<Move>) {
-        if self.over {
+    pub fn handle_command(&mut self, command: FrontendCommand, moves: &mut Vec<FrontendAction>) {
+        if self.finished {
             return;
         }
-        let at = self.dial.as_ref().map(|it| (it.attempt, it.stage));
+        let at = self.connection.as_ref().map(|it| (it.attempt, it.stage));
         match (command, at) {
-            (Command::Attempt { attempt, server, .. }, None) => {
+            (FrontendCommand::Attempt { attempt, server, .. }, None) => {
                 let side = ServerSide::default();
-                self.dial = Some(Dial { attempt, server, stage: Stage::Connecting, side, broken: false });
-                moves.push(Move::Dial(attempt, server));
+                self.connection = Some(ServerConnection {
+                    attempt,
+                    server,
+                    stage: ConnectionStage::Connecting,
+                    side,
+                    reset_pending: false,
+                });
+                moves.push(FrontendAction::Connect(attempt, server));
             }
-            (Command::Answer(answer), None) => {
-                moves.push(Move::Final(match answer {
-                    Answer::Refused(_) => Final::Refused,
-                    Answer::Failed => Final::Failed,
+            (FrontendCommand::Answer(answer), None) => {
+                moves.push(FrontendAction::FinalAnswer(match answer {
+                    FinalAnswer::Rejected(_) => ClientAnswer::Rejected,
+                    FinalAnswer::Failed => ClientAnswer::Failed,
                 }));
-                self.end(moves);
+                self.finish(moves);
             }
-            (Command::Move, None) => self.end(moves),
-            (Command::Close { attempt }, Some((which, stage)))
-                if which == attempt && stage != Stage::Standing =>
+            (FrontendCommand::Migrate, None) => self.finish(moves),
+            (FrontendCommand::Close { attempt }, Some((which, stage)))
+                if which == attempt && stage != ConnectionStage::Established =>
             {
-                self.close(None, moves);
+                self.close_connection(None, moves);
             }
-            (Command::Begin { attempt }, Some((which, Stage::Asking))) if which == attempt => {
-                self.begin(moves);
+            (
+                FrontendCommand::SendFirstByte { attempt },
+                Some((which, ConnectionStage::AwaitingPermission)),
+            ) if which == attempt => {
+                self.send_first_byte(moves);
             }
-            (Command::Pass { attempt }, Some((which, Stage::Up))) if which == attempt => {
-                let dial = self.dial.as_mut().expect("just seen");
-                dial.stage = Stage::Standing;
-                let broken = dial.broken;
+            (FrontendCommand::ForwardAccepted { attempt }, Some((which, ConnectionStage::Accepted)))
+                if which == attempt =>
+            {
+                let dial = self.connection.as_mut().expect("just seen");
+                dial.stage = ConnectionStage::Established;
+                let broken = dial.reset_pending;
                 self.side.up();
-                moves.push(Move::Final(Final::Served));
-                if self.is(Fault::AnswersWhatIsServed) {
-                    moves.push(Move::Final(Final::Failed));
+                moves.push(FrontendAction::FinalAnswer(ClientAnswer::Served));
+                if self.has_fault(Fault::AnswersServedClient) {
+                    moves.push(FrontendAction::FinalAnswer(ClientAnswer::Failed));
                 }
                 if broken {
-                    return self.ended(Outcome::Reset, moves);
+                    return self.handle_connection_end(Outcome::Reset, moves);
                 }
-                moves.push(Move::Stands(attempt));
+                moves.push(FrontendAction::Established(attempt));
             }
-            (Command::Move, Some((_, Stage::Standing))) => {
-                self.close(None, moves);
-                self.end(moves);
+            (FrontendCommand::Migrate, Some((_, ConnectionStage::Established))) => {
+                self.close_connection(None, moves);
+                self.finish(moves);
             }
-            (Command::Move, Some((_, stage))) if stage != Stage::Up => {
-                self.ended(Outcome::Cancelled, moves);
+            (FrontendCommand::Migrate, Some((_, stage))) if stage != ConnectionStage::Accepted => {
+                self.handle_connection_end(Outcome::Cancelled, moves);
             }
-            (Command::Hand(server), Some((_, Stage::Standing))) => {
-                self.close(None, moves);
-                moves.push(Move::Hand(server));
-                self.end(moves);
+            (FrontendCommand::HandOff(server), Some((_, ConnectionStage::Established))) => {
+                self.close_connection(None, moves);
+                moves.push(FrontendAction::HandOff(server));
+                self.finish(moves);
             }
             // Of an attempt that is over, or come while another is made: not heard.
             _ => {}
         }
     }
 
-    fn begin(&mut self, moves: &mut Vec<Move>) {
-        let dial = self.dial.as_mut().expect("something is dialled");
-        if dial.broken {
+    fn send_first_byte(&mut self, moves: &mut Vec<FrontendAction>) {
+        let dial = self.connection.as_mut().expect("something is dialled");
+        if dial.reset_pending {
             let outcome = dial.side.end().into();
-            return self.ended(outcome, moves);
+            return self.handle_connection_end(outcome, moves);
         }
-        dial.stage = Stage::Writing;
-        moves.push(Move::FirstByte(dial.attempt));
+        dial.stage = ConnectionStage::Writing;
+        moves.push(FrontendAction::FirstByte(dial.attempt));
     }
 
     /// Something happens to the connection of this attempt.
-    pub fn wire(&mut self, attempt: u32, what: Wire, moves: &mut Vec<Move>) {
-        let Some(dial) = self.dial.as_mut().filter(|it| it.attempt == attempt) else { return };
+    pub fn handle_connection_event(
+        &mut self,
+        attempt: u32,
+        what: ConnectionEvent,
+        moves: &mut Vec<FrontendAction>,
+    ) {
+        let Some(dial) = self.connection.as_mut().filter(|it| it.attempt == attempt) else { return };
         match (what, dial.stage) {
-            (Wire::Connected, Stage::Connecting) => {
-                dial.stage = Stage::Asking;
-                if self.is(Fault::WritesUnasked) {
-                    return self.begin(moves);
+            (ConnectionEvent::Connected, ConnectionStage::Connecting) => {
+                dial.stage = ConnectionStage::AwaitingPermission;
+                if self.has_fault(Fault::WritesWithoutPermission) {
+                    return self.send_first_byte(moves);
                 }
-                moves.push(Move::Tell(Word::Connected(attempt)));
+                moves.push(FrontendAction::Report(FrontendEvent::Connected(attempt)));
             }
-            (Wire::Refused, Stage::Connecting) => self.ended(Outcome::ConnectError, moves),
-            (Wire::Written, Stage::Writing) => {
-                dial.stage = Stage::Written;
+            (ConnectionEvent::Refused, ConnectionStage::Connecting) => {
+                self.handle_connection_end(Outcome::ConnectError, moves)
+            }
+            (ConnectionEvent::Written, ConnectionStage::Writing) => {
+                dial.stage = ConnectionStage::Written;
                 dial.side.written();
-                moves.push(Move::LastByte(attempt));
-                if self.is(Fault::KeepsWhatHasEnded) {
-                    self.dial = None;
-                    moves.push(Move::Tell(Word::Ended(attempt, Outcome::ConnectError)));
+                moves.push(FrontendAction::LastByte(attempt));
+                if self.has_fault(Fault::KeepsEndedAttempt) {
+                    self.connection = None;
+                    moves.push(FrontendAction::Report(FrontendEvent::Ended(attempt, Outcome::ConnectError)));
                 }
             }
-            (Wire::Broken, Stage::Connecting | Stage::Asking | Stage::Up) => dial.broken = true,
-            (Wire::Broken, _) => {
+            (
+                ConnectionEvent::Reset,
+                ConnectionStage::Connecting | ConnectionStage::AwaitingPermission | ConnectionStage::Accepted,
+            ) => dial.reset_pending = true,
+            (ConnectionEvent::Reset, _) => {
                 let outcome = dial.side.end().into();
-                self.ended(outcome, moves);
+                self.handle_connection_end(outcome, moves);
             }
-            (Wire::Line(line), Stage::Written) => match dial.side.line(line) {
+            (ConnectionEvent::Line(line), ConnectionStage::Written) => match dial.side.line(line) {
                 ServerEvent::Up(_) => {
-                    dial.stage = Stage::Up;
-                    moves.push(Move::Tell(Word::Up(attempt)));
+                    dial.stage = ConnectionStage::Accepted;
+                    moves.push(FrontendAction::Report(FrontendEvent::Accepted(attempt)));
                 }
-                ServerEvent::Over(ending) => self.ended(ending.into(), moves),
-                _ => self.ended(Outcome::Failed, moves),
+                ServerEvent::Over(ending) => self.handle_connection_end(ending.into(), moves),
+                _ => self.handle_connection_end(Outcome::Failed, moves),
             },
-            (Wire::Line(line), Stage::Standing) => match dial.side.line(line) {
-                ServerEvent::Load(_, load) => moves.push(Move::Tell(Word::Load(load))),
+            (ConnectionEvent::Line(line), ConnectionStage::Established) => match dial.side.line(line) {
+                ServerEvent::Load(_, load) => moves.push(FrontendAction::Report(FrontendEvent::Load(load))),
                 ServerEvent::Last(_) => {
                     let outcome = dial.side.end().into();
-                    self.ended(outcome, moves);
+                    self.handle_connection_end(outcome, moves);
                 }
-                _ => moves.push(Move::Tell(Word::Answered)),
+                _ => moves.push(FrontendAction::Report(FrontendEvent::ServerMessage)),
             },
             _ => {}
         }
     }
 
     /// The client says something.
-    pub fn says(&mut self, line: Bytes, moves: &mut Vec<Move>) {
-        if self.over {
+    pub fn handle_client_line(&mut self, line: Bytes, moves: &mut Vec<FrontendAction>) {
+        if self.finished {
             return;
         }
         match self.side.line(line) {
-            ClientEvent::Pass(_) if self.stands() => moves.push(Move::Tell(Word::Asked)),
+            ClientEvent::Pass(_) if self.is_established() => {
+                moves.push(FrontendAction::Report(FrontendEvent::ClientMessage))
+            }
             ClientEvent::Pass(_) => {}
             // It did not wait for its answer: this is it.
             ClientEvent::Bad(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
-                self.close(None, moves);
-                moves.extend([Move::Tell(Word::Left), Move::Final(Final::Failed)]);
-                self.end(moves);
+                self.close_connection(None, moves);
+                moves.extend([
+                    FrontendAction::Report(FrontendEvent::ClientLeft),
+                    FrontendAction::FinalAnswer(ClientAnswer::Failed),
+                ]);
+                self.finish(moves);
             }
         }
     }
 
     /// The client goes.
-    pub fn leaves(&mut self, moves: &mut Vec<Move>) {
-        if self.over {
+    pub fn handle_client_departure(&mut self, moves: &mut Vec<FrontendAction>) {
+        if self.finished {
             return;
         }
-        if self.stands() {
-            return self.ended(Outcome::Cancelled, moves);
+        if self.is_established() {
+            return self.handle_connection_end(Outcome::Cancelled, moves);
         }
-        self.close(None, moves);
-        moves.push(Move::Tell(Word::Left));
-        self.end(moves);
+        self.close_connection(None, moves);
+        moves.push(FrontendAction::Report(FrontendEvent::ClientLeft));
+        self.finish(moves);
     }
 }
--- a/tests/crossings/invariants.rs
+++ b/tests/crossings/invariants.rs
@@ -2,16 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ashtide::{Class, Effect, KeyedGroup, Outcome, RequestId, ServerId, Settings, Span, Time};
+use ashtide::{
+    DeduplicationScope, Idempotency, Outcome, RequestClass, RequestId, ServerId, Settings, Span, Time,
+};
 
 /// What a report or a command takes to cross, at most: by so much a front writes later than its core allowed it.
-pub const CROSSING: Span = Span::from_micros(10_000);
+pub const MAX_DELIVERY_DELAY: Span = Span::from_micros(10_000);
 /// By so much an answer is late where its line, the core's timer and the answer each are, at most.
-const BEHIND: Span = Span::from_micros(30_000);
+const MAX_ANSWER_DELAY: Span = Span::from_micros(30_000);
 /// What a silent watch has missed counts as told this long after (STANDING, "One clock for silence").
-const SILENCE_TOLD: Span = Span::from_micros(6_000_000);
+const SILENCE_GRACE: Span = Span::from_micros(6_000_000);
 /// The part of a class's aim that is waited before a repeat, at least, doubled with each attempt.
-const LEAST_WAIT: f64 = 0.5 * 0.2;
+const MIN_BACKOFF_FACTOR: f64 = 0.5 * 0.2;
 /// Spans are computed in whole microseconds, in one order or another.
 const ROUNDING: Span = Span::from_micros(2);
 
@@ -19,16 +21,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     OneFinalAnswer,
-    OneAttemptOut,
-    NothingNewWhereItDrains,
-    NothingNewUnvouched,
-    NothingForWhoHasLeft,
-    KeyedWithinWindow,
-    KeyedWithinGroup,
-    UnsafeOnce,
-    HarmlessRefusal,
-    RightsWithinRule,
-    OwnClass,
+    OneAttemptInFlight,
+    NothingNewOnDrainingServer,
+    NothingNewOnExpiredList,
+    NothingForDepartedClient,
+    RetryWithinKeyWindow,
+    RetryWithinKeyGroup,
+    NonIdempotentOnce,
+    RejectionIsHarmless,
+    PermitsWithinLimit,
+    TimeoutOfOwnClass,
 }
 
 /// What was found, and by which invariant.
@@ -41,17 +43,17 @@
 
 /// A client's final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Final {
+pub enum ClientAnswer {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
 
 /// One thing that happened.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fact {
+pub enum Occurrence {
     /// A client's line is whole at a front.
-    Asked {
+    Arrived {
         id: RequestId,
         class: usize,
         process: usize,
@@ -69,11 +71,11 @@
         started: Option<Time>,
     },
     /// A process has been told that its watch has said nothing since then; and that it answers again.
-    Unheard {
+    WatchLost {
         process: usize,
         since: Time,
     },
-    Vouched {
+    WatchRestored {
         process: usize,
     },
     /// A core has chosen a server.
@@ -84,19 +86,19 @@
         timeout: Span,
     },
     /// A core has given an attempt up, as its time was up or for another reason.
-    GivenUp {
+    Abandoned {
         id: RequestId,
         attempt: u32,
         late: bool,
     },
     /// A core has heard how an attempt ended.
-    Heard {
+    AttemptEndReported {
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
     },
     /// A core gives the final answer.
-    Answering {
+    AnswerDecided {
         id: RequestId,
     },
     FirstByte {
@@ -116,134 +118,137 @@
     /// The client has a final answer.
     Answered {
         id: RequestId,
-        answer: Final,
+        answer: ClientAnswer,
     },
     /// The client has gone; the core has been told.
-    Left {
+    ClientLeft {
         id: RequestId,
     },
-    LeftTold {
+    DepartureReported {
         id: RequestId,
     },
     /// The process of the request has died.
-    Lost {
+    ProcessDied {
         id: RequestId,
     },
     /// Time has passed.
-    Passed,
+    TimeAdvanced,
 }
 
-impl Fact {
+impl Occurrence {
     /// The request that it is about.
-    pub fn id(&self) -> Option<RequestId> {
+    pub fn request_id(&self) -> Option<RequestId> {
         match *self {
-            Self::Asked { id, .. }
+            Self::Arrived { id, .. }
             | Self::Admitted { id }
             | Self::Chosen { id, .. }
-            | Self::GivenUp { id, .. }
-            | Self::Heard { id, .. }
-            | Self::Answering { id }
+            | Self::Abandoned { id, .. }
+            | Self::AttemptEndReported { id, .. }
+            | Self::AnswerDecided { id }
             | Self::FirstByte { id, .. }
             | Self::LastByte { id, .. }
             | Self::Closed { id, .. }
             | Self::Answered { id, .. }
-            | Self::Left { id }
-            | Self::LeftTold { id }
-            | Self::Lost { id } => Some(id),
-            Self::Listed { .. } | Self::Unheard { .. } | Self::Vouched { .. } | Self::Passed => None,
+            | Self::ClientLeft { id }
+            | Self::DepartureReported { id }
+            | Self::ProcessDied { id } => Some(id),
+            Self::Listed { .. }
+            | Self::WatchLost { .. }
+            | Self::WatchRestored { .. }
+            | Self::TimeAdvanced => None,
         }
     }
 }
 
 /// One attempt.
 #[derive(Debug, Clone)]
-struct Try {
+struct AttemptRecord {
     server: ServerId,
-    first: Option<Time>,
-    last: Option<Time>,
+    first_byte_at: Option<Time>,
+    last_byte_at: Option<Time>,
     closed: bool,
     /// It was turned away, or closed before the server had it whole.
     never_ran: bool,
     /// When the core took it to have ended, and whether a repeat has to wait.
-    over: Option<(Time, bool)>,
+    ended: Option<(Time, bool)>,
 }
 
 /// One request.
 #[derive(Debug, Clone)]
-struct Asked {
+struct RequestRecord {
     class: usize,
     process: usize,
-    arrived: Time,
-    admitted: Time,
+    arrived_at: Time,
+    admitted_at: Time,
     time_left: Span,
-    tries: Vec<Try>,
-    answers: Vec<Final>,
+    attempts: Vec<AttemptRecord>,
+    answers: Vec<ClientAnswer>,
     /// Final answers of the core.
-    answering: u32,
+    answers_decided: u32,
     left: bool,
-    left_told: bool,
+    departure_reported: bool,
     /// No answer is owed.
-    free: bool,
+    answer_not_required: bool,
 }
 
-impl Asked {
+impl RequestRecord {
     fn deadline(&self) -> Time {
-        self.admitted + self.time_left
+        self.admitted_at + self.time_left
     }
 
     /// The first attempt that may have run, by what the servers saw, of those before this one.
-    fn ran_before(&self, attempt: usize) -> Option<&Try> {
-        self.tries[..attempt].iter().find(|it| it.last.is_some() && !it.never_ran)
+    fn first_possible_execution(&self, attempt: usize) -> Option<&AttemptRecord> {
+        self.attempts[..attempt].iter().find(|it| it.last_byte_at.is_some() && !it.never_ran)
     }
 }
 
 /// All that has happened.
-pub struct Ledger {
+pub struct History {
     settings: Settings,
-    places: BTreeMap<ServerId, (u32, u32)>,
-    asked: BTreeMap<RequestId, Asked>,
+    locations: BTreeMap<ServerId, (u32, u32)>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     /// Who is owed an answer, by when.
-    owed: BTreeSet<(Time, RequestId)>,
+    unanswered: BTreeSet<(Time, RequestId)>,
     /// Since when a process knows that a server is not ready, and its start as told.
-    drains: BTreeMap<(usize, ServerId), Option<Time>>,
-    started: BTreeMap<(usize, ServerId), Option<Time>>,
-    unheard: BTreeMap<usize, (Time, Time)>,
+    not_ready_since: BTreeMap<(usize, ServerId), Option<Time>>,
+    started_at: BTreeMap<(usize, ServerId), Option<Time>>,
+    watch_lost: BTreeMap<usize, (Time, Time)>,
     /// Attempts chosen for a server since its start.
-    cold: BTreeMap<(ServerId, Time), Vec<Time>>,
+    attempts_since_start: BTreeMap<(ServerId, Time), Vec<Time>>,
     /// Connections that fill a server, as any gateway had reason to think.
-    pub full: f64,
+    pub connections_when_full: f64,
     now: Time,
 }
 
-type Check = fn(&Ledger, &Fact) -> Result<(), String>;
+type Check = fn(&History, &Occurrence) -> Result<(), String>;
 
 const CHECKS: [(Invariant, Check); 11] = [
     (Invariant::OneFinalAnswer, one_final_answer),
-    (Invariant::OneAttemptOut, one_attempt_out),
-    (Invariant::NothingNewWhereItDrains, nothing_new_where_it_drains),
-    (Invariant::NothingNewUnvouched, nothing_new_unvouched),
-    (Invariant::NothingForWhoHasLeft, nothing_for_who_has_left),
-    (Invariant::KeyedWithinWindow, keyed_within_window),
-    (Invariant::KeyedWithinGroup, keyed_within_group),
-    (Invariant::UnsafeOnce, unsafe_once),
-    (Invariant::HarmlessRefusal, harmless_refusal),
-    (Invariant::RightsWithinRule, rights_within_rule),
-    (Invariant::OwnClass, own_class),
+    (Invariant::OneAttemptInFlight, one_attempt_in_flight),
+    (Invariant::NothingNewOnDrainingServer, nothing_new_on_draining_server),
+    (Invariant::NothingNewOnExpiredList, nothing_new_on_expired_list),
+    (Invariant::NothingForDepartedClient, nothing_for_departed_client),
+    (Invariant::RetryWithinKeyWindow, retry_within_key_window),
+    (Invariant::RetryWithinKeyGroup, retry_within_key_group),
+    (Invariant::NonIdempotentOnce, non_idempotent_once),
+    (Invariant::RejectionIsHarmless, rejection_is_harmless),
+    (Invariant::PermitsWithinLimit, permits_within_limit),
+    (Invariant::TimeoutOfOwnClass, timeout_of_own_class),
 ];
 
-impl Ledger {
+impl History {
     /// Of a world with these settings, where servers stand in zones and cells.
     pub fn new(settings: Settings, places: BTreeMap<ServerId, (u32, u32)>) -> Self {
         Self {
             settings,
-            places,
-            asked: BTreeMap::new(),
-            owed: BTreeSet::new(),
-            drains: BTreeMap::new(),
-            started: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            cold: BTreeMap::new(),
-            full: 0.0,
+            locations: places,
+            requests: BTreeMap::new(),
+            unanswered: BTreeSet::new(),
+            not_ready_since: BTreeMap::new(),
+            started_at: BTreeMap::new(),
+            watch_lost: BTreeMap::new(),
+            attempts_since_start: BTreeMap::new(),
+            connections_when_full: 0.0,
             now: Time::default(),
         }
     }
@@ -253,7 +258,7 @@
     /// # Errors
     ///
     /// Names the invariant that does not hold.
-    pub fn note(&mut self, now: Time, fact: &Fact) -> Result<(), Violation> {
+    pub fn record(&mut self, now: Time, fact: &Occurrence) -> Result<(), Violation> {
         self.now = now;
         self.apply(fact);
         CHECKS.iter().try_for_each(|&(invariant, check)| {
@@ -261,99 +266,110 @@
         })
     }
 
-    fn apply(&mut self, fact: &Fact) {
+    fn apply(&mut self, fact: &Occurrence) {
         let now = self.now;
-        if let &Fact::Asked { id, class, process, time_left } = fact {
-            let asked = Asked {
+        if let &Occurrence::Arrived { id, class, process, time_left } = fact {
+            let asked = RequestRecord {
                 class,
                 process,
-                arrived: now,
-                admitted: now,
+                arrived_at: now,
+                admitted_at: now,
                 time_left,
-                tries: Vec::new(),
+                attempts: Vec::new(),
                 answers: Vec::new(),
-                answering: 0,
+                answers_decided: 0,
                 left: false,
-                left_told: false,
-                free: false,
+                departure_reported: false,
+                answer_not_required: false,
             };
-            self.asked.insert(id, asked);
-            self.owed.insert((now + time_left + self.settings.answer_slack + BEHIND, id));
+            self.requests.insert(id, asked);
+            self.unanswered.insert((now + time_left + self.settings.answer_slack + MAX_ANSWER_DELAY, id));
             return;
         }
         match *fact {
-            Fact::Listed { process, server, ready, started } => {
-                let drains = self.drains.entry((process, server)).or_insert(None);
+            Occurrence::Listed { process, server, ready, started } => {
+                let drains = self.not_ready_since.entry((process, server)).or_insert(None);
                 *drains = if ready { None } else { drains.or(Some(now)) };
-                self.started.insert((process, server), started);
+                self.started_at.insert((process, server), started);
             }
-            Fact::Unheard { process, since } => _ = self.unheard.entry(process).or_insert((since, now)),
-            Fact::Vouched { process } => _ = self.unheard.remove(&process),
+            Occurrence::WatchLost { process, since } => {
+                _ = self.watch_lost.entry(process).or_insert((since, now))
+            }
+            Occurrence::WatchRestored { process } => _ = self.watch_lost.remove(&process),
             _ => {}
         }
-        let Some(asked) = fact.id().and_then(|id| self.asked.get_mut(&id)) else { return };
+        let Some(asked) = fact.request_id().and_then(|id| self.requests.get_mut(&id)) else { return };
         match *fact {
-            Fact::Admitted { .. } => asked.admitted = now,
-            Fact::Chosen { server, .. } => {
+            Occurrence::Admitted { .. } => asked.admitted_at = now,
+            Occurrence::Chosen { server, .. } => {
                 let (first, last, over) = (None, None, None);
                 let (closed, never_ran) = (false, false);
-                asked.tries.push(Try { server, first, last, closed, never_ran, over });
-                let started = self.started.get(&(asked.process, server)).copied().flatten();
+                asked.attempts.push(AttemptRecord {
+                    server,
+                    first_byte_at: first,
+                    last_byte_at: last,
+                    closed,
+                    never_ran,
+                    ended: over,
+                });
+                let started = self.started_at.get(&(asked.process, server)).copied().flatten();
                 if let Some(started) = started {
-                    self.cold.entry((server, started)).or_default().push(now);
+                    self.attempts_since_start.entry((server, started)).or_default().push(now);
                 }
             }
-            Fact::GivenUp { attempt, late, .. } => {
-                _ = asked.tries[attempt as usize].over.get_or_insert((now, late));
+            Occurrence::Abandoned { attempt, late, .. } => {
+                _ = asked.attempts[attempt as usize].ended.get_or_insert((now, late));
             }
-            Fact::Heard { attempt, outcome, .. } => {
+            Occurrence::AttemptEndReported { attempt, outcome, .. } => {
                 let waits = outcome != Outcome::ConnectError;
-                _ = asked.tries[attempt as usize].over.get_or_insert((now, waits));
+                _ = asked.attempts[attempt as usize].ended.get_or_insert((now, waits));
+            }
+            Occurrence::AnswerDecided { .. } => asked.answers_decided += 1,
+            Occurrence::FirstByte { attempt, .. } => {
+                asked.attempts[attempt as usize].first_byte_at = Some(now)
             }
-            Fact::Answering { .. } => asked.answering += 1,
-            Fact::FirstByte { attempt, .. } => asked.tries[attempt as usize].first = Some(now),
-            Fact::LastByte { attempt, .. } => asked.tries[attempt as usize].last = Some(now),
-            Fact::Closed { attempt, outcome, .. } => {
-                let it = &mut asked.tries[attempt as usize];
+            Occurrence::LastByte { attempt, .. } => asked.attempts[attempt as usize].last_byte_at = Some(now),
+            Occurrence::Closed { attempt, outcome, .. } => {
+                let it = &mut asked.attempts[attempt as usize];
                 it.closed = true;
-                it.never_ran = it.last.is_none() || outcome == Some(Outcome::QueueFull);
+                it.never_ran = it.last_byte_at.is_none() || outcome == Some(Outcome::QueueFull);
             }
-            Fact::Answered { answer, .. } => {
+            Occurrence::Answered { answer, .. } => {
                 asked.answers.push(answer);
-                asked.free = true;
+                asked.answer_not_required = true;
             }
-            Fact::Left { .. } => (asked.left, asked.free) = (true, true),
-            Fact::LeftTold { .. } => asked.left_told = true,
-            Fact::Lost { .. } => {
-                asked.free = true;
-                asked.tries.iter_mut().for_each(|it| it.closed = true);
+            Occurrence::ClientLeft { .. } => (asked.left, asked.answer_not_required) = (true, true),
+            Occurrence::DepartureReported { .. } => asked.departure_reported = true,
+            Occurrence::ProcessDied { .. } => {
+                asked.answer_not_required = true;
+                asked.attempts.iter_mut().for_each(|it| it.closed = true);
             }
             _ => {}
         }
-        if asked.free {
-            let by = asked.arrived + asked.time_left + self.settings.answer_slack + BEHIND;
-            self.owed.remove(&(by, fact.id().expect("just seen")));
+        if asked.answer_not_required {
+            let by = asked.arrived_at + asked.time_left + self.settings.answer_slack + MAX_ANSWER_DELAY;
+            self.unanswered.remove(&(by, fact.request_id().expect("just seen")));
         }
     }
 
-    fn asked(&self, id: RequestId) -> &Asked {
-        &self.asked[&id]
+    fn request(&self, id: RequestId) -> &RequestRecord {
+        &self.requests[&id]
     }
 
-    fn class(&self, asked: &Asked) -> &Class {
+    fn class(&self, asked: &RequestRecord) -> &RequestClass {
         &self.settings.classes[asked.class]
     }
 
     /// Who asked a process that ends now and has no answer.
-    pub fn forgotten(&self, process: usize) -> Option<RequestId> {
-        self.owed.iter().map(|it| it.1).find(|id| self.asked[id].process == process)
+    pub fn unanswered_request(&self, process: usize) -> Option<RequestId> {
+        self.unanswered.iter().map(|it| it.1).find(|id| self.requests[id].process == process)
     }
 
     /// The request and its attempt whose first byte this fact is.
-    fn begins(&self, fact: &Fact) -> Option<(&Asked, usize, &Try)> {
-        let &Fact::FirstByte { id, attempt } = fact else { return None };
-        let asked = self.asked(id);
-        Some((asked, attempt as usize, &asked.tries[attempt as usize]))
+    fn first_byte_of(&self, fact: &Occurrence) -> Option<(&RequestRecord, usize, &AttemptRecord)> {
+        let &Occurrence::FirstByte { id, attempt } = fact else { return None };
+        let asked = self.request(id);
+        Some((asked, attempt as usize, &asked.attempts[attempt as usize]))
     }
 }
 
@@ -362,19 +378,21 @@
 }
 
 /// Never two, none late, and none after it was served.
-fn one_final_answer(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
+fn one_final_answer(ledger: &History, fact: &Occurrence) -> Result<(), String> {
     match *fact {
-        Fact::Passed => match ledger.owed.first() {
+        Occurrence::TimeAdvanced => match ledger.unanswered.first() {
             Some(&(by, id)) if by < ledger.now => fail(format!("{id:?} has no answer, its time is up")),
             _ => Ok(()),
         },
-        Fact::Answered { id, .. } | Fact::Answering { id } => {
-            let asked = ledger.asked(id);
-            if asked.answers.len() > 1 || asked.answering > 1 {
+        Occurrence::Answered { id, .. } | Occurrence::AnswerDecided { id } => {
+            let asked = ledger.request(id);
+            if asked.answers.len() > 1 || asked.answers_decided > 1 {
                 return fail(format!("a second answer: {:?}", asked.answers));
             }
             match asked.answers.first() {
-                Some(Final::Served) if asked.answering > 0 => fail("answered after it was served".into()),
+                Some(ClientAnswer::Served) if asked.answers_decided > 0 => {
+                    fail("answered after it was served".into())
+                }
                 _ => Ok(()),
             }
         }
@@ -383,17 +401,17 @@
 }
 
 /// An attempt is out from its first byte until it is closed.
-fn one_attempt_out(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, ..)) = ledger.begins(fact) else { return Ok(()) };
-    let out = asked.tries.iter().filter(|it| it.first.is_some() && !it.closed).count();
+fn one_attempt_in_flight(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, ..)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    let out = asked.attempts.iter().filter(|it| it.first_byte_at.is_some() && !it.closed).count();
     if out > 1 { fail(format!("{out} attempts out")) } else { Ok(()) }
 }
 
 /// No first byte later than the grace after its server's drain or removal was told to that process.
-fn nothing_new_where_it_drains(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, _, it)) = ledger.begins(fact) else { return Ok(()) };
-    match ledger.drains.get(&(asked.process, it.server)).copied().flatten() {
-        Some(told) if ledger.now > told + ledger.settings.drain_grace + CROSSING => {
+fn nothing_new_on_draining_server(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, _, it)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    match ledger.not_ready_since.get(&(asked.process, it.server)).copied().flatten() {
+        Some(told) if ledger.now > told + ledger.settings.drain_grace + MAX_DELIVERY_DELAY => {
             fail(format!("process {} was told {told:?} that {:?} drains", asked.process, it.server))
         }
         _ => Ok(()),
@@ -401,10 +419,10 @@
 }
 
 /// No first byte while the list is not vouched for.
-fn nothing_new_unvouched(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, ..)) = ledger.begins(fact) else { return Ok(()) };
-    match ledger.unheard.get(&asked.process) {
-        Some(&(since, told)) if ledger.now > (since + SILENCE_TOLD).max(told) + CROSSING => {
+fn nothing_new_on_expired_list(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, ..)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    match ledger.watch_lost.get(&asked.process) {
+        Some(&(since, told)) if ledger.now > (since + SILENCE_GRACE).max(told) + MAX_DELIVERY_DELAY => {
             fail(format!("process {} has heard nothing since {since:?}", asked.process))
         }
         _ => Ok(()),
@@ -412,20 +430,24 @@
 }
 
 /// No attempt is chosen for whom the core knows to have left, and no first byte written for who has.
-fn nothing_for_who_has_left(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
+fn nothing_for_departed_client(ledger: &History, fact: &Occurrence) -> Result<(), String> {
     match *fact {
-        Fact::Chosen { id, .. } if ledger.asked(id).left_told => fail("chosen for nobody".into()),
-        Fact::FirstByte { id, .. } if ledger.asked(id).left => fail("begun for nobody".into()),
+        Occurrence::Chosen { id, .. } if ledger.request(id).departure_reported => {
+            fail("chosen for nobody".into())
+        }
+        Occurrence::FirstByte { id, .. } if ledger.request(id).left => fail("begun for nobody".into()),
         _ => Ok(()),
     }
 }
 
 /// No repeat's first byte after the window, from the first byte of the first attempt that may have run.
-fn keyed_within_window(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, attempt, _)) = ledger.begins(fact) else { return Ok(()) };
-    let Effect::Keyed { window, .. } = ledger.class(asked).effect else { return Ok(()) };
-    match asked.ran_before(attempt).and_then(|it| it.first) {
-        Some(first) if ledger.now.since(first) > window + CROSSING => {
+fn retry_within_key_window(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, attempt, _)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    let Idempotency::WithKey { remembered_for: window, .. } = ledger.class(asked).idempotency else {
+        return Ok(());
+    };
+    match asked.first_possible_execution(attempt).and_then(|it| it.first_byte_at) {
+        Some(first) if ledger.now.since(first) > window + MAX_DELIVERY_DELAY => {
             fail(format!("{:?} after the first, of {window:?}", ledger.now.since(first)))
         }
         _ => Ok(()),
@@ -433,36 +455,41 @@
 }
 
 /// No repeat outside the group of the first server that may have run it.
-fn keyed_within_group(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, attempt, it)) = ledger.begins(fact) else { return Ok(()) };
-    let Effect::Keyed { group, .. } = ledger.class(asked).effect else { return Ok(()) };
-    let Some(ran) = asked.ran_before(attempt) else { return Ok(()) };
-    let ((zone, cell), (first_zone, first_cell)) = (ledger.places[&it.server], ledger.places[&ran.server]);
+fn retry_within_key_group(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, attempt, it)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    let Idempotency::WithKey { scope: group, .. } = ledger.class(asked).idempotency else { return Ok(()) };
+    let Some(ran) = asked.first_possible_execution(attempt) else { return Ok(()) };
+    let ((zone, cell), (first_zone, first_cell)) =
+        (ledger.locations[&it.server], ledger.locations[&ran.server]);
     let within = match group {
-        KeyedGroup::All => true,
-        KeyedGroup::Zone => zone == first_zone,
-        KeyedGroup::Cell => cell == first_cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => zone == first_zone,
+        DeduplicationScope::Cell => cell == first_cell,
     };
     if within { Ok(()) } else { fail(format!("{:?} after {:?}, of {group:?}", it.server, ran.server)) }
 }
 
 /// No second attempt once one may have run.
-fn unsafe_once(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let Some((asked, attempt, _)) = ledger.begins(fact) else { return Ok(()) };
-    match asked.ran_before(attempt) {
-        Some(ran) if ledger.class(asked).effect == Effect::Unsafe => fail(format!("may have run: {ran:?}")),
+fn non_idempotent_once(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let Some((asked, attempt, _)) = ledger.first_byte_of(fact) else { return Ok(()) };
+    match asked.first_possible_execution(attempt) {
+        Some(ran) if ledger.class(asked).idempotency == Idempotency::NotIdempotent => {
+            fail(format!("may have run: {ran:?}"))
+        }
         _ => Ok(()),
     }
 }
 
 /// A refusal says that trying again does no harm, at any gateway and server: so nothing may have run, or all
 /// servers drop the repeat.
-fn harmless_refusal(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let &Fact::Answered { id, answer: Final::Refused } = fact else { return Ok(()) };
-    let asked = ledger.asked(id);
-    let harmless =
-        matches!(ledger.class(asked).effect, Effect::Safe | Effect::Keyed { group: KeyedGroup::All, .. });
-    match asked.ran_before(asked.tries.len()) {
+fn rejection_is_harmless(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let &Occurrence::Answered { id, answer: ClientAnswer::Rejected } = fact else { return Ok(()) };
+    let asked = ledger.request(id);
+    let harmless = matches!(
+        ledger.class(asked).idempotency,
+        Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+    );
+    match asked.first_possible_execution(asked.attempts.len()) {
         Some(ran) if !harmless => fail(format!("may have run: {ran:?}")),
         _ => Ok(()),
     }
@@ -471,45 +498,46 @@
 /// What all who know of a server's start choose it for within the time that the settings name is no more than may
 /// push it over: N and two of its roots and two more (STANDING, on cold servers). Counted when it is chosen, as a
 /// right is used then: how late a connection comes up is the network's doing.
-fn rights_within_rule(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let &Fact::Chosen { id, server, .. } = fact else { return Ok(()) };
-    let process = ledger.asked(id).process;
-    let Some(started) = ledger.started.get(&(process, server)).copied().flatten() else { return Ok(()) };
+fn permits_within_limit(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let &Occurrence::Chosen { id, server, .. } = fact else { return Ok(()) };
+    let process = ledger.request(id).process;
+    let Some(started) = ledger.started_at.get(&(process, server)).copied().flatten() else { return Ok(()) };
     let (now, settings) = (ledger.now, &ledger.settings);
     let age = now.since(started);
-    if age >= settings.warm_within {
+    if age >= settings.warm_up_time {
         return Ok(());
     }
-    let part =
-        settings.cold_from + (1.0 - settings.cold_from) * age.as_secs() / settings.warm_within.as_secs();
-    let rate = settings.fall_multiple * part * ledger.full / settings.warm_within.as_secs();
-    let n = rate * settings.overload_for.as_secs();
+    let part = settings.initial_capacity_share
+        + (1.0 - settings.initial_capacity_share) * age.as_secs() / settings.warm_up_time.as_secs();
+    let rate =
+        settings.overload_factor * part * ledger.connections_when_full / settings.warm_up_time.as_secs();
+    let n = rate * settings.overload_window.as_secs();
     let allowed = n + 2.0 * n.sqrt() + 2.0;
-    let times = &ledger.cold[&(server, started)];
-    let lately = times.iter().rev().take_while(|&&at| now.since(at) < settings.overload_for).count();
+    let times = &ledger.attempts_since_start[&(server, started)];
+    let lately = times.iter().rev().take_while(|&&at| now.since(at) < settings.overload_window).count();
     if lately as f64 > allowed {
         return fail(format!(
             "{lately} within {:?}, {allowed:.1} push it over at {age:?}",
-            settings.overload_for
+            settings.overload_window
         ));
     }
     Ok(())
 }
 
 /// An attempt's time and the wait before it follow from the request's own class.
-fn own_class(ledger: &Ledger, fact: &Fact) -> Result<(), String> {
-    let &Fact::Chosen { id, attempt, timeout, .. } = fact else { return Ok(()) };
-    let asked = ledger.asked(id);
+fn timeout_of_own_class(ledger: &History, fact: &Occurrence) -> Result<(), String> {
+    let &Occurrence::Chosen { id, attempt, timeout, .. } = fact else { return Ok(()) };
+    let asked = ledger.request(id);
     let (class, left) = (ledger.class(asked), asked.deadline().since(ledger.now));
     let near = |a: Span, b: Span| a <= b + ROUNDING && b <= a + ROUNDING;
-    let last = attempt + 1 >= ledger.settings.max_attempts || class.effect == Effect::Unsafe;
-    let part = class.aim.max(left.scale(0.5)).min(left);
+    let last = attempt + 1 >= ledger.settings.max_attempts || class.idempotency == Idempotency::NotIdempotent;
+    let part = class.latency_objective.max(left.scale(0.5)).min(left);
     if !near(timeout, left) && (last || !near(timeout, part)) {
         return fail(format!("not the time-out of {class:?}, {left:?} before its deadline"));
     }
-    let Some(before) = (attempt as usize).checked_sub(1).map(|it| &asked.tries[it]) else { return Ok(()) };
-    let wait = class.aim.scale(LEAST_WAIT * f64::from(1 << (attempt - 1).min(6)));
-    match before.over {
+    let Some(before) = (attempt as usize).checked_sub(1).map(|it| &asked.attempts[it]) else { return Ok(()) };
+    let wait = class.latency_objective.scale(MIN_BACKOFF_FACTOR * f64::from(1 << (attempt - 1).min(6)));
+    match before.ended {
         Some((at, true)) if ledger.now + ROUNDING < at + wait => {
             fail(format!("repeated {:?} after the end of {before:?}, not {wait:?}", ledger.now.since(at)))
         }
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use ashtide::config::Config;
-use ashtide::facts::Facts;
-use ashtide::handover::{Call, Cordons, Kept, State, Word};
-use ashtide::net::handover::Place;
-use ashtide_rehearsal::daemon::Daemon;
-use ashtide_rehearsal::within;
+use ashtide::handover::{CordonChange, Cordons, PersistedState, ProcessState, SiblingMessage};
+use ashtide::net::handover::StateFolder;
+use ashtide::settings::PlatformSettings;
+use ashtide_testkit::daemon::Daemon;
+use ashtide_testkit::within;
 use serde_json::{Value, json};
 use site::{Site, ask, list};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -94,11 +94,11 @@
     ] {
         let mut all = settings();
         all["familyInfo"] = info;
-        assert_eq!(Facts::parse(&all.to_string()).expect("legal").remarks(), remarks);
+        assert_eq!(PlatformSettings::parse(&all.to_string()).expect("legal").warnings(), remarks);
     }
     // Both ways in refuse a name that stands twice.
     let twice = json!({"classes": [class("a", "pure", 0.0, 1.0), class("a", "side_effect", 0.0, 1.0)]});
-    let error = Facts::parse(&twice.to_string()).err().expect("refused");
+    let error = PlatformSettings::parse(&twice.to_string()).err().expect("refused");
     assert!(error.starts_with("classes[1].name: 'a' stands twice"), "{error}");
 }
 
@@ -313,9 +313,7 @@
 async fn another_customers_file_is_left_alone_and_a_renamed_class_is_no_other_customer() {
     let site = Site::new(2).await;
     let (shared, at) = site.shared();
-    let options = |classes: &[&str],
-                   customers: &[&str],
-                   shared: Option<&ashtide_rehearsal::daemon::Shared>| {
+    let options = |classes: &[&str], customers: &[&str], shared: Option<&ashtide_testkit::daemon::Shared>| {
         let classes: Vec<_> = classes.iter().map(|name| class(name, "pure", 0.0, 30.0)).collect();
         let customers: Vec<_> = customers.iter().map(|name| customer(name)).collect();
         let mut options = site
@@ -344,7 +342,7 @@
     assert!(third.said().iter().any(named), "{:?}", third.said());
     assert!(!third.said().iter().any(|line| line.ends_with("is out")), "{:?}", third.said());
     // Their run has begun, and ours has not: `at=` is open, the server that they have out is used.
-    let mut client = ashtide_rehearsal::clients::LineClient::connect(third.lines).await.expect("taken");
+    let mut client = ashtide_testkit::clients::LineClient::connect(third.lines).await.expect("taken");
     client.say("OPEN 00000000000000aa 77 c=metre,t=bolt,d=3000,g=1,at=s-0").await.expect("heard");
     let mut attempt = site.attempt().await;
     assert_eq!(attempt.server, 0);
@@ -361,20 +359,20 @@
 fn a_file_that_does_not_say_whose_it_is_is_read_and_a_huge_one_is_not() {
     let folder = std::env::temp_dir().join(format!("ashtide-customers-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let place = Place::new(&folder, "n0");
+    let place = StateFolder::for_balancer(&folder, "n0");
     let file = |name: &str| folder.join(format!("ashtide.n0.{name}"));
     std::fs::write(file("kept"), r#"{"begun":true,"cordons":{"s-0":{"at":7,"out":true}}}"#).expect("written");
-    let kept = place.kept();
-    assert!(kept.begun && kept.cordons.out("s-0") && kept.whose.is_none());
-    place.keep(&kept).expect("kept");
-    assert_eq!(place.kept().whose.as_ref(), Some(place.whose()));
+    let kept = place.load();
+    assert!(kept.begun && kept.cordons.is_cordoned("s-0") && kept.whose.is_none());
+    place.store(&kept).expect("kept");
+    assert_eq!(place.load().whose.as_ref(), Some(place.deployment()));
     // Four gigabytes, sparse; and a pipe that nobody writes.
     std::fs::remove_file(file("kept")).expect("there");
     std::fs::File::create(file("kept")).expect("created").set_len(4 << 30).expect("sparse");
     assert!(Command::new("mkfifo").arg(file("2.kept")).status().expect("mkfifo").success());
-    assert_eq!(place.kept(), Kept::default());
-    place.keep(&kept).expect("kept beside them");
-    assert!(place.kept().cordons.out("s-0") && file("3.kept").exists());
+    assert_eq!(place.load(), PersistedState::default());
+    place.store(&kept).expect("kept beside them");
+    assert!(place.load().cordons.is_cordoned("s-0") && file("3.kept").exists());
     assert_eq!(std::fs::metadata(file("kept")).expect("left").len(), 4 << 30);
     std::fs::remove_dir_all(folder).expect("no folder");
 }
@@ -384,21 +382,21 @@
     let folder = std::env::temp_dir().join(format!("ashtide-customers-beside-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let names = ["a.a", "a_a", "a,a", "a a", "a+a", "a=a", "a:a", "a;a", "a/a"];
-    let places: Vec<_> = names.iter().map(|name| Place::new(&folder, name)).collect();
+    let places: Vec<_> = names.iter().map(|name| StateFolder::for_balancer(&folder, name)).collect();
     let kept = |at| {
         let mut cordons = Cordons::default();
-        cordons.call("s-0", Call { at, out: true });
-        Kept { begun: true, cordons, whose: None }
+        cordons.record("s-0", CordonChange { at, out: true });
+        PersistedState { begun: true, cordons, whose: None }
     };
     for round in 0..2 {
         for (number, place) in places.iter().enumerate().take(8) {
-            place.keep(&kept(round * 10 + number as u64)).expect("kept");
+            place.store(&kept(round * 10 + number as u64)).expect("kept");
         }
     }
     for (number, place) in places.iter().enumerate().take(8) {
-        assert_eq!(place.kept().cordons, kept(10 + number as u64).cordons);
+        assert_eq!(place.load().cordons, kept(10 + number as u64).cordons);
     }
-    let full = places[8].keep(&kept(99)).expect_err("no ninth");
+    let full = places[8].store(&kept(99)).expect_err("no ninth");
     assert!(full.to_string().contains("other deployments'"), "{full}");
     assert_eq!(std::fs::read_dir(&folder).expect("the folder").count(), 8);
     std::fs::remove_dir_all(folder).expect("no folder");
@@ -407,13 +405,21 @@
 /// What a process of another deployment tells: a list without the only server, that operators have it out,
 /// and that it takes the clients.
 fn foreign(site: &Site, started: u64) -> Vec<u8> {
-    let theirs = Place::new(&site.folder, "a_b");
+    let theirs = StateFolder::for_balancer(&site.folder, "a_b");
     let mut cordons = Cordons::default();
-    cordons.call("s-0", Call { at: u64::MAX, out: true });
-    let whose = Some(theirs.whose().clone());
-    let state = State { whose, started, ready: true, adopts: true, begun: true, cordons, ..State::default() };
+    cordons.record("s-0", CordonChange { at: u64::MAX, out: true });
+    let whose = Some(theirs.deployment().clone());
+    let state = ProcessState {
+        whose,
+        started,
+        ready: true,
+        adopts: true,
+        begun: true,
+        cordons,
+        ..ProcessState::default()
+    };
     let news = serde_json::from_value(list(1 << 40, &[])).expect("a list");
-    [Word::List(news).line(), Word::State(state).line()].concat()
+    [SiblingMessage::List(news).encode_line(), SiblingMessage::State(state).encode_line()].concat()
 }
 
 #[tokio::test]
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::{Fleet, chunk};
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, chunk};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -3,12 +3,12 @@
 /// Sources whose errors the page lists.
 const SOURCES: [&str; 19] = [
     include_str!("../src/net/connect.rs"),
-    include_str!("../src/request_invariants.rs"),
-    include_str!("../src/rights.rs"),
-    include_str!("../src/discovery.rs"),
-    include_str!("../src/view.rs"),
-    include_str!("../src/maintenance.rs"),
-    include_str!("../src/quota.rs"),
+    include_str!("../src/engine/invariants.rs"),
+    include_str!("../src/fleet/permits.rs"),
+    include_str!("../src/discovery/mod.rs"),
+    include_str!("../src/fleet/view.rs"),
+    include_str!("../src/fleet/maintenance.rs"),
+    include_str!("../src/fleet/quota.rs"),
     include_str!("../crates/ashtide-fleet/src/frame.rs"),
     include_str!("../crates/ashtide-fleet/src/state/agreement.rs"),
     include_str!("../crates/ashtide-fleet/src/state/budgets.rs"),
@@ -19,8 +19,8 @@
     include_str!("../crates/ashtide-maintenance/src/store.rs"),
     include_str!("../crates/ashtide-maintenance/src/table.rs"),
     include_str!("../crates/ashtide-maintenance/src/violation.rs"),
-    include_str!("../crates/ashtide-rig/src/checks.rs"),
-    include_str!("../crates/ashtide-rig/src/lib.rs"),
+    include_str!("../crates/ashtide-fault-injection/src/checks.rs"),
+    include_str!("../crates/ashtide-fault-injection/src/lib.rs"),
 ];
 const PAGE: &str = include_str!("../docs/errors.md");
 
--- a/tests/rig.rs
+++ b/tests/fault_injection.rs
@@ -1,12 +1,12 @@
 //! Processes and faults: real daemons, the network between them in the rig's hands.
 
-mod plays;
+mod fault_runs;
 
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide_rig::{Act, Event, Link, Load, Plan, Play, Range, Socket, play};
-use plays::{played, turn};
+use ashtide_fault_injection::{Act, Event, Link, Load, Plan, Play, Range, Socket, play};
+use fault_runs::{played, turn};
 use serde_json::json;
 
 /// Plays a plan and expects that all holds. What fails is printed, with all that is needed to play it again.
@@ -14,7 +14,7 @@
     let played = played(&plan);
     println!("{}", played.summary);
     if !played.violations.is_empty() {
-        let name = format!("ashtide-rig-{}-{}.jsonl", std::process::id(), plan.seed);
+        let name = format!("ashtide-fault-injection-{}-{}.jsonl", std::process::id(), plan.seed);
         let timeline = std::env::temp_dir().join(name);
         let _ = std::fs::write(&timeline, played.history.lines());
         for violation in played.violations.iter().take(20) {
@@ -191,7 +191,8 @@
 fn shares(plan: &Plan) -> Play {
     let played = played(plan);
     println!("{}", played.summary);
-    let timeline = std::env::temp_dir().join(format!("ashtide-rig-state-{}.jsonl", std::process::id()));
+    let timeline =
+        std::env::temp_dir().join(format!("ashtide-fault-injection-state-{}.jsonl", std::process::id()));
     if !played.violations.is_empty() {
         let _ = std::fs::write(&timeline, played.history.lines());
     }
--- a/tests/rig_quota.rs
+++ b/tests/fault_injection_quota.rs
@@ -1,9 +1,9 @@
 //! Partners' quotas on real processes, with faults between them.
 
-mod plays;
+mod fault_runs;
 
-use ashtide_rig::{Act, Event, Link, Load, Plan, Play, Quotas, Socket, Tenant, placed};
-use plays::played;
+use ashtide_fault_injection::{Act, Event, Link, Load, Plan, Play, Quotas, Socket, Tenant, placed};
+use fault_runs::played;
 use serde_json::json;
 
 /// What the two partners may have, new connections a second.
@@ -63,7 +63,8 @@
     let played = played(&plan);
     println!("{}", played.summary);
     if !played.violations.is_empty() {
-        let timeline = std::env::temp_dir().join(format!("ashtide-rig-quota-{}.jsonl", std::process::id()));
+        let timeline =
+            std::env::temp_dir().join(format!("ashtide-fault-injection-quota-{}.jsonl", std::process::id()));
         let _ = std::fs::write(&timeline, played.history.lines());
         for violation in played.violations.iter().take(20) {
             println!("{violation}; {}", violation.help());
--- a/tests/plays/mod.rs
+++ b/tests/fault_runs/mod.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, TryLockError};
 use std::time::Duration;
 
-use ashtide_rig::{Plan, Play, RigError, play};
+use ashtide_fault_injection::{Plan, Play, RigError, play};
 
 /// Plays that run at the same time: each has some processes, and is judged by what comes late.
 static TURNS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use ashtide::ramp::Ramp;
-use ashtide::rights::{Datagram, PATIENCE, Rights, Step};
+use ashtide::decision::slow_start::SlowStartConfig;
+use ashtide::fleet::permits::{PermitDatagram, PermitStep, Permits, REPLY_TIMEOUT};
 use ashtide::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,23 +13,23 @@
 const WARM: i64 = 24_000 * MILLISECOND;
 
 fn settings() -> Settings {
-    let class = Class {
-        aim: Span::from_micros(800 * MILLISECOND),
-        message_aim: Span::from_micros(50 * MILLISECOND),
-        worth: 1.0,
-        effect: Effect::Safe,
+    let class = RequestClass {
+        latency_objective: Span::from_micros(800 * MILLISECOND),
+        message_latency_objective: Span::from_micros(50 * MILLISECOND),
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
     };
     Settings {
-        relays: RELAYS as u32,
-        discovery: Discovery::OnRequest,
+        gateways: RELAYS as u32,
+        discovery: DiscoveryMode::OnRequest,
         classes: vec![class],
         max_attempts: 3,
-        warm_within: Span::from_micros(WARM),
-        cold_from: 0.13,
+        warm_up_time: Span::from_micros(WARM),
+        initial_capacity_share: 0.13,
         tenants: vec![Tenant { quota_per_s: 9.0, quota_connections: 540.0 }],
         prices: Prices { cross_zone: 0.014, ..Prices::default() },
-        fall_multiple: 2.5,
-        overload_for: Span::from_micros(2_000 * MILLISECOND),
+        overload_factor: 2.5,
+        overload_window: Span::from_micros(2_000 * MILLISECOND),
         ..Settings::for_zone(ZoneId(0))
     }
 }
@@ -40,7 +40,7 @@
     Timer(usize, TimerToken),
     Client,
     /// A datagram comes to a relay from another.
-    Datagram(usize, PeerId, Vec<u8>),
+    Datagram(usize, GatewayId, Vec<u8>),
     /// An owner has had its time to answer a relay.
     Overdue(usize, u32, u16),
 }
@@ -51,9 +51,9 @@
     /// have no socket for datagrams yet, and of each two the clients come to either.
     size: usize,
     relays: Vec<Balancer>,
-    rights: Vec<Rights>,
+    rights: Vec<Permits>,
     peers: bool,
-    listed: Vec<Listing>,
+    listed: Vec<EndpointEntry>,
     now: i64,
     due: BTreeMap<(i64, u32), Due>,
     placed: HashMap<(usize, RequestId), ServerId>,
@@ -92,20 +92,21 @@
         for number in 0..size {
             fleet.begin(number);
         }
-        fleet.list((0..servers).map(|id| Listing::ready(ServerId(id), ZoneId(0))).collect());
+        fleet.list((0..servers).map(|id| EndpointEntry::ready(ServerId(id), ZoneId(0))).collect());
         fleet
     }
 
     /// The settings of this process's relay.
     fn settings(&self, process: usize) -> Settings {
-        let own = PeerId((process % self.size) as u32);
-        Settings { peers: self.peers, relays: self.size as u32, own, ..settings() }
+        let own = GatewayId((process % self.size) as u32);
+        Settings { fleet_permits: self.peers, gateways: self.size as u32, gateway_id: own, ..settings() }
     }
 
     /// A process of a relay begins, in place of the last or as one more, and reads the list.
     fn begin(&mut self, process: usize) {
         let (now, settings) = (self.now(), self.settings(process));
-        let rights = Rights::new(settings.own, settings.relays, Ramp::new(&settings), now);
+        let rights =
+            Permits::new(settings.gateway_id, settings.gateways, SlowStartConfig::new(&settings), now);
         let relay = Balancer::new(settings, (self.next as u64) << 32 | process as u64);
         if process < self.relays.len() {
             (self.relays[process], self.rights[process]) = (relay, rights);
@@ -117,7 +118,7 @@
             self.told_list(process, self.listed.clone());
             for (id, server) in here {
                 let request = Request { id, ..self.request() };
-                self.tell(process, Event::Existing { request, server });
+                self.tell(process, Event::ExistingConnection { request, server });
             }
         } else {
             self.relays.push(relay);
@@ -126,10 +127,10 @@
         }
     }
 
-    fn told_list(&mut self, process: usize, entries: Vec<Listing>) {
-        let started = |it: &Listing| Some((it.key, it.started?));
-        self.rights[process].list(self.listed.iter().filter_map(started));
-        self.tell(process, Event::List { news: ListNews::Changes, entries });
+    fn told_list(&mut self, process: usize, entries: Vec<EndpointEntry>) {
+        let started = |it: &EndpointEntry| Some((it.hash_key, it.started_at?));
+        self.rights[process].update_servers(self.listed.iter().filter_map(started));
+        self.tell(process, Event::EndpointList { update: ListUpdate::Delta, entries });
     }
 
     /// The other process of the same relay, if there is one.
@@ -141,10 +142,13 @@
     /// Tells the other process of the same relay what this one has on a server.
     fn share(&mut self, process: usize, server: ServerId) {
         let Some(other) = self.other(process) else { return };
-        let (now, beside) = (self.now(), self.relays[process].beside(server));
-        let (granted, full) = (self.rights[process].spent(server.0), self.relays[other].full(now));
-        self.rights[other].beside(now, server.0, granted, full);
-        self.tell(other, Event::Beside { server, beside });
+        let (now, beside) = (self.now(), self.relays[process].sibling_state(server));
+        let (granted, full) = (
+            self.rights[process].last_granted_permit(server.0),
+            self.relays[other].fleet_connections_when_full(now),
+        );
+        self.rights[other].record_sibling_grants(now, server.0, granted, full);
+        self.tell(other, Event::SiblingState { server, state: beside });
     }
 
     /// A client comes to a process of this relay.
@@ -166,7 +170,7 @@
         self.due.insert((self.now + after, self.next), due);
     }
 
-    fn list(&mut self, entries: Vec<Listing>) {
+    fn list(&mut self, entries: Vec<EndpointEntry>) {
         self.listed.extend(entries.iter().cloned());
         for process in 0..self.relays.len() {
             self.told_list(process, entries.clone());
@@ -176,7 +180,7 @@
     /// `number` further servers begin now.
     fn add(&mut self, number: u32, from: u32) {
         let started = Some(self.now());
-        let new = |id| Listing { started, ..Listing::ready(ServerId(id), ZoneId(1)) };
+        let new = |id| EndpointEntry { started_at: started, ..EndpointEntry::ready(ServerId(id), ZoneId(1)) };
         self.list((from..from + number).map(new).collect());
     }
 
@@ -188,16 +192,16 @@
                 Action::Attempt { id, server, .. } => {
                     self.sent.push((self.now, server));
                     self.placed.insert((relay, id), server);
-                    self.tell(relay, Event::Established { id, attempt: 0, after: Span::ZERO });
+                    self.tell(relay, Event::Established { id, attempt: 0, elapsed: Span::ZERO });
                     self.share(relay, server);
                 }
-                Action::SetTimer { token, at } => {
+                Action::SetTimer { token, due_at: at } => {
                     let wait = at.since(now).as_micros();
                     self.later(wait, Due::Timer(relay, token));
                 }
-                Action::Ask { server } => {
-                    let full = self.relays[relay].full(now);
-                    let step = self.rights[relay].ask(now, server.0, full);
+                Action::RequestPermit { server } => {
+                    let full = self.relays[relay].fleet_connections_when_full(now);
+                    let step = self.rights[relay].request_permit(now, server.0, full);
                     self.share(relay, server);
                     self.step(relay, step);
                 }
@@ -206,16 +210,18 @@
         }
     }
 
-    fn step(&mut self, relay: usize, step: Step) {
-        self.rights[relay].check().expect("no invariant is broken");
+    fn step(&mut self, relay: usize, step: PermitStep) {
+        self.rights[relay].check_invariants().expect("no invariant is broken");
         match step {
-            Step::Answer(key, right) => self.tell(relay, Event::Right { server: ServerId(key), right }),
-            Step::Asked(datagram, number) => {
-                self.later(PATIENCE.as_micros(), Due::Overdue(relay, datagram.key(), number));
+            PermitStep::Resolved(key, right) => {
+                self.tell(relay, Event::PermitReply { server: ServerId(key), reply: right })
+            }
+            PermitStep::AwaitReply(datagram, number) => {
+                self.later(REPLY_TIMEOUT.as_micros(), Due::Overdue(relay, datagram.key(), number));
                 self.send(relay, &datagram);
             }
-            Step::Send(datagram) => self.send(relay, &datagram),
-            Step::SendTwice(datagram) => {
+            PermitStep::Send(datagram) => self.send(relay, &datagram),
+            PermitStep::SendTwice(datagram) => {
                 self.send(relay, &datagram);
                 self.send(relay, &datagram);
             }
@@ -223,13 +229,13 @@
     }
 
     /// Late or never.
-    fn send(&mut self, relay: usize, datagram: &Datagram) {
+    fn send(&mut self, relay: usize, datagram: &PermitDatagram) {
         self.datagrams += 1;
         let to = datagram.to.0 as usize;
         let heard = relay < self.size && self.cut.contains(&to) == self.cut.contains(&relay);
         if self.rng.random::<f64>() >= self.lost && heard {
             let wait = self.rng.random_range(1..36) * MILLISECOND;
-            self.later(wait, Due::Datagram(to, PeerId(relay as u32), datagram.bytes().to_vec()));
+            self.later(wait, Due::Datagram(to, GatewayId(relay as u32), datagram.bytes().to_vec()));
         }
     }
 
@@ -250,7 +256,7 @@
         for (at, server) in servers.flat_map(|server| (0..each).map(move |_| server)).enumerate() {
             let (relay, server, request) = (at * 37 % self.size, ServerId(server), self.request());
             self.placed.insert((relay, request.id), server);
-            self.tell(relay, Event::Existing { request, server });
+            self.tell(relay, Event::ExistingConnection { request, server });
         }
     }
 
@@ -265,9 +271,12 @@
             match due {
                 Due::Timer(relay, token) => self.tell(relay, Event::Timer(token)),
                 Due::Datagram(relay, from, bytes) => {
-                    let (now, full) = (self.now(), self.relays[relay].full(Time::from_micros(self.now)));
-                    if let Ok(Some(step)) = self.rights[relay].hear(now, from, &bytes, full) {
-                        if let Step::Send(answer) | Step::SendTwice(answer) = step {
+                    let (now, full) = (
+                        self.now(),
+                        self.relays[relay].fleet_connections_when_full(Time::from_micros(self.now)),
+                    );
+                    if let Ok(Some(step)) = self.rights[relay].handle_datagram(now, from, &bytes, full) {
+                        if let PermitStep::Send(answer) | PermitStep::SendTwice(answer) = step {
                             self.share(relay, ServerId(answer.key()));
                         }
                         self.step(relay, step);
@@ -275,7 +284,7 @@
                 }
                 Due::Overdue(relay, key, number) => {
                     let now = self.now();
-                    if let Some(step) = self.rights[relay].overdue(now, key, number) {
+                    if let Some(step) = self.rights[relay].handle_reply_timeout(now, key, number) {
                         self.step(relay, step);
                     }
                 }
--- /dev/null
+++ b/tests/frontend/mod.rs
@@ -0,0 +1,127 @@
+//! Sessions of the lines front on loopback, with the test in the place of their core and of their server.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use ashtide::config::Capacity;
+use ashtide::metrics::Metrics;
+use ashtide::net::messages::{CommandSender, DriverEvent, EventLoopHandle, SessionCommand};
+use ashtide::net::pending_clients::PendingClients;
+use ashtide::net::session::{Frontend, Timeouts};
+use ashtide::{RequestId, Span};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
+use tokio::time::timeout;
+
+/// Whatever takes longer has failed.
+pub const STEP: Duration = Duration::from_secs(5);
+/// When connections are given up here.
+pub const CONNECT: Duration = Duration::from_millis(60);
+pub const OPEN_LINE: &str = "OPEN 1 2 c=meter,d=3000\r\n";
+
+/// Where clients come, with the test in the core's place.
+pub struct SessionHarness {
+    pub frontend: Frontend,
+    pub events: mpsc::Receiver<DriverEvent>,
+    pub metrics: Arc<Metrics>,
+    pub listener: TcpListener,
+    pub server: TcpListener,
+}
+
+impl SessionHarness {
+    pub async fn new(room: Capacity) -> Self {
+        let figures = Arc::new(Metrics::new(&["meter".to_owned()]));
+        let (sender, reports) = mpsc::channel(64);
+        let handle = EventLoopHandle::new(figures.clone(), sender);
+        let front = Frontend::new(
+            PendingClients::new(room),
+            Timeouts { connect: CONNECT },
+            handle,
+            watch::channel(None).1,
+        );
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        Self { frontend: front, events: reports, metrics: figures, listener, server }
+    }
+
+    /// A client that has been taken in and has had the time to say what it sends here.
+    pub async fn client(&self, says: &str) -> TcpStream {
+        let mut client = TcpStream::connect(self.listener.local_addr().expect("bound")).await.expect("taken");
+        let (theirs, _) = self.listener.accept().await.expect("there");
+        let (place, _) = self.frontend.pending_clients.add();
+        tokio::spawn(self.frontend.clone().serve_client(theirs, place));
+        client.write_all(says.as_bytes()).await.expect("heard");
+        tokio::time::sleep(Duration::from_millis(5)).await;
+        client
+    }
+
+    pub async fn next_event(&mut self) -> DriverEvent {
+        timeout(STEP, self.events.recv()).await.expect("a report").expect("sessions")
+    }
+
+    /// The request that a client has made.
+    pub async fn next_request(&mut self) -> (RequestId, CommandSender) {
+        match self.next_event().await {
+            DriverEvent::ConnectionRequested(id, _, port) => (id, port),
+            other => panic!("{other:?}"),
+        }
+    }
+
+    pub fn attempt_command(&self, number: u32) -> SessionCommand {
+        let address = self.server.local_addr().expect("bound");
+        SessionCommand::StartAttempt { attempt: number, address, timeout: Span::from_micros(1_000_000) }
+    }
+
+    /// The attempt as the server gets it; its line has been read.
+    pub async fn accept_attempt(&self) -> TcpStream {
+        let (mut stream, _) = timeout(STEP, self.server.accept()).await.expect("an attempt").expect("there");
+        let mut line = Vec::new();
+        while !line.ends_with(b"\r\n") {
+            line.push(timeout(STEP, stream.read_u8()).await.expect("its line").expect("whole"));
+        }
+        assert!(line.starts_with(b"OPEN 1 2 c=meter,d="), "{}", String::from_utf8_lossy(&line));
+        stream
+    }
+
+    /// The session reports that this attempt's connection has come up, and has written nothing on it.
+    pub async fn expect_connected(&mut self, id: RequestId, number: u32) {
+        let report = self.next_event().await;
+        assert!(
+            matches!(report, DriverEvent::AttemptConnected(it, which) if (it, which) == (id, number)),
+            "{report:?}"
+        );
+    }
+
+    /// Has an attempt made, as the core does it; the server's end of it.
+    pub async fn start_attempt(&mut self, id: RequestId, port: &CommandSender, number: u32) -> TcpStream {
+        port.try_send((id, self.attempt_command(number))).expect("room");
+        self.expect_connected(id, number).await;
+        port.try_send((id, SessionCommand::SendFirstLine { attempt: number })).expect("room");
+        self.accept_attempt().await
+    }
+
+    /// A client that has asked, its request with the first attempt out, and the server's end of that.
+    pub async fn client_with_attempt(&mut self) -> (TcpStream, RequestId, CommandSender, TcpStream) {
+        let client = self.client(OPEN_LINE).await;
+        let (id, port) = self.next_request().await;
+        let server = self.start_attempt(id, &port, 0).await;
+        (client, id, port, server)
+    }
+
+    pub fn closed_count(&self, cause: &str) -> u64 {
+        let name = format!("router_closed_{cause}_total ");
+        let text = self.metrics.render("");
+        let value = text.lines().find_map(|line| line.strip_prefix(&name));
+        value.and_then(|value| value.parse().ok()).expect("counted at the door")
+    }
+}
+
+pub const AMPLE_CAPACITY: Capacity = Capacity { descriptors: 64, max_sessions: 16 };
+
+/// All that comes before a clean end; an error where the end is a reset.
+pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
+    let mut said = String::new();
+    timeout(STEP, stream.read_to_string(&mut said)).await.expect("an end")?;
+    Ok(said)
+}
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -10,14 +10,15 @@
 use std::time::Duration;
 
 use ashtide::handover::{
-    Call, Cordons, Deployment, Kept, MAX_STANDING, MAX_WORD, Others, Share, Standing, State, Word, WordCodec,
-    rank,
+    CordonChange, Cordons, Deployment, EstablishedConnection, MAX_HANDOFF_LENGTH, MAX_MESSAGE_LENGTH,
+    PersistedState, ProcessState, ServerUsage, SiblingMessage, SiblingMessageCodec, SiblingSummary,
+    rank_after,
 };
-use ashtide::net::handover::Place;
-use ashtide::net::passing::Inbox;
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::within;
+use ashtide::net::connection_handoff::HandoffReceiver;
+use ashtide::net::handover::StateFolder;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::within;
 use bytes::BytesMut;
 use futures_util::future::select_all;
 use proptest::collection::vec;
@@ -38,25 +39,35 @@
     TestRunner::new_with_rng(Cases { cases: 256, failure_persistence: None, ..Cases::default() }, rng)
 }
 
-fn state(started: u64, ready: bool, open: u32) -> State {
+fn state(started: u64, ready: bool, open: u32) -> ProcessState {
     let shares = BTreeMap::from([(
         "s-0".to_owned(),
-        Share { open, budget: 0.5, spent: started, granted: 20 - started },
+        ServerUsage { open, budget: 0.5, spent: started, granted: 20 - started },
     )]);
     let mut cordons = Cordons::default();
-    cordons.call("s-0", Call { at: started, out: ready });
-    State { started, ready, adopts: started % 2 == 1, begun: true, sockets: 40, shares, cordons, whose: None }
+    cordons.record("s-0", CordonChange { at: started, out: ready });
+    ProcessState {
+        started,
+        ready,
+        adopts: started % 2 == 1,
+        begun: true,
+        sockets: 40,
+        shares,
+        cordons,
+        whose: None,
+    }
 }
 
 #[test]
 fn words_read_the_same_however_they_are_cut() {
-    let words = [Word::State(state(7, true, 3)), Word::State(State::default())];
-    let bytes: Vec<u8> = words.iter().flat_map(|word| word.line().to_vec()).collect();
+    let words = [SiblingMessage::State(state(7, true, 3)), SiblingMessage::State(ProcessState::default())];
+    let bytes: Vec<u8> = words.iter().flat_map(|word| word.encode_line().to_vec()).collect();
     runner()
         .run(&vec(1..bytes.len(), 0..5), |mut cuts| {
             cuts.extend([0, bytes.len()]);
             cuts.sort_unstable();
-            let (mut codec, mut buffer, mut read) = (WordCodec::default(), BytesMut::new(), Vec::new());
+            let (mut codec, mut buffer, mut read) =
+                (SiblingMessageCodec::default(), BytesMut::new(), Vec::new());
             for cut in cuts.windows(2) {
                 buffer.extend_from_slice(&bytes[cut[0]..cut[1]]);
                 while let Some(word) = codec.decode(&mut buffer).expect("a word") {
@@ -74,54 +85,57 @@
     runner()
         .run(&vec(any::<u8>(), 1..64), |mut bytes| {
             bytes.push(b'\n');
-            prop_assert!(WordCodec::default().decode(&mut BytesMut::from(&bytes[..])).is_err());
+            prop_assert!(SiblingMessageCodec::default().decode(&mut BytesMut::from(&bytes[..])).is_err());
             Ok(())
         })
         .unwrap();
-    let endless = vec![b'x'; MAX_WORD];
-    assert!(WordCodec::default().decode(&mut BytesMut::from(&endless[..])).is_err());
+    let endless = vec![b'x'; MAX_MESSAGE_LENGTH];
+    assert!(SiblingMessageCodec::default().decode(&mut BytesMut::from(&endless[..])).is_err());
 }
 
 #[test]
 fn only_a_ready_younger_process_succeeds_and_limits_are_joint() {
-    let others = |states: &[State]| Others::sum(10, states.iter());
-    assert!(!others(&[state(9, true, 3), state(11, false, 1)]).succeeded);
+    let others = |states: &[ProcessState]| SiblingSummary::aggregate(10, states.iter());
+    assert!(!others(&[state(9, true, 3), state(11, false, 1)]).has_ready_successor);
     let both = others(&[state(9, true, 3), state(11, true, 1)]);
-    assert!(both.succeeded && both.begun);
+    assert!(both.has_ready_successor && both.restore_phase_over);
     // The youngest that is ready and can: 12 cannot, 13 is not ready.
     let all = [state(9, true, 0), state(11, true, 0), state(12, true, 0), state(13, false, 0)];
-    assert_eq!((both.heir, others(&all).heir, others(&all[2..]).heir), (Some(11), Some(11), None));
+    assert_eq!(
+        (both.successor_rank, others(&all).successor_rank, others(&all[2..]).successor_rank),
+        (Some(11), Some(11), None)
+    );
     // What may still be sent adds up; a turn that any has spent is spent for all.
-    let share = Share { open: 4, budget: 1.0, spent: 11, granted: 11 };
-    assert_eq!((both.sockets, both.shares["s-0"]), (80, share));
+    let share = ServerUsage { open: 4, budget: 1.0, spent: 11, granted: 11 };
+    assert_eq!((both.descriptors, both.server_usage["s-0"]), (80, share));
 }
 
 #[test]
 fn a_later_process_ranks_higher_and_a_later_call_counts_whatever_the_clock_says() {
     // The wall clock was put back by an hour between the starts.
     let (hour, first) = (3_600_000_000, 1_800_000_000_000_000);
-    let second = rank(first - hour, [first].into_iter(), 4321);
-    let third = rank(first - hour, [first, second].into_iter(), 4322);
+    let second = rank_after(first - hour, [first].into_iter(), 4321);
+    let third = rank_after(first - hour, [first, second].into_iter(), 4322);
     assert!(first < second && second < third, "{first}, {second}, {third}");
     // Two that start beside each other, and see the same.
-    assert_ne!(second, rank(first - hour, [first].into_iter(), 4322));
-    assert_eq!(rank(first, std::iter::empty(), 4321), first, "alone, or with older ones: the time");
-    assert_eq!(rank(first, [u64::MAX].into_iter(), 4321), u64::MAX, "a name that no process has");
+    assert_ne!(second, rank_after(first - hour, [first].into_iter(), 4322));
+    assert_eq!(rank_after(first, std::iter::empty(), 4321), first, "alone, or with older ones: the time");
+    assert_eq!(rank_after(first, [u64::MAX].into_iter(), 4321), u64::MAX, "a name that no process has");
 
     let mut cordons = Cordons::default();
-    cordons.call_now("s-0", first, true);
-    cordons.call_now("s-0", first - hour, false);
-    assert!(!cordons.out("s-0"), "the later call");
+    cordons.record_now("s-0", first, true);
+    cordons.record_now("s-0", first - hour, false);
+    assert!(!cordons.is_cordoned("s-0"), "the later call");
     let mut older = Cordons::default();
-    older.call_now("s-0", first, true);
+    older.record_now("s-0", first, true);
     older.merge(&cordons);
-    assert!(!older.out("s-0"), "also where it is heard of");
+    assert!(!older.is_cordoned("s-0"), "also where it is heard of");
 }
 
 #[test]
 fn a_word_of_a_version_without_turns_is_read() {
-    let old: Share = serde_json::from_str(r#"{"open":3,"budget":0.5}"#).expect("read");
-    assert_eq!(old, Share { open: 3, budget: 0.5, spent: 0, granted: 0 });
+    let old: ServerUsage = serde_json::from_str(r#"{"open":3,"budget":0.5}"#).expect("read");
+    assert_eq!(old, ServerUsage { open: 3, budget: 0.5, spent: 0, granted: 0 });
 }
 
 #[test]
@@ -132,25 +146,33 @@
         .run(
             &(bytes(), pairs(), pairs(), any::<prop::sample::Index>()),
             |(open, to_client, to_server, cut)| {
-                let standing = Standing { server: "s-\n0".to_owned(), open, to_client, to_server };
-                let datagram = bytes::Bytes::from(standing.datagram().expect("short"));
-                prop_assert_eq!(&Standing::read(datagram.clone()).expect("whole"), &standing);
+                let standing = EstablishedConnection {
+                    server: "s-\n0".to_owned(),
+                    open_line: open,
+                    to_client,
+                    to_server,
+                };
+                let datagram = bytes::Bytes::from(standing.encode().expect("short"));
+                prop_assert_eq!(&EstablishedConnection::decode(datagram.clone()).expect("whole"), &standing);
                 let part = datagram.slice(..cut.index(datagram.len()));
-                prop_assert!(Standing::read(part).is_err());
+                prop_assert!(EstablishedConnection::decode(part).is_err());
                 Ok(())
             },
         )
         .unwrap();
     runner()
         .run(&vec(any::<u8>(), 0..80), |bytes| {
-            prop_assert!(Standing::read(bytes.into()).is_err());
+            prop_assert!(EstablishedConnection::decode(bytes.into()).is_err());
             Ok(())
         })
         .unwrap();
     let lengths = format!("{{\"server\":\"s\",\"lengths\":[{},1,0,0,0]}}\nx", usize::MAX);
-    assert!(Standing::read(lengths.into()).is_err(), "lengths that overflow");
-    let long = Standing { open: vec![0; MAX_STANDING].into(), ..Standing::default() };
-    assert_eq!(long.datagram(), None);
+    assert!(EstablishedConnection::decode(lengths.into()).is_err(), "lengths that overflow");
+    let long = EstablishedConnection {
+        open_line: vec![0; MAX_HANDOFF_LENGTH].into(),
+        ..EstablishedConnection::default()
+    };
+    assert_eq!(long.encode(), None);
 }
 
 #[test]
@@ -161,7 +183,7 @@
             let cordons = |calls: &[(usize, u64, bool)]| {
                 let mut cordons = Cordons::default();
                 for &(server, at, out) in calls {
-                    cordons.call(["a", "b", "c"][server], Call { at, out });
+                    cordons.record(["a", "b", "c"][server], CordonChange { at, out });
                 }
                 cordons
             };
@@ -173,7 +195,7 @@
             let changed = right.merge(&first);
             prop_assert_eq!((&left, &right), (&whole, &whole));
             for (server, out) in changed {
-                prop_assert_eq!(right.out(&server), out);
+                prop_assert_eq!(right.is_cordoned(&server), out);
             }
             prop_assert!(left.merge(&whole).is_empty());
             Ok(())
@@ -185,17 +207,18 @@
 fn what_is_kept_is_read_again_and_a_torn_file_is_none() {
     let folder = std::env::temp_dir().join(format!("ashtide-kept-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let (place, other) = (Place::new(&folder, "n0/../x"), Place::new(&folder, "n1"));
-    assert_eq!(place.kept(), Kept::default());
-    let whose = Some(place.whose().clone());
-    let kept = Kept { whose, begun: true, cordons: state(7, true, 0).cordons };
-    place.keep(&kept).expect("kept");
-    assert!(place.kept().cordons.out("s-0"));
-    assert_eq!((place.kept(), other.kept()), (kept, Kept::default()));
+    let (place, other) =
+        (StateFolder::for_balancer(&folder, "n0/../x"), StateFolder::for_balancer(&folder, "n1"));
+    assert_eq!(place.load(), PersistedState::default());
+    let whose = Some(place.deployment().clone());
+    let kept = PersistedState { whose, begun: true, cordons: state(7, true, 0).cordons };
+    place.store(&kept).expect("kept");
+    assert!(place.load().cordons.is_cordoned("s-0"));
+    assert_eq!((place.load(), other.load()), (kept, PersistedState::default()));
     for entry in std::fs::read_dir(&folder).expect("the folder") {
         std::fs::write(entry.expect("an entry").path(), b"{\"begun\":").expect("torn");
     }
-    assert_eq!(place.kept(), Kept::default());
+    assert_eq!(place.load(), PersistedState::default());
     std::fs::remove_dir_all(folder).expect("no folder");
 }
 
@@ -221,15 +244,22 @@
         ("neither customers nor classes in common", false, whose("n0", here, &["feed"], &[])),
         ("no more than the name", true, whose("n0", "", &[], &[])),
     ] {
-        assert_eq!((ours.same(&other), other.same(&ours)), (same, same), "{what}");
+        assert_eq!(
+            (ours.is_same_deployment(&other), other.is_same_deployment(&ours)),
+            (same, same),
+            "{what}"
+        );
     }
     // One listener that both inherit is one balancer's, whatever is renamed.
     let inherited = |socket, listen| Deployment { socket, ..whose("n0", listen, &["a"], &["x"]) };
     let renamed = |socket| Deployment { socket, ..whose("n0", here, &["b"], &["y"]) };
-    assert!(inherited(Some(7), here).same(&renamed(Some(7))));
-    assert!(!inherited(Some(7), here).same(&renamed(Some(8))));
-    assert!(!inherited(Some(7), "10.0.0.1:81").same(&renamed(Some(7))), "a number that is used again");
-    assert!(!inherited(None, here).same(&renamed(None)));
+    assert!(inherited(Some(7), here).is_same_deployment(&renamed(Some(7))));
+    assert!(!inherited(Some(7), here).is_same_deployment(&renamed(Some(8))));
+    assert!(
+        !inherited(Some(7), "10.0.0.1:81").is_same_deployment(&renamed(Some(7))),
+        "a number that is used again"
+    );
+    assert!(!inherited(None, here).is_same_deployment(&renamed(None)));
 }
 
 /// When a stand-in says that it started: after everyone.
@@ -238,7 +268,7 @@
 /// A successor that the test plays: it is met, ready, and receives where it says.
 struct Successor {
     _link: UnixStream,
-    inbox: Inbox,
+    inbox: HandoffReceiver,
     path: PathBuf,
 }
 
@@ -250,10 +280,10 @@
 impl Successor {
     async fn of(site: &Site, daemon: &Daemon) -> Self {
         let path = site.folder.join(format!("ashtide.shared.{LATER}.inbox"));
-        let inbox = Inbox::bind(&path).expect("bound");
+        let inbox = HandoffReceiver::bind(&path).expect("bound");
         let mut link = UnixStream::connect(&sockets(site)[0]).await.expect("it listens");
-        let state = State { started: LATER, ready: true, adopts: true, ..State::default() };
-        link.write_all(&Word::State(state).line()).await.expect("told");
+        let state = ProcessState { started: LATER, ready: true, adopts: true, ..ProcessState::default() };
+        link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("told");
         daemon.says("handover: its successor takes the clients").await.expect("met");
         Self { _link: link, inbox, path }
     }
@@ -346,7 +376,7 @@
     let successor = Successor::of(&site, &daemon).await;
     daemon.terminate().expect("it runs");
     let (standing, [to_client, to_server]) =
-        within("the connection", successor.inbox.next()).await.expect("in time").expect("whole");
+        within("the connection", successor.inbox.receive()).await.expect("in time").expect("whole");
     let (status, _) = daemon.end().await.expect("it ends");
     assert!(status.success(), "{status}");
     // The rest of both streams: what was passed on, what goes along, and what comes later.
@@ -367,7 +397,10 @@
         within("the rest", theirs.read_exact(&mut seen)).await.expect("in time").expect("read");
         assert_eq!(seen, [half, b"ond\r\n"].concat(), "{begun:?} {behind:?}");
     }
-    assert_eq!((&standing.server[..], &standing.open[..]), ("s-0", &b"OPEN 1 2 c=meter,d=3000,g=1\r\n"[..]));
+    assert_eq!(
+        (&standing.server[..], &standing.open_line[..]),
+        ("s-0", &b"OPEN 1 2 c=meter,d=3000,g=1\r\n"[..])
+    );
 }
 
 #[tokio::test]
@@ -376,10 +409,13 @@
     let addresses = site.addresses();
     let news = |index, first, second| {
         let news = list(index, &[(addresses[0], first), (addresses[1], second)]);
-        Word::List(serde_json::from_value(news).expect("a list")).line()
+        SiblingMessage::List(serde_json::from_value(news).expect("a list")).encode_line()
     };
     let older = UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound");
-    let state = || Word::State(State { started: 1, ready: true, ..State::default() }).line();
+    let state = || {
+        SiblingMessage::State(ProcessState { started: 1, ready: true, ..ProcessState::default() })
+            .encode_line()
+    };
     let first = [news(5, "SERVING", "DRAINING"), state()].concat();
     let met = tokio::spawn(async move {
         let (mut link, _) = older.accept().await.expect("met");
--- a/tests/probing.rs
+++ b/tests/health_check_budget.rs
@@ -1,6 +1,6 @@
 //! Probes stay under their price however many gateways ask for them.
 
-use ashtide::probing::Probing;
+use ashtide::engine::health_check_budget::HealthCheckBudget;
 use ashtide::{ServerId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,12 +11,13 @@
 /// probe ten times a second.
 fn each_second(gateways: u32) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let phase = |_| Probing::new(true, gateways, rng.random());
-    let mut tier: Vec<Probing> = (0..gateways).map(phase).collect();
+    let phase = |_| HealthCheckBudget::new(true, gateways, rng.random());
+    let mut tier: Vec<HealthCheckBudget> = (0..gateways).map(phase).collect();
     let mut seconds = vec![0; SECONDS];
     for step in 0..10 * SECONDS {
         let now = Time::from_micros(step as i64 * 100_000);
-        seconds[step / 10] += tier.iter_mut().filter_map(|it| it.may(now, ServerId(0)).then_some(())).count();
+        seconds[step / 10] +=
+            tier.iter_mut().filter_map(|it| it.try_acquire(now, ServerId(0)).then_some(())).count();
     }
     seconds
 }
@@ -35,7 +36,7 @@
 
 #[test]
 fn none_is_sent_where_the_settings_allow_none_and_all_are_counted() {
-    let mut probing = Probing::new(false, 1, 0.0);
-    assert!((0..50).all(|second| !probing.may(Time::from_micros(second * 1_000_000), ServerId(2))));
+    let mut probing = HealthCheckBudget::new(false, 1, 0.0);
+    assert!((0..50).all(|second| !probing.try_acquire(Time::from_micros(second * 1_000_000), ServerId(2))));
     assert_eq!((probing.sent(), probing.withheld()), (0, 50));
 }
