--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,15 +1,15 @@
 //! Clients that leave while they wait, and attempts whose time is over before their first byte: sessions on
 //! loopback before a core that the test plays, which forces each order.
 
-mod desk;
+mod frontend;
 
 use std::time::Duration;
 
 use ashtide::Outcome;
-use ashtide::engine::Answer;
-use ashtide::net::report::{Command, Report};
+use ashtide::engine::FinalAnswer;
+use ashtide::net::messages::{DriverEvent, SessionCommand};
 use ashtide::{RequestId, Span};
-use desk::{ASKS, Desk, STEP, WIDE, all};
+use frontend::{AMPLE_CAPACITY, OPEN_LINE, STEP, SessionHarness, read_to_end};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -38,8 +38,9 @@
 }
 
 /// All that a server gets of an attempt whose connection it has accepted, until its end.
-async fn got(desk: &Desk) -> String {
-    let (mut attempt, _) = timeout(STEP, desk.server.accept()).await.expect("a connection").expect("there");
+async fn got(harness: &SessionHarness) -> String {
+    let (mut attempt, _) =
+        timeout(STEP, harness.server.accept()).await.expect("a connection").expect("there");
     let mut bytes = Vec::new();
     // A reset is an end, too.
     let _ = timeout(STEP, attempt.read_to_end(&mut bytes)).await.expect("an end");
@@ -47,69 +48,72 @@
 }
 
 /// The client has gone and its session with it: a connection may have come up, but carries nothing.
-async fn nothing_arrives(desk: &Desk, how: Leaves) {
-    if let Ok(Ok((mut attempt, _))) = timeout(Duration::from_millis(2), desk.server.accept()).await {
+async fn nothing_arrives(harness: &SessionHarness, how: Leaves) {
+    if let Ok(Ok((mut attempt, _))) = timeout(Duration::from_millis(2), harness.server.accept()).await {
         let mut bytes = Vec::new();
         let _ = timeout(STEP, attempt.read_to_end(&mut bytes)).await.expect("an end");
         assert_eq!(String::from_utf8_lossy(&bytes), "", "{how:?}: sent on");
     }
 }
 
-async fn left(desk: &mut Desk, id: RequestId, what: &str) {
-    let report = desk.report().await;
-    assert!(matches!(report, Report::Left(it) if it == id), "{what}: {report:?}");
+async fn left(harness: &mut SessionHarness, id: RequestId, what: &str) {
+    let report = harness.next_event().await;
+    assert!(matches!(report, DriverEvent::ClientLeft(it) if it == id), "{what}: {report:?}");
 }
 
 #[tokio::test]
 async fn who_leaves_as_an_attempt_is_decided_gets_none() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     // Both are there when the session looks; it must not be a matter of luck which it sees.
     for how in ALL.into_iter().cycle().take(30) {
-        let client = desk.client(ASKS).await;
-        let (id, port) = desk.request().await;
+        let client = harness.client(OPEN_LINE).await;
+        let (id, port) = harness.next_request().await;
         let rest = leave(client, how);
-        port.try_send((id, desk.attempt(0))).expect("room");
-        left(&mut desk, id, &format!("{how:?} while it waits")).await;
-        nothing_arrives(&desk, how).await;
+        port.try_send((id, harness.attempt_command(0))).expect("room");
+        left(&mut harness, id, &format!("{how:?} while it waits")).await;
+        nothing_arrives(&harness, how).await;
         drop(rest);
     }
 }
 
 #[tokio::test]
 async fn who_leaves_while_the_server_is_being_reached_is_not_sent_on() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for how in ALL.into_iter().cycle().take(30) {
-        let client = desk.client(ASKS).await;
-        let (id, port) = desk.request().await;
-        port.try_send((id, desk.attempt(0))).expect("room");
-        desk.connected(id, 0).await;
+        let client = harness.client(OPEN_LINE).await;
+        let (id, port) = harness.next_request().await;
+        port.try_send((id, harness.attempt_command(0))).expect("room");
+        harness.expect_connected(id, 0).await;
         let rest = leave(client, how);
-        port.try_send((id, Command::Begin { attempt: 0 })).expect("room");
-        left(&mut desk, id, &format!("{how:?} in connect")).await;
-        assert_eq!(got(&desk).await, "", "{how:?} in connect");
+        port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
+        left(&mut harness, id, &format!("{how:?} in connect")).await;
+        assert_eq!(got(&harness).await, "", "{how:?} in connect");
         drop(rest);
     }
 }
 
 #[tokio::test]
 async fn who_leaves_in_back_off_or_with_an_attempt_out_is_heard_at_once() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut seen = 0;
     for how in ALL {
         for out in [false, true] {
-            let (client, id, port, mut server) = desk.attempted().await;
+            let (client, id, port, mut server) = harness.client_with_attempt().await;
             if !out {
                 server.write_all(b"BUSY\r\n").await.expect("read");
-                let report = desk.report().await;
-                assert!(matches!(report, Report::Ended(_, 0, Outcome::QueueFull)), "{report:?}");
+                let report = harness.next_event().await;
+                assert!(matches!(report, DriverEvent::AttemptEnded(_, 0, Outcome::QueueFull)), "{report:?}");
             }
             let rest = leave(client, how);
-            left(&mut desk, id, &format!("{how:?}, attempt out: {out}")).await;
+            left(&mut harness, id, &format!("{how:?}, attempt out: {out}")).await;
             let mut bytes = Vec::new();
             let _ = timeout(STEP, server.read_to_end(&mut bytes)).await.expect("the attempt's end");
-            assert_eq!(desk.closed("left"), seen + 1, "counted for the operators' door");
+            assert_eq!(harness.closed_count("left"), seen + 1, "counted for the operators' door");
             seen += 1;
-            assert!(port.is_closed() || port.try_send((id, desk.attempt(1))).is_err(), "no session is left");
+            assert!(
+                port.is_closed() || port.try_send((id, harness.attempt_command(1))).is_err(),
+                "no session is left"
+            );
             drop(rest);
         }
     }
@@ -117,45 +121,45 @@
 
 #[tokio::test]
 async fn what_a_client_has_sent_ahead_does_not_hide_its_end() {
-    let mut desk = Desk::new(WIDE).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     // As much as a client may say before it is answered: the end stands behind all of it.
-    let ahead = format!("{ASKS}{}", format!("{}\r\n", "x".repeat(500)).repeat(8));
+    let ahead = format!("{OPEN_LINE}{}", format!("{}\r\n", "x".repeat(500)).repeat(8));
     for how in [Leaves::Closes, Leaves::HalfCloses] {
         for half in ["", "half a line"] {
-            let client = desk.client(&format!("{ahead}{half}")).await;
-            let (id, port) = desk.request().await;
+            let client = harness.client(&format!("{ahead}{half}")).await;
+            let (id, port) = harness.next_request().await;
             let rest = leave(client, how);
-            port.try_send((id, desk.attempt(0))).expect("room");
-            left(&mut desk, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
-            nothing_arrives(&desk, how).await;
+            port.try_send((id, harness.attempt_command(0))).expect("room");
+            left(&mut harness, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
+            nothing_arrives(&harness, how).await;
             drop(rest);
         }
     }
     // And who says more than that is told so, and called off.
     for more in ["one more\r\n".to_owned(), "y".repeat(5000)] {
-        let mut client = desk.client(&format!("{ahead}{more}")).await;
-        let (id, _port) = desk.request().await;
-        left(&mut desk, id, "too much ahead").await;
-        assert_eq!(all(&mut client).await.expect("no reset"), "ERR\r\n");
+        let mut client = harness.client(&format!("{ahead}{more}")).await;
+        let (id, _port) = harness.next_request().await;
+        left(&mut harness, id, "too much ahead").await;
+        assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
     }
 }
 
 #[tokio::test]
 async fn a_connection_that_comes_up_too_late_carries_no_byte() {
-    let mut desk = Desk::new(WIDE).await;
-    let mut client = desk.client(ASKS).await;
-    let (id, port) = desk.request().await;
-    port.try_send((id, desk.attempt(0))).expect("room");
-    desk.connected(id, 0).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut client = harness.client(OPEN_LINE).await;
+    let (id, port) = harness.next_request().await;
+    port.try_send((id, harness.attempt_command(0))).expect("room");
+    harness.expect_connected(id, 0).await;
     // Meanwhile its server was told to drain: the core gives the attempt up, and sends another.
-    port.try_send((id, Command::Close { attempt: 0 })).expect("room");
-    port.try_send((id, desk.attempt(1))).expect("room");
-    assert_eq!(got(&desk).await, "", "given up before its first byte");
-    desk.connected(id, 1).await;
+    port.try_send((id, SessionCommand::CancelAttempt { attempt: 0 })).expect("room");
+    port.try_send((id, harness.attempt_command(1))).expect("room");
+    assert_eq!(got(&harness).await, "", "given up before its first byte");
+    harness.expect_connected(id, 1).await;
     // A consent to the first is none to the second.
-    port.try_send((id, Command::Begin { attempt: 0 })).expect("room");
-    port.try_send((id, Command::Close { attempt: 1 })).expect("room");
-    assert_eq!(got(&desk).await, "", "given up before its first byte");
-    port.try_send((id, Command::Answer(Answer::Refused(Span::ZERO)))).expect("room");
-    assert_eq!(all(&mut client).await.expect("no reset"), "BUSY\r\n");
+    port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
+    port.try_send((id, SessionCommand::CancelAttempt { attempt: 1 })).expect("room");
+    assert_eq!(got(&harness).await, "", "given up before its first byte");
+    port.try_send((id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)))).expect("room");
+    assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY\r\n");
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use ashtide::maintenance::{MaintenanceError, Order, Settings, schema};
-use ashtide::operator::Call;
-use ashtide_rehearsal::daemon::{Daemon, Options, ask};
-use ashtide_rehearsal::fleet::Fleet;
-use ashtide_rig::{Link, Mesh};
+use ashtide::admin::protocol::AdminRequest;
+use ashtide::fleet::maintenance::{MaintenanceCommand, MaintenanceError, Settings, schema};
+use ashtide_fault_injection::{Link, Mesh};
+use ashtide_testkit::daemon::{Daemon, Options, ask};
+use ashtide_testkit::fleet::Fleet;
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
@@ -53,7 +53,7 @@
         ("tier = 1", "tier = 1\nquorum = 1", "quorum: found an unknown key; expected listen"),
         ("slot = 1", "slot =", "expected TOML"),
     ] {
-        let told_by = |it: MaintenanceError| it.told();
+        let told_by = |it: MaintenanceError| it.with_help();
         let problem = Settings::parse(&GOOD.replace(from, to)).err().map(told_by).unwrap_or_default();
         assert!(problem.contains(told), "{to}: {problem}");
     }
@@ -63,15 +63,19 @@
 fn calls_at_the_door_are_read_or_refused() {
     let s = || "s-1".to_owned();
     for (line, order) in [
-        ("maintenance list", Order::List),
-        ("maintenance request s-1", Order::Request(s(), String::new())),
-        ("maintenance request s-1  a new disk", Order::Request(s(), "a new disk".to_owned())),
-        ("maintenance cancel s-1", Order::Cancel(s())),
-        ("maintenance done s-1", Order::Done(s())),
+        ("maintenance list", MaintenanceCommand::List),
+        ("maintenance request s-1", MaintenanceCommand::Request(s(), String::new())),
+        ("maintenance request s-1  a new disk", MaintenanceCommand::Request(s(), "a new disk".to_owned())),
+        ("maintenance cancel s-1", MaintenanceCommand::Cancel(s())),
+        ("maintenance done s-1", MaintenanceCommand::Done(s())),
     ] {
-        assert_eq!(Call::parse(line.as_bytes()).expect("a call"), Call::Maintenance(order), "{line}");
+        assert_eq!(
+            AdminRequest::parse(line.as_bytes()).expect("a call"),
+            AdminRequest::Maintenance(order),
+            "{line}"
+        );
     }
-    let told = |line: &str| Call::parse(line.as_bytes()).err().map(|it| it.to_string());
+    let told = |line: &str| AdminRequest::parse(line.as_bytes()).err().map(|it| it.to_string());
     for line in ["maintenance list s-1", "maintenance request", "maintenance done s-1 now"] {
         assert_eq!(told(line).as_deref(), Some("wrong number of words"), "{line}");
     }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,14 +1,16 @@
 //! Parsers under random cuts of valid messages and under random garbage, from fixed seeds.
 
-#[path = "../crates/ashtide-wire/tests/common/mod.rs"]
+#[path = "../crates/ashtide-protocol/tests/common/mod.rs"]
 mod common;
 
-use ashtide::config::{Config, Fronts};
+use ashtide::config::{Config, FrontendConfig};
 use ashtide::discovery::{WatchCodec, WatchEvent};
-use ashtide::open_ids::OpenIds;
-use ashtide::quic::header::MAX_ID;
-use ashtide::quic::initial::{self, Keys, Side};
-use ashtide::quic::placing::{MIN_ID, issue, server_key, server_of};
+use ashtide::engine::open_ids::OpenIds;
+use ashtide::quic::header::MAX_CONNECTION_ID_LENGTH;
+use ashtide::quic::initial::{self, InitialKeys, Side};
+use ashtide::quic::placing::{
+    MIN_ROUTABLE_ID_LENGTH, decode_server_id, encode_routable_id, server_id_for_name,
+};
 use ashtide::quic::{ConnectionId, Header};
 use ashtide::vrrp::Advertisement;
 use proptest::collection::vec;
@@ -41,7 +43,7 @@
         let events = feed(WatchCodec::default(), &bytes, &cuts).unwrap();
         let told: Vec<u64> = events
             .iter()
-            .map(|event| if let WatchEvent::News(news) = event { news.index } else { 0 })
+            .map(|event| if let WatchEvent::List(news) = event { news.index } else { 0 })
             .collect();
         prop_assert_eq!(told, indices);
         Ok(())
@@ -64,8 +66,8 @@
         let bytes = answer(&indices.iter().map(list).collect::<Vec<_>>(), &chunks);
         let events = feed(WatchCodec::default(), &bytes, &cuts).unwrap();
         let told = events.iter().map(|event| match event {
-            WatchEvent::News(news) => (news.index, news.endpoints.len()),
-            WatchEvent::Beat => (0, 0),
+            WatchEvent::List(news) => (news.index, news.endpoints.len()),
+            WatchEvent::Heartbeat => (0, 0),
         });
         let expected = indices.iter().flat_map(|&index| match index {
             0 => vec![(0, 0)],
@@ -89,15 +91,15 @@
 
 #[test]
 fn garbage_breaks_no_datagram_parser() {
-    check((any::<bool>(), garbage(), 0_usize..=MAX_ID), |(v1, mut bytes, length)| {
+    check((any::<bool>(), garbage(), 0_usize..=MAX_CONNECTION_ID_LENGTH), |(v1, mut bytes, length)| {
         if v1 {
             bytes.splice(0..bytes.len().min(5), [0xc3, 0, 0, 0, 1]);
         }
         let _ = Header::parse(&bytes, length);
         prop_assert_eq!(initial::open(&bytes, b"12345678", Side::Client), None);
-        let _ = initial::closes(&bytes);
+        let _ = initial::find_connection_close(&bytes);
         let _ = Advertisement::decode(&bytes);
-        let _ = Fronts::parse(&String::from_utf8_lossy(&bytes));
+        let _ = FrontendConfig::parse(&String::from_utf8_lossy(&bytes));
         Ok(())
     });
 }
@@ -107,11 +109,11 @@
     let ids =
         (vec(any::<u8>(), 8..=20), vec(any::<u8>(), 0..=20), 0_u64..0x3fff, "[ -~]{0,30}", 0_usize..20_000);
     check(ids, |(to, from, code, reason, flip)| {
-        let frames = initial::close_frame(code, &reason);
+        let frames = initial::encode_connection_close(code, &reason);
         let packet = initial::seal(&to, Side::Server, &to, &from, 7, &frames, 0);
         let opened = initial::open(&packet, &to, Side::Server).unwrap();
-        prop_assert_eq!((&opened.to[..], &opened.from[..]), (&to[..], &from[..]));
-        prop_assert_eq!(initial::closes(&opened.frames), Some((code, reason)));
+        prop_assert_eq!((&opened.destination_id[..], &opened.source_id[..]), (&to[..], &from[..]));
+        prop_assert_eq!(initial::find_connection_close(&opened.frames), Some((code, reason)));
         prop_assert_eq!(initial::open(&packet, &to, Side::Client), None);
         let mut bad = packet.clone();
         bad[flip / 8 % packet.len()] ^= 1 << (flip % 8);
@@ -122,14 +124,17 @@
 
 #[test]
 fn an_id_tells_the_server_that_issued_it() {
-    check((0_u8..7, "[a-z-]{1,12}", MIN_ID..=MAX_ID, any::<u64>()), |(rotation, name, length, nonce)| {
-        let id = issue(rotation, server_key(&name), length, nonce);
-        prop_assert_eq!(id.len(), length);
-        prop_assert_eq!(server_of(&id, rotation), Some(server_key(&name)));
-        prop_assert_eq!(server_of(&id, (rotation + 1) % 7), None);
-        prop_assert_eq!(ConnectionId::new(&id), Some(id));
-        Ok(())
-    });
+    check(
+        (0_u8..7, "[a-z-]{1,12}", MIN_ROUTABLE_ID_LENGTH..=MAX_CONNECTION_ID_LENGTH, any::<u64>()),
+        |(rotation, name, length, nonce)| {
+            let id = encode_routable_id(rotation, server_id_for_name(&name), length, nonce);
+            prop_assert_eq!(id.len(), length);
+            prop_assert_eq!(decode_server_id(&id, rotation), Some(server_id_for_name(&name)));
+            prop_assert_eq!(decode_server_id(&id, (rotation + 1) % 7), None);
+            prop_assert_eq!(ConnectionId::new(&id), Some(id));
+            Ok(())
+        },
+    );
 }
 
 #[test]
@@ -137,7 +142,12 @@
     let fields = (1_u8.., any::<u8>(), 1_u16..4096, vec(any::<u32>(), 0..16), 0_usize..4096);
     check(fields, |(router, priority, interval, addresses, flip)| {
         let addresses = addresses.into_iter().map(Into::into).collect();
-        let sent = Advertisement { router, priority, interval, addresses };
+        let sent = Advertisement {
+            virtual_router_id: router,
+            priority,
+            max_advertise_interval: interval,
+            addresses,
+        };
         let mut packet = sent.encode();
         prop_assert_eq!(Advertisement::decode(&packet), Ok(sent));
         let at = flip / 8 % packet.len();
@@ -191,10 +201,10 @@
         ("[quic]\nlisten='127.0.0.1:1'\nclass='c'\ndeadline_ms=1\nextra=1", "extra"),
         ("[vrrp]\nrouter=1\npriority=1\nlisten='127.0.0.1:1'\npeers=[]", "vrrp"),
     ] {
-        let error = Fronts::parse(text).err().map(|error| error.to_string()).unwrap_or_default();
+        let error = FrontendConfig::parse(text).err().map(|error| error.to_string()).unwrap_or_default();
         assert!(error.contains(key), "{text}: {error}");
     }
-    assert!(Fronts::parse(include_str!("../deploy/quic.toml")).is_ok());
+    assert!(FrontendConfig::parse(include_str!("../deploy/quic.toml")).is_ok());
 }
 
 #[test]
@@ -207,17 +217,18 @@
     };
     let told = |name: &str| (name == "ROUTER_DISCOVERY").then(|| "127.0.0.1:7".to_owned());
     let config = Config::from_json(file("127.0.0.1:2", 256), told).unwrap();
-    assert_eq!(config.discovery.port(), 7);
-    let reload = |discovery: &str, sockets| config.standing.reload(file(discovery, sockets), told);
+    assert_eq!(config.discovery_address.port(), 7);
+    let reload =
+        |discovery: &str, sockets| config.reload_baseline.reload_from_json(file(discovery, sockets), told);
     let good = reload("127.0.0.1:3", 256).unwrap();
-    assert_eq!((good.discovery.port(), good.restart), (3, vec![]));
+    assert_eq!((good.discovery_address.port(), good.keys_needing_restart), (3, vec![]));
     assert!(reload("nowhere", 512).unwrap_err().to_string().starts_with("discovery: 'nowhere'"));
     // What was unusable has not taken the place of what runs.
     let changed = reload("127.0.0.1:4", 512).unwrap();
-    assert_eq!((changed.discovery.port(), changed.restart), (4, vec!["limits"]));
+    assert_eq!((changed.discovery_address.port(), changed.keys_needing_restart), (4, vec!["limits"]));
     // Told again as long as the file differs from what runs, and no longer once it is put back.
-    assert_eq!(reload("127.0.0.1:4", 512).unwrap().restart, ["limits"]);
-    assert!(reload("127.0.0.1:4", 256).unwrap().restart.is_empty());
+    assert_eq!(reload("127.0.0.1:4", 512).unwrap().keys_needing_restart, ["limits"]);
+    assert!(reload("127.0.0.1:4", 256).unwrap().keys_needing_restart.is_empty());
 }
 
 #[test]
@@ -233,11 +244,11 @@
 #[test]
 fn keys_are_those_of_the_standard() {
     let id = [0x83, 0x94, 0xc8, 0xf0, 0x3e, 0x51, 0x57, 0x08];
-    let client = Keys::derive(&id, Side::Client);
+    let client = InitialKeys::derive(&id, Side::Client);
     assert_eq!(client.iv, [0xfa, 0x04, 0x4b, 0x2f, 0x42, 0xa3, 0xfd, 0x3b, 0x46, 0xfb, 0x25, 0x5c]);
-    let server = Keys::derive(&id, Side::Server);
+    let server = InitialKeys::derive(&id, Side::Server);
     assert_eq!(server.iv, [0x0a, 0xc1, 0x49, 0x3c, 0xa1, 0x90, 0x58, 0x53, 0xb0, 0xbb, 0xa0, 0x3e]);
     // Appendix A.2: the sample of the client's Initial and the mask it gives.
     let sample = 0xd1b1_c98d_d768_9fb8_ec11_d242_b123_dc9b_u128.to_be_bytes();
-    assert_eq!(client.mask(&sample), [0x43, 0x7b, 0x9a, 0xec, 0x36]);
+    assert_eq!(client.header_protection_mask(&sample), [0x43, 0x7b, 0x9a, 0xec, 0x36]);
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::Fleet;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::Fleet;
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -35,7 +35,7 @@
 /// A relay's surroundings, which keep to the wire's rules and hold the module to its own.
 struct World {
     module: Balancer,
-    effect: Effect,
+    effect: Idempotency,
     now: i64,
     owed: BTreeMap<RequestId, Owed>,
     state: Vec<ServerState>,
@@ -46,27 +46,27 @@
 }
 
 impl World {
-    fn new(effect: Effect, seed: u64) -> Self {
-        let class = Class {
-            aim: Span::from_micros(100_000),
-            message_aim: Span::from_micros(50_000),
-            worth: 1.0,
-            effect,
+    fn new(effect: Idempotency, seed: u64) -> Self {
+        let class = RequestClass {
+            latency_objective: Span::from_micros(100_000),
+            message_latency_objective: Span::from_micros(50_000),
+            priority_weight: 1.0,
+            idempotency: effect,
         };
         let settings = Settings {
             classes: vec![class],
             max_attempts: MAX_ATTEMPTS,
             answer_slack: Span::from_micros(SLACK),
-            recalls: true,
-            tick: Span::from_micros(STEP),
+            cancellation: true,
+            batch_interval: Span::from_micros(STEP),
             prices: Prices { cross_zone: 0.1, ..Prices::default() },
-            discovery: Discovery::OnRequest,
-            probes: true,
-            peers: true,
-            relays: 3,
-            cold_from: 0.3,
-            warm_within: Span::from_micros(500_000),
-            fall_multiple: 2.0,
+            discovery: DiscoveryMode::OnRequest,
+            health_checks: true,
+            fleet_permits: true,
+            gateways: 3,
+            initial_capacity_share: 0.3,
+            warm_up_time: Span::from_micros(500_000),
+            overload_factor: 2.0,
             max_retry_after: Span::from_micros(1_000_000),
             ..Settings::for_zone(ZoneId(0))
         };
@@ -82,13 +82,18 @@
             attempts: 0,
         };
         let entries = (0..SERVERS).map(|s| world.listing(ServerId(s), None)).collect();
-        world.send(Event::List { news: ListNews::Stale, entries });
+        world.send(Event::EndpointList { update: ListUpdate::Cached, entries });
         world
     }
 
-    fn listing(&self, server: ServerId, started: Option<Time>) -> Listing {
+    fn listing(&self, server: ServerId, started: Option<Time>) -> EndpointEntry {
         let state = self.state[server.0 as usize];
-        Listing { cell: cell(server), state, started, ..Listing::ready(server, zone(server)) }
+        EndpointEntry {
+            cell: cell(server),
+            state,
+            started_at: started,
+            ..EndpointEntry::ready(server, zone(server))
+        }
     }
 
     fn request(&mut self, ttl: i64) -> Request {
@@ -132,14 +137,14 @@
                 assert!(owed.out.is_none(), "rule 2: two attempts of {id:?} out together");
                 if let Some((first, sent)) = owed.may_have_run {
                     match effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("rule 2: {id:?} may have run and is unsafe"),
-                        Effect::Keyed { group, window } => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => panic!("rule 2: {id:?} may have run and is unsafe"),
+                        Idempotency::WithKey { scope: group, remembered_for: window } => {
                             assert!(now - sent <= window.as_micros(), "rule 2: {id:?} past its window");
                             assert!(match group {
-                                KeyedGroup::All => true,
-                                KeyedGroup::Zone => zone(first) == zone(server),
-                                KeyedGroup::Cell => cell(first) == cell(server),
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => zone(first) == zone(server),
+                                DeduplicationScope::Cell => cell(first) == cell(server),
                             });
                         }
                     }
@@ -152,19 +157,22 @@
                 };
                 owed.out = Some((server, end, now));
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let owed = &self.owed[&id];
                 let may_have_run = owed.may_have_run.is_some() || owed.out.is_some();
-                let all = matches!(self.effect, Effect::Safe | Effect::Keyed { group: KeyedGroup::All, .. });
+                let all = matches!(
+                    self.effect,
+                    Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+                );
                 assert!(all || !may_have_run, "rule 2: {id:?} refused, but may have run");
                 self.answer(id);
             }
             Action::Fail { id } => self.answer(id),
-            Action::Recall { id, attempt } => assert!(attempt < self.owed[&id].attempts),
-            Action::SetTimer { token, at } => self.timers.push((at.as_micros(), token)),
-            Action::Move { id } => assert!(self.owed[&id].established),
-            Action::Probe { server } => assert!(server.0 < SERVERS),
-            Action::Ask { server } => assert!(server.0 < SERVERS, "of a server that was listed"),
+            Action::CancelAttempt { id, attempt } => assert!(attempt < self.owed[&id].attempts),
+            Action::SetTimer { token, due_at: at } => self.timers.push((at.as_micros(), token)),
+            Action::Migrate { id } => assert!(self.owed[&id].established),
+            Action::CheckHealth { server } => assert!(server.0 < SERVERS),
+            Action::RequestPermit { server } => assert!(server.0 < SERVERS, "of a server that was listed"),
             Action::Subscribe => {}
         }
     }
@@ -181,14 +189,14 @@
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let owed = self.owed.get_mut(&id).expect("known");
         let Some((server, _, sent)) = owed.out.take() else { return };
-        if !outcome.never_ran() && owed.may_have_run.is_none() {
+        if !outcome.proves_not_executed() && owed.may_have_run.is_none() {
             owed.may_have_run = Some((server, sent));
         }
         if owed.established || outcome == Outcome::Ok {
             owed.over = true;
         }
         let (attempt, request_over) = (owed.attempts - 1, owed.over);
-        self.send(Event::Ended { id, attempt, outcome, request_over });
+        self.send(Event::AttemptEnded { id, attempt, outcome, request_done: request_over });
     }
 
     /// The `pick`-th attempt that is out, counted around.
@@ -235,16 +243,16 @@
                     if !owed.established && !owed.over {
                         (owed.established, owed.over) = (true, true);
                         let attempt = owed.attempts - 1;
-                        self.send(Event::Established { id, attempt, after: Span::from_micros(STEP) });
+                        self.send(Event::Established { id, attempt, elapsed: Span::from_micros(STEP) });
                     }
                 }
             }
             12 | 13 => {
-                let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
+                let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
                 self.state[server.0 as usize] = states[(pick / 7) as usize % 3];
                 let started = (pick % 2 == 0).then(|| Time::from_micros(self.now));
                 let entries = vec![self.listing(server, started)];
-                self.send(Event::List { news: ListNews::Changes, entries });
+                self.send(Event::EndpointList { update: ListUpdate::Delta, entries });
             }
             14 => {
                 let open = self.owed.iter().find(|(_, o)| !o.over).map(|(&id, _)| id);
@@ -255,14 +263,14 @@
             }
             15 => {
                 let takes = Span::from_micros(i64::from(pick % 100) * 1_000);
-                self.send(Event::SlowMessages { server, takes });
+                self.send(Event::SlowResponses { server, response_time: takes });
             }
             16 => {
                 let value = [f64::NAN, -1.0, 0.2, 1e300, f64::INFINITY][pick as usize % 5];
-                let report = Some(Report { load_ratio: Some(value), utilisation: None });
-                self.send(Event::Probed {
+                let report = Some(LoadReport { load_ratio: Some(value), utilisation: None });
+                self.send(Event::HealthChecked {
                     server,
-                    ok: pick % 3 > 0,
+                    healthy: pick % 3 > 0,
                     report: report.filter(|_| pick % 4 > 0),
                 });
                 self.send(Event::LoadChanged { id: RequestId(pick % 50), load: value });
@@ -273,17 +281,20 @@
                 let owed = self.owed.get_mut(&id).expect("just made");
                 (owed.over, owed.established, owed.attempts) = (true, true, 1);
                 owed.out = Some((server, i64::MAX, self.now));
-                self.send(Event::Existing { request, server });
+                self.send(Event::ExistingConnection { request, server });
             }
-            18 => self.send(Event::List { news: ListNews::Broken, entries: Vec::new() }),
+            18 => self.send(Event::EndpointList { update: ListUpdate::WatchFailed, entries: Vec::new() }),
             _ => {
                 let (until, lacks) = (Time::from_micros(self.now + 250_000), pick % 3 == 0);
                 let right = match pick % 4 {
-                    0 => Right::Unheard,
-                    1 => Right::Refused { wait: Span::from_micros(90_000), lacks },
-                    _ => Right::Granted { until, lacks },
+                    0 => PermitReply::NoReply,
+                    1 => PermitReply::Denied {
+                        retry_after: Span::from_micros(90_000),
+                        below_fair_share: lacks,
+                    },
+                    _ => PermitReply::Granted { expires_at: until, below_fair_share: lacks },
                 };
-                self.send(Event::Right { server: ServerId(pick % 8), right });
+                self.send(Event::PermitReply { server: ServerId(pick % 8), reply: right });
             }
         }
         for (id, owed) in &self.owed {
@@ -306,7 +317,7 @@
     }
 }
 
-fn holds(effect: Effect) {
+fn holds(effect: Idempotency) {
     let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = vec((0u32..20, any::<u32>()), 50..400);
@@ -332,31 +343,31 @@
     assert!(seen.0 > 30 && seen.1 > 10, "{seen:?}");
 }
 
-fn keyed(group: KeyedGroup) -> Effect {
-    Effect::Keyed { group, window: Span::from_micros(WINDOW) }
+fn keyed(group: DeduplicationScope) -> Idempotency {
+    Idempotency::WithKey { scope: group, remembered_for: Span::from_micros(WINDOW) }
 }
 
 #[test]
 fn rules_hold_for_safe_requests() {
-    holds(Effect::Safe);
+    holds(Idempotency::Idempotent);
 }
 
 #[test]
 fn rules_hold_for_keyed_requests_of_all_servers() {
-    holds(keyed(KeyedGroup::All));
+    holds(keyed(DeduplicationScope::All));
 }
 
 #[test]
 fn rules_hold_for_keyed_requests_of_a_zone() {
-    holds(keyed(KeyedGroup::Zone));
+    holds(keyed(DeduplicationScope::Zone));
 }
 
 #[test]
 fn rules_hold_for_keyed_requests_of_a_cell() {
-    holds(keyed(KeyedGroup::Cell));
+    holds(keyed(DeduplicationScope::Cell));
 }
 
 #[test]
 fn rules_hold_for_unsafe_requests() {
-    holds(Effect::Unsafe);
+    holds(Idempotency::NotIdempotent);
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -3,13 +3,15 @@
 use std::time::Duration;
 
 use ashtide::RequestId;
-use ashtide::facts::Allowance;
-use ashtide::quota::{Admission, QuotaError, Settings, schema};
-use ashtide_fleet::state::{Agreement, Exchange, Rules, Setup, Slot, Stale, Terms};
-use ashtide_quota::Offer;
+use ashtide::fleet::quota::{Admission, QuotaError, Settings, schema};
+use ashtide::settings::TenantQuota;
+use ashtide_fleet::state::{
+    AllocationAgreement, Exchange, ExchangeConfig, LeaseConfig, OutlierLimits, Slot, StaleAllocation,
+};
+use ashtide_quota::ConnectionKind;
 
 fn problem(text: &str) -> String {
-    Settings::parse(text, &[]).err().map(QuotaError::told).unwrap_or_default()
+    Settings::parse(text, &[]).err().map(QuotaError::with_help).unwrap_or_default()
 }
 
 #[test]
@@ -60,7 +62,8 @@
         let said = problem(text);
         assert!(said.contains(told) && said.contains("; "), "{text}: {said}");
     }
-    let customers = [Allowance { name: "a".to_owned(), per_s: 3.0, connections: Some(4) }];
+    let customers =
+        [TenantQuota { name: "a".to_owned(), connections_per_second: 3.0, max_open_connections: Some(4) }];
     let settings = Settings::parse("generation = 1", &customers).expect("by the settings' customers");
     assert_eq!(settings.partners, customers);
 }
@@ -83,8 +86,13 @@
 impl Gateway {
     fn new() -> Self {
         let now = Duration::from_secs(50);
-        let setup =
-            Setup { tier: 1, slots: 1, datagrams: 10, terms: Terms::default(), rules: Rules::default() };
+        let setup = ExchangeConfig {
+            tier: 1,
+            slot_count: 1,
+            datagrams_per_second: 10,
+            lease: LeaseConfig::default(),
+            outlier_limits: OutlierLimits::default(),
+        };
         let exchange = Exchange::new(setup, Slot(0), 7, 7, now);
         let admission = Admission::new(settings(1, 10, 15), Slot(0), 1, now);
         Self { exchange, admission, now, next: 0 }
@@ -94,43 +102,43 @@
         let mut lines = Vec::new();
         for _ in 0..ms / 50 {
             self.now += Duration::from_millis(50);
-            self.exchange.at(self.now);
-            lines.extend(self.admission.at(self.now, &mut self.exchange));
-            if let Some(kept) = self.admission.to_keep(&self.exchange) {
-                self.admission.kept(&mut self.exchange, kept);
+            self.exchange.advance_to(self.now);
+            lines.extend(self.admission.advance_to(self.now, &mut self.exchange));
+            if let Some(kept) = self.admission.allocation_to_persist(&self.exchange) {
+                self.admission.mark_persisted(&mut self.exchange, kept);
             }
             assert_eq!((self.admission.check(), self.exchange.check(&[])), (Ok(()), Ok(())));
         }
         lines
     }
 
-    fn offer(&mut self, tenant: &str, offer: Offer) -> Result<RequestId, Duration> {
+    fn offer(&mut self, tenant: &str, offer: ConnectionKind) -> Result<RequestId, Duration> {
         self.next += 1;
         let id = RequestId(self.next);
         let rights = (self.now, &mut self.exchange);
-        self.admission.offer(rights, id, tenant, offer, true).map(|()| id)
+        self.admission.admit(rights, id, tenant, offer, true).map(|()| id)
     }
 
     fn admitted(&mut self, times: usize) -> Vec<RequestId> {
-        (0..times).filter_map(|_| self.offer("a", Offer::New).ok()).collect()
+        (0..times).filter_map(|_| self.offer("a", ConnectionKind::New).ok()).collect()
     }
 }
 
 #[test]
 fn a_partner_has_its_quota_here_and_others_are_not_limited() {
     let mut gateway = Gateway::new();
-    gateway.admission.begin(&mut gateway.exchange, None).expect("the first generation");
+    gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.pass(3_500);
     let first = gateway.admitted(14);
     assert_eq!(first.len(), 10, "its pace and burst");
-    assert!((0..50).all(|_| gateway.offer("nobody", Offer::New).is_ok()));
+    assert!((0..50).all(|_| gateway.offer("nobody", ConnectionKind::New).is_ok()));
     assert!(gateway.pass(100).iter().any(|it| it == "quota: partner=a state=beyond"));
     gateway.pass(1_000);
     assert_eq!(gateway.admitted(14).len(), 5, "15 may be open");
-    first.into_iter().for_each(|id| gateway.admission.over(&mut gateway.exchange, id));
+    first.into_iter().for_each(|id| gateway.admission.release(&mut gateway.exchange, id));
     gateway.pass(1_000);
     assert_eq!(gateway.admitted(4).len(), 4, "others have ended");
-    let text = gateway.admission.text(&mut gateway.exchange);
+    let text = gateway.admission.status_text(&mut gateway.exchange);
     let told = "within=19 moved=0 borrowed=0 refused=13";
     assert!(text.contains(told) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
     let lines = gateway.pass(6_000);
@@ -140,28 +148,28 @@
 #[test]
 fn what_stands_when_a_limit_comes_or_is_taken_over_is_counted_once() {
     let mut gateway = Gateway::new();
-    let mut alone = gateway.admission.alone(gateway.now);
+    let mut alone = gateway.admission.standalone_exchange(gateway.now);
     for id in 100..106 {
-        gateway.admission.adopt(&mut alone, RequestId(id), "a");
+        gateway.admission.adopt_connection(&mut alone, RequestId(id), "a");
     }
-    gateway.admission.begin(&mut gateway.exchange, None).expect("the first generation");
+    gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.pass(3_500);
     let open = |gateway: &mut Gateway| {
-        let text = gateway.admission.text(&mut gateway.exchange);
+        let text = gateway.admission.status_text(&mut gateway.exchange);
         text.split_once(" open=").and_then(|it| it.1.split(' ').next()?.parse::<u64>().ok())
     };
     assert_eq!(open(&mut gateway), Some(6));
     gateway.admission.reload(&mut gateway.exchange, settings(2, 10, 7)).expect("later");
     assert_eq!((open(&mut gateway), gateway.admitted(5).len()), (Some(6), 1));
-    gateway.admission.over(&mut gateway.exchange, RequestId(103));
-    gateway.admission.over(&mut gateway.exchange, RequestId(103));
+    gateway.admission.release(&mut gateway.exchange, RequestId(103));
+    gateway.admission.release(&mut gateway.exchange, RequestId(103));
     assert_eq!(open(&mut gateway), Some(6), "the end of one counts once");
 }
 
 #[test]
 fn a_file_read_anew_is_in_use_once_it_is_agreed_on_and_an_older_one_never() {
     let mut gateway = Gateway::new();
-    gateway.admission.begin(&mut gateway.exchange, None).expect("the first generation");
+    gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.pass(3_500);
     let line = gateway.admission.reload(&mut gateway.exchange, settings(2, 20, 90)).expect("later");
     assert_eq!(line, "quota: generation=2 partners=1 agreed=no");
@@ -170,15 +178,15 @@
     assert!(lines.iter().any(|it| it == "quota: generation=2 agreed=yes"), "{lines:?}");
     assert_eq!(gateway.admitted(40).len(), 20);
     let older = gateway.admission.reload(&mut gateway.exchange, settings(1, 10, 15));
-    assert_eq!(older, Err(Stale::Older { found: 1, at: 2 }));
+    assert_eq!(older, Err(StaleAllocation::Older { found: 1, at: 2 }));
     gateway.admission.reload(&mut gateway.exchange, settings(3, 5, 90)).expect("later");
     assert!(gateway.admitted(40).len() <= 5);
     gateway.pass(1_500);
     assert_eq!(gateway.admitted(40).len(), 5, "less is less at once");
-    let kept = gateway.exchange.agreement().map(Agreement::kept);
+    let kept = gateway.exchange.agreement().map(AllocationAgreement::persisted);
     let mut next = Gateway::new();
     assert!(
-        next.admission.begin(&mut next.exchange, kept).is_err(),
+        next.admission.start_sharing(&mut next.exchange, kept).is_err(),
         "its file is older than its life before"
     );
 }
@@ -186,18 +194,19 @@
 #[test]
 fn a_gateway_that_shares_nothing_yet_has_its_floors() {
     let mut gateway = Gateway::new();
-    let mut alone = gateway.admission.alone(gateway.now);
+    let mut alone = gateway.admission.standalone_exchange(gateway.now);
     for _ in 0..200 {
         gateway.now += Duration::from_millis(50);
-        alone.at(gateway.now);
-        gateway.admission.at(gateway.now, &mut alone);
+        alone.advance_to(gateway.now);
+        gateway.admission.advance_to(gateway.now, &mut alone);
     }
     let mut admitted = 0;
     for id in 0..50 {
         let rights = (gateway.now, &mut alone);
-        admitted +=
-            usize::from(gateway.admission.offer(rights, RequestId(id), "a", Offer::New, true).is_ok());
+        admitted += usize::from(
+            gateway.admission.admit(rights, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
+        );
     }
     assert_eq!(admitted, 1, "a tenth of ten");
-    assert_eq!(gateway.admission.to_keep(&alone), None, "nothing is promised by that");
+    assert_eq!(gateway.admission.allocation_to_persist(&alone), None, "nothing is promised by that");
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,26 +8,26 @@
     Time::from_micros((seconds * 1e6) as i64)
 }
 
-fn settings(effect: Effect) -> Settings {
+fn settings(effect: Idempotency) -> Settings {
     Settings {
-        classes: vec![Class {
-            aim: Span::from_micros(SECOND / 2),
-            message_aim: Span::from_micros(SECOND / 10),
-            worth: 1.0,
-            effect,
+        classes: vec![RequestClass {
+            latency_objective: Span::from_micros(SECOND / 2),
+            message_latency_objective: Span::from_micros(SECOND / 10),
+            priority_weight: 1.0,
+            idempotency: effect,
         }],
         max_attempts: 3,
         answer_slack: Span::from_micros(20_000),
-        recalls: true,
-        warm_within: Span::from_micros(8 * SECOND),
-        cold_from: 0.3,
-        fall_multiple: 2.5,
+        cancellation: true,
+        warm_up_time: Span::from_micros(8 * SECOND),
+        initial_capacity_share: 0.3,
+        overload_factor: 2.5,
         ..Settings::for_zone(ZoneId(0))
     }
 }
 
-fn listing(number: u32) -> Listing {
-    Listing::ready(ServerId(number), ZoneId(0))
+fn listing(number: u32) -> EndpointEntry {
+    EndpointEntry::ready(ServerId(number), ZoneId(0))
 }
 
 fn request(id: u32) -> Request {
@@ -50,7 +50,7 @@
 impl Relay {
     fn new(settings: Settings, servers: u32) -> Self {
         let mut relay = Self { module: Balancer::new(settings, 1), actions: Vec::new() };
-        relay.list(0.0, ListNews::Whole, (0..servers).map(listing).collect());
+        relay.list(0.0, ListUpdate::Snapshot, (0..servers).map(listing).collect());
         relay
     }
 
@@ -61,8 +61,8 @@
         actions
     }
 
-    fn list(&mut self, now: f64, news: ListNews, entries: Vec<Listing>) -> Vec<Action> {
-        self.event(now, Event::List { news, entries })
+    fn list(&mut self, now: f64, news: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.event(now, Event::EndpointList { update: news, entries })
     }
 
     fn request(&mut self, now: f64, id: u32) -> Option<ServerId> {
@@ -71,12 +71,15 @@
 
     fn ended(&mut self, now: f64, id: u32, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let request_over = outcome == Outcome::Ok;
-        self.event(now, Event::Ended { id: RequestId(id), attempt, outcome, request_over })
+        self.event(
+            now,
+            Event::AttemptEnded { id: RequestId(id), attempt, outcome, request_done: request_over },
+        )
     }
 
     fn established(&mut self, now: f64, id: u32, attempt: u32) {
         let after = Span::from_micros(10_000);
-        self.event(now, Event::Established { id: RequestId(id), attempt, after });
+        self.event(now, Event::Established { id: RequestId(id), attempt, elapsed: after });
     }
 }
 
@@ -89,7 +92,7 @@
 
 #[test]
 fn fewer_own_connections_win_the_draw() {
-    let mut relay = Relay::new(settings(Effect::Safe), 2);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 2);
     let mut counts = [0u32; 2];
     for id in 0..400 {
         let server = relay.request(1.0, id).expect("two servers are ready");
@@ -101,11 +104,11 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_server_also_on_retry() {
-    let mut relay = Relay::new(settings(Effect::Safe), 2);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 2);
     let first = relay.request(1.0, 1).expect("ready");
     let other = ServerId(1 - first.0);
-    let draining = Listing { state: ServerState::Draining, ..listing(other.0) };
-    relay.list(1.1, ListNews::Changes, vec![draining]);
+    let draining = EndpointEntry { state: ServerState::Draining, ..listing(other.0) };
+    relay.list(1.1, ListUpdate::Delta, vec![draining]);
     let retry = attempt(&relay.ended(1.2, 1, 0, Outcome::Failed));
     assert_ne!(retry, Some(other));
     for id in 2..50 {
@@ -117,19 +120,20 @@
 fn filled(settings: Settings, servers: u32, each: u32, now: f64) -> Relay {
     let mut relay = Relay::new(settings, servers);
     for id in 0..servers * each {
-        let existing = Event::Existing { request: request(100_000 + id), server: ServerId(id % servers) };
+        let existing =
+            Event::ExistingConnection { request: request(100_000 + id), server: ServerId(id % servers) };
         relay.event(now, existing);
     }
     relay
 }
 
 fn slow(server: u32, takes_ms: i64) -> Event {
-    Event::SlowMessages { server: ServerId(server), takes: Span::from_micros(takes_ms * 1_000) }
+    Event::SlowResponses { server: ServerId(server), response_time: Span::from_micros(takes_ms * 1_000) }
 }
 
 fn final_answers(actions: &[Action], id: u32) -> usize {
     let answer = |a: &&Action| match a {
-        Action::Refuse { id: of, .. } | Action::Fail { id: of } => of.0 == id,
+        Action::Reject { id: of, .. } | Action::Fail { id: of } => of.0 == id,
         _ => false,
     };
     actions.iter().filter(answer).count()
@@ -144,11 +148,11 @@
         Outcome::ConnectError,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Ignored,
+        Outcome::NotSent,
         Outcome::Ok,
     ];
     for outcome in outcomes {
-        let once = Settings { max_attempts: 1, ..settings(Effect::Safe) };
+        let once = Settings { max_attempts: 1, ..settings(Idempotency::Idempotent) };
         let mut relay = Relay::new(once, 1);
         relay.request(1.0, 1).expect("placed");
         assert_eq!(relay.module.open_connections(ServerId(0)), 1);
@@ -162,9 +166,9 @@
 
 #[test]
 fn counts_weigh_by_listed_size() {
-    let mut relay = Relay::new(settings(Effect::Safe), 0);
-    let sized = |number, size| Listing { size, ..listing(number) };
-    relay.list(0.5, ListNews::Whole, vec![sized(0, 1.0), sized(1, 3.0)]);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 0);
+    let sized = |number, size| EndpointEntry { weight: size, ..listing(number) };
+    relay.list(0.5, ListUpdate::Snapshot, vec![sized(0, 1.0), sized(1, 3.0)]);
     let mut counts = [0u32; 2];
     for id in 0..400 {
         counts[relay.request(1.0, id).expect("ready").0 as usize] += 1;
@@ -176,7 +180,7 @@
 
 #[test]
 fn a_hot_server_is_left_out_of_the_draw_until_word_that_it_is_back() {
-    let mut relay = filled(settings(Effect::Safe), 3, 5, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 3, 5, 1.0);
     relay.event(2.0, slow(1, 50));
     for id in 0..60 {
         assert_ne!(relay.request(2.1, id), Some(ServerId(1)));
@@ -189,18 +193,18 @@
 
 #[test]
 fn a_swamped_server_lets_a_small_part_go_and_gets_nothing() {
-    let mut relay = filled(settings(Effect::Safe), 1, 100, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 1, 100, 1.0);
     let moved = relay.event(2.0, slow(0, 200));
-    let moved = moved.iter().filter(|a| matches!(a, Action::Move { .. })).count();
+    let moved = moved.iter().filter(|a| matches!(a, Action::Migrate { .. })).count();
     assert!((10..=11).contains(&moved), "{moved}");
     assert_eq!(relay.request(2.1, 1), None, "held while the only server is swamped");
-    let mut quiet = filled(settings(Effect::Safe), 1, 100, 1.0);
+    let mut quiet = filled(settings(Idempotency::Idempotent), 1, 100, 1.0);
     assert!(quiet.event(2.0, slow(0, 40)).is_empty(), "connections that are served stay put");
 }
 
 #[test]
 fn a_recovered_server_is_not_rushed() {
-    let mut relay = filled(settings(Effect::Safe), 2, 100, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 2, 100, 1.0);
     relay.request(1.5, 1).expect("counts are reckoned by now");
     relay.event(2.0, slow(0, 200));
     relay.event(2.0, slow(1, 200));
@@ -218,17 +222,17 @@
 
 #[test]
 fn heavy_connections_of_little_worth_are_let_go_first() {
-    let mut two = settings(Effect::Safe);
-    two.classes.push(Class { worth: 9.0, ..two.classes[0].clone() });
+    let mut two = settings(Idempotency::Idempotent);
+    two.classes.push(RequestClass { priority_weight: 9.0, ..two.classes[0].clone() });
     let mut relay = Relay::new(two, 1);
     for id in 0..20 {
         let class = ClassId(id % 2);
         let load = Some(if id == 4 { 0.5 } else { 0.01 });
         let request = Request { class, load, ..request(id) };
-        relay.event(1.0, Event::Existing { request, server: ServerId(0) });
+        relay.event(1.0, Event::ExistingConnection { request, server: ServerId(0) });
     }
     let moved = relay.event(2.0, slow(0, 300));
-    assert_eq!(moved.first(), Some(&Action::Move { id: RequestId(4) }));
+    assert_eq!(moved.first(), Some(&Action::Migrate { id: RequestId(4) }));
 }
 
 #[test]
@@ -236,15 +240,16 @@
     // A hundred relays hold one connection a server; a cold server must not draw a wave.
     let mut sent = 0;
     for seed in 0..100 {
-        let own = PeerId(seed as u32);
-        let settings = Settings { relays: 100, own, ..settings(Effect::Safe) };
+        let own = GatewayId(seed as u32);
+        let settings = Settings { gateways: 100, gateway_id: own, ..settings(Idempotency::Idempotent) };
         let mut relay = Relay { module: Balancer::new(settings, seed), actions: Vec::new() };
-        relay.list(0.0, ListNews::Whole, (0..10).map(listing).collect());
+        relay.list(0.0, ListUpdate::Snapshot, (0..10).map(listing).collect());
         for id in 0..10 {
-            relay.event(0.5, Event::Existing { request: request(1_000 + id), server: ServerId(id) });
+            relay
+                .event(0.5, Event::ExistingConnection { request: request(1_000 + id), server: ServerId(id) });
         }
-        let cold = Listing { started: Some(at(10.0)), ..listing(10) };
-        relay.list(10.0, ListNews::Changes, vec![cold]);
+        let cold = EndpointEntry { started_at: Some(at(10.0)), ..listing(10) };
+        relay.list(10.0, ListUpdate::Delta, vec![cold]);
         for id in 0..20 {
             let now = 10.0 + 0.05 * f64::from(id);
             sent += u32::from(relay.request(now, id) == Some(ServerId(10)));
@@ -257,16 +262,16 @@
 
 #[test]
 fn a_server_known_for_long_may_come_back_cold() {
-    let mut relay = filled(settings(Effect::Safe), 5, 4, 1.0);
-    let restarted = Listing { started: Some(at(20.0)), ..listing(0) };
-    relay.list(20.0, ListNews::Changes, vec![restarted]);
+    let mut relay = filled(settings(Idempotency::Idempotent), 5, 4, 1.0);
+    let restarted = EndpointEntry { started_at: Some(at(20.0)), ..listing(0) };
+    relay.list(20.0, ListUpdate::Delta, vec![restarted]);
     let sent = (0..200).filter(|&id| relay.request(20.1, id) == Some(ServerId(0))).count();
     assert!(sent <= 2, "{sent}");
 }
 
 #[test]
 fn a_server_that_fails_to_connect_is_set_aside_and_tried_again_sparingly() {
-    let mut relay = Relay::new(settings(Effect::Safe), 4);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 4);
     let mut tries = 0;
     for id in 0..400 {
         let now = 1.0 + 0.01 * f64::from(id);
@@ -284,7 +289,7 @@
 
 #[test]
 fn errors_are_not_retried_at_once_and_narrow_the_window() {
-    let mut relay = Relay::new(settings(Effect::Safe), 4);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 4);
     relay.request(1.0, 1).expect("ready");
     assert_eq!(attempt(&relay.ended(1.01, 1, 0, Outcome::Failed)), None, "it waits first");
     // A store that fails all set-ups: ever fewer are out at once.
@@ -305,18 +310,18 @@
 
 #[test]
 fn a_held_request_is_placed_when_a_server_is_ready_and_refused_in_good_time() {
-    let mut relay = Relay::new(settings(Effect::Safe), 0);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 0);
     assert_eq!(relay.request(1.0, 1), None);
-    let placed = relay.list(1.2, ListNews::Changes, vec![listing(0)]);
+    let placed = relay.list(1.2, ListUpdate::Delta, vec![listing(0)]);
     assert_eq!(attempt(&placed), Some(ServerId(0)));
 
-    let mut relay = Relay::new(settings(Effect::Safe), 0);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 0);
     relay.request(1.0, 1);
     let mut now = 1.0;
     while final_answers(&relay.actions, 1) == 0 && now < 4.0 {
         let timers: Vec<_> = std::mem::take(&mut relay.actions);
         let due = timers.iter().filter_map(|a| match a {
-            Action::SetTimer { token, at } => Some((*at, *token)),
+            Action::SetTimer { token, due_at: at } => Some((*at, *token)),
             _ => None,
         });
         let (when, token) = due.min().expect("a held request has a timer");
@@ -332,7 +337,7 @@
 #[test]
 fn groups_stay_together_while_load_permits() {
     let grouped = |id| Request { group: Some(GroupId(7)), ..request(id) };
-    let mut relay = filled(settings(Effect::Safe), 20, 3, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 20, 3, 1.0);
     let home = attempt(&relay.event(1.0, Event::Request(grouped(1)))).expect("ready");
     relay.established(1.0, 1, 0);
     for id in 2..4 {
@@ -349,11 +354,11 @@
 
 #[test]
 fn the_own_zone_serves_first_but_is_not_filled_while_others_are_empty() {
-    let mut settings = settings(Effect::Safe);
+    let mut settings = settings(Idempotency::Idempotent);
     settings.prices.cross_zone = 0.014;
     let mut relay = Relay::new(settings, 1);
-    let far = |number| Listing { zone: ZoneId(1), ..listing(number) };
-    relay.list(0.0, ListNews::Whole, (1..5).map(far).chain([listing(0)]).collect());
+    let far = |number| EndpointEntry { zone: ZoneId(1), ..listing(number) };
+    relay.list(0.0, ListUpdate::Snapshot, (1..5).map(far).chain([listing(0)]).collect());
     let mut counts = [0u32; 5];
     for id in 0..200 {
         let server = relay.request(1.0, id).expect("five servers are ready");
@@ -364,15 +369,15 @@
     let most_far = counts[1..].iter().max().copied().unwrap_or_default();
     assert!((most_far..most_far * 2).contains(&counts[0]), "{counts:?}");
     // It gets less than an emptier far server, also where others are full.
-    let far = |number| Listing { state: ServerState::Gone, ..far(number) };
-    relay.list(1.5, ListNews::Changes, vec![far(1), far(2)]);
+    let far = |number| EndpointEntry { state: ServerState::Removed, ..far(number) };
+    relay.list(1.5, ListUpdate::Delta, vec![far(1), far(2)]);
     for id in 0..200 {
         relay.ended(1.6, id, 0, Outcome::Ok);
     }
     for (server, count) in [(0, 15), (3, 5), (4, 25)] {
         for id in 0..count {
             let request = request(1000 * (server + 1) + id);
-            relay.event(1.7, Event::Existing { request, server: ServerId(server) });
+            relay.event(1.7, Event::ExistingConnection { request, server: ServerId(server) });
         }
     }
     let placed = (200..224).filter_map(|id| relay.request(1.8, id));
@@ -385,7 +390,7 @@
 
 #[test]
 fn a_server_that_drops_connections_does_not_get_them_all_back() {
-    let mut relay = filled(settings(Effect::Safe), 3, 8, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 3, 8, 1.0);
     let there = |number: u32| 100_000 + 3 * number;
     // One alone may be the network's doing.
     relay.ended(2.0, there(0), 0, Outcome::Reset);
@@ -405,14 +410,14 @@
 
 #[test]
 fn a_silent_server_is_emptied_and_tried_with_one_connection_until_it_answers() {
-    let mut relay = filled(settings(Effect::Safe), 2, 5, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 2, 5, 1.0);
     let silent = ServerId(0);
     let there = relay.module.open_connections(silent);
-    let moved = relay.event(2.0, Event::Silent { server: silent });
-    let moves = moved.iter().filter(|action| matches!(action, Action::Move { .. })).count();
+    let moved = relay.event(2.0, Event::ServerSilent { server: silent });
+    let moves = moved.iter().filter(|action| matches!(action, Action::Migrate { .. })).count();
     assert_eq!(moves, there as usize, "all that were there");
     for action in moved {
-        if let Action::Move { id } = action {
+        if let Action::Migrate { id } = action {
             relay.ended(2.0, id.0, 0, Outcome::Cancelled);
         }
     }
@@ -430,7 +435,7 @@
     for (outcome, may_run) in
         [(Outcome::Reset, true), (Outcome::TimedOut, true), (Outcome::ConnectError, false)]
     {
-        let mut relay = Relay::new(settings(Effect::Unsafe), 3);
+        let mut relay = Relay::new(settings(Idempotency::NotIdempotent), 3);
         relay.request(1.0, 1).expect("ready");
         let after = relay.ended(1.1, 1, 0, outcome);
         assert_eq!(after.contains(&Action::Fail { id: RequestId(1) }), may_run, "{outcome:?}");
@@ -440,11 +445,11 @@
 
 #[test]
 fn the_list_is_subscribed_to_and_again_after_a_break_with_growing_waits() {
-    let asked = Settings { discovery: Discovery::OnRequest, ..settings(Effect::Safe) };
+    let asked = Settings { discovery: DiscoveryMode::OnRequest, ..settings(Idempotency::Idempotent) };
     let mut relay = Relay::new(asked, 2);
     let timer = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::SetTimer { token, at } => Some((*token, *at)),
+            Action::SetTimer { token, due_at: at } => Some((*token, *at)),
             _ => None,
         })
     };
@@ -454,7 +459,8 @@
     let mut waits = Vec::new();
     for step in 0..8 {
         let now = 2.0 + 10.0 * f64::from(step);
-        let (token, again) = timer(&relay.list(now, ListNews::Broken, Vec::new())).expect("another call");
+        let (token, again) =
+            timer(&relay.list(now, ListUpdate::WatchFailed, Vec::new())).expect("another call");
         waits.push(again.since(at(now)));
         assert!(relay.event(now + 9.0, Event::Timer(token)).contains(&Action::Subscribe));
     }
@@ -466,7 +472,7 @@
 
 #[test]
 fn a_request_without_time_is_answered_at_once_and_once() {
-    let mut relay = Relay::new(settings(Effect::Safe), 2);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 2);
     let late = Request { time_left: Span::ZERO, ..request(1) };
     let actions = relay.event(1.0, Event::Request(late.clone()));
     assert_eq!(final_answers(&actions, 1), 1);
@@ -475,16 +481,16 @@
 
 #[test]
 fn an_overdue_attempt_is_called_off_and_answered_within_the_slack() {
-    let mut relay = Relay::new(settings(Effect::Safe), 1);
+    let mut relay = Relay::new(settings(Idempotency::Idempotent), 1);
     let actions = relay.event(1.0, Event::Request(request(1)));
     let timer = actions.iter().find_map(|a| match a {
-        Action::SetTimer { token, at } => Some((*token, *at)),
+        Action::SetTimer { token, due_at: at } => Some((*token, *at)),
         _ => None,
     });
     let (token, when) = timer.expect("each request has a last moment");
     assert!(when > at(3.0) && when <= at(3.02));
     let end = relay.event(3.011, Event::Timer(token));
-    assert!(end.contains(&Action::Recall { id: RequestId(1), attempt: 0 }));
+    assert!(end.contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 }));
     assert_eq!(final_answers(&end, 1), 1);
     assert!(relay.ended(3.02, 1, 0, Outcome::Failed).is_empty(), "nothing goes out after the answer");
 }
@@ -493,8 +499,8 @@
 fn beside_cold_ones(settings: Settings, servers: u32, cold: u32) -> Relay {
     let mut relay = Relay { module: Balancer::new(settings, 1), actions: Vec::new() };
     let started = |number| (number < cold).then(|| at(100.0));
-    let entries = (0..servers).map(|number| Listing { started: started(number), ..listing(number) });
-    relay.list(101.0, ListNews::Whole, entries.collect());
+    let entries = (0..servers).map(|number| EndpointEntry { started_at: started(number), ..listing(number) });
+    relay.list(101.0, ListUpdate::Snapshot, entries.collect());
     relay
 }
 
@@ -502,7 +508,7 @@
 fn a_relay_that_has_seen_nothing_fills_new_servers_by_the_tenants_shares() {
     let share = |quota_connections| vec![Tenant { quota_per_s: 9.0, quota_connections }];
     let placed = |tenants| {
-        let mut relay = beside_cold_ones(Settings { tenants, ..settings(Effect::Safe) }, 3, 2);
+        let mut relay = beside_cold_ones(Settings { tenants, ..settings(Idempotency::Idempotent) }, 3, 2);
         let servers = (0..24).map(|id| {
             let now = 101.0 + f64::from(id) * 0.05;
             let server = relay.request(now, id).expect("a server is ready");
@@ -519,13 +525,13 @@
 fn drop_some(relay: &mut Relay, ids: impl Iterator<Item = u32>) {
     for id in ids {
         let (id, outcome) = (RequestId(100_000 + id), Outcome::Reset);
-        relay.event(1.0, Event::Ended { id, attempt: 0, outcome, request_over: true });
+        relay.event(1.0, Event::AttemptEnded { id, attempt: 0, outcome, request_done: true });
     }
 }
 
 #[test]
 fn a_server_that_shed_is_not_filled_beyond_what_it_bears() {
-    let mut relay = filled(settings(Effect::Safe), 3, 20, 1.0);
+    let mut relay = filled(settings(Idempotency::Idempotent), 3, 20, 1.0);
     drop_some(&mut relay, (0..36).step_by(3));
     assert_eq!(relay.module.open_connections(ServerId(0)), 8);
     // Long after the rest that it is given at first.
@@ -539,15 +545,15 @@
 
 #[test]
 fn a_server_that_was_called_back_gets_the_next_request_whatever_was_held_against_it() {
-    let mut relay = filled(settings(Effect::Safe), 3, 5, 1.0);
-    let state = |state| vec![Listing { state, ..listing(2) }];
+    let mut relay = filled(settings(Idempotency::Idempotent), 3, 5, 1.0);
+    let state = |state| vec![EndpointEntry { state, ..listing(2) }];
     drop_some(&mut relay, (2..15).step_by(3));
-    relay.list(1.0, ListNews::Changes, state(ServerState::Draining));
-    relay.event(1.1, Event::Silent { server: ServerId(2) });
-    relay.list(1.2, ListNews::Changes, state(ServerState::Ready));
-    assert!(relay.module.avoids(at(1.2), ServerId(2)));
-    relay.event(1.2, Event::CalledBack { server: ServerId(2) });
-    assert!(!relay.module.avoids(at(1.2), ServerId(2)));
+    relay.list(1.0, ListUpdate::Delta, state(ServerState::Draining));
+    relay.event(1.1, Event::ServerSilent { server: ServerId(2) });
+    relay.list(1.2, ListUpdate::Delta, state(ServerState::Ready));
+    assert!(relay.module.is_avoided(at(1.2), ServerId(2)));
+    relay.event(1.2, Event::Uncordoned { server: ServerId(2) });
+    assert!(!relay.module.is_avoided(at(1.2), ServerId(2)));
     assert_eq!(relay.request(1.3, 1), Some(ServerId(2)));
     relay.established(1.3, 1, 0);
     let more = (2..40).filter(|&id| relay.request(1.3, id) == Some(ServerId(2))).count();
@@ -556,9 +562,9 @@
 
 #[test]
 fn a_request_waits_for_a_paced_server_rather_than_go_to_one_set_aside() {
-    let mut relay = filled(settings(Effect::Safe), 2, 20, 1.0);
-    let started = Listing { started: Some(at(1.0)), ..listing(1) };
-    relay.list(1.0, ListNews::Changes, vec![started]);
+    let mut relay = filled(settings(Idempotency::Idempotent), 2, 20, 1.0);
+    let started = EndpointEntry { started_at: Some(at(1.0)), ..listing(1) };
+    relay.list(1.0, ListUpdate::Delta, vec![started]);
     // The old one is gone before the list says so.
     let mut dead = 0;
     let (mut held, mut placed) = (0, 0);
--- a/tests/state.rs
+++ b/tests/shared_state.rs
@@ -3,17 +3,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide::state::{Hub, Judged, Look, SEEN, Sight, Slots, Watched, Witness, key_of, schema};
-use ashtide::view::{Settings, ViewError};
+use ashtide::fleet::shared_state::{
+    GatewaySlots, GatewayState, LocalObservation, OBSERVED_KINDS, OutcomeReport, OutcomeReporter,
+    OutlierDecision, ServerObservation, name_hash, schema,
+};
+use ashtide::fleet::view::{Settings, ViewError};
 use ashtide::{Outcome, ServerId, Time};
-use ashtide_fleet::Unheard;
-use ashtide_fleet::state::Kind;
+use ashtide_fleet::DecodeError;
+use ashtide_fleet::state::EvidenceKind;
 
 const HEAD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n[state]\n";
 
 fn told(rest: &str) -> String {
     let settings = Settings::parse(&format!("{HEAD}{rest}"));
-    settings.and_then(|it| it.slots(None)).err().map(|it| it.to_string()).unwrap_or_default()
+    settings.and_then(|it| it.gateway_slots(None)).err().map(|it| it.to_string()).unwrap_or_default()
 }
 
 #[test]
@@ -40,10 +43,10 @@
     }
     let settings = Settings::parse(HEAD).expect("good");
     let peers = ["127.0.0.2:1", "127.0.0.1:1"].map(|it| it.parse().expect("an address"));
-    let slots = settings.slots(Some(&peers)).expect("by the peers, at the view's port");
+    let slots = settings.gateway_slots(Some(&peers)).expect("by the peers, at the view's port");
     assert_eq!((slots.len(), slots.own().0), (2, 1));
     let plain = Settings::parse("listen = \"127.0.0.1:7946\"\ntier = 1\n").expect("good");
-    assert_eq!(plain.state, None);
+    assert_eq!(plain.shared_state, None);
 }
 
 #[test]
@@ -51,7 +54,7 @@
     let schema = schema();
     for word in schema["properties"]["judgements"]["enum"].as_array().expect("words") {
         let parsed = Settings::parse(&format!("{HEAD}judgements = {word}"));
-        assert!(parsed.is_ok(), "{:?}", parsed.map_err(ViewError::told));
+        assert!(parsed.is_ok(), "{:?}", parsed.map_err(ViewError::with_help));
     }
     let rate = &schema["properties"]["datagrams_per_s"];
     for bound in ["minimum", "maximum"] {
@@ -61,30 +64,34 @@
 
 #[test]
 fn what_fails_counts_since_it_last_went_well() {
-    let (mut witness, server) = (Witness::default(), ServerId(3));
+    let (mut witness, server) = (OutcomeReporter::default(), ServerId(3));
     let at = |ms: i64| Time::from_micros(ms * 1_000);
-    let sight = |of, failing, silent| Sight { of, seen: [failing, silent, 0] };
+    let sight = |of, failing, silent| OutcomeReport { attempts: of, observations: [failing, silent, 0] };
     for _ in 0..20 {
-        witness.saw(server, None);
+        witness.record(server, None);
     }
-    assert_eq!(witness.look(at(0)).len(), 1);
-    witness.ended(server, false, Outcome::ConnectError);
-    assert_eq!(witness.look(at(250)), [(server, sight(1, 1, 0))]);
-    assert_eq!(witness.look(at(500)), [], "nothing new");
-    witness.ended(server, false, Outcome::TimedOut);
+    assert_eq!(witness.take_reports(at(0)).len(), 1);
+    witness.record_end(server, false, Outcome::ConnectError);
+    assert_eq!(witness.take_reports(at(250)), [(server, sight(1, 1, 0))]);
+    assert_eq!(witness.take_reports(at(500)), [], "nothing new");
+    witness.record_end(server, false, Outcome::TimedOut);
     // A client that left, or a connection that ended as they do, says nothing of the server.
-    witness.ended(server, true, Outcome::Ok);
-    witness.ended(server, false, Outcome::Cancelled);
-    assert_eq!(witness.look(at(750)), [(server, sight(2, 1, 1))]);
-    witness.saw(server, None);
-    assert_eq!(witness.look(at(1_000)), [(server, sight(1, 0, 0))], "well again at the first attempt");
-    witness.ended(server, false, Outcome::Failed);
-    assert_eq!(witness.look(at(12_000)), [(server, sight(1, 1, 0))], "and what is old is forgotten");
+    witness.record_end(server, true, Outcome::Ok);
+    witness.record_end(server, false, Outcome::Cancelled);
+    assert_eq!(witness.take_reports(at(750)), [(server, sight(2, 1, 1))]);
+    witness.record(server, None);
+    assert_eq!(
+        witness.take_reports(at(1_000)),
+        [(server, sight(1, 0, 0))],
+        "well again at the first attempt"
+    );
+    witness.record_end(server, false, Outcome::Failed);
+    assert_eq!(witness.take_reports(at(12_000)), [(server, sight(1, 1, 0))], "and what is old is forgotten");
 }
 
 /// Hubs whose datagrams reach each other at once.
 struct Tier {
-    hubs: Vec<Hub>,
+    hubs: Vec<GatewayState>,
     gateways: Vec<SocketAddr>,
     now: Duration,
 }
@@ -97,28 +104,28 @@
             (0..size).map(|it| SocketAddr::from(([127, 0, 0, 1], 9_000 + it))).collect();
         let settings =
             Settings::parse(&format!("{HEAD}check = \"log\"\njudgements = \"use\"")).expect("good");
-        let state = settings.state.expect("the table");
+        let state = settings.shared_state.expect("the table");
         let hubs = gateways.iter().enumerate().map(|(number, &own)| {
-            let slots = Slots::new(gateways.clone(), own).expect("its own is among them");
-            let mut hub = Hub::new(state.clone(), 1, slots, 100, number as u64, Duration::ZERO);
-            hub.peers(gateways.iter().copied());
+            let slots = GatewaySlots::new(gateways.clone(), own).expect("its own is among them");
+            let mut hub = GatewayState::new(state.clone(), 1, slots, 100, number as u64, Duration::ZERO);
+            hub.set_peers(gateways.iter().copied());
             hub
         });
         Self { hubs: hubs.collect(), gateways: gateways.clone(), now: Duration::ZERO }
     }
 
     /// Lets time pass; these see a server fail, all others see nothing of it.
-    fn pass(&mut self, ms: u64, see: &[usize], open: &[(&str, u32)]) -> Vec<Judged> {
+    fn pass(&mut self, ms: u64, see: &[usize], open: &[(&str, u32)]) -> Vec<OutlierDecision> {
         let mut judged = Vec::new();
         for step in 1..=ms / 50 {
             self.now += Duration::from_millis(50);
             for hub in &mut self.hubs {
-                hub.at(self.now);
+                hub.advance_to(self.now);
             }
             for from in 0..self.hubs.len() {
-                while let Some((to, datagram)) = self.hubs[from].transmit() {
+                while let Some((to, datagram)) = self.hubs[from].next_datagram() {
                     let to = self.gateways.iter().position(|&it| it == to).expect("a gateway");
-                    self.hubs[to].hear(self.gateways[from], &datagram).expect("sound");
+                    self.hubs[to].handle_datagram(self.gateways[from], &datagram).expect("sound");
                 }
             }
             if step % 5 == 0 {
@@ -128,22 +135,28 @@
         judged
     }
 
-    fn look(&mut self, number: usize, see: &[usize], open: &[(&str, u32)]) -> Judged {
+    fn look(&mut self, number: usize, see: &[usize], open: &[(&str, u32)]) -> OutlierDecision {
         let open_at = |name: &str| open.iter().find(|it| it.0 == name).map_or(0, |it| it.1);
         let servers =
             NAMES.iter().copied().chain(open.iter().map(|it| it.0).filter(|it| !NAMES.contains(it)));
-        let look = Look {
+        let look = LocalObservation {
             servers: servers
-                .map(|name| Watched { key: key_of(name), name, size: 1.0, ready: true, open: open_at(name) })
+                .map(|name| ServerObservation {
+                    key: name_hash(name),
+                    name,
+                    size: 1.0,
+                    ready: true,
+                    open_connections: open_at(name),
+                })
                 .collect(),
             tenants: vec![("north", 2)],
-            sights: match see.contains(&number) {
-                true => vec![(key_of("a"), Sight { of: 4, seen: [4, 0, 0] })],
+            outcome_reports: match see.contains(&number) {
+                true => vec![(name_hash("a"), OutcomeReport { attempts: 4, observations: [4, 0, 0] })],
                 false => Vec::new(),
             },
         };
-        let judged = self.hubs[number].look(self.now, &look);
-        assert_eq!(judged.broken, None);
+        let judged = self.hubs[number].observe(self.now, &look);
+        assert_eq!(judged.violation, None);
         judged
     }
 }
@@ -154,43 +167,51 @@
         let mut tier = Tier::new(5);
         let judged = tier.pass(6_000, see, &[]);
         for judged in judged {
-            assert_eq!(judged.out.contains(&key_of("a")), out, "seen by {see:?}");
+            assert_eq!(judged.ejected.contains(&name_hash("a")), out, "seen by {see:?}");
         }
         // Nobody tries it any more: it is back once what was seen is old.
         let judged = tier.pass(12_000, &[], &[]);
-        assert!(judged.iter().all(|it| it.out.is_empty()), "{judged:?}");
+        assert!(judged.iter().all(|it| it.ejected.is_empty()), "{judged:?}");
     }
 }
 
 #[test]
 fn evidence_of_an_overrun_server_takes_it_from_nobody() {
-    assert_eq!(SEEN[2], Kind::Overrun);
+    assert_eq!(OBSERVED_KINDS[2], EvidenceKind::Overrun);
     let mut tier = Tier::new(4);
     tier.pass(3_000, &[], &[]);
     for hub in &mut tier.hubs {
-        hub.exchange().judgements().saw(tier.now, key_of("a"), Kind::Overrun, 9, 9);
+        hub.exchange().outlier_reports_mut().record_observation(
+            tier.now,
+            name_hash("a"),
+            EvidenceKind::Overrun,
+            9,
+            9,
+        );
     }
-    assert!(tier.pass(1_000, &[], &[]).iter().all(|it| it.out.is_empty()));
+    assert!(tier.pass(1_000, &[], &[]).iter().all(|it| it.ejected.is_empty()));
 }
 
 #[test]
 fn who_speaks_from_another_address_than_its_own_is_not_heard() {
     let mut tier = Tier::new(3);
     for hub in &mut tier.hubs {
-        hub.at(Duration::from_secs(1));
+        hub.advance_to(Duration::from_secs(1));
     }
-    let (_, datagram) = tier.hubs[0].transmit().expect("a word");
+    let (_, datagram) = tier.hubs[0].next_datagram().expect("a word");
     let (own, another) = (tier.gateways[0], tier.gateways[2]);
     let stranger = "127.0.0.9:9000".parse().expect("an address");
-    assert_eq!(tier.hubs[1].hear(another, &datagram), Err(Unheard::Foreign));
-    assert_eq!(tier.hubs[1].hear(stranger, &datagram), Err(Unheard::Foreign));
-    assert_eq!(tier.hubs[1].hear(own, &datagram), Ok(()));
-    assert!(tier.hubs[1].figures().contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2"));
+    assert_eq!(tier.hubs[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(tier.hubs[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(tier.hubs[1].handle_datagram(own, &datagram), Ok(()));
+    assert!(
+        tier.hubs[1].metrics_text().contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2")
+    );
 }
 
-fn open(hub: &mut Hub, name: &str) -> Option<u32> {
-    hub.ask();
-    let text = hub.text();
+fn open(hub: &mut GatewayState, name: &str) -> Option<u32> {
+    hub.request_totals();
+    let text = hub.status_text();
     let line = text.lines().find(|line| line.starts_with(&format!("server {name} ")))?;
     line.split(' ').find_map(|word| word.strip_prefix("open=")?.parse().ok())
 }
@@ -199,11 +220,11 @@
 fn a_life_that_others_outdo_goes_on_as_a_later_one_and_is_heard() {
     let mut tier = Tier::new(3);
     tier.pass(4_000, &[], &[("a", 4)]);
-    assert_eq!(tier.hubs[1].lives_on(101), None, "held dead by mistake: the same life");
-    let line = tier.hubs[1].lives_on(500).expect("others know a later life");
+    assert_eq!(tier.hubs[1].handle_new_incarnation(101), None, "held dead by mistake: the same life");
+    let line = tier.hubs[1].handle_new_incarnation(500).expect("others know a later life");
     assert!(line.starts_with("state: outdone generation=500"), "{line}");
     tier.pass(4_000, &[], &[("a", 7), ("b", 1)]);
-    tier.hubs.iter_mut().for_each(Hub::ask);
+    tier.hubs.iter_mut().for_each(GatewayState::request_totals);
     tier.pass(1_000, &[], &[("a", 7), ("b", 1)]);
     for hub in &mut tier.hubs {
         assert_eq!((open(hub, "a"), open(hub, "b")), (Some(21), Some(3)));
@@ -219,7 +240,7 @@
         tier.pass(250, &[], &[(&name, 2)]);
     }
     tier.pass(4_000, &[], &[("a", 5)]);
-    tier.hubs.iter_mut().for_each(Hub::ask);
+    tier.hubs.iter_mut().for_each(GatewayState::request_totals);
     tier.pass(1_000, &[], &[("a", 5)]);
     for hub in &mut tier.hubs {
         assert_eq!(open(hub, "a"), Some(15));
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options, Shared, lay};
-use ashtide_rehearsal::fleet::{Fleet, chunk};
-use ashtide_rehearsal::within;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options, Shared, lay};
+use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::within;
 use futures_util::FutureExt;
 use futures_util::future::select_all;
 use serde_json::{Value, json};
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -1,6 +1,6 @@
 //! When servers started, by a wall clock that may be an hour off: what the list shows goes before the clock.
 
-use ashtide::start_times::StartTimes;
+use ashtide::discovery::start_times::StartTimes;
 use ashtide::{ServerId, Time};
 
 const SERVER: ServerId = ServerId(7);
@@ -20,15 +20,15 @@
 /// A process whose watch came into step at second 10 and told something whole at second 20.
 fn in_step() -> StartTimes {
     let mut times = StartTimes::default();
-    times.watching(at(10));
-    times.news(at(20));
+    times.record_watch_synced(at(10));
+    times.record_update(at(20));
     times
 }
 
 /// When a server that appears on the list now is taken to have started.
 fn appears(times: &mut StartTimes, now: Time, since_ms: f64) -> Option<Time> {
-    let earliest = times.unlisted_until(now);
-    times.started(now, SERVER, since_ms, earliest)
+    let earliest = times.earliest_new_start(now);
+    times.start_time(now, SERVER, since_ms, earliest)
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let mut times = in_step();
     assert_eq!(appears(&mut times, at(22), unix_ms(21)), Some(at(21)));
     // Discovery may be some seconds late, and has 6 s.
-    assert_eq!(times.started(at(22), OTHER, unix_ms(15), times.unlisted_until(at(22))), Some(at(15)));
+    assert_eq!(times.start_time(at(22), OTHER, unix_ms(15), times.earliest_new_start(at(22))), Some(at(15)));
     // The first list of all says nothing of what was there before.
     assert_eq!(appears(&mut StartTimes::default(), at(0), unix_ms(-5)), Some(at(-5)));
     assert_eq!(appears(&mut times, at(22), 0.0), None, "long ago");
@@ -58,11 +58,11 @@
     assert_eq!(appears(&mut times, at(500), unix_ms(500 - HOUR_S)), Some(quiet));
     // The watch fell silent at 30, and the list that it missed comes at 40.
     let mut times = in_step();
-    times.watch_ended(at(30));
+    times.record_watch_end(at(30));
     assert_eq!(appears(&mut times, at(40), unix_ms(40 - HOUR_S)), Some(at(30)));
     // A call that failed tells nothing later.
-    times.watch_ended(at(35));
-    assert_eq!(times.unlisted_until(at(40)), Some(at(30)));
+    times.record_watch_end(at(35));
+    assert_eq!(times.earliest_new_start(at(40)), Some(at(30)));
 }
 
 #[test]
@@ -71,17 +71,17 @@
     let mut times = StartTimes::default();
     assert_eq!(appears(&mut times, at(0), unix_ms(HOUR_S)), Some(at(0)));
     // It keeps that age on later lists, however they come.
-    times.watching(at(3));
+    times.record_watch_synced(at(3));
     assert_eq!(appears(&mut times, at(9), unix_ms(HOUR_S)), Some(at(0)));
     // A further start of the same server is another.
     assert_eq!(appears(&mut times, at(9), unix_ms(HOUR_S + 9)), Some(at(9)));
-    let earliest = times.unlisted_until(at(9));
-    assert_eq!(times.started(at(9), OTHER, unix_ms(HOUR_S), earliest), Some(at(9)));
+    let earliest = times.earliest_new_start(at(9));
+    assert_eq!(times.start_time(at(9), OTHER, unix_ms(HOUR_S), earliest), Some(at(9)));
 }
 
 #[test]
 fn news_put_nothing_in_step_before_a_watch_is() {
     let mut times = StartTimes::default();
-    times.news(at(5));
-    assert_eq!(times.unlisted_until(at(6)), None, "it may have been listed long ago");
+    times.record_update(at(5));
+    assert_eq!(times.earliest_new_start(at(6)), None, "it may have been listed long ago");
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::{Fleet, Mood};
-use ashtide_rehearsal::{RehearsalError, within};
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, Mood};
+use ashtide_testkit::{RehearsalError, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::Fleet;
-use ashtide_rehearsal::system_faults::{Preload, SystemFaults};
-use ashtide_rehearsal::within;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::system_faults::{Preload, SystemFaults};
+use ashtide_testkit::within;
 use futures_util::future::join_all;
 use serde_json::json;
 use site::Site;
--- a/tests/rehearsal.rs
+++ b/tests/testkit.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use ashtide_rehearsal::scenarios::{MIGRANTS, play};
+use ashtide_testkit::scenarios::{MIGRANTS, play};
 
 fn rehearse(name: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -4,15 +4,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use ashtide::view::{Settings, ViewError, generation, schema};
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::Fleet;
+use ashtide::fleet::view::{Settings, ViewError, next_incarnation, schema};
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::Fleet;
 use tokio::time::sleep;
 
 const GOOD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n";
 
 fn problem(text: &str) -> String {
-    Settings::parse(text).err().map(ViewError::told).unwrap_or_default()
+    Settings::parse(text).err().map(ViewError::with_help).unwrap_or_default()
 }
 
 #[test]
@@ -62,16 +62,19 @@
         assert!(problem.contains(told), "{text}: {problem}");
     }
     let settings = Settings::parse(GOOD).expect("good");
-    let none = settings.seeds(None).err().map(|it| it.to_string()).unwrap_or_default();
+    let none = settings.seeds_or_peers(None).err().map(|it| it.to_string()).unwrap_or_default();
     assert!(none.contains("seeds: found nothing; expected"), "{none}");
     let peers = vec!["127.0.0.1:9".parse().expect("one"), "127.0.0.2:9".parse().expect("another")];
-    let seeds = settings.seeds(Some(peers)).expect("by the peers");
+    let seeds = settings.seeds_or_peers(Some(peers)).expect("by the peers");
     assert_eq!(seeds, ["127.0.0.2:7946".parse::<SocketAddr>().expect("at the view's port")]);
 }
 
 #[test]
 fn a_life_is_later_than_the_one_before_whatever_the_clock_says() {
-    assert_eq!([generation(50, None), generation(50, Some(20)), generation(50, Some(70))], [50, 50, 71]);
+    assert_eq!(
+        [next_incarnation(50, None), next_incarnation(50, Some(20)), next_incarnation(50, Some(70))],
+        [50, 50, 71]
+    );
 }
 
 /// Three daemons that have a view, each at an address that no other test has.
@@ -178,7 +181,7 @@
     let folder = std::env::temp_dir().join(format!("ashtide-view-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let listener = std::sync::Arc::new(std::net::TcpListener::bind("127.0.0.1:0").expect("a listener"));
-    let shared = ashtide_rehearsal::daemon::Shared { listener, folder: folder.clone() };
+    let shared = ashtide_testkit::daemon::Shared { listener, folder: folder.clone() };
     let options = Options { shared: Some(shared), ..Options::default() };
     let daemon =
         Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options).await.expect("one");
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -2,21 +2,32 @@
 
 use std::time::Duration;
 
-use ashtide::vrrp::{Advertisement, Effect, Machine, OWNER, Settings, State};
+use ashtide::vrrp::{
+    Advertisement, OWNER_PRIORITY, RouterAction, RouterState, VirtualRouter, VirtualRouterConfig,
+};
 
-fn machine(priority: u8, preempt: bool) -> Machine {
-    Machine::new(Settings { router: 7, priority, interval: 100, preempt, addresses: Vec::new() })
+fn machine(priority: u8, preempt: bool) -> VirtualRouter {
+    VirtualRouter::new(VirtualRouterConfig {
+        virtual_router_id: 7,
+        priority,
+        advertisement_interval: 100,
+        preempt,
+        addresses: Vec::new(),
+    })
 }
 
 fn heard(priority: u8) -> Advertisement {
-    Advertisement { router: 7, priority, interval: 100, addresses: Vec::new() }
+    Advertisement { virtual_router_id: 7, priority, max_advertise_interval: 100, addresses: Vec::new() }
 }
 
-fn after(ms: u64) -> Effect {
-    Effect::Timer(Duration::from_millis(ms))
+fn after(ms: u64) -> RouterAction {
+    RouterAction::StartTimer(Duration::from_millis(ms))
 }
 
-fn run(machine: &mut Machine, event: impl Fn(&mut Machine, &mut Vec<Effect>)) -> Vec<Effect> {
+fn run(
+    machine: &mut VirtualRouter,
+    event: impl Fn(&mut VirtualRouter, &mut Vec<RouterAction>),
+) -> Vec<RouterAction> {
     let mut out = Vec::new();
     event(machine, &mut out);
     out
@@ -26,43 +37,53 @@
 fn a_backup_waits_three_intervals_and_its_skew() {
     let mut backup = machine(100, true);
     // Skew: (256 - 100) * 100 / 256 = 60 hundredths.
-    assert_eq!(run(&mut backup, Machine::start), [Effect::Enter(State::Backup), after(3600)]);
-    assert_eq!(run(&mut backup, |m, out| m.heard(&heard(200), true, out)), [after(3600)]);
-    assert_eq!(run(&mut backup, |m, out| m.heard(&heard(0), true, out)), [after(600)]);
-    let taken = [Effect::Send(heard(100)), Effect::Enter(State::Active), after(1000)];
-    assert_eq!(run(&mut backup, Machine::timer), taken);
+    assert_eq!(
+        run(&mut backup, VirtualRouter::handle_startup),
+        [RouterAction::EnterState(RouterState::Backup), after(3600)]
+    );
+    assert_eq!(run(&mut backup, |m, out| m.handle_advertisement(&heard(200), true, out)), [after(3600)]);
+    assert_eq!(run(&mut backup, |m, out| m.handle_advertisement(&heard(0), true, out)), [after(600)]);
+    let taken = [RouterAction::Send(heard(100)), RouterAction::EnterState(RouterState::Active), after(1000)];
+    assert_eq!(run(&mut backup, VirtualRouter::handle_timer), taken);
 }
 
 #[test]
 fn a_lesser_router_is_heeded_only_without_preemption() {
     for (preempt, effects) in [(true, vec![]), (false, vec![after(3600)])] {
         let mut backup = machine(100, preempt);
-        run(&mut backup, Machine::start);
-        assert_eq!(run(&mut backup, |m, out| m.heard(&heard(50), false, out)), effects);
+        run(&mut backup, VirtualRouter::handle_startup);
+        assert_eq!(run(&mut backup, |m, out| m.handle_advertisement(&heard(50), false, out)), effects);
     }
 }
 
 #[test]
 fn of_two_active_routers_the_lesser_steps_back() {
     for (priority, higher, state) in [
-        (101, false, State::Backup),
-        (100, true, State::Backup),
-        (100, false, State::Active),
-        (99, true, State::Active),
+        (101, false, RouterState::Backup),
+        (100, true, RouterState::Backup),
+        (100, false, RouterState::Active),
+        (99, true, RouterState::Active),
     ] {
         let mut active = machine(100, true);
-        run(&mut active, Machine::start);
-        run(&mut active, Machine::timer);
-        run(&mut active, |m, out| m.heard(&heard(priority), higher, out));
+        run(&mut active, VirtualRouter::handle_startup);
+        run(&mut active, VirtualRouter::handle_timer);
+        run(&mut active, |m, out| m.handle_advertisement(&heard(priority), higher, out));
         assert_eq!(active.state(), state, "{priority} {higher}");
     }
 }
 
 #[test]
 fn the_owner_is_active_at_once_and_says_when_it_leaves() {
-    let mut owner = machine(OWNER, true);
-    assert_eq!(run(&mut owner, Machine::start)[1], Effect::Enter(State::Active));
-    let left = [Effect::Send(heard(0)), Effect::NoTimer, Effect::Enter(State::Initialize)];
-    assert_eq!(run(&mut owner, Machine::stop), left);
-    assert_eq!(run(&mut owner, |m, out| m.heard(&heard(1), true, out)), []);
+    let mut owner = machine(OWNER_PRIORITY, true);
+    assert_eq!(
+        run(&mut owner, VirtualRouter::handle_startup)[1],
+        RouterAction::EnterState(RouterState::Active)
+    );
+    let left = [
+        RouterAction::Send(heard(0)),
+        RouterAction::StopTimer,
+        RouterAction::EnterState(RouterState::Initialize),
+    ];
+    assert_eq!(run(&mut owner, VirtualRouter::handle_shutdown), left);
+    assert_eq!(run(&mut owner, |m, out| m.handle_advertisement(&heard(1), true, out)), []);
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 use ashtide::config::Config;
-use ashtide::discovery::{End, News, QUIET, TOLD, Vouching};
-use ashtide::engine::{Due, Effect, Engine};
-use ashtide::figures::Figures;
-use ashtide::handover::{Kept, State};
-use ashtide::net::core::Core;
-use ashtide::net::discovery::follow;
-use ashtide::net::handover::Post;
-use ashtide::net::lobby::Lobby;
-use ashtide::net::report::{Handle, Report};
+use ashtide::discovery::{EndpointList, HEARTBEAT_TIMEOUT, ListLease, MAX_LIST_STALENESS, WatchEnd};
+use ashtide::engine::{Command, Engine, TimerEvent};
+use ashtide::handover::{PersistedState, ProcessState};
+use ashtide::metrics::Metrics;
+use ashtide::net::discovery::follow_endpoint_list;
+use ashtide::net::event_loop::EventLoop;
+use ashtide::net::handover::SiblingLink;
+use ashtide::net::messages::{DriverEvent, EventLoopHandle};
+use ashtide::net::pending_clients::PendingClients;
 use ashtide::*;
-use ashtide_rehearsal::clients::LineClient;
-use ashtide_rehearsal::daemon::{Daemon, Options};
-use ashtide_rehearsal::fleet::{Fleet, chunk};
-use ashtide_rehearsal::within;
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::within;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -125,15 +125,15 @@
 struct Follower {
     address: watch::Sender<SocketAddr>,
     subscribe: mpsc::Sender<()>,
-    reports: mpsc::Receiver<Report>,
-    core: Handle,
+    reports: mpsc::Receiver<DriverEvent>,
+    core: EventLoopHandle,
 }
 
 /// An end of a watch, as told.
 #[derive(Debug, PartialEq)]
 struct Ended {
     in_step: Duration,
-    end: End,
+    end: WatchEnd,
     ask: bool,
 }
 
@@ -142,8 +142,8 @@
         let (address, follows) = watch::channel(at);
         let (subscribe, asked) = mpsc::channel(1);
         let (sender, reports) = mpsc::channel(queue);
-        let core = Handle::new(Arc::new(Figures::new(&[])), sender);
-        tokio::spawn(follow(follows, after, asked, core.clone()));
+        let core = EventLoopHandle::new(Arc::new(Metrics::new(&[])), sender);
+        tokio::spawn(follow_endpoint_list(follows, after, asked, core.clone()));
         Self { address, subscribe, reports, core }
     }
 
@@ -151,27 +151,29 @@
         self.subscribe.try_send(()).expect("room for a call");
     }
 
-    async fn next(&mut self) -> Report {
+    async fn next(&mut self) -> DriverEvent {
         within("a report", self.reports.recv()).await.expect("told").expect("it follows")
     }
 
     async fn ended(&mut self) -> Ended {
         match self.next().await {
-            Report::WatchEnded { in_step, end, ask } => Ended { in_step, end, ask },
+            DriverEvent::WatchEnded { since_synced: in_step, end, resubscribe: ask } => {
+                Ended { in_step, end, ask }
+            }
             other => panic!("an end of a watch, not {other:?}"),
         }
     }
 
-    async fn news(&mut self) -> News {
+    async fn news(&mut self) -> EndpointList {
         match self.next().await {
-            Report::News(_, news) => news,
+            DriverEvent::ListUpdated(_, news) => news,
             other => panic!("news, not {other:?}"),
         }
     }
 
     async fn watching(&mut self) {
         let next = self.next().await;
-        assert!(matches!(next, Report::Watching(_)), "in step, not {next:?}");
+        assert!(matches!(next, DriverEvent::WatchSynced(_)), "in step, not {next:?}");
     }
 }
 
@@ -188,60 +190,64 @@
 }
 
 /// Until when the list stands after these ends, each with its time and the time last in step.
-fn stands(vouching: &mut Vouching, ends: &[(f64, f64, End)]) -> Time {
+fn stands(vouching: &mut ListLease, ends: &[(f64, f64, WatchEnd)]) -> Time {
     for &(now, since, end) in ends {
-        vouching.ended(at(now), at(since), end);
+        vouching.handle_watch_end(at(now), at(since), end);
     }
-    let end = (0..100_000).map(|tenth| at(f64::from(tenth) / 10.0)).find(|&time| !vouching.holds(time));
+    let end = (0..100_000).map(|tenth| at(f64::from(tenth) / 10.0)).find(|&time| !vouching.is_valid(time));
     end.expect("an ended watch leaves no list standing for good")
 }
 
 #[test]
 fn the_list_stands_for_six_seconds_from_the_last_whole_word_whatever_ended_it() {
-    use End::{Closed, Failed, Refused};
+    use WatchEnd::{Closed, ConnectionRefused, Failed};
     let in_step = || {
-        let mut vouching = Vouching::new(at(0.0));
-        vouching.in_step();
-        assert!(vouching.holds(at(10_000.0)), "a watch in step vouches for as long as it is");
+        let mut vouching = ListLease::new(at(0.0));
+        vouching.renew();
+        assert!(vouching.is_valid(at(10_000.0)), "a watch in step vouches for as long as it is");
         vouching
     };
     // A new process, with no call answered; and the first call refused by nobody's port.
-    assert_eq!(stands(&mut Vouching::new(at(5.0)), &[]), at(11.0));
-    assert_eq!(stands(&mut Vouching::new(at(5.0)), &[(9.0, 5.0, Failed)]), at(11.0));
-    assert_eq!(stands(&mut Vouching::new(at(5.0)), &[(5.5, 5.0, Refused)]), at(11.5));
-    for end in [Closed, Failed, Refused] {
+    assert_eq!(stands(&mut ListLease::new(at(5.0)), &[]), at(11.0));
+    assert_eq!(stands(&mut ListLease::new(at(5.0)), &[(9.0, 5.0, Failed)]), at(11.0));
+    assert_eq!(stands(&mut ListLease::new(at(5.0)), &[(5.5, 5.0, ConnectionRefused)]), at(11.5));
+    for end in [Closed, Failed, ConnectionRefused] {
         // Whatever ended it; and at once where that was long ago, as for a process that stalled for 13 s.
-        let first = if end == Refused { at(21.0) } else { at(20.0) };
+        let first = if end == ConnectionRefused { at(21.0) } else { at(20.0) };
         assert_eq!(stands(&mut in_step(), &[(15.0, 14.0, end)]), first, "{end:?}");
         assert_eq!(stands(&mut in_step(), &[(27.0, 14.0, end)]), at(20.0), "{end:?}");
     }
     // Of several failures the first counts.
     assert_eq!(stands(&mut in_step(), &[(15.0, 14.0, Closed), (16.0, 16.0, Failed)]), at(20.0));
     // Nothing listens: from each such moment on, while that is all that was found.
-    let gone = [(15.0, 14.0, Closed), (15.5, 14.0, Refused), (18.0, 14.0, Refused)];
+    let gone = [(15.0, 14.0, Closed), (15.5, 14.0, ConnectionRefused), (18.0, 14.0, ConnectionRefused)];
     assert_eq!(stands(&mut in_step(), &gone), at(24.0));
     // Something had listened: it may have been told of a change, and who came later found nobody.
-    let after = [(15.0, 14.0, Closed), (15.5, 14.0, Failed), (18.0, 14.0, Refused)];
+    let after = [(15.0, 14.0, Closed), (15.5, 14.0, Failed), (18.0, 14.0, ConnectionRefused)];
     assert_eq!(stands(&mut in_step(), &after), at(20.0));
-    assert_eq!(stands(&mut in_step(), &[(16.5, 14.0, Failed), (17.0, 14.0, Refused)]), at(20.0), "silence");
+    assert_eq!(
+        stands(&mut in_step(), &[(16.5, 14.0, Failed), (17.0, 14.0, ConnectionRefused)]),
+        at(20.0),
+        "silence"
+    );
     // And a list that no longer stands does not stand again without an answer.
-    assert_eq!(stands(&mut in_step(), &[(15.0, 14.0, Closed), (20.1, 14.0, Refused)]), at(20.0));
+    assert_eq!(stands(&mut in_step(), &[(15.0, 14.0, Closed), (20.1, 14.0, ConnectionRefused)]), at(20.0));
     let mut vouching = in_step();
     stands(&mut vouching, &after);
-    vouching.in_step();
-    assert!(vouching.holds(at(10_000.0)), "an answer ends it all");
+    vouching.renew();
+    assert!(vouching.is_valid(at(10_000.0)), "an answer ends it all");
 }
 
 // ---- The engine ---------------------------------------------------------------------------
 
 fn settings() -> Settings {
-    let class = Class {
-        aim: Span::from_micros(400_000),
-        message_aim: Span::from_micros(50_000),
-        worth: 1.0,
-        effect: ashtide::Effect::Safe,
+    let class = RequestClass {
+        latency_objective: Span::from_micros(400_000),
+        message_latency_objective: Span::from_micros(50_000),
+        priority_weight: 1.0,
+        idempotency: ashtide::Idempotency::Idempotent,
     };
-    Settings { classes: vec![class], discovery: Discovery::OnRequest, ..Settings::for_zone(ZoneId(0)) }
+    Settings { classes: vec![class], discovery: DiscoveryMode::OnRequest, ..Settings::for_zone(ZoneId(0)) }
 }
 
 /// An engine with two servers, of which it has a list from before.
@@ -255,14 +261,19 @@
     fn new() -> Self {
         let (start, seed) = (Instant::now(), 7);
         let mut engine = Engine::new(settings(), seed, (at(0.0), start));
-        engine.list(at(0.0), ListNews::Stale, Self::servers(ServerState::Ready), &mut Vec::new());
+        engine.handle_list_update(
+            at(0.0),
+            ListUpdate::Cached,
+            Self::servers(ServerState::Ready),
+            &mut Vec::new(),
+        );
         Self { engine, start, next: 0 }
     }
 
     /// Both servers, the first in this state.
-    fn servers(state: ServerState) -> Vec<Listing> {
-        let other = Listing::ready(ServerId(1), ZoneId(0));
-        vec![Listing { state, ..Listing::ready(ServerId(0), ZoneId(0)) }, other]
+    fn servers(state: ServerState) -> Vec<EndpointEntry> {
+        let other = EndpointEntry::ready(ServerId(1), ZoneId(0));
+        vec![EndpointEntry { state, ..EndpointEntry::ready(ServerId(0), ZoneId(0)) }, other]
     }
 
     /// Where 20 requests go.
@@ -272,19 +283,19 @@
             self.next += 1;
             let (id, class, time_left) = (RequestId(self.next), ClassId(0), Span::from_micros(2_000_000));
             let request = Request { id, class, tenant: None, group: None, time_left, load: None };
-            self.engine.request(now, request, &mut out);
+            self.engine.handle_request(now, request, &mut out);
         }
         self.placed(now, out)
     }
 
     /// Where these effects place requests; their set-ups succeed at once, so that they keep no other back.
-    fn placed(&mut self, now: Time, out: Vec<Effect>) -> BTreeMap<ServerId, usize> {
+    fn placed(&mut self, now: Time, out: Vec<Command>) -> BTreeMap<ServerId, usize> {
         let (mut placed, mut out) = (BTreeMap::new(), VecDeque::from(out));
         while let Some(effect) = out.pop_front() {
-            if let Effect::Attempt { id, attempt, server, .. } = effect {
+            if let Command::Attempt { id, attempt, server, .. } = effect {
                 *placed.entry(server).or_default() += 1;
                 let mut more = Vec::new();
-                self.engine.established(now, id, attempt, &mut more);
+                self.engine.handle_established(now, id, attempt, &mut more);
                 out.extend(more);
             }
         }
@@ -295,11 +306,11 @@
     async fn called(&mut self) -> Duration {
         let from = Instant::now();
         loop {
-            let due = self.engine.due().await;
+            let due = self.engine.next_timer_event().await;
             let now = self.now();
             let mut out = Vec::new();
-            self.engine.fire(now, due, &mut out);
-            if out.contains(&Effect::Subscribe) {
+            self.engine.handle_timer(now, due, &mut out);
+            if out.contains(&Command::Subscribe) {
                 return from.elapsed();
             }
         }
@@ -311,8 +322,8 @@
 
     async fn called_after_a_failure(&mut self, in_step: Time) -> Duration {
         let now = self.now();
-        self.engine.unheard(now, in_step, End::Failed);
-        self.engine.list(now, ListNews::Broken, Vec::new(), &mut Vec::new());
+        self.engine.watch_lost(now, in_step, WatchEnd::Failed);
+        self.engine.handle_list_update(now, ListUpdate::WatchFailed, Vec::new(), &mut Vec::new());
         self.called().await
     }
 }
@@ -321,18 +332,18 @@
 async fn a_list_without_an_answer_brings_nothing_back() {
     let mut gateway = Gateway::new();
     let (engine, mut out) = (&mut gateway.engine, Vec::new());
-    engine.fire(at(5.9), Due::Unvouched, &mut out);
-    assert!(!engine.unvouched(), "a new process has its time, too");
+    engine.handle_timer(at(5.9), TimerEvent::ListExpired, &mut out);
+    assert!(!engine.list_expired(), "a new process has its time, too");
     assert_eq!(gateway.place(at(5.95)).len(), 2);
-    gateway.engine.fire(at(6.0), Due::Unvouched, &mut out);
-    assert!(gateway.engine.unvouched() && gateway.place(at(6.1)).is_empty());
+    gateway.engine.handle_timer(at(6.0), TimerEvent::ListExpired, &mut out);
+    assert!(gateway.engine.list_expired() && gateway.place(at(6.1)).is_empty());
     // What an older process relays, and the news of an answer until it is all there.
-    for news in [ListNews::Stale, ListNews::Changes, ListNews::Whole] {
-        gateway.engine.list(at(6.2), news, Gateway::servers(ServerState::Draining), &mut out);
+    for news in [ListUpdate::Cached, ListUpdate::Delta, ListUpdate::Snapshot] {
+        gateway.engine.handle_list_update(at(6.2), news, Gateway::servers(ServerState::Draining), &mut out);
         assert!(gateway.place(at(6.3)).is_empty(), "{news:?}");
     }
     out.clear();
-    gateway.engine.vouched(at(6.4), &mut out);
+    gateway.engine.renew_list_lease(at(6.4), &mut out);
     // Those that waited, and those that come.
     for placed in [gateway.placed(at(6.4), out), gateway.place(at(6.5))] {
         assert_eq!(placed.into_keys().collect::<Vec<_>>(), [ServerId(1)]);
@@ -344,7 +355,7 @@
     let mut gateway = Gateway::new();
     gateway.called().await;
     let mut waits = Vec::new();
-    while !gateway.engine.unvouched() {
+    while !gateway.engine.list_expired() {
         waits.push(gateway.called_after_a_failure(at(0.0)).await);
     }
     waits.push(gateway.called_after_a_failure(at(0.0)).await);
@@ -360,11 +371,11 @@
     // An answer with nothing new is one, too, whether the list still stood or not.
     for stood in [false, true] {
         let now = gateway.now();
-        gateway.engine.vouched(now, &mut Vec::new());
+        gateway.engine.renew_list_lease(now, &mut Vec::new());
         let soon = gateway.called_after_a_failure(now).await;
         assert!(soon < Duration::from_millis(510), "{soon:?}, {stood}");
         let later = [gateway.called_after_a_failure(now).await, gateway.called_after_a_failure(now).await];
-        assert!(later[1] >= Duration::from_millis(1000) && !gateway.engine.unvouched(), "{later:?}");
+        assert!(later[1] >= Duration::from_millis(1000) && !gateway.engine.list_expired(), "{later:?}");
     }
 }
 
@@ -383,7 +394,7 @@
     assert!(took > Duration::from_millis(3300) && took < Duration::from_millis(4500), "{took:?}");
     let ended = follower.ended().await;
     assert!(
-        ended.end == End::Failed && ended.ask && ended.in_step >= Duration::from_millis(3400),
+        ended.end == WatchEnd::Failed && ended.ask && ended.in_step >= Duration::from_millis(3400),
         "{ended:?}"
     );
 }
@@ -404,15 +415,16 @@
     call.say("5000\r\n{\"index\":42,").await;
     let left = within("the end of the watch", call.trickle(Duration::from_millis(100))).await.expect("left");
     assert!(
-        left - last > QUIET - Duration::from_millis(100) && left - last < QUIET * 3 / 2,
+        left - last > HEARTBEAT_TIMEOUT - Duration::from_millis(100)
+            && left - last < HEARTBEAT_TIMEOUT * 3 / 2,
         "{:?}",
         left - last
     );
     follower.news().await;
     follower.watching().await;
     let ended = follower.ended().await;
-    assert!(ended.end == End::Failed && ended.ask, "{ended:?}");
-    assert!(ended.in_step >= QUIET && ended.in_step < QUIET * 3 / 2, "{ended:?}");
+    assert!(ended.end == WatchEnd::Failed && ended.ask, "{ended:?}");
+    assert!(ended.in_step >= HEARTBEAT_TIMEOUT && ended.in_step < HEARTBEAT_TIMEOUT * 3 / 2, "{ended:?}");
 }
 
 #[tokio::test]
@@ -426,7 +438,10 @@
     assert_eq!(call.after, 41);
     call.say(BUSY).await;
     let ended = follower.ended().await;
-    assert!((ended.end, ended.ask) == (End::Failed, true) && ended.in_step <= start.elapsed(), "{ended:?}");
+    assert!(
+        (ended.end, ended.ask) == (WatchEnd::Failed, true) && ended.in_step <= start.elapsed(),
+        "{ended:?}"
+    );
     // Answered with nothing new; the watch ends 0.3 s after.
     follower.ask();
     let mut call = service.call().await;
@@ -438,7 +453,7 @@
     sleep(Duration::from_millis(300)).await;
     drop(call);
     let ended = follower.ended().await;
-    assert_eq!((ended.end, ended.ask), (End::Closed, true));
+    assert_eq!((ended.end, ended.ask), (WatchEnd::Closed, true));
     assert!(ended.in_step >= Duration::from_millis(300) && ended.in_step <= told.elapsed(), "{ended:?}");
     // 503 and reset in turn: the same moment counts.
     for turn in 0..4 {
@@ -450,7 +465,7 @@
             call.reset();
         }
         let ended = follower.ended().await;
-        assert_eq!((ended.end, ended.ask), (End::Failed, true));
+        assert_eq!((ended.end, ended.ask), (WatchEnd::Failed, true));
         assert!(ended.in_step >= heard.elapsed() - Duration::from_millis(200), "{ended:?} in turn {turn}");
         assert!(ended.in_step <= told.elapsed(), "{ended:?} in turn {turn}");
     }
@@ -461,11 +476,11 @@
     follower.news().await;
     follower.watching().await;
     call.reset();
-    assert_eq!(follower.ended().await.end, End::Closed);
+    assert_eq!(follower.ended().await.end, WatchEnd::Closed);
     // Nobody listens.
     let (_socket, nobody) = nobody();
     follower.address.send_replace(nobody);
-    assert_eq!(follower.ended().await.end, End::Refused);
+    assert_eq!(follower.ended().await.end, WatchEnd::ConnectionRefused);
 }
 
 #[tokio::test]
@@ -488,16 +503,16 @@
     watch.left().await;
     assert!(!new.is_called(), "not before the core has been told of the end");
     let report = follower.next().await;
-    assert!(matches!(&report, Report::News(_, news) if news.index == 42), "{report:?}");
-    assert!(follower.core.is_void(&report), "told by the old, and heard after the move");
+    assert!(matches!(&report, DriverEvent::ListUpdated(_, news) if news.index == 42), "{report:?}");
+    assert!(follower.core.is_stale(&report), "told by the old, and heard after the move");
     let ended = follower.ended().await;
-    assert_eq!((ended.end, ended.ask), (End::Closed, false), "the new one is called unasked");
+    assert_eq!((ended.end, ended.ask), (WatchEnd::Closed, false), "the new one is called unasked");
     let mut call = new.call().await;
     assert_eq!(call.after, 0, "versions of another service say nothing");
     call.tell(&list(3, true, &["new"])).await;
     let report = follower.next().await;
-    assert!(matches!(&report, Report::News(_, news) if news.index == 3), "{report:?}");
-    assert!(!follower.core.is_void(&report));
+    assert!(matches!(&report, DriverEvent::ListUpdated(_, news) if news.index == 3), "{report:?}");
+    assert!(!follower.core.is_stale(&report));
     follower.watching().await;
     // Back to the first before anybody looked: what it told last was void, so it is asked for all, too.
     follower.address.send_replace(old.at);
@@ -533,7 +548,7 @@
     follower.address.send_replace(one.at);
     call.left().await;
     let ended = follower.ended().await;
-    assert_eq!((ended.end, ended.ask), (End::Failed, false));
+    assert_eq!((ended.end, ended.ask), (WatchEnd::Failed, false));
     one.call().await.reset();
     assert!(follower.ended().await.ask, "now it has nothing left to wait for");
 }
@@ -553,7 +568,7 @@
     assert_eq!(follower.news().await.index, 3, "what it says of a server is so");
     call.left().await;
     let ended = follower.ended().await;
-    assert!(ended.end == End::Failed && ended.ask, "{ended:?}");
+    assert!(ended.end == WatchEnd::Failed && ended.ask, "{ended:?}");
     assert!(ended.in_step >= Duration::from_millis(300), "{ended:?}, and {:?} since a beat", beat.elapsed());
     follower.ask();
     let mut call = service.call().await;
@@ -565,7 +580,7 @@
     call.say(&chunk(&format!("{}\n", list(2, true, &["b"])))).await;
     assert_eq!(follower.news().await.index, 2);
     drop(call);
-    assert_eq!(follower.ended().await.end, End::Closed);
+    assert_eq!(follower.ended().await.end, WatchEnd::Closed);
     follower.ask();
     assert_eq!(service.call().await.after, 2);
 }
@@ -598,7 +613,7 @@
     for index in [4, 5] {
         assert_eq!(follower.news().await.index, index);
     }
-    assert_eq!(follower.ended().await.end, End::Closed);
+    assert_eq!(follower.ended().await.end, WatchEnd::Closed);
 }
 
 #[tokio::test]
@@ -611,7 +626,7 @@
     call.say(&format!("{HEAD}{}", chunk(&both))).await;
     assert_eq!(follower.news().await.index, 1);
     follower.watching().await;
-    assert_eq!(follower.ended().await.end, End::Failed);
+    assert_eq!(follower.ended().await.end, WatchEnd::Failed);
     follower.ask();
     assert_eq!(service.call().await.after, 1);
 }
@@ -627,15 +642,15 @@
     let config = Config::from_json(config, |_| None).expect("a configuration");
     let ((subscribe, _asked), (datagrams, _sent)) = (mpsc::channel(1), mpsc::channel(1));
     let (_heirs, heir) = watch::channel(None);
-    let lobby = Lobby::new(config.room(0));
-    let post = Post::new(lobby, None, Kept::default(), 0, State::default(), heir);
-    let (core, handle, _office) = Core::new(&config, subscribe, datagrams, post);
-    let mut fleet = core.fleet();
+    let lobby = PendingClients::new(config.capacity(0));
+    let post = SiblingLink::new(lobby, None, PersistedState::default(), 0, ProcessState::default(), heir);
+    let (core, handle, _office) = EventLoop::new(&config, subscribe, datagrams, post);
+    let mut fleet = core.server_addresses();
     let news = |name| serde_json::from_value(list(1, false, &[name])).expect("a list");
     let tells = async {
         // Both are in the queue before the core looks.
-        handle.tell(Report::News(handle.next_watch(), news("old"))).await;
-        handle.tell(Report::News(handle.next_watch(), news("new"))).await;
+        handle.send(DriverEvent::ListUpdated(handle.start_watch(), news("old"))).await;
+        handle.send(DriverEvent::ListUpdated(handle.start_watch(), news("new"))).await;
         let listed = within("a list", fleet.wait_for(|fleet| fleet.contains_key("new"))).await;
         let listed = listed.expect("in time").expect("a core that runs");
         assert!(!listed.contains_key("old"), "told before a later watch began, and heard after");
@@ -872,7 +887,7 @@
 /// Gateways that lose their watches in one instant, and one discovery.
 struct Herd {
     gateways: Vec<Balancer>,
-    vouching: Vec<Vouching>,
+    vouching: Vec<ListLease>,
     /// When each was in step last before, and again.
     since: Vec<i64>,
     again: Vec<Option<i64>>,
@@ -889,12 +904,12 @@
 impl Herd {
     fn new(seed: u64, down: i64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let settings = Settings { relays: GATEWAYS as u32, ..settings() };
+        let settings = Settings { gateways: GATEWAYS as u32, ..settings() };
         let now = 1_000_000 * MILLISECOND;
         let since = (0..GATEWAYS).map(|_| now - rng.random_range(0..2_000) * MILLISECOND).collect();
         let mut herd = Self {
             gateways: (0..GATEWAYS).map(|_| Balancer::new(settings.clone(), rng.random())).collect(),
-            vouching: vec![Vouching::new(Time::from_micros(now)); GATEWAYS],
+            vouching: vec![ListLease::new(Time::from_micros(now)); GATEWAYS],
             since,
             again: vec![None; GATEWAYS],
             out: vec![false; GATEWAYS],
@@ -907,13 +922,13 @@
             ended: vec![now; GATEWAYS],
         };
         for gateway in 0..GATEWAYS {
-            herd.vouching[gateway].in_step();
-            let entries = vec![Listing::ready(ServerId(0), ZoneId(0))];
+            herd.vouching[gateway].renew();
+            let entries = vec![EndpointEntry::ready(ServerId(0), ZoneId(0))];
             // The first subscription, which is none of this.
             let mut actions = Vec::new();
-            let list = Event::List { news: ListNews::Whole, entries };
+            let list = Event::EndpointList { update: ListUpdate::Snapshot, entries };
             herd.gateways[gateway].handle(Time::from_micros(now), list, &mut actions);
-            herd.lose(gateway, End::Closed);
+            herd.lose(gateway, WatchEnd::Closed);
         }
         herd
     }
@@ -932,7 +947,7 @@
         self.gateways[gateway].handle(Time::from_micros(self.now), event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { token, at } => {
+                Action::SetTimer { token, due_at: at } => {
                     let after = at.as_micros() - self.now;
                     self.later(after, Step::Timer(gateway, token));
                 }
@@ -948,11 +963,11 @@
         }
     }
 
-    fn lose(&mut self, gateway: usize, end: End) {
+    fn lose(&mut self, gateway: usize, end: WatchEnd) {
         let (now, since) = (Time::from_micros(self.now), Time::from_micros(self.since[gateway]));
-        self.vouching[gateway].ended(now, since, end);
+        self.vouching[gateway].handle_watch_end(now, since, end);
         self.ended[gateway] = self.now;
-        self.tell(gateway, Event::List { news: ListNews::Broken, entries: Vec::new() });
+        self.tell(gateway, Event::EndpointList { update: ListUpdate::WatchFailed, entries: Vec::new() });
     }
 
     fn serve(&mut self) {
@@ -990,12 +1005,12 @@
             Step::Answer(gateway, well) => {
                 self.out[gateway] = false;
                 if well {
-                    self.vouching[gateway].in_step();
+                    self.vouching[gateway].renew();
                     self.again[gateway] = Some(self.now);
-                    let entries = vec![Listing::ready(ServerId(0), ZoneId(0))];
-                    self.tell(gateway, Event::List { news: ListNews::Whole, entries });
+                    let entries = vec![EndpointEntry::ready(ServerId(0), ZoneId(0))];
+                    self.tell(gateway, Event::EndpointList { update: ListUpdate::Snapshot, entries });
                 } else {
-                    self.lose(gateway, End::Failed);
+                    self.lose(gateway, WatchEnd::Failed);
                 }
             }
         }
@@ -1019,7 +1034,10 @@
         let within =
             |from: i64| further.iter().filter(|&&at| (from..from + 100 * MILLISECOND).contains(&at)).count();
         let most = further.iter().map(|&at| within(at)).max().unwrap_or(0);
-        let without = again.iter().zip(&self.since).map(|(again, since)| again - since - TOLD.as_micros());
+        let without = again
+            .iter()
+            .zip(&self.since)
+            .map(|(again, since)| again - since - MAX_LIST_STALENESS.as_micros());
         (took, self.calls.len(), most, without.max().expect("all").max(0) as f64 / 1e6)
     }
 }
