--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -87,7 +87,7 @@
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::Plan { .. } => "correct the plan; docs/rig.md lists each figure's bounds",
+            Self::Plan { .. } => "correct the plan; docs/fault-injection.md lists each figure's bounds",
             Self::Gateway { .. } => {
                 "build the daemon and start it by hand with the same settings; ASHTIDE_REHEARSE_LOG=1 shows its log"
             }
--- a/crates/ashtide-fault-injection/src/plan.rs
+++ b/crates/ashtide-fault-injection/src/plan.rs
@@ -345,7 +345,7 @@
         let plan: Self = serde_json::from_str(text).map_err(|problem| RigError::Plan {
             what: "the text",
             found: problem.to_string(),
-            expected: "a plan in JSON, as docs/rig.md shows one".to_owned(),
+            expected: "a plan in JSON, as docs/fault-injection.md shows one".to_owned(),
         })?;
         plan.check()?;
         Ok(plan)
