--- /dev/null
+++ b/src/decision/outlier.rs
@@ -0,0 +1,261 @@
+//! Servers that do worse than others: ejection after failures, slow and saturated responses, shedding, silence.
+
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+
+use super::Balancer;
+use super::interface::{Action, Outcome, RequestId, ServerId, Span, Time};
+
+/// Failures in a row that eject a server.
+const OUTLIER_CONSECUTIVE_FAILURES: u32 = 2;
+/// First ejection, as a share of the warm-up time; doubles each time, up to all of it.
+const INITIAL_EJECTION_SHARE: f64 = 0.1;
+/// Most doublings of an ejection, plus one.
+const MAX_EJECTION_STEPS: u32 = 8;
+
+/// A server is slow when a response takes this share of the shortest objective for messages.
+const SLOW_RESPONSE_SHARE: f64 = 0.34;
+/// A server is saturated when a response takes this share of it: one more connection there would be of no use.
+const SATURATED_RESPONSE_SHARE: f64 = 0.67;
+/// How often the response time of a slow server is reported.
+pub(super) const RESPONSE_TIME_INTERVAL: Span = Span::from_micros(1_000_000);
+/// Reports that must be missing before a slow server is used again; up to one more, at random.
+const SLOW_INTERVALS: f64 = 1.5;
+
+/// Connections that a server must drop within [`DROP_WINDOW`] to count as shedding load.
+const SHEDDING_DROPS: f64 = 3.0;
+const DROP_WINDOW: Span = Span::from_micros(2_000_000);
+/// First time for which a shedding server is avoided, as a share of the warm-up time; doubles each time...
+const INITIAL_SHEDDING_SHARE: f64 = 0.1;
+/// ...up to this share, and starts over when it has not shed for the warm-up time.
+const MAX_SHEDDING_SHARE: f64 = 0.5;
+const MAX_SHEDDING_DOUBLINGS: u32 = 8;
+/// Share of the connections it held before it shed them that a server is taken to have capacity for...
+const CAPACITY_ESTIMATE_SHARE: f64 = 0.75;
+/// ...and time after which the estimate has doubled.
+const CAPACITY_RECOVERY_TIME: Span = Span::from_micros(40_000_000);
+
+/// A factor between 0.75 and 1.25, so that gateways do not come back to a server together.
+fn draw_jitter(rng: &mut ChaCha8Rng) -> f64 {
+    0.75 + 0.5 * rng.random::<f64>()
+}
+
+/// Ejection of a server after failures in a row.
+#[derive(Default)]
+pub(super) struct Ejection {
+    consecutive_failures: u32,
+    ejected_until: Option<Time>,
+    /// It went silent and has not responded since: it gets one connection at a time.
+    on_probation: bool,
+}
+
+impl Ejection {
+    /// Whether the server is ejected, given how many connections it has.
+    pub(super) fn is_ejected(&self, now: Time, open_connections: u32) -> bool {
+        (self.on_probation && open_connections > 0) || self.is_waiting(now)
+    }
+
+    fn is_waiting(&self, now: Time) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
+    }
+
+    /// Counts failures, and ejects the server once there are enough: each time for longer, up to `longest`.
+    /// Failures of an ejected server are of attempts that began before.
+    fn record_failures(&mut self, now: Time, failures: u32, longest: Span, jitter: f64) {
+        if self.is_waiting(now) {
+            return;
+        }
+        self.consecutive_failures += failures;
+        if self.consecutive_failures < OUTLIER_CONSECUTIVE_FAILURES {
+            return;
+        }
+        let step = (self.consecutive_failures / OUTLIER_CONSECUTIVE_FAILURES).min(MAX_EJECTION_STEPS) - 1;
+        let share = INITIAL_EJECTION_SHARE * f64::from(1 << step);
+        let time = longest.scale(share).min(longest);
+        self.ejected_until = Some(now + time.scale(jitter));
+    }
+
+    /// A server on probation has to respond: that it takes a connection is not enough.
+    fn record_success(&mut self) {
+        if !self.on_probation {
+            self.consecutive_failures = 0;
+            self.ejected_until = None;
+        }
+    }
+
+    fn begin_probation(&mut self) {
+        self.on_probation = true;
+    }
+
+    fn end_probation(&mut self) {
+        self.on_probation = false;
+    }
+}
+
+/// How long a server's responses take, by its last report.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum ResponseLevel {
+    #[default]
+    Normal,
+    /// It is used only if there is no better one.
+    Slow { until: Time },
+    /// Responses take longer than clients want to wait: it is not used at all.
+    Saturated { until: Time },
+}
+
+impl ResponseLevel {
+    /// The level for a response time, where `objective` is the shortest one for messages. It holds until the
+    /// next report is overdue.
+    fn classify(response_time: Span, objective: Span, until: Time) -> Self {
+        if response_time >= objective.scale(SATURATED_RESPONSE_SHARE) {
+            ResponseLevel::Saturated { until }
+        } else if response_time >= objective.scale(SLOW_RESPONSE_SHARE) {
+            ResponseLevel::Slow { until }
+        } else {
+            ResponseLevel::Normal
+        }
+    }
+
+    pub(super) fn is_slow(self, now: Time) -> bool {
+        match self {
+            ResponseLevel::Normal => false,
+            ResponseLevel::Slow { until } | ResponseLevel::Saturated { until } => now < until,
+        }
+    }
+
+    pub(super) fn is_saturated(self, now: Time) -> bool {
+        matches!(self, ResponseLevel::Saturated { until } if now < until)
+    }
+}
+
+/// The connections that a server can hold, as far as its shedding shows.
+struct CapacityEstimate {
+    connections: f64,
+    made_at: Time,
+}
+
+impl CapacityEstimate {
+    fn at(&self, now: Time) -> f64 {
+        self.connections * (1.0 + now.since(self.made_at).as_secs() / CAPACITY_RECOVERY_TIME.as_secs())
+    }
+}
+
+/// A server that drops established connections holds more than it can. Those it has dropped make its count the
+/// lowest, so that it would be selected first.
+#[derive(Default)]
+pub(super) struct Shedding {
+    recent_drops: f64,
+    drops_decayed_at: Time,
+    consecutive_sheds: u32,
+    shedding_until: Option<Time>,
+    connections_before: u32,
+    capacity: Option<CapacityEstimate>,
+}
+
+impl Shedding {
+    /// Whether the server is avoided, given how many connections it has.
+    pub(super) fn is_avoided(&self, now: Time, connections: u32) -> bool {
+        self.is_shedding(now) || self.is_at_capacity(now, connections)
+    }
+
+    fn is_shedding(&self, now: Time) -> bool {
+        self.shedding_until.is_some_and(|until| now < until)
+    }
+
+    fn is_at_capacity(&self, now: Time, connections: u32) -> bool {
+        self.capacity.as_ref().is_some_and(|capacity| f64::from(connections) >= capacity.at(now))
+    }
+
+    /// Counts a dropped connection, of so many that there were, and avoids the server once there are enough drops.
+    fn record_drop(&mut self, now: Time, connections: u32, warm_up_time: Span, jitter: f64) {
+        let decay = SHEDDING_DROPS * (now.since(self.drops_decayed_at).as_secs() / DROP_WINDOW.as_secs());
+        if self.recent_drops <= decay {
+            self.connections_before = connections;
+        }
+        self.recent_drops = (self.recent_drops - decay).max(0.0) + 1.0;
+        self.drops_decayed_at = now;
+        if self.recent_drops < SHEDDING_DROPS {
+            return;
+        }
+        let connections = CAPACITY_ESTIMATE_SHARE * f64::from(self.connections_before);
+        self.capacity = Some(CapacityEstimate { connections, made_at: now });
+        if !self.is_shedding(now) {
+            self.begin(now, warm_up_time, jitter);
+        }
+    }
+
+    /// Avoids the server for a while, for longer if it shed load not long ago.
+    fn begin(&mut self, now: Time, warm_up_time: Span, jitter: f64) {
+        let is_repeated = self.shedding_until.is_some_and(|until| now.since(until) < warm_up_time);
+        self.consecutive_sheds =
+            if is_repeated { (self.consecutive_sheds + 1).min(MAX_SHEDDING_DOUBLINGS) } else { 0 };
+        let share = INITIAL_SHEDDING_SHARE * f64::from(1 << self.consecutive_sheds);
+        let time = warm_up_time.scale(share.min(MAX_SHEDDING_SHARE));
+        self.shedding_until = Some(now + time.scale(jitter));
+    }
+
+    pub(super) fn end(&mut self) {
+        self.shedding_until = None;
+        self.capacity = None;
+    }
+}
+
+impl Balancer {
+    /// Draws conclusions about a server from how an attempt or connection ended.
+    pub(super) fn record_outcome(&mut self, now: Time, id: ServerId, outcome: Outcome, established: bool) {
+        match outcome {
+            Outcome::Ok => self.record_success(id),
+            Outcome::Reset if established => self.record_drop(now, id),
+            Outcome::ConnectError => self.record_failures(now, id, OUTLIER_CONSECUTIVE_FAILURES),
+            Outcome::Failed | Outcome::QueueFull | Outcome::TimedOut | Outcome::Reset => {
+                self.record_failures(now, id, 1);
+            }
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {}
+        }
+    }
+
+    pub(super) fn record_success(&mut self, id: ServerId) {
+        self.server_mut(id).ejection.record_success();
+    }
+
+    fn record_failures(&mut self, now: Time, id: ServerId, failures: u32) {
+        let jitter = draw_jitter(&mut self.rng);
+        let longest = self.settings.warm_up_time;
+        self.server_mut(id).ejection.record_failures(now, failures, longest, jitter);
+    }
+
+    fn record_drop(&mut self, now: Time, id: ServerId) {
+        let warm_up_time = self.settings.warm_up_time;
+        let jitter = draw_jitter(&mut self.rng);
+        let server = self.server_mut(id);
+        let connections = server.total_connections() + 1;
+        server.shedding.record_drop(now, connections, warm_up_time, jitter);
+    }
+
+    /// A silent server serves nobody: it is ejected, and all connections of this gateway are moved off it at once.
+    pub(super) fn handle_silent_server(&mut self, now: Time, id: ServerId) {
+        self.record_failures(now, id, OUTLIER_CONSECUTIVE_FAILURES);
+        self.server_mut(id).ejection.begin_probation();
+        let affected: Vec<RequestId> = self.established_on(id).map(|(id, _)| id).collect();
+        self.actions.extend(affected.into_iter().map(|id| Action::Migrate { id }));
+    }
+
+    /// A server with slow responses is overloaded: it is avoided until a better report comes, or none. A part of the
+    /// connections is moved off one that is saturated.
+    pub(super) fn handle_slow_responses(&mut self, now: Time, id: ServerId, response_time: Span) {
+        let classes = self.settings.classes.iter();
+        let objective = classes.map(|class| class.message_latency_objective).min().unwrap_or_default();
+        let until = now + RESPONSE_TIME_INTERVAL.scale(SLOW_INTERVALS + self.rng.random::<f64>());
+        let level = ResponseLevel::classify(response_time, objective, until);
+        let server = self.server_mut(id);
+        if level == ResponseLevel::Normal {
+            server.ejection.end_probation();
+        }
+        server.response_level = level;
+        if matches!(level, ResponseLevel::Saturated { .. }) {
+            let initial_tokens = self.rng.random::<f64>();
+            self.server_mut(id).saturate(now, initial_tokens);
+            self.migrate_share(id);
+        }
+    }
+}
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -12,6 +12,7 @@
 use serde_inline_default::serde_inline_default;
 use tokio_util::codec::Decoder;
 
+pub use crate::decision::MAX_POLL_WAIT;
 use crate::decision::interface::{ServerState, Span, Time};
 
 /// Longest head of an answer.
@@ -31,8 +32,6 @@
 /// A change counts as told so long after discovery had it and could be reached (STANDING, "One clock for
 /// silence"); with the grace that the rule gives beside, nothing placed until then can break it.
 pub const MAX_LIST_STALENESS: Span = Span::from_micros(6_000_000);
-/// Longest wait between two calls: [`TOLD`] less a call of 3 s, so that each call can be answered in time.
-pub const MAX_POLL_WAIT: Span = Span::from_micros(3_000_000);
 
 /// One entry of the list.
 #[serde_inline_default]
--- a/src/fleet/permits.rs
+++ b/src/fleet/permits.rs
@@ -403,8 +403,12 @@
         let (of, place) = (owners.len() as u32, owners.iter().position(|&owner| owner == self.own_gateway));
         // The first named has the first turn.
         let number = (place.unwrap_or_default() as u32 + 1) % of;
-        let holder =
-            PermitHolder { index: number, holders: of, began, last_used_permit: bucket.last_granted_permit };
+        let holder = PermitHolder {
+            index: number,
+            holders: of,
+            started_at: began,
+            last_used_permit: bucket.last_granted_permit,
+        };
         let turn = schedule.next_permit(now, bucket.server_started_at, connections_when_full, holder);
         if let Ok(turn) = turn {
             (bucket.last_granted_permit, bucket.granted_count) = (turn, bucket.granted_count + 1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,9 @@
 //! The decisions of a balancer for long-lived connections.
 //!
-//! Each relay places a new connection on whichever of two randomly drawn ready servers holds
-//! fewer of the relay's own open connections; placed connections stay put. [`Balancer`] makes
-//! that decision, and all that surrounds it: following the server list, cold starts, health,
-//! further attempts and refusals. It does no I/O and reads no clock: the relay hands it events
-//! and carries out the actions it returns.
+//! Each gateway places a new connection on whichever of two randomly drawn ready servers holds fewer of the gateway's
+//! own open connections; established connections stay where they are. [`Balancer`] makes that decision, and all that
+//! surrounds it: following the endpoint list, slow start, outlier ejection, retries and rejections. It does no I/O and
+//! reads no clock: the gateway hands it events and carries out the actions it returns.
 //!
 //! # Embedding
 //!
@@ -12,11 +11,11 @@
 //! use ashtide::*;
 //!
 //! let settings = Settings {
-//!     classes: vec![Class {
-//!         aim: Span::from_micros(500_000),
-//!         message_aim: Span::from_micros(100_000),
-//!         worth: 1.0,
-//!         effect: Effect::Safe,
+//!     classes: vec![RequestClass {
+//!         latency_objective: Span::from_micros(500_000),
+//!         message_latency_objective: Span::from_micros(100_000),
+//!         priority_weight: 1.0,
+//!         idempotency: Idempotency::Idempotent,
 //!     }],
 //!     ..Settings::for_zone(ZoneId(0))
 //! };
@@ -24,13 +23,14 @@
 //! let mut actions = Vec::new();
 //! let now = Time::from_micros(1_000_000);
 //!
-//! // The relay has read the server list.
+//! // The gateway has read the endpoint list.
 //! let entries = (0..3)
-//!     .map(|number| Listing::ready(ServerId(number), ZoneId(0)))
+//!     .map(|number| EndpointEntry::ready(ServerId(number), ZoneId(0)))
 //!     .collect();
-//! balancer.handle(now, Event::List { news: ListNews::Whole, entries }, &mut actions);
+//! let update = Event::EndpointList { update: ListUpdate::Snapshot, entries };
+//! balancer.handle(now, update, &mut actions);
 //!
-//! // A client asks for a connection: the module answers with an attempt to make.
+//! // A client requests a connection: the module answers with an attempt.
 //! let request = Request {
 //!     id: RequestId(7),
 //!     class: ClassId(0),
