--- a/src/bin/ashtide-adapter/main.rs
+++ b/src/bin/ashtide-adapter/main.rs
@@ -1,14 +1,19 @@
-//! Speaks the simulator's wire on standard input and output, one decision module for each relay.
+//! Speaks the simulator's protocol on standard input and output, with one decision module for each gateway.
 
-mod wire;
+mod error;
+mod fields;
+mod protocol;
+mod simulation;
 
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
+const BUFFER_BYTES: usize = 1 << 16;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match wire::serve(input, output) {
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    match simulation::serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let _ = writeln!(io::stderr(), "ashtide-adapter: {error}");
