--- a/src/bin/ashtide-adapter/error.rs
+++ b/src/bin/ashtide-adapter/error.rs
@@ -58,7 +58,7 @@
     #[error("'{}' where a ROW was due", shorten(.0))]
     RowExpected(String),
     #[error("'{}' where a TURN was due", shorten(.0))]
-    TurnExpected(String),
+    BatchStartExpected(String),
     #[error("the clock is not finite")]
     ClockNotFinite,
     #[error("the batch ends within a DIRECTORY")]
--- a/src/bin/ashtide-adapter/protocol.rs
+++ b/src/bin/ashtide-adapter/protocol.rs
@@ -13,7 +13,7 @@
 use crate::error::LineError;
 use crate::fields::{Fields, check_hex, parse_number, time_from_seconds};
 
-pub const TURN: &str = "TURN ";
+pub const BATCH_START: &str = "TURN ";
 pub const END_OF_BATCH: &str = "EOB";
 pub const BATCH_DONE: &str = "DONE\n";
 pub const START: &str = "START";
--- a/src/bin/ashtide-adapter/simulation.rs
+++ b/src/bin/ashtide-adapter/simulation.rs
@@ -9,8 +9,8 @@
 use crate::error::{AdapterError, LineError};
 use crate::fields::{Fields, time_from_seconds};
 use crate::protocol::{
-    BATCH_DONE, CLOCK, DIRECTORY, Directories, DirectoryRow, END_OF_BATCH, ENTRIES, EventParser, GATEWAY,
-    ROW, SEED, SETTINGS, SHUTDOWN, SLOT, START, TURN, write_action,
+    BATCH_DONE, BATCH_START, CLOCK, DIRECTORY, Directories, DirectoryRow, END_OF_BATCH, ENTRIES, EventParser,
+    GATEWAY, ROW, SEED, SETTINGS, SHUTDOWN, SLOT, START, write_action,
 };
 
 /// One gateway: its decisions and the names it has met.
@@ -162,7 +162,7 @@
                 return Ok(true);
             }
             Some(now) => self.simulation.handle_line(now, text, &mut self.answer)?,
-            None => self.now = Some(parse_turn(text)?),
+            None => self.now = Some(parse_batch_start(text)?),
         }
         Ok(false)
     }
@@ -203,8 +203,9 @@
     }
 }
 
-fn parse_turn(text: &str) -> Result<Time, LineError> {
-    let rest = text.strip_prefix(TURN).ok_or_else(|| LineError::TurnExpected(text.to_owned()))?;
-    let clock = Fields::parse(rest, None)?.required_number(CLOCK)?;
+fn parse_batch_start(text: &str) -> Result<Time, LineError> {
+    let fields =
+        text.strip_prefix(BATCH_START).ok_or_else(|| LineError::BatchStartExpected(text.to_owned()))?;
+    let clock = Fields::parse(fields, None)?.required_number(CLOCK)?;
     if clock.is_finite() { Ok(time_from_seconds(clock)) } else { Err(LineError::ClockNotFinite) }
 }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -87,8 +87,8 @@
             (Some(first), Some(second)) => Candidates { first, second },
             (first, _) => self.draw_eligible(now, request, first)?,
         };
-        let keeps_group = affinity.is_some() || self.hashed_group(request).is_some();
-        let factor = if keeps_group { AFFINITY_LOAD_FACTOR } else { 1.0 };
+        let has_affinity = affinity.is_some() || self.hashed_group(request).is_some();
+        let factor = if has_affinity { AFFINITY_LOAD_FACTOR } else { 1.0 };
         let is_second_better = factor * self.relative_load(second) < self.relative_load(first);
         Some(if is_second_better { second } else { first })
     }
