--- /dev/null
+++ b/src/fleet/maintenance/settings.rs
@@ -0,0 +1,302 @@
+//! The file of `--maintenance`.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use ashtide_fleet::state::Slot;
+use ashtide_maintenance::{Limits, MachineKind, ReplicaConfig, TimingConfig};
+use serde_json::{Value as Json, json};
+use toml::{Table, Value as Toml};
+
+use super::super::settings_keys::{IntegerKey, InvalidKey, check_known_keys, required_names};
+
+/// Gateways that a file may name.
+pub const MAX_GATEWAYS: usize = 512;
+
+const SLOT: IntegerKey = IntegerKey {
+    name: "slot",
+    minimum: 0,
+    maximum: 511,
+    default: None,
+    description: "Which of 'gateways' this one is, from 0.",
+};
+const FLEET_ID: IntegerKey = IntegerKey {
+    name: "tier",
+    minimum: 1,
+    maximum: u32::MAX,
+    default: None,
+    description: "The tier's key, the same at all its gateways and at none of another tier.",
+};
+const VOTERS: IntegerKey = IntegerKey {
+    name: "voters",
+    minimum: 1,
+    maximum: 9,
+    default: Some(3),
+    description: "So many of the first 'gateways' keep the table; of 3 one may be away, of 5 two.",
+};
+const MAX_OUT: IntegerKey = IntegerKey {
+    name: "max_out",
+    minimum: 1,
+    maximum: 32,
+    default: None,
+    description: "Servers that may be out at once.",
+};
+const MAX_GATEWAYS_OUT: IntegerKey = IntegerKey {
+    name: "max_gateways",
+    minimum: 0,
+    maximum: 32,
+    default: Some(1),
+    description: "Gateways that may be out at once; fewer than half of the voters.",
+};
+const FLOOR: IntegerKey = IntegerKey {
+    name: "floor",
+    minimum: 0,
+    maximum: 4096,
+    default: Some(0),
+    description: "Ready servers that must be left.",
+};
+const LEASE_S: IntegerKey = IntegerKey {
+    name: "lease_s",
+    minimum: 2,
+    maximum: 60,
+    default: Some(6),
+    description: "How long a gateway keeps a machine out after it has last asked the others.",
+};
+const DRAIN_S: IntegerKey = IntegerKey {
+    name: "drain_s",
+    minimum: 1,
+    maximum: 3600,
+    default: Some(60),
+    description: "How long a drain may last.",
+};
+const WORK_S: IntegerKey = IntegerKey {
+    name: "work_s",
+    minimum: 0,
+    maximum: 86400,
+    default: Some(3600),
+    description: "How long a machine stays out at most once it is drained; 0: a server not at all.",
+};
+const INTEGER_KEYS: [IntegerKey; 9] =
+    [SLOT, FLEET_ID, VOTERS, MAX_OUT, MAX_GATEWAYS_OUT, FLOOR, LEASE_S, DRAIN_S, WORK_S];
+const OTHER_KEYS: [&str; 3] = ["listen", "gateways", "folder"];
+
+const LISTEN_DESCRIPTION: &str =
+    "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
+const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
+const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
+
+/// Why the settings of maintenance cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum MaintenanceError {
+    /// The file cannot be read.
+    #[error("maintenance: {path}: {problem}")]
+    File {
+        /// Which file.
+        path: PathBuf,
+        /// What the system reports.
+        problem: std::io::Error,
+    },
+    /// The file is not TOML.
+    #[error("maintenance: found {}; expected TOML", .0.to_string().trim())]
+    Syntax(#[from] toml::de::Error),
+    /// A key's value, or its absence, cannot be used.
+    #[error("maintenance: {0}")]
+    Key(#[from] InvalidKey),
+}
+
+impl MaintenanceError {
+    /// The error followed by what an operator can do, for the log.
+    #[must_use]
+    pub fn with_help(self) -> String {
+        format!("{self}; {}", self.help())
+    }
+
+    /// What an operator can do.
+    #[must_use]
+    pub fn help(&self) -> &'static str {
+        match self {
+            Self::File { .. } => "name a file that this process may read, or leave --maintenance out",
+            Self::Syntax(_) => "compare the file with deploy/maintenance.toml",
+            Self::Key(_) => "correct the key; deploy/maintenance.schema.json says what each may be",
+        }
+    }
+}
+
+/// What the file of `--maintenance` says.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Settings {
+    /// Address that this gateway receives datagrams at.
+    pub listen: SocketAddr,
+    /// Address of each gateway, by slot.
+    pub gateways: Vec<SocketAddr>,
+    /// Folder of the acceptor's state.
+    pub state_directory: PathBuf,
+    /// Settings of the state machine.
+    pub replica: ReplicaConfig,
+}
+
+impl Settings {
+    /// Reads the file.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file cannot be read, is not TOML, or has a key that cannot be used.
+    pub fn read(path: &Path) -> Result<Self, MaintenanceError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|problem| MaintenanceError::File { path: path.to_owned(), problem })?;
+        Self::parse(&text)
+    }
+
+    /// Parses the text of a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the text is not TOML, or names the key that cannot be used.
+    pub fn parse(text: &str) -> Result<Self, MaintenanceError> {
+        let table: Table = text.parse()?;
+        let known: Vec<&str> =
+            OTHER_KEYS.into_iter().chain(INTEGER_KEYS.iter().map(|key| key.name)).collect();
+        check_known_keys(&table, "", &known)?;
+        let numbers = Numbers::read(&table)?;
+        let gateways = parse_gateways(&table)?;
+        let own = *gateways.get(numbers.slot as usize).ok_or_else(|| {
+            InvalidKey::new("slot", numbers.slot, format_args!("one of {} gateways", gateways.len()))
+        })?;
+        numbers.check_voters(gateways.len())?;
+        let state_directory = parse_folder(&table)?;
+        let listen = match table.get("listen") {
+            Some(value) => parse_reachable_address("listen", value)?,
+            None => own,
+        };
+        let replica = numbers.replica_config(gateways.len());
+        Ok(Self { listen, gateways, state_directory, replica })
+    }
+
+    /// The kind of the machine of this name: a gateway is named by its address.
+    #[must_use]
+    pub fn machine_kind(&self, name: &str) -> MachineKind {
+        match name.parse().is_ok_and(|address| self.gateways.contains(&address)) {
+            true => MachineKind::Gateway,
+            false => MachineKind::Server,
+        }
+    }
+}
+
+/// The values of [`INTEGER_KEYS`].
+struct Numbers {
+    slot: u32,
+    fleet_id: u32,
+    voters: u32,
+    max_out: u32,
+    max_gateways_out: u32,
+    floor: u32,
+    lease_s: u32,
+    drain_s: u32,
+    work_s: u32,
+}
+
+impl Numbers {
+    fn read(table: &Table) -> Result<Self, InvalidKey> {
+        Ok(Self {
+            slot: SLOT.read(table, "")?,
+            fleet_id: FLEET_ID.read(table, "")?,
+            voters: VOTERS.read(table, "")?,
+            max_out: MAX_OUT.read(table, "")?,
+            max_gateways_out: MAX_GATEWAYS_OUT.read(table, "")?,
+            floor: FLOOR.read(table, "")?,
+            lease_s: LEASE_S.read(table, "")?,
+            drain_s: DRAIN_S.read(table, "")?,
+            work_s: WORK_S.read(table, "")?,
+        })
+    }
+
+    fn check_voters(&self, gateway_count: usize) -> Result<(), InvalidKey> {
+        if self.voters as usize > gateway_count {
+            let expected = format_args!("at most the {gateway_count} gateways");
+            return Err(InvalidKey::new("voters", self.voters, expected));
+        }
+        let minority = (self.voters - 1) / 2;
+        if self.max_gateways_out > minority && self.voters > 1 {
+            let expected = format_args!("at most {minority}, so that a majority of the voters stays");
+            return Err(InvalidKey::new("max_gateways", self.max_gateways_out, expected));
+        }
+        Ok(())
+    }
+
+    fn replica_config(&self, gateway_count: usize) -> ReplicaConfig {
+        let first_slots = |count: usize| (0..count as u16).map(Slot).collect();
+        let seconds = |count: u32| Duration::from_secs(u64::from(count));
+        ReplicaConfig {
+            tier: self.fleet_id,
+            own_slot: Slot(self.slot as u16),
+            members: first_slots(gateway_count),
+            acceptors: first_slots(self.voters as usize),
+            limits: Limits {
+                max_servers_out: self.max_out as usize,
+                max_gateways_out: self.max_gateways_out as usize,
+                min_ready_servers: self.floor as usize,
+            },
+            timing: TimingConfig {
+                lease: seconds(self.lease_s),
+                max_drain: seconds(self.drain_s),
+                max_work: seconds(self.work_s),
+                return_when_drained: self.work_s == 0,
+                ..TimingConfig::default()
+            },
+        }
+    }
+}
+
+fn parse_gateways(table: &Table) -> Result<Vec<SocketAddr>, InvalidKey> {
+    let absent = Toml::Array(Vec::new());
+    let value = table.get("gateways").unwrap_or(&absent);
+    let expected = format!("a list of 1 to {MAX_GATEWAYS} different addresses");
+    let listed = value
+        .as_array()
+        .filter(|listed| (1..=MAX_GATEWAYS).contains(&listed.len()))
+        .ok_or_else(|| InvalidKey::new("gateways", value, &expected))?;
+    let gateways: Vec<SocketAddr> = listed
+        .iter()
+        .map(|gateway| parse_reachable_address("gateways", gateway))
+        .collect::<Result<_, _>>()?;
+    let repeated = (1..gateways.len()).find(|&index| gateways[..index].contains(&gateways[index]));
+    match repeated {
+        Some(index) => Err(InvalidKey::new("gateways", format_args!("{} twice", gateways[index]), &expected)),
+        None => Ok(gateways),
+    }
+}
+
+fn parse_reachable_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
+    let expected = "an address and a port that others reach, as \"127.0.0.1:7947\"";
+    let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
+    let is_reachable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
+    let address = text.parse().ok().filter(is_reachable);
+    address.ok_or_else(|| InvalidKey::new(key, format_args!("\"{text}\""), expected))
+}
+
+fn parse_folder(table: &Table) -> Result<PathBuf, InvalidKey> {
+    let folder = table.get("folder").and_then(Toml::as_str).filter(|folder| !folder.is_empty());
+    folder.map(PathBuf::from).ok_or_else(|| InvalidKey::missing("folder", "a folder"))
+}
+
+/// The JSON Schema of the file.
+#[must_use]
+pub fn schema() -> Json {
+    let mut properties = serde_json::Map::new();
+    properties.insert("listen".to_owned(), json!({"type": "string", "description": LISTEN_DESCRIPTION}));
+    properties.insert("folder".to_owned(), json!({"type": "string", "description": FOLDER_DESCRIPTION}));
+    let gateways = json!({"type": "array", "items": {"type": "string"}, "minItems": 1,
+                          "maxItems": MAX_GATEWAYS, "description": GATEWAYS_DESCRIPTION});
+    properties.insert("gateways".to_owned(), gateways);
+    for key in &INTEGER_KEYS {
+        properties.insert(key.name.to_owned(), key.schema());
+    }
+    let required: Vec<&str> =
+        ["folder", "gateways"].into_iter().chain(required_names(&INTEGER_KEYS)).collect();
+    json!({
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "title": "Settings of taking machines out for work, the file of --maintenance",
+        "type": "object", "properties": properties, "required": required, "additionalProperties": false,
+    })
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -5,5 +5,6 @@
 pub mod maintenance;
 pub mod permits;
 pub mod quota;
+pub(crate) mod settings_keys;
 pub mod shared_state;
 pub mod view;
--- /dev/null
+++ b/src/fleet/quota/settings.rs
@@ -0,0 +1,312 @@
+//! The file of `--quota`.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use ashtide_fleet::state::{Allocation, BudgetKind};
+use ashtide_quota::PartnerBudgets;
+use serde_json::{Value as Json, json};
+use toml::{Table, Value as Toml};
+
+use super::super::settings_keys::{IntegerKey, InvalidKey, check_known_keys, read_flag, required_names};
+use super::super::shared_state::name_hash;
+use crate::settings::TenantQuota;
+
+/// Partners that a file may name.
+pub const MAX_PARTNERS: usize = 128;
+/// Highest pace of a partner, in connections a second.
+const MAX_PER_S: f64 = 1e6;
+/// Highest number of open connections of a partner.
+const MAX_CONNECTIONS: u64 = 1_000_000_000;
+/// Parts of an allocation's whole that floors are given in.
+const PERMILLE: u64 = 1_000;
+
+const GENERATION: IntegerKey = IntegerKey {
+    name: "generation",
+    minimum: 1,
+    maximum: i32::MAX as u32,
+    default: None,
+    description: "Counted on by whoever changes this file, and the same in all copies of one text.",
+};
+const RESERVE: IntegerKey = IntegerKey {
+    name: "reserve",
+    minimum: 0,
+    maximum: 1000,
+    default: Some(100),
+    description: "Thousandths of each quota that are never lent: each gateway has its part for certain.",
+};
+const BURST_MS: IntegerKey = IntegerKey {
+    name: "burst_ms",
+    minimum: 1,
+    maximum: 60_000,
+    default: Some(1000),
+    description: "How long rights to new connections are stored that are not used.",
+};
+const MAX_WAIT_MS: IntegerKey = IntegerKey {
+    name: "max_wait_ms",
+    minimum: 1,
+    maximum: 10_000,
+    default: Some(2000),
+    description: "The longest that a refused client is told to wait.",
+};
+const INTEGER_KEYS: [IntegerKey; 4] = [GENERATION, RESERVE, BURST_MS, MAX_WAIT_MS];
+const OTHER_KEYS: [&str; 3] = ["vouched", "borrow", "partners"];
+const PARTNER_KEYS: [&str; 2] = ["per_s", "connections"];
+
+const CONFIRMED_DESCRIPTION: &str =
+    "An operator's word that no gateway runs that is not at this generation: where one is gone for good.";
+const BORROW_DESCRIPTION: &str = "Whether what a partner leaves unused at a gateway may be used by another there, \
+                                  while no server refuses.";
+const PARTNERS_DESCRIPTION: &str =
+    "Each partner's quota over all gateways. Without the table: the settings' customers.";
+const PER_S_DESCRIPTION: &str = "New connections a second.";
+const CONNECTIONS_DESCRIPTION: &str = "Open connections; without it they are not limited.";
+
+/// Why the quotas' settings cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum QuotaError {
+    /// The file cannot be read.
+    #[error("quota: {path}: {problem}")]
+    File {
+        /// Which file.
+        path: PathBuf,
+        /// What the system reports.
+        problem: std::io::Error,
+    },
+    /// The file is not TOML.
+    #[error("quota: found {}; expected TOML", .0.to_string().trim())]
+    Syntax(#[from] toml::de::Error),
+    /// A key's value, or its absence, cannot be used.
+    #[error("quota: {0}")]
+    Key(#[from] InvalidKey),
+    /// There is no shared state to hold the rights in.
+    #[error("quota: found no table 'state' in the file of --view; expected one")]
+    NoSharedState,
+}
+
+impl QuotaError {
+    /// The error followed by what an operator can do, for the log.
+    pub fn with_help(self) -> String {
+        format!("{self}; {}", self.help())
+    }
+
+    /// What an operator can do.
+    pub fn help(&self) -> &'static str {
+        match self {
+            Self::File { .. } => "name a file that this process may read, or leave --quota out",
+            Self::Syntax(_) => "compare the file with deploy/quota.toml",
+            Self::Key(_) => "correct the key; deploy/quota.schema.json says what each may be",
+            Self::NoSharedState => "start with --view and a file that has the table, or leave --quota out",
+        }
+    }
+}
+
+/// The ids of a partner's budgets in the exchange. They follow from its name, as partners come and go.
+struct BudgetIds {
+    rate: u32,
+    connections: Option<u32>,
+}
+
+impl BudgetIds {
+    fn of(quota: &TenantQuota) -> Self {
+        let id = |prefix: &str| name_hash(&format!("{prefix}/{}", quota.name));
+        Self { rate: id("pace"), connections: quota.max_open_connections.map(|_| id("held")) }
+    }
+}
+
+/// What the file of `--quota` says.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Settings {
+    /// Number of this version of the file.
+    pub generation: u32,
+    /// Whether an operator confirms that all gateways are at this generation.
+    pub operator_confirmed: bool,
+    /// Thousandths of each quota that are never lent.
+    pub floor_permille: u32,
+    /// How long unused rights are stored.
+    pub burst: Duration,
+    /// Longest wait that a rejected client is told.
+    pub max_wait: Duration,
+    /// Whether unused rights of another partner may be used.
+    pub allow_borrowing: bool,
+    /// All partners.
+    pub partners: Vec<TenantQuota>,
+}
+
+impl Settings {
+    /// Reads the file; `customers` are the partners where it names none.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file cannot be read, is not TOML, or has a key that cannot be used.
+    pub fn read(path: &Path, customers: &[TenantQuota]) -> Result<Self, QuotaError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|problem| QuotaError::File { path: path.to_owned(), problem })?;
+        Self::parse(&text, customers)
+    }
+
+    /// Parses the text of a file; `customers` are the partners where it names none.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the text is not TOML, or names the key that cannot be used.
+    pub fn parse(text: &str, customers: &[TenantQuota]) -> Result<Self, QuotaError> {
+        let table: Table = text.parse()?;
+        let known: Vec<&str> = INTEGER_KEYS.iter().map(|key| key.name).chain(OTHER_KEYS).collect();
+        check_known_keys(&table, "", &known)?;
+        let read_ms =
+            |key: &IntegerKey| Ok::<_, InvalidKey>(Duration::from_millis(key.read(&table, "")?.into()));
+        let settings = Self {
+            generation: GENERATION.read(&table, "")?,
+            floor_permille: RESERVE.read(&table, "")?,
+            burst: read_ms(&BURST_MS)?,
+            max_wait: read_ms(&MAX_WAIT_MS)?,
+            operator_confirmed: read_flag(&table, "", "vouched", false)?,
+            allow_borrowing: read_flag(&table, "", "borrow", false)?,
+            partners: match table.get("partners") {
+                Some(partners) => parse_partners(partners)?,
+                None => customers.to_vec(),
+            },
+        };
+        check_partners(&settings.partners)?;
+        Ok(settings)
+    }
+
+    /// What all gateways must have alike, over a list of `slot_count` gateways.
+    pub fn allocation(&self, slot_count: u16) -> Allocation {
+        let rate_kind = BudgetKind::Rate { burst: self.burst };
+        let rates = self.partners.iter().map(|partner| {
+            let thousandths = (partner.connections_per_second * 1_000.0).round() as u64;
+            (BudgetIds::of(partner).rate, (thousandths, rate_kind))
+        });
+        let connections = self.partners.iter().filter_map(|partner| {
+            Some((
+                BudgetIds::of(partner).connections?,
+                (partner.max_open_connections?, BudgetKind::Concurrency),
+            ))
+        });
+        Allocation {
+            generation: self.generation,
+            slot_count,
+            floor_permille: self.floor_permille.into(),
+            totals: rates.chain(connections).collect(),
+        }
+    }
+
+    /// The allocation of a gateway that shares nothing yet: its floors, and no more.
+    pub(super) fn standalone_allocation(&self, slot_count: u16) -> Allocation {
+        let mut allocation = self.allocation(slot_count);
+        allocation.generation = 1;
+        for total in allocation.totals.values_mut() {
+            total.0 = total.0 * allocation.floor_permille / PERMILLE;
+        }
+        allocation.floor_permille = PERMILLE;
+        allocation
+    }
+
+    pub(super) fn partner_budgets(&self) -> Vec<PartnerBudgets> {
+        let budgets_of = |partner| {
+            let ids = BudgetIds::of(partner);
+            PartnerBudgets { rate_budget: ids.rate, burst: self.burst, connections_budget: ids.connections }
+        };
+        self.partners.iter().map(budgets_of).collect()
+    }
+}
+
+fn parse_partners(value: &Toml) -> Result<Vec<TenantQuota>, InvalidKey> {
+    let partners = value.as_table().ok_or_else(|| InvalidKey::new("partners", value, "a table"))?;
+    partners.iter().map(|(name, partner)| parse_partner(name, partner)).collect()
+}
+
+fn parse_partner(name: &str, value: &Toml) -> Result<TenantQuota, InvalidKey> {
+    let key = format!("partners.{name}");
+    let table = value.as_table().ok_or_else(|| InvalidKey::new(&key, value, "a table"))?;
+    check_known_keys(table, &format!("{key}."), &PARTNER_KEYS)?;
+    let per_s = table
+        .get("per_s")
+        .ok_or_else(|| InvalidKey::missing(format_args!("{key}.per_s"), "a number above 0"))?;
+    Ok(TenantQuota {
+        name: name.to_owned(),
+        connections_per_second: parse_per_s(&key, per_s)?,
+        max_open_connections: table
+            .get("connections")
+            .map(|value| parse_connections(&key, value))
+            .transpose()?,
+    })
+}
+
+fn parse_per_s(partner: &str, value: &Toml) -> Result<f64, InvalidKey> {
+    let number = value.as_float().or(value.as_integer().map(|number| number as f64));
+    number.filter(|number| *number > 0.0 && *number <= MAX_PER_S).ok_or_else(|| {
+        InvalidKey::new(
+            format_args!("{partner}.per_s"),
+            value,
+            format_args!("a number above 0, at most {MAX_PER_S}"),
+        )
+    })
+}
+
+fn parse_connections(partner: &str, value: &Toml) -> Result<u64, InvalidKey> {
+    let number = value.as_integer().and_then(|number| u64::try_from(number).ok());
+    number.filter(|number| *number <= MAX_CONNECTIONS).ok_or_else(|| {
+        InvalidKey::new(
+            format_args!("{partner}.connections"),
+            value,
+            format_args!("a whole number from 0 to {MAX_CONNECTIONS}"),
+        )
+    })
+}
+
+/// Checks how many partners there are, and that no two have a budget of one id.
+fn check_partners(partners: &[TenantQuota]) -> Result<(), InvalidKey> {
+    if partners.is_empty() || partners.len() > MAX_PARTNERS {
+        let found = format_args!("{} partners", partners.len());
+        let expected = format_args!("1 to {MAX_PARTNERS}, here or as the settings' customers");
+        return Err(InvalidKey::new("partners", found, expected));
+    }
+    let mut partner_by_id = BTreeMap::new();
+    for partner in partners {
+        let ids = BudgetIds::of(partner);
+        for id in ids.connections.into_iter().chain([ids.rate]) {
+            if let Some(other) = partner_by_id.insert(id, &partner.name) {
+                let key = format_args!("partners.{}", partner.name);
+                let found = format_args!("a name that looks the same as {other} to gateways");
+                return Err(InvalidKey::new(key, found, "another name for one"));
+            }
+        }
+    }
+    Ok(())
+}
+
+/// The JSON Schema of the file.
+pub fn schema() -> Json {
+    let mut properties = serde_json::Map::new();
+    for key in &INTEGER_KEYS {
+        properties.insert(key.name.to_owned(), key.schema());
+    }
+    for (key, description) in [("vouched", CONFIRMED_DESCRIPTION), ("borrow", BORROW_DESCRIPTION)] {
+        let schema = json!({"type": "boolean", "default": false, "description": description});
+        properties.insert(key.to_owned(), schema);
+    }
+    let partner = json!({
+        "type": "object", "required": ["per_s"], "additionalProperties": false,
+        "properties": {
+            "per_s": {"type": "number", "exclusiveMinimum": 0, "maximum": MAX_PER_S as u64,
+                      "description": PER_S_DESCRIPTION},
+            "connections": {"type": "integer", "minimum": 0, "maximum": MAX_CONNECTIONS,
+                            "description": CONNECTIONS_DESCRIPTION},
+        },
+    });
+    properties.insert(
+        "partners".to_owned(),
+        json!({"type": "object", "minProperties": 1, "maxProperties": MAX_PARTNERS,
+               "additionalProperties": partner, "description": PARTNERS_DESCRIPTION}),
+    );
+    let required: Vec<&str> = required_names(&INTEGER_KEYS).collect();
+    json!({
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "title": "Partners' quotas, the file of --quota",
+        "type": "object", "properties": properties, "required": required, "additionalProperties": false,
+    })
+}
--- /dev/null
+++ b/src/fleet/shared_state/settings.rs
@@ -0,0 +1,119 @@
+//! The table `state` in the file of `--view`.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value as Json, json};
+use toml::{Table, Value as Toml};
+
+use super::super::settings_keys::{IntegerKey, InvalidKey, check_known_keys, parse_address, read_flag};
+use super::MAX_GATEWAYS;
+
+const KEYS: [&str; 5] = ["gateways", "datagrams_per_s", "check", "judgements", "counts"];
+/// What errors put before the names of these keys.
+const PREFIX: &str = "state.";
+
+const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
+    name: "datagrams_per_s",
+    minimum: 4,
+    maximum: 1000,
+    default: Some(24),
+    description: "Datagrams a second that this gateway sends of it at most, beside the view's.",
+};
+const OUTLIER_MODES: [(&str, OutlierMode); 3] =
+    [("off", OutlierMode::Off), ("tell", OutlierMode::Report), ("use", OutlierMode::Enforce)];
+const CHECK_MODES: [(&str, bool); 2] = [("off", false), ("log", true)];
+
+const GATEWAYS_DESCRIPTION: &str = "All gateways that may be there, by what others know them by, in one order \
+                                    everywhere. Without it: the configuration's 'peers', at the port of 'listen'.";
+const CHECK_DESCRIPTION: &str = "Whether all of it is held against its invariants four times a second.";
+const OUTLIERS_DESCRIPTION: &str = "What gateways see of servers: not told, told and shown, or used as well.";
+const COUNTS_DESCRIPTION: &str =
+    "Whether open connections by server and tenant are counted over all gateways.";
+
+/// What is done with outlier reports on servers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum OutlierMode {
+    /// None are sent.
+    Off,
+    /// They are sent, and what follows from them is only shown.
+    Report,
+    /// Outliers get no new connections.
+    Enforce,
+}
+
+/// The table `state` of the view's file.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Settings {
+    /// All gateways that may be there; none where the file leaves that to the configuration.
+    pub gateways: Option<Vec<SocketAddr>>,
+    /// Datagrams a second at most.
+    pub max_datagrams_per_second: u32,
+    /// Whether invariants are checked at each observation.
+    pub check_invariants: bool,
+    /// What is done with outlier reports.
+    pub outlier_mode: OutlierMode,
+    /// Whether open connections are counted.
+    pub count_connections: bool,
+}
+
+impl Settings {
+    /// Parses the table.
+    ///
+    /// # Errors
+    ///
+    /// Names the key that cannot be used.
+    pub fn parse(value: &Toml) -> Result<Self, InvalidKey> {
+        let table = value.as_table().ok_or_else(|| InvalidKey::new("state", value, "a table"))?;
+        check_known_keys(table, PREFIX, &KEYS)?;
+        let max_datagrams_per_second = DATAGRAMS_PER_S.read(table, PREFIX)?;
+        let count_connections = read_flag(table, PREFIX, "counts", true)?;
+        let gateways = table.get("gateways").map(parse_gateways).transpose()?;
+        let check_invariants = read_choice(table, "check", &CHECK_MODES, false)?;
+        let outlier_mode = read_choice(table, "judgements", &OUTLIER_MODES, OutlierMode::Report)?;
+        Ok(Self { gateways, max_datagrams_per_second, check_invariants, outlier_mode, count_connections })
+    }
+}
+
+fn parse_gateways(value: &Toml) -> Result<Vec<SocketAddr>, InvalidKey> {
+    let key = format!("{PREFIX}gateways");
+    let gateways =
+        value.as_array().filter(|gateways| (1..=MAX_GATEWAYS).contains(&gateways.len())).ok_or_else(
+            || InvalidKey::new(&key, value, format_args!("a list of 1 to {MAX_GATEWAYS} addresses")),
+        )?;
+    gateways.iter().map(|gateway| parse_address(&key, gateway)).collect()
+}
+
+fn read_choice<T: Copy>(
+    table: &Table,
+    name: &str,
+    choices: &[(&'static str, T)],
+    default: T,
+) -> Result<T, InvalidKey> {
+    let Some(value) = table.get(name) else { return Ok(default) };
+    let chosen = choices.iter().find(|(choice, _)| value.as_str() == Some(choice));
+    chosen.map(|&(_, meaning)| meaning).ok_or_else(|| {
+        let names = choice_names(choices).join(", ");
+        InvalidKey::new(format!("{PREFIX}{name}"), value, format_args!("one of {names}"))
+    })
+}
+
+fn choice_names<T>(choices: &[(&'static str, T)]) -> Vec<&'static str> {
+    choices.iter().map(|&(name, _)| name).collect()
+}
+
+/// The JSON Schema of the table.
+pub fn schema() -> Json {
+    json!({
+        "type": "object", "additionalProperties": false,
+        "description": "What the gateways share beside the view. Without the table: nothing.",
+        "properties": {
+            "gateways": {"type": "array", "items": {"type": "string"}, "minItems": 1, "maxItems": MAX_GATEWAYS,
+                         "description": GATEWAYS_DESCRIPTION},
+            "datagrams_per_s": DATAGRAMS_PER_S.schema(),
+            "check": {"enum": choice_names(&CHECK_MODES), "default": "off", "description": CHECK_DESCRIPTION},
+            "judgements": {"enum": choice_names(&OUTLIER_MODES), "default": "tell",
+                           "description": OUTLIERS_DESCRIPTION},
+            "counts": {"type": "boolean", "default": true, "description": COUNTS_DESCRIPTION},
+        },
+    })
+}
--- /dev/null
+++ b/src/fleet/view/text.rs
@@ -0,0 +1,78 @@
+//! The membership view as log lines, and as text of the admin endpoint.
+
+use std::fmt::Write;
+use std::time::Duration;
+
+use ashtide_fleet::{Member, MemberState, Membership, ViewChange, ViewMetrics};
+
+use crate::metrics::METRIC_PREFIX;
+
+fn state_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Left => "left",
+        MemberState::Dead => "dead",
+    }
+}
+
+/// The log line of a change of the view.
+pub fn change_log_line(change: &ViewChange) -> String {
+    let member_line = |member: &Member, state: &str| {
+        format!("view: member {} (generation {}) {state}", member.address, member.incarnation)
+    };
+    match change {
+        ViewChange::Up(member) => member_line(member, "is alive"),
+        ViewChange::Left(member) => member_line(member, "has left"),
+        ViewChange::Dead(member) => member_line(member, "is dead"),
+        ViewChange::Rejoined(own) => format!(
+            "view: others had declared this gateway dead; it has rejoined as generation {}",
+            own.incarnation
+        ),
+        ViewChange::Stalled(time) => {
+            format!("view: this process stalled for {} ms; it suspects nobody for that", time.as_millis())
+        }
+    }
+}
+
+/// All members, one a line and this one first, at `now` by the view's time.
+pub fn members_text(membership: &Membership, now: Duration) -> String {
+    let own = membership.own();
+    let mut text = format!("{} self generation={}\n", own.address, own.incarnation);
+    for status in membership.members() {
+        let _ = writeln!(
+            text,
+            "{} {} generation={} incarnation={} for_s={}",
+            status.member.address,
+            state_name(status.state),
+            status.member.incarnation,
+            status.refutations,
+            now.saturating_sub(status.since).as_secs()
+        );
+    }
+    text
+}
+
+/// The view's metrics, one a line.
+pub fn metrics_text(membership: &Membership) -> String {
+    let mut text = String::new();
+    let mut write_metric = |name: &str, value: u64| {
+        let _ = writeln!(text, "{METRIC_PREFIX}_view_{name} {value}");
+    };
+    for state in [MemberState::Alive, MemberState::Suspect, MemberState::Left, MemberState::Dead] {
+        let count = membership.members().filter(|status| status.state == state).count();
+        write_metric(&format!("members{{state=\"{}\"}}", state_name(state)), count as u64);
+    }
+    let metrics: &ViewMetrics = membership.metrics();
+    write_metric("sent_datagrams_total", metrics.sent.0);
+    write_metric("sent_bytes_total", metrics.sent.1);
+    write_metric("heard_datagrams_total", metrics.received.0);
+    write_metric("heard_bytes_total", metrics.received.1);
+    write_metric("unsent_datagrams_total", metrics.dropped);
+    write_metric("unheard_datagrams_total", metrics.rejected.values().sum());
+    write_metric("deaths_total", metrics.deaths);
+    write_metric("false_deaths_total", metrics.false_deaths);
+    write_metric("own_deaths_total", metrics.own_deaths);
+    write_metric("stalls_total", metrics.stalls);
+    text
+}
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -1,33 +1,42 @@
-//! Where the engine's task and the operators' door meet over partners' quotas, and the file that outlives a process.
+//! Partners' quotas, where the event loop and the admin endpoint meet, and the file that outlives a process.
 //!
-//! Its lock is taken before the shared state's and never across a wait.
+//! The lock is taken before the shared state's and never across a wait.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use ashtide_fleet::state::{Exchange, PersistedAllocation};
+use tracing::info;
 
+use super::shared_state::SharedState;
 use crate::fleet::quota::{Admission, Settings};
 use crate::fleet::shared_state::GatewaySlots;
-use crate::net::fleet::shared_state::SharedState;
 use crate::net::handover::StateFolder;
 use crate::net::rate_limited_log::RateLimitedLog;
 use crate::net::storage;
-use tracing::info;
 
 static RATE_LIMITED_LOG: RateLimitedLog = RateLimitedLog::new("quota");
 
+/// Which exchange the rights come from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ExchangeSource {
+    /// The shared state has not started: this gateway's floors.
+    Standalone,
+    /// The shared state.
+    Shared,
+    /// The previous process was at a later generation than the file: this gateway's floors until it is read again.
+    StaleFile,
+}
+
 struct QuotaState {
     admission: Admission,
-    /// The rights until something is shared.
+    /// The rights where none are shared.
     standalone: Exchange,
-    is_sharing: bool,
-    /// What an earlier life was at is later than the file: told once.
-    is_stale: bool,
+    source: ExchangeSource,
 }
 
-/// Quotas, for whoever has to do with them.
+/// The quotas of this gateway.
 pub struct QuotaService {
     shared_state: Arc<SharedState>,
     path: Option<PathBuf>,
@@ -35,114 +44,122 @@
 }
 
 impl QuotaService {
-    /// Quotas by these settings, over what is shared on `state` by gateways of these slots. What is promised is
-    /// kept at `place`.
+    /// Quotas by these settings, over the shared state of gateways with these slots. What this gateway commits to is
+    /// persisted in `folder`.
     pub fn new(
         settings: Settings,
         slots: &GatewaySlots,
-        state: Arc<SharedState>,
-        place: Option<&StateFolder>,
+        shared_state: Arc<SharedState>,
+        folder: Option<&StateFolder>,
     ) -> Self {
-        let now = state.now();
+        let now = shared_state.now();
         let admission = Admission::new(settings, slots.own(), slots.len(), now);
-        let alone = admission.standalone_exchange(now);
-        let inner =
-            Mutex::new(QuotaState { admission, standalone: alone, is_sharing: false, is_stale: false });
-        Self { shared_state: state, path: place.map(|place| place.file_path("quota")), inner }
+        let standalone = admission.standalone_exchange(now);
+        let inner = Mutex::new(QuotaState { admission, standalone, source: ExchangeSource::Standalone });
+        Self { shared_state, path: folder.map(|folder| folder.file_path("quota")), inner }
     }
 
     fn lock(&self) -> MutexGuard<'_, QuotaState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with the rights there are.
+    /// Does something at the present time with the rights there are.
     pub fn with<T>(&self, work: impl FnOnce(&mut Admission, Duration, &mut Exchange) -> T) -> T {
-        let mut inner = self.lock();
-        let QuotaState { admission, standalone: alone, is_sharing: begun, is_stale: stale } = &mut *inner;
-        self.shared_state.with_optional(|hub, now| {
-            let Some(hub) = hub.filter(|_| !*stale) else {
-                alone.advance_to(now);
-                return work(admission, now, alone);
-            };
-            let exchange = hub.exchange();
-            exchange.set_time(now);
-            if !*begun {
-                match admission.start_sharing(exchange, self.load_persisted()) {
-                    Ok(line) => {
-                        *begun = true;
-                        info!("{line}");
-                    }
-                    Err(why) => {
-                        *stale = true;
-                        info!("quota: {why}; {}; by floors alone until then", why.help());
-                        alone.advance_to(now);
-                        return work(admission, now, alone);
-                    }
+        let mut guard = self.lock();
+        let state = &mut *guard;
+        self.shared_state.with_optional(|gateway, now| {
+            if let Some(gateway) = gateway.filter(|_| state.source != ExchangeSource::StaleFile) {
+                let exchange = gateway.exchange();
+                exchange.set_time(now);
+                self.start_sharing(state, exchange);
+                if state.source == ExchangeSource::Shared {
+                    return work(&mut state.admission, now, exchange);
                 }
             }
-            work(admission, now, exchange)
+            state.standalone.advance_to(now);
+            work(&mut state.admission, now, &mut state.standalone)
         })
     }
 
-    /// What an earlier life of this gateway has promised.
-    fn load_persisted(&self) -> Option<PersistedAllocation> {
-        let text = match storage::read_optional(self.path.as_ref()?) {
-            Ok(text) => text?,
-            Err(problem) => {
-                RATE_LIMITED_LOG
-                    .log(format_args!("what an earlier life has promised cannot be read: {problem}"));
-                return None;
+    /// Takes the rights from the shared state from now on.
+    fn start_sharing(&self, state: &mut QuotaState, exchange: &mut Exchange) {
+        if state.source == ExchangeSource::Shared {
+            return;
+        }
+        match state.admission.start_sharing(exchange, self.load_persisted()) {
+            Ok(line) => {
+                state.source = ExchangeSource::Shared;
+                info!("{line}");
+            }
+            Err(stale) => {
+                state.source = ExchangeSource::StaleFile;
+                info!(
+                    "quota: {stale}; {}; admitting by this gateway's floors alone until then",
+                    stale.help()
+                );
             }
+        }
+    }
+
+    /// What the previous process of this gateway has committed to.
+    fn load_persisted(&self) -> Option<PersistedAllocation> {
+        let text = storage::read_optional(self.path.as_ref()?);
+        let persisted = match text {
+            Ok(text) => serde_json::from_str(&text?).map_err(std::io::Error::from),
+            Err(problem) => Err(problem),
         };
-        let kept = serde_json::from_str(&text);
-        if let Err(problem) = &kept {
-            RATE_LIMITED_LOG.log(format_args!("what an earlier life has promised cannot be read: {problem}"));
+        if let Err(problem) = &persisted {
+            RATE_LIMITED_LOG
+                .log(format_args!("cannot read what the previous process committed to: {problem}"));
         }
-        kept.ok()
+        persisted.ok()
     }
 
-    /// Lets time pass.
+    /// Lets time pass; to be called every [`TICK_INTERVAL`](crate::fleet::quota::TICK_INTERVAL).
     pub fn tick(&self) {
         let lines = self.with(|admission, now, exchange| {
             let lines = admission.advance_to(now, exchange);
-            if let Some(kept) = admission.allocation_to_persist(exchange) {
-                match self.persist(&kept) {
-                    Ok(()) => admission.mark_persisted(exchange, kept),
-                    Err(problem) => {
-                        RATE_LIMITED_LOG.log(format_args!("not promised, as it cannot be kept: {problem}"))
-                    }
-                }
-            }
-            if let Err(broken) = admission.check() {
-                RATE_LIMITED_LOG.log(format_args!("invariant broken: {broken}; {}", broken.help()));
+            self.persist_allocation(admission, exchange);
+            if let Err(violation) = admission.check() {
+                RATE_LIMITED_LOG.log(format_args!("invariant violated: {violation}; {}", violation.help()));
             }
             lines
         });
-        lines.iter().for_each(|line| info!("{line}"));
+        for line in lines {
+            info!("{line}");
+        }
+    }
+
+    fn persist_allocation(&self, admission: &mut Admission, exchange: &mut Exchange) {
+        let Some(allocation) = admission.allocation_to_persist(exchange) else { return };
+        match self.persist(&allocation) {
+            Ok(()) => admission.mark_persisted(exchange, allocation),
+            Err(problem) => RATE_LIMITED_LOG
+                .log(format_args!("cannot persist the allocation, so it is not committed to: {problem}")),
+        }
     }
 
-    /// Half a file would be none: it is put in its place whole.
-    fn persist(&self, kept: &PersistedAllocation) -> std::io::Result<()> {
-        let Some(file) = &self.path else { return Ok(()) };
-        let text = serde_json::to_string(kept)?;
-        storage::replace_file(file, text.as_bytes())
+    fn persist(&self, allocation: &PersistedAllocation) -> std::io::Result<()> {
+        let Some(path) = &self.path else { return Ok(()) };
+        let text = serde_json::to_string(allocation)?;
+        storage::replace_file(path, text.as_bytes())
     }
 
-    /// The file was read again.
+    /// Takes over settings that were read again.
     pub fn reload(&self, settings: Settings) {
-        // What was stale may not be any more.
-        self.lock().is_stale = false;
-        let reloaded = {
-            let mut inner = self.lock();
-            let QuotaState { admission, standalone: alone, is_sharing: begun, .. } = &mut *inner;
-            self.shared_state.with_optional(|hub, _| match hub.filter(|_| *begun) {
-                Some(hub) => admission.reload(hub.exchange(), settings),
-                None => admission.reload(alone, settings),
-            })
-        };
+        let mut guard = self.lock();
+        let state = &mut *guard;
+        if state.source == ExchangeSource::StaleFile {
+            state.source = ExchangeSource::Standalone;
+        }
+        let is_shared = state.source == ExchangeSource::Shared;
+        let reloaded = self.shared_state.with_optional(|gateway, _| match gateway.filter(|_| is_shared) {
+            Some(gateway) => state.admission.reload(gateway.exchange(), settings),
+            None => state.admission.reload(&mut state.standalone, settings),
+        });
         match reloaded {
             Ok(line) => info!("{line}"),
-            Err(why) => info!("quota: {why}; what runs is kept; {}", why.help()),
+            Err(stale) => info!("quota: {stale}; the settings in use stay; {}", stale.help()),
         }
     }
 
@@ -151,7 +168,7 @@
         self.with(|admission, _, exchange| admission.status_text(exchange))
     }
 
-    /// The figures, as text.
+    /// The metrics, as text.
     pub fn metrics_text(&self) -> String {
         self.with(|admission, _, exchange| admission.metrics_text(exchange))
     }
--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -1,28 +1,28 @@
-//! Carries the fleet view's datagrams over a UDP socket of its own, and keeps its time.
+//! Carries the datagrams of the membership view, and those of the shared state beside it, over a UDP socket of their
+//! own, and drives their timers.
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use ashtide_fleet::state::is_shared_state;
 use ashtide_fleet::{MAX_DATAGRAM, MemberState, Membership, ViewChange};
+use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 use tracing::info;
 
+pub use super::incarnation_store::IncarnationStore;
+use super::shared_state::SharedState;
 use crate::fleet::shared_state::{GatewaySlots, GatewayState, TICK_INTERVAL};
-use crate::fleet::view::{Settings, change_log_line, members_text, metrics_text, next_incarnation};
-use crate::net::bind_retry;
-use crate::net::fleet::shared_state;
-use crate::net::handover::{StateFolder, unix_micros};
-use crate::net::storage;
+use crate::fleet::view::{Settings, change_log_line, members_text, metrics_text};
+use crate::net::bind_retry::bind_udp_with_retry;
 
-/// So long is slept where nothing is due.
+/// Sleep where no timer is set.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// The view, for whoever wants to look at it: the operators' door does from a thread of its own.
+/// The view, also for the admin endpoint, which reads it from a thread of its own.
 pub struct SharedView {
     epoch: Instant,
     membership: Mutex<Option<Membership>>,
@@ -43,161 +43,203 @@
         self.membership.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Does something with the view at the present time, once it has begun.
+    fn with<T>(&self, work: impl FnOnce(&mut Membership, Duration) -> T) -> Option<T> {
+        self.lock().as_mut().map(|membership| work(membership, self.now()))
+    }
+
     /// The members as text; none before there is a socket.
     pub fn members_text(&self) -> Option<String> {
-        self.lock().as_ref().map(|fleet| members_text(fleet, self.now()))
+        self.with(|membership, now| members_text(membership, now))
     }
 
-    /// The figures as text; empty before there is a socket.
+    /// The metrics as text; empty before there is a socket.
     pub fn metrics_text(&self) -> String {
-        self.lock().as_ref().map(metrics_text).unwrap_or_default()
-    }
-}
-
-/// What outlives a process, so that its next life is a later one whatever the clock says.
-pub struct IncarnationStore(Option<PathBuf>);
-
-impl IncarnationStore {
-    /// Of the gateway of this name, in this folder; without one, the clock alone tells lives apart.
-    pub fn new(folder: Option<&Path>, name: &str) -> Self {
-        Self(folder.map(|folder| StateFolder::for_balancer(folder, name).file_path("generation")))
-    }
-
-    pub(super) fn start_next(&self) -> u64 {
-        let next = next_incarnation(unix_micros() / 1000, self.load_previous());
-        self.store(next);
-        next
-    }
-
-    /// The generation of the life before; none where there was none, or it cannot be known.
-    fn load_previous(&self) -> Option<u64> {
-        let path = self.0.as_deref()?;
-        let unreadable = |why: &dyn std::fmt::Display| {
-            info!("view: {}: {why}; the clock alone tells this life from the last", path.display());
-        };
-        let text = storage::read_optional(path).map_err(|error| unreadable(&error)).ok()??;
-        text.trim().parse().map_err(|error| unreadable(&error)).ok()
-    }
-
-    fn store(&self, generation: u64) {
-        if let Some(path) = &self.0
-            && let Err(error) = storage::replace_file(path, format!("{generation}\n").as_bytes())
-        {
-            info!("view: {}: {error}; the clock alone tells this life from the next", path.display());
-        }
+        self.with(|membership, _| metrics_text(membership)).unwrap_or_default()
     }
 }
 
-/// What is shared beside the view, and the slots of all gateways.
+/// The shared state that is carried beside the view.
 pub struct SharedStateHandle {
     /// Where it is kept.
-    pub state: Arc<shared_state::SharedState>,
+    pub state: Arc<SharedState>,
     /// All gateways that may be there.
     pub slots: GatewaySlots,
 }
 
-/// Keeps the view, and carries what is shared beside it, until `stop` turns true; then the others are told that this gateway leaves.
+/// Drives the view, and the shared state beside it, until `stop` turns true; then the others are told that this
+/// gateway leaves.
 pub async fn run(
     settings: Settings,
     seeds: Vec<SocketAddr>,
-    lives: IncarnationStore,
-    board: Arc<SharedView>,
-    shared: Option<SharedStateHandle>,
+    incarnations: IncarnationStore,
+    view: Arc<SharedView>,
+    shared_state: Option<SharedStateHandle>,
     mut stop: watch::Receiver<bool>,
 ) {
     let socket = tokio::select! {
-        socket = bind_retry::bind_udp_with_retry("view", settings.listen) => socket,
+        socket = bind_udp_with_retry("view", settings.listen) => socket,
         _ = stop.wait_for(|&stop| stop) => return,
     };
-    let life = lives.start_next();
-    let Settings { listen, public, view: options, shared_state: state, .. } = settings;
-    info!("view: hears on {listen} tier={} generation={life} seeds={}", options.tier, seeds.len());
-    // Keys of a hash map are random, and that is all that is asked here: members are not to choose alike.
-    let seed = std::hash::RandomState::new().build_hasher().finish();
-    *board.lock() = Some(Membership::new(options, public, life, seeds, seed, board.now()));
-    let shared = shared.zip(state).map(|(SharedStateHandle { state: board, slots }, settings)| {
-        info!("state: slot={} slots={} generation={life}", slots.own().0, slots.len());
-        board.start(|now| GatewayState::new(settings, options.tier, slots, life, seed.rotate_left(32), now));
-        board
-    });
-    let mut tick = Instant::now();
-    // One byte more than a datagram: a longer one shows.
-    let mut packet = [0; MAX_DATAGRAM + 1];
-    loop {
-        let (out, due) = {
-            let mut fleet = board.lock();
-            let Some(fleet) = fleet.as_mut() else { return };
-            let mut changed = false;
-            while let Some(change) = fleet.next_change() {
-                info!("{}", change_log_line(&change));
-                changed = true;
-                if let ViewChange::Rejoined(own) = change {
-                    lives.store(own.incarnation);
-                    let outdone = shared.as_ref().and_then(|it| {
-                        it.with(|hub, _| hub.handle_new_incarnation(own.incarnation)).flatten()
-                    });
-                    outdone.into_iter().for_each(|line| info!("{line}"));
+    Driver::start(settings, seeds, incarnations, view, shared_state, socket).run(stop).await;
+}
+
+struct Driver {
+    socket: UdpSocket,
+    incarnations: IncarnationStore,
+    view: Arc<SharedView>,
+    shared_state: Option<Arc<SharedState>>,
+    next_tick: Instant,
+}
+
+impl Driver {
+    fn start(
+        settings: Settings,
+        seeds: Vec<SocketAddr>,
+        incarnations: IncarnationStore,
+        view: Arc<SharedView>,
+        shared_state: Option<SharedStateHandle>,
+        socket: UdpSocket,
+    ) -> Self {
+        let incarnation = incarnations.start_next();
+        let Settings { listen, public, view: config, shared_state: state_settings, .. } = settings;
+        let fleet_id = config.tier;
+        info!(
+            "view: listening on {listen} (fleet {fleet_id}, generation {incarnation}, {} seeds)",
+            seeds.len()
+        );
+        // The keys of a hash map are random enough: members only must not choose alike.
+        let seed = std::hash::RandomState::new().build_hasher().finish();
+        *view.lock() = Some(Membership::new(config, public, incarnation, seeds, seed, view.now()));
+        let shared_state = shared_state.zip(state_settings).map(|(handle, settings)| {
+            let SharedStateHandle { state, slots } = handle;
+            info!(
+                "state: this gateway has slot {} of {} (generation {incarnation})",
+                slots.own().0,
+                slots.len()
+            );
+            let seed = seed.rotate_left(32);
+            state.start(|now| GatewayState::new(settings, fleet_id, slots, incarnation, seed, now));
+            state
+        });
+        Self { socket, incarnations, view, shared_state, next_tick: Instant::now() }
+    }
+
+    async fn run(mut self, mut stop: watch::Receiver<bool>) {
+        // One byte more than a datagram, so that a longer one shows.
+        let mut buffer = [0; MAX_DATAGRAM + 1];
+        loop {
+            self.handle_changes();
+            self.send_datagrams().await;
+            if *stop.borrow() {
+                return;
+            }
+            let view_timeout = self.view_timeout();
+            let wake_at = match self.shared_state {
+                Some(_) => view_timeout.min(self.next_tick),
+                None => view_timeout,
+            };
+            // Time first: after a stall, what has arrived meanwhile must not be taken for news of this moment.
+            tokio::select! {
+                biased;
+                _ = stop.wait_for(|&stop| stop) => self.leave(),
+                () = sleep_until(wake_at.into()) => self.handle_timeouts(view_timeout),
+                received = self.socket.recv_from(&mut buffer) => {
+                    // A peer that is not there shows as an error of the socket, which changes nothing here.
+                    if let Ok((length, from)) = received {
+                        self.handle_datagram(from, &buffer[..length]);
+                    }
                 }
             }
-            if let Some(shared) = shared.as_ref().filter(|_| changed) {
-                let there = fleet
-                    .members()
-                    .filter(|it| matches!(it.state, MemberState::Alive | MemberState::Suspect));
-                shared.with(|hub, _| hub.set_peers(there.map(|it| it.member.address)));
+        }
+    }
+
+    /// Logs and carries out what has changed in the view.
+    fn handle_changes(&self) {
+        let mut guard = self.view.lock();
+        let Some(membership) = guard.as_mut() else { return };
+        let mut has_changed = false;
+        while let Some(change) = membership.next_change() {
+            info!("{}", change_log_line(&change));
+            has_changed = true;
+            if let ViewChange::Rejoined(own) = change {
+                self.handle_rejoin(own.incarnation);
             }
-            (std::iter::from_fn(|| fleet.next_datagram()).collect::<Vec<_>>(), fleet.next_timeout())
-        };
-        for (to, datagram) in out {
-            // Late or never: nobody waits for it.
-            let _ = socket.send_to(&datagram, to).await;
         }
-        let told: Option<Vec<_>> = shared
+        if let Some(state) = self.shared_state.as_ref().filter(|_| has_changed) {
+            let present = membership
+                .members()
+                .filter(|status| matches!(status.state, MemberState::Alive | MemberState::Suspect));
+            state.with(|gateway, _| gateway.set_peers(present.map(|status| status.member.address)));
+        }
+    }
+
+    fn handle_rejoin(&self, incarnation: u64) {
+        self.incarnations.store(incarnation);
+        let line = self
+            .shared_state
             .as_ref()
-            .and_then(|it| it.with(|hub, _| std::iter::from_fn(|| hub.next_datagram()).collect()));
-        for (to, datagram) in told.unwrap_or_default() {
-            let _ = socket.send_to(&datagram, to).await;
+            .and_then(|state| state.with(|gateway, _| gateway.handle_new_incarnation(incarnation)))
+            .flatten();
+        if let Some(line) = line {
+            info!("{line}");
         }
-        if *stop.borrow() {
-            return;
+    }
+
+    async fn send_datagrams(&self) {
+        let from_view: Vec<_> = self
+            .view
+            .with(|membership, _| std::iter::from_fn(|| membership.next_datagram()).collect())
+            .unwrap_or_default();
+        for (to, datagram) in from_view {
+            // A datagram that cannot be sent is lost, as on the network.
+            let _ = self.socket.send_to(&datagram, to).await;
         }
-        // Where nobody is known there is nothing to be done until somebody is heard.
-        let due = due.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |due| board.epoch + due);
-        let next = if shared.is_some() { due.min(tick) } else { due };
-        // Time first: after a stall, what has come meanwhile must not be taken for news of this moment.
-        tokio::select! {
-            biased;
-            _ = stop.wait_for(|&stop| stop) => {
-                if let Some(fleet) = board.lock().as_mut() {
-                    fleet.leave(board.now());
-                }
-                if let Some(shared) = &shared {
-                    shared.with(|hub, _| hub.leave());
-                }
-            }
-            () = sleep_until(next.into()) => {
-                let now = Instant::now();
-                if due <= now && let Some(fleet) = board.lock().as_mut() {
-                    fleet.handle_timeout(board.now());
-                }
-                if let Some(shared) = shared.as_ref().filter(|_| tick <= now) {
-                    shared.with(|hub, now| hub.advance_to(now));
-                    tick = now + TICK_INTERVAL;
-                }
-            }
-            heard = socket.recv_from(&mut packet) => {
-                // A peer that is not there shows as an error of the socket; it is no concern of ours.
-                let Ok((length, from)) = heard else { continue };
-                if let Some(shared) = shared.as_ref().filter(|_| is_shared_state(&packet[..length])) {
-                    // Counted by reason, too.
-                    shared.with(|hub, now| {
-                        hub.advance_to(now);
-                        let _ = hub.handle_datagram(from, &packet[..length]);
-                    });
-                } else if let Some(fleet) = board.lock().as_mut() {
-                    // Counted by reason, and shown among the figures.
-                    let _ = fleet.handle_datagram(board.now(), &packet[..length]);
-                }
-            }
+        let from_state: Vec<_> = self
+            .shared_state
+            .as_ref()
+            .and_then(|state| {
+                state.with(|gateway, _| std::iter::from_fn(|| gateway.next_datagram()).collect())
+            })
+            .unwrap_or_default();
+        for (to, datagram) in from_state {
+            let _ = self.socket.send_to(&datagram, to).await;
+        }
+    }
+
+    /// When the view has something to do, at the latest.
+    fn view_timeout(&self) -> Instant {
+        let timeout = self.view.with(|membership, _| membership.next_timeout()).flatten();
+        timeout.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |timeout| self.view.epoch + timeout)
+    }
+
+    fn handle_timeouts(&mut self, view_timeout: Instant) {
+        let now = Instant::now();
+        if view_timeout <= now {
+            self.view.with(|membership, now| membership.handle_timeout(now));
+        }
+        if let Some(state) = self.shared_state.as_ref().filter(|_| self.next_tick <= now) {
+            state.with(|gateway, now| gateway.advance_to(now));
+            self.next_tick = now + TICK_INTERVAL;
+        }
+    }
+
+    fn handle_datagram(&self, from: SocketAddr, datagram: &[u8]) {
+        // Rejected datagrams are counted by reason, and shown among the metrics.
+        if let Some(state) = self.shared_state.as_ref().filter(|_| is_shared_state(datagram)) {
+            state.with(|gateway, now| {
+                gateway.advance_to(now);
+                let _ = gateway.handle_datagram(from, datagram);
+            });
+        } else {
+            let _ = self.view.with(|membership, now| membership.handle_datagram(now, datagram));
+        }
+    }
+
+    fn leave(&self) {
+        self.view.with(|membership, now| membership.leave(now));
+        if let Some(state) = &self.shared_state {
+            state.with(|gateway, _| gateway.leave());
         }
     }
 }
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -190,10 +190,15 @@
             let _ = writeln!(text, "{name} seeds by {by}: {}", told(seeds));
         }
     }
-    let twice = GatewaySlots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text);
+    let twice =
+        GatewaySlots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text).map_err(view::ViewError::from);
     let _ = writeln!(text, "twice: {}", told(twice));
     let many = (0..=shared_state::MAX_GATEWAYS as u16).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let _ = writeln!(text, "many: {}", told(GatewaySlots::new(many.collect(), peers[0]).map(slots_text)));
+    let _ = writeln!(
+        text,
+        "many: {}",
+        told(GatewaySlots::new(many.collect(), peers[0]).map(slots_text).map_err(view::ViewError::from))
+    );
     let missing = view::Settings::read(Path::new("/nowhere/view.toml")).map(|_| String::new());
     let _ = writeln!(text, "missing: {}", told(missing));
     let _ = writeln!(text, "schema: {}", view::schema());
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -132,7 +132,12 @@
     let first = gateway.admitted(14);
     assert_eq!(first.len(), 10, "its pace and burst");
     assert!((0..50).all(|_| gateway.offer("nobody", ConnectionKind::New).is_ok()));
-    assert!(gateway.pass(100).iter().any(|it| it == "quota: partner=a state=beyond"));
+    assert!(
+        gateway
+            .pass(100)
+            .iter()
+            .any(|it| it == "quota: partner a is over its quota; rejecting new connections")
+    );
     gateway.pass(1_000);
     assert_eq!(gateway.admitted(14).len(), 5, "15 may be open");
     first.into_iter().for_each(|id| gateway.admission.release(&mut gateway.exchange, id));
@@ -142,7 +147,10 @@
     let told = "within=19 moved=0 borrowed=0 refused=13";
     assert!(text.contains(told) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
     let lines = gateway.pass(6_000);
-    assert!(lines.iter().any(|it| it == "quota: partner=a state=within refused_total=13"), "{lines:?}");
+    assert!(
+        lines.iter().any(|it| it == "quota: partner a is within its quota again (13 connections rejected)"),
+        "{lines:?}"
+    );
 }
 
 #[test]
@@ -172,10 +180,10 @@
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.pass(3_500);
     let line = gateway.admission.reload(&mut gateway.exchange, settings(2, 20, 90)).expect("later");
-    assert_eq!(line, "quota: generation=2 partners=1 agreed=no");
+    assert_eq!(line, "quota: generation 2 with 1 partners is not agreed by all gateways yet");
     assert_eq!(gateway.admitted(30).len(), 10, "by the old one still");
     let lines = gateway.pass(3_000);
-    assert!(lines.iter().any(|it| it == "quota: generation=2 agreed=yes"), "{lines:?}");
+    assert!(lines.iter().any(|it| it == "quota: generation 2 is agreed by all gateways"), "{lines:?}");
     assert_eq!(gateway.admitted(40).len(), 20);
     let older = gateway.admission.reload(&mut gateway.exchange, settings(1, 10, 15));
     assert_eq!(older, Err(StaleAllocation::Older { found: 1, at: 2 }));
--- a/tests/shared_state.rs
+++ b/tests/shared_state.rs
@@ -222,7 +222,10 @@
     tier.pass(4_000, &[], &[("a", 4)]);
     assert_eq!(tier.hubs[1].handle_new_incarnation(101), None, "held dead by mistake: the same life");
     let line = tier.hubs[1].handle_new_incarnation(500).expect("others know a later life");
-    assert!(line.starts_with("state: outdone generation=500"), "{line}");
+    assert_eq!(
+        line,
+        "state: another process of this gateway was known; restarted as generation 500, lending nothing for one lease"
+    );
     tier.pass(4_000, &[], &[("a", 7), ("b", 1)]);
     tier.hubs.iter_mut().for_each(GatewayState::request_totals);
     tier.pass(1_000, &[], &[("a", 7), ("b", 1)]);
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -153,7 +153,8 @@
     // Killed: missed by both, and only then. Restarted at its address: a later life, and alive to both.
     three.daemons[2].kill().await.expect("killed");
     three.until(&[0, 1], 2, "dead", first - 1, 30).await;
-    three.daemons[0].says("view: state=dead member=").await.expect("logged");
+    let dead = format!("view: member {} (generation {first}) is dead", three.at[2]);
+    three.daemons[0].says(dead.leak()).await.expect("logged");
     three.daemons[2] = three.daemon(2).await;
     let second = three.until(&[0, 1], 2, "alive", first, 20).await;
     assert_eq!(three.figure(0, "false_deaths_total").await, 0, "a restart is no false death");
