--- a/crates/ashtide-quota/src/demand.rs
+++ b/crates/ashtide-quota/src/demand.rs
@@ -1,15 +1,21 @@
-//! How much a partner asks for here.
+//! Estimates how many connections a partner asks for here.
 
 use std::time::Duration;
 
-/// Parts that the time is counted in, and how many are looked at.
-const BUCKET_DURATION: Duration = Duration::from_millis(250);
+/// The window that demand is counted over: shorter ones follow chance, and rights that move about lose what they have
+/// stored.
 const BUCKETS: usize = 8;
+const BUCKET_DURATION: Duration = Duration::from_millis(250);
+/// Connections in the two newest buckets from which a rise is more than chance.
+const MIN_RISE: u64 = 4;
+/// Thousandths a second of one connection in the whole window, and in the two newest buckets.
+const WINDOW_RATE_UNITS: u64 = 500;
+const NEWEST_RATE_UNITS: u64 = 2_000;
 
-/// New connections a second, over the last two seconds: what is shorter follows chance, and rights that move about are
-/// lost to their stores.
+/// New connections a second, over the last two seconds.
 #[derive(Debug, Clone)]
 pub(crate) struct DemandEstimator {
+    /// Connections by bucket, the newest first.
     buckets: [u64; BUCKETS],
     bucket_started_at: Duration,
 }
@@ -23,24 +29,34 @@
         self.buckets[0] += 1;
     }
 
-    /// Thousandths a second up to now. A rise shows at once: the last two parts count by themselves where they
-    /// are twice as much, and more than chance.
+    /// The rate up to `now`, in thousandths a second. A rise shows at once: the two newest buckets count by themselves
+    /// where they hold more than half of the window, and more than chance would.
     pub(crate) fn rate_at(&mut self, now: Duration) -> u64 {
-        if now < self.bucket_started_at {
-            self.bucket_started_at = now;
+        self.advance_to(now);
+        let newest = self.buckets[0] + self.buckets[1];
+        let window: u64 = self.buckets.iter().sum();
+        if newest > window / 2 && newest >= MIN_RISE {
+            newest * NEWEST_RATE_UNITS
+        } else {
+            window * WINDOW_RATE_UNITS
         }
-        let passed = ((now - self.bucket_started_at).as_millis() / BUCKET_DURATION.as_millis()) as usize;
-        if passed > 0 {
-            self.bucket_started_at += BUCKET_DURATION * passed as u32;
-            self.buckets.rotate_right(passed.min(BUCKETS) % BUCKETS);
-            self.buckets[..passed.min(BUCKETS)].fill(0);
+    }
+
+    fn advance_to(&mut self, now: Duration) {
+        // A clock that was put back.
+        self.bucket_started_at = self.bucket_started_at.min(now);
+        let elapsed = now - self.bucket_started_at;
+        let passed = (elapsed.as_millis() / BUCKET_DURATION.as_millis()) as usize;
+        if passed == 0 {
+            return;
         }
-        let (fast, all) = (self.buckets[0] + self.buckets[1], self.buckets.iter().sum::<u64>());
-        if fast > all / 2 && fast >= 4 { fast * 2_000 } else { all * 500 }
+        self.bucket_started_at += BUCKET_DURATION * passed as u32;
+        self.buckets.rotate_right(passed.min(BUCKETS) % BUCKETS);
+        self.buckets[..passed.min(BUCKETS)].fill(0);
     }
 
-    /// Nothing was asked for in the last two seconds.
+    /// Whether there was no demand within the window.
     pub(crate) fn is_idle(&self) -> bool {
-        self.buckets.iter().all(|&it| it == 0)
+        self.buckets.iter().all(|&count| count == 0)
     }
 }
