--- a/crates/ashtide-fleet/src/lib.rs
+++ b/crates/ashtide-fleet/src/lib.rs
@@ -1,33 +1,33 @@
 //! Who of a tier of gateways is there, and what they share ([`state`]).
 //!
-//! The view is one that each keeps for itself from datagrams of at most [`MAX_DATAGRAM`] bytes, which may be late,
-//! lost, repeated or foreign.
+//! Each member keeps a view of its own, from datagrams of at most [`MAX_DATAGRAM`] bytes, which may be late, lost,
+//! repeated or foreign.
 //!
 //! The protocol is SWIM with suspicion (Das, Gupta and Motivala 2002), by the crate `foca`: one probe a period
-//! whatever the size, indirect probes through others, news on the back of all that is sent. What stands here
-//! round it: members and their generations, one frame that tells versions and tiers apart, a budget, doubt in
-//! oneself after a stall (after Lifeguard, Dadgar and others 2018), and what an operator is shown.
+//! whatever the size, indirect probes through others, updates carried by all that is sent. This crate adds members and
+//! their incarnations, one frame that tells versions and tiers apart, a budget, doubt in the own link after a stall
+//! (after Lifeguard, Dadgar and others 2018), and what an operator is shown.
 //!
-//! [`Fleet`] knows no socket and no clock. It is told the time and what came in, and hands out what is to be sent:
+//! [`Membership`] knows no socket and no clock. It is told the time and what came in, and hands out what is to be sent:
 //!
 //! ```
 //! use std::time::Duration;
-//! use ashtide_fleet::{Fleet, Options, State};
+//! use ashtide_fleet::{MemberState, Membership, ViewConfig};
 //!
 //! let address = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
 //! let now = Duration::ZERO;
-//! let mut one = Fleet::new(Options::new(7, 2), address(1), 1, vec![], 1, now);
-//! let mut two = Fleet::new(Options::new(7, 2), address(2), 1, vec![address(1)], 2, now);
-//! two.fire(now);
+//! let mut one = Membership::new(ViewConfig::new(7, 2), address(1), 1, vec![], 1, now);
+//! let mut two = Membership::new(ViewConfig::new(7, 2), address(2), 1, vec![address(1)], 2, now);
+//! two.handle_timeout(now);
 //! for _ in 0..4 {
-//!     while let Some((_, datagram)) = two.transmit() {
-//!         one.receive(now, &datagram).unwrap();
+//!     while let Some((_, datagram)) = two.next_datagram() {
+//!         one.handle_datagram(now, &datagram).unwrap();
 //!     }
-//!     while let Some((_, datagram)) = one.transmit() {
-//!         two.receive(now, &datagram).unwrap();
+//!     while let Some((_, datagram)) = one.next_datagram() {
+//!         two.handle_datagram(now, &datagram).unwrap();
 //!     }
 //! }
-//! assert_eq!(one.members().next().map(|row| row.state), Some(State::Alive));
+//! assert_eq!(one.members().next().map(|status| status.state), Some(MemberState::Alive));
 //! ```
 
 mod frame;
--- a/crates/ashtide-fleet/src/page.rs
+++ b/crates/ashtide-fleet/src/page.rs
@@ -1,4 +1,4 @@
-//! Pages: a piece of one member's view, by address, so that two members find and mend what they hold otherwise.
+//! Pages: a piece of one member's view, by address, so that two members find and mend what they hold differently.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -7,39 +7,39 @@
 
 use crate::member::Member;
 
-/// A member as a page tells it.
+/// A member as a page has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageEntry {
-    /// Who.
+    /// Which.
     pub member: Member,
-    /// How often it has contradicted a suspicion.
+    /// How often it has refuted a suspicion.
     pub refutations: u16,
-    /// What the page's sender holds of it.
+    /// Its state, as the page's sender sees it.
     pub state: State,
 }
 
 impl PageEntry {
-    /// What wins where two differ: the later life, then a death, then the later contradiction.
+    /// Where two differ the higher one wins: the later incarnation, then a death, then the later refutation.
     pub(crate) fn precedence(&self) -> (u64, bool, bool, u16, bool) {
-        let down = self.state == State::Down;
-        let incarnation = if down { 0 } else { self.refutations };
-        let suspect = self.state == State::Suspect;
-        (self.member.incarnation, self.member.leaving, down, incarnation, suspect)
+        let is_down = self.state == State::Down;
+        let refutations = if is_down { 0 } else { self.refutations };
+        let is_suspect = self.state == State::Suspect;
+        (self.member.incarnation, self.member.leaving, is_down, refutations, is_suspect)
     }
 }
 
-/// What stands at the head of a page.
+/// The header of a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageHeader {
-    /// Who sends it...
+    /// Who sends it.
     pub sender: Member,
-    /// ...and how often it has contradicted a suspicion.
+    /// How often the sender has refuted a suspicion.
     pub refutations: u16,
     /// The sender's `digest`.
     pub digest: u64,
     /// What is wanted of the receiver.
     pub request: PageRequest,
-    /// The page tells all that the sender knows from after this address on; from the first where there is none...
+    /// The page has all that the sender knows after this address; from the first where there is none.
     pub after: Option<SocketAddr>,
 }
 
@@ -48,16 +48,16 @@
 pub enum PageRequest {
     /// A page, if the digests differ. It has no entries.
     CompareDigests,
-    /// What the receiver knows better in this piece, and its digest.
+    /// The entries that are newer at the receiver in this piece, and its digest.
     NewerEntries,
-    /// Nothing: it is what the sender knows better, and its digest.
+    /// Nothing: it has the entries that are newer at the sender, and its digest.
     Nothing,
 }
 
-/// A page as it was heard.
+/// A page as it was received.
 #[derive(Debug, Clone)]
 pub struct Page {
-    /// What stands at its head.
+    /// Its header.
     pub header: PageHeader,
     /// Whether it goes to the last address that the sender knows; else it ends at its last entry.
     pub is_last: bool,
@@ -71,23 +71,89 @@
 const PORT_FLAG: u8 = 1 << 4;
 const IPV6_FLAG: u8 = 1 << 5;
 
-/// Where the next entry goes on from: neighbours share most of their address and the day of their start.
+/// What the next entry is encoded against: neighbours share most of their addresses and the day of their starts.
 struct DeltaBase {
     ip: u32,
     port: u16,
-    generation: u64,
+    incarnation: u64,
 }
 
 impl DeltaBase {
-    fn new(head: &PageHeader) -> Self {
-        Self { ip: 0, port: head.sender.address.port(), generation: head.sender.incarnation }
+    fn new(header: &PageHeader) -> Self {
+        Self { ip: 0, port: header.sender.address.port(), incarnation: header.sender.incarnation }
+    }
+
+    /// Writes an entry into `bytes`.
+    fn encode(&mut self, entry: &PageEntry, bytes: &mut Vec<u8>) {
+        let address = entry.member.address;
+        let mut flags = state_bits(entry.state);
+        flags |= if entry.member.leaving { LEAVING_FLAG } else { 0 };
+        flags |= if entry.refutations > 0 { REFUTED_FLAG } else { 0 };
+        flags |= if address.port() == self.port { 0 } else { PORT_FLAG };
+        flags |= if address.is_ipv6() { IPV6_FLAG } else { 0 };
+        bytes.push(flags);
+        match address.ip() {
+            IpAddr::V4(ip) => {
+                append_value(bytes, &u32::from(ip).wrapping_sub(self.ip));
+                self.ip = ip.into();
+            }
+            IpAddr::V6(ip) => bytes.extend_from_slice(&ip.octets()),
+        }
+        if flags & PORT_FLAG != 0 {
+            append_value(bytes, &address.port());
+        }
+        append_value(bytes, &(entry.member.incarnation.wrapping_sub(self.incarnation) as i64));
+        if flags & REFUTED_FLAG != 0 {
+            append_value(bytes, &entry.refutations);
+        }
+    }
+
+    /// Reads an entry from the front of `bytes`.
+    fn decode(&mut self, bytes: &mut &[u8]) -> Option<PageEntry> {
+        let flags: u8 = read_value(bytes)?;
+        let state = state_of(flags & STATE_MASK)?;
+        let ip = if flags & IPV6_FLAG == 0 {
+            self.ip = self.ip.wrapping_add(read_value(bytes)?);
+            IpAddr::V4(Ipv4Addr::from(self.ip))
+        } else {
+            IpAddr::from(read_value::<[u8; 16]>(bytes)?)
+        };
+        let port = if flags & PORT_FLAG == 0 { self.port } else { read_value(bytes)? };
+        let incarnation = self.incarnation.wrapping_add(read_value::<i64>(bytes)? as u64);
+        let refutations = if flags & REFUTED_FLAG == 0 { 0 } else { read_value(bytes)? };
+        let leaving = flags & LEAVING_FLAG != 0;
+        let member = Member { address: SocketAddr::new(ip, port), incarnation, leaving };
+        Some(PageEntry { member, refutations, state })
+    }
+
+    /// Encodes what follows against this entry.
+    fn move_to(&mut self, member: &Member) {
+        self.port = member.address.port();
+        self.incarnation = member.incarnation;
+    }
+}
+
+fn state_bits(state: State) -> u8 {
+    match state {
+        State::Alive => 0,
+        State::Suspect => 1,
+        State::Down => 2,
+    }
+}
+
+fn state_of(bits: u8) -> Option<State> {
+    match bits {
+        0 => Some(State::Alive),
+        1 => Some(State::Suspect),
+        2 => Some(State::Down),
+        _ => None,
     }
 }
 
 fn append_value<T: Serialize>(bytes: &mut Vec<u8>, value: &T) {
     // A vector grows, so nothing fails here.
-    if let Ok(more) = postcard::to_allocvec(value) {
-        bytes.extend_from_slice(&more);
+    if let Ok(encoded) = postcard::to_allocvec(value) {
+        bytes.extend_from_slice(&encoded);
     }
 }
 
@@ -97,89 +163,46 @@
     Some(value)
 }
 
-/// Writes a page of at most `room` bytes with as many of `entries`, by rising address, as fit; how many did.
-pub fn encode(head: &PageHeader, entries: &[PageEntry], last: bool, room: usize) -> (Vec<u8>, usize) {
+/// Writes a page of at most `room` bytes with as many of `entries`, by rising address, as fit; gives how many did.
+pub fn encode(header: &PageHeader, entries: &[PageEntry], is_last: bool, room: usize) -> (Vec<u8>, usize) {
     let mut bytes = vec![0];
-    append_value(&mut bytes, head);
-    let (mut before, mut count) = (DeltaBase::new(head), 0);
-    let mut one = Vec::new();
+    append_value(&mut bytes, header);
+    let mut base = DeltaBase::new(header);
+    let mut count = 0;
+    let mut encoded = Vec::new();
     for entry in entries {
-        one.clear();
-        let at = entry.member.address;
-        let mut flags = match entry.state {
-            State::Alive => 0,
-            State::Suspect => 1,
-            State::Down => 2,
-        };
-        flags |= if entry.member.leaving { LEAVING_FLAG } else { 0 };
-        flags |= if entry.refutations > 0 { REFUTED_FLAG } else { 0 };
-        flags |= if at.port() == before.port { 0 } else { PORT_FLAG };
-        one.push(0);
-        match at.ip() {
-            IpAddr::V4(ip) => {
-                append_value(&mut one, &u32::from(ip).wrapping_sub(before.ip));
-                before.ip = ip.into();
-            }
-            IpAddr::V6(ip) => {
-                flags |= IPV6_FLAG;
-                one.extend_from_slice(&ip.octets());
-            }
-        }
-        one[0] = flags;
-        if flags & PORT_FLAG != 0 {
-            append_value(&mut one, &at.port());
-        }
-        append_value(&mut one, &(entry.member.incarnation.wrapping_sub(before.generation) as i64));
-        if flags & REFUTED_FLAG != 0 {
-            append_value(&mut one, &entry.refutations);
-        }
-        if bytes.len() + one.len() > room {
+        encoded.clear();
+        base.encode(entry, &mut encoded);
+        if bytes.len() + encoded.len() > room {
             break;
         }
-        bytes.extend_from_slice(&one);
-        (before.port, before.generation) = (at.port(), entry.member.incarnation);
+        bytes.extend_from_slice(&encoded);
+        base.move_to(&entry.member);
         count += 1;
     }
-    bytes[0] = u8::from(last && count == entries.len());
+    bytes[0] = u8::from(is_last && count == entries.len());
     (bytes, count)
 }
 
-/// Reads a page; nothing where it is none.
+/// Reads a page; none where it is malformed.
 pub fn decode(mut bytes: &[u8]) -> Option<Page> {
-    let last: bool = read_value(&mut bytes)?;
-    let head: PageHeader = read_value(&mut bytes)?;
-    let (mut before, mut entries) = (DeltaBase::new(&head), Vec::new());
+    let is_last: bool = read_value(&mut bytes)?;
+    let header: PageHeader = read_value(&mut bytes)?;
+    let mut base = DeltaBase::new(&header);
+    let mut entries = Vec::new();
     while !bytes.is_empty() {
-        let flags: u8 = read_value(&mut bytes)?;
-        let state = match flags & STATE_MASK {
-            0 => State::Alive,
-            1 => State::Suspect,
-            2 => State::Down,
-            _ => return None,
-        };
-        let ip = if flags & IPV6_FLAG == 0 {
-            let ip = before.ip.wrapping_add(read_value(&mut bytes)?);
-            before.ip = ip;
-            IpAddr::V4(Ipv4Addr::from(ip))
-        } else {
-            IpAddr::from(read_value::<[u8; 16]>(&mut bytes)?)
-        };
-        let port = if flags & PORT_FLAG == 0 { before.port } else { read_value(&mut bytes)? };
-        let generation = before.generation.wrapping_add(read_value::<i64>(&mut bytes)? as u64);
-        let incarnation = if flags & REFUTED_FLAG == 0 { 0 } else { read_value(&mut bytes)? };
-        (before.port, before.generation) = (port, generation);
-        let address = SocketAddr::new(ip, port);
-        let member = Member { address, incarnation: generation, leaving: flags & LEAVING_FLAG != 0 };
-        entries.push(PageEntry { member, refutations: incarnation, state });
+        let entry = base.decode(&mut bytes)?;
+        base.move_to(&entry.member);
+        entries.push(entry);
     }
-    Some(Page { header: head, is_last: last, entries })
+    Some(Page { header, is_last, entries })
 }
 
-/// A number that is the same where the same members are held to be there, in the same lives, with the same
-/// contradictions; the order does not matter. No defence against anyone who wants two views to look alike.
+/// A number that is the same where the same members are held to be there, in the same incarnations, with the same
+/// refutations; the order does not matter. No defence against anyone who wants two views to look alike.
 pub(crate) fn digest<'a>(entries: impl Iterator<Item = &'a PageEntry>) -> u64 {
-    let up = entries.filter(|it| it.state != State::Down && !it.member.leaving);
-    up.map(|it| member_digest(it.member, u64::from(it.refutations))).fold(0, u64::wrapping_add)
+    let up = entries.filter(|entry| entry.state != State::Down && !entry.member.leaving);
+    up.map(|entry| member_digest(entry.member, u64::from(entry.refutations))).fold(0, u64::wrapping_add)
 }
 
 /// One member's part of a digest, with what else is to count.
--- a/crates/ashtide-fleet/src/state/counts.rs
+++ b/crates/ashtide-fleet/src/state/counts.rs
@@ -1,70 +1,79 @@
-//! Counts: a register a gateway.
+//! Replicated counts: a row per gateway, merged as a state-based CRDT.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::broken::{ActiveMutation, Mutation};
+use super::mutation::{ActiveMutation, Mutation};
 use super::{Slot, Violation};
 
-/// How long a row counts after the last news of it. Gateways say their rows again three times as often.
+/// How long a row counts after the last news of it. Gateways send theirs again three times as often.
 pub const ROW_LIFETIME: Duration = Duration::from_secs(10);
 /// Rows that a table has room for.
 pub const MAX_ROWS: usize = 8192;
-/// Cells that a row has room for.
+/// Counts that a row has room for.
 pub const MAX_CELLS: usize = 512;
 
-/// What is counted. Servers and partners are told by a hash of their names.
+/// What is counted. Servers and partners are named by a hash of their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CounterKey {
     /// Open connections on a server.
     OpenOnServer(u32),
     /// Open connections of a partner.
     OpenForPartner(u32),
-    /// Connections that this life of the gateway has sent to a new server, all told.
+    /// Connections that this incarnation of the gateway has sent to a new server, all told.
     SentToServer(u32),
 }
 
-/// What a gateway has said last of one key.
+/// What a gateway has sent last for one key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VersionedCount {
-    /// Counts on within a life. The later one is kept; the order goes on to the value so that a merge has one result
-    /// even for what no sound gateway says.
+    /// Rises within an incarnation. The later one is kept; the order includes the value so that a merge has one result
+    /// even for what no sound gateway sends.
     pub version: u32,
     /// The count.
     pub value: u32,
 }
 
-/// One life of a gateway: what it has said.
+/// The counts of one incarnation of a gateway.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ReplicaCounts {
-    /// The life, as the view has it.
+    /// The incarnation, by the view.
     pub incarnation: u64,
-    /// What it has said.
+    /// The counts.
     pub cells: BTreeMap<CounterKey, VersionedCount>,
 }
 
 impl ReplicaCounts {
-    fn merge(&mut self, other: &Self, fault: ActiveMutation) {
-        if other.incarnation > self.incarnation && !fault.is(Mutation::IgnoreIncarnation) {
+    fn new(incarnation: u64) -> Self {
+        Self { incarnation, cells: BTreeMap::new() }
+    }
+
+    fn latest_version(&self) -> u32 {
+        self.cells.values().map(|count| count.version).max().unwrap_or(0)
+    }
+
+    fn merge(&mut self, other: &Self, mutation: ActiveMutation) {
+        let ignores_incarnation = mutation.is(Mutation::IgnoreIncarnation);
+        if other.incarnation > self.incarnation && !ignores_incarnation {
             self.clone_from(other);
-        } else if other.incarnation == self.incarnation || fault.is(Mutation::IgnoreIncarnation) {
-            for (&key, &cell) in &other.cells {
-                let kept = self.cells.entry(key).or_default();
-                if fault.is(Mutation::MergeBySum) {
-                    let value = kept.value.saturating_add(cell.value);
-                    *kept = VersionedCount { version: kept.version.max(cell.version), value };
+        } else if other.incarnation == self.incarnation || ignores_incarnation {
+            for (&key, &count) in &other.cells {
+                let known = self.cells.entry(key).or_default();
+                *known = if mutation.is(Mutation::MergeBySum) {
+                    let value = known.value.saturating_add(count.value);
+                    VersionedCount { version: known.version.max(count.version), value }
                 } else {
-                    *kept = (*kept).max(cell);
-                }
+                    (*known).max(count)
+                };
             }
         }
     }
 }
 
 /// All rows: a join semilattice (Shapiro and others 2011). [`merge`](Self::merge) is commutative, associative and
-/// idempotent: a later life replaces an earlier one, and within a life the later word of each key is kept.
+/// idempotent: a later incarnation replaces an earlier one, and within one the later version of each key is known.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct CountTable {
     rows: BTreeMap<Slot, ReplicaCounts>,
@@ -72,22 +81,20 @@
 }
 
 impl CountTable {
-    /// Takes in what another has; true where that was news of `slot`.
+    /// Merges a row of `slot`; true where that was news.
     pub fn merge_row(&mut self, slot: Slot, row: &ReplicaCounts) -> bool {
         let before = self.rows.get(&slot);
-        let same = before == Some(row);
-        let mut after = before
-            .cloned()
-            .unwrap_or_else(|| ReplicaCounts { incarnation: row.incarnation, ..ReplicaCounts::default() });
+        let is_same = before == Some(row);
+        let mut after = before.cloned().unwrap_or_else(|| ReplicaCounts::new(row.incarnation));
         after.merge(row, self.mutation);
-        let news = !same && before != Some(&after);
-        if news {
+        let is_newer = !is_same && before != Some(&after);
+        if is_newer {
             self.rows.insert(slot, after);
         }
-        news
+        is_newer
     }
 
-    /// Takes in all rows of another.
+    /// Merges all rows of another table.
     pub fn merge(&mut self, other: &Self) {
         for (&slot, row) in &other.rows {
             self.merge_row(slot, row);
@@ -101,7 +108,7 @@
     }
 }
 
-/// A sum with what it is made of: not heard is not zero.
+/// A sum with what it consists of: not known is not zero.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetTotal {
     /// The sum.
@@ -112,7 +119,20 @@
     pub max_age: Duration,
 }
 
-/// One gateway's counts, and what it has heard of the others'.
+/// The last version of a row that has expired.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ExpiredRow {
+    incarnation: u64,
+    version: u32,
+}
+
+impl ExpiredRow {
+    fn of(row: &ReplicaCounts) -> Self {
+        Self { incarnation: row.incarnation, version: row.latest_version() }
+    }
+}
+
+/// One gateway's counts, and what it has received of the others'.
 #[derive(Debug, Clone)]
 pub struct ReplicatedCounts {
     own_slot: Slot,
@@ -120,35 +140,34 @@
     now: Duration,
     version: u32,
     table: CountTable,
-    heard_at: BTreeMap<Slot, Duration>,
-    /// The last of each row that was aged out, so that a late datagram does not bring it back.
-    expired_rows: BTreeMap<Slot, (u64, u32)>,
+    received_at: BTreeMap<Slot, Duration>,
+    /// So that a late datagram does not bring an expired row back.
+    expired_rows: BTreeMap<Slot, ExpiredRow>,
     superseded_by: Option<u64>,
 }
 
 impl ReplicatedCounts {
-    /// The counts of the gateway at `own`, whose life began at `generation`.
+    /// The counts of the gateway at `own_slot`, in this incarnation.
     #[must_use]
-    pub fn new(own: Slot, generation: u64, now: Duration) -> Self {
+    pub fn new(own_slot: Slot, incarnation: u64, now: Duration) -> Self {
         let mut table = CountTable::default();
-        table.rows.insert(own, ReplicaCounts { incarnation: generation, ..ReplicaCounts::default() });
-        let (heard, gone) = (BTreeMap::new(), BTreeMap::new());
+        table.rows.insert(own_slot, ReplicaCounts::new(incarnation));
         Self {
-            own_slot: own,
-            incarnation: generation,
+            own_slot,
+            incarnation,
             now,
             version: 0,
             table,
-            heard_at: heard,
-            expired_rows: gone,
+            received_at: BTreeMap::new(),
+            expired_rows: BTreeMap::new(),
             superseded_by: None,
         }
     }
 
-    /// Breaks it on purpose.
-    #[cfg(feature = "broken")]
-    pub fn set_mutation(&mut self, broken: Mutation) {
-        self.table.mutation.mutation = Some(broken);
+    /// Puts a mutation in.
+    #[cfg(feature = "mutation")]
+    pub fn set_mutation(&mut self, mutation: Mutation) {
+        self.table.mutation.mutation = Some(mutation);
     }
 
     /// Sets one of this gateway's own counts.
@@ -158,32 +177,32 @@
         if row.cells.len() >= MAX_CELLS && !row.cells.contains_key(&key) {
             return;
         }
-        let cell = row.cells.entry(key).or_default();
-        if cell.value != value || cell.version == 0 {
-            *cell = VersionedCount { version, value };
+        let count = row.cells.entry(key).or_default();
+        if count.value != value || count.version == 0 {
+            *count = VersionedCount { version, value };
             self.version = version;
         }
     }
 
-    /// Goes on as a later life: what it has said is said anew, but for what has come to nought.
-    pub fn restart(&mut self, generation: u64) {
-        self.incarnation = generation;
+    /// Goes on as a later incarnation: its counts are sent anew, but for those that are zero.
+    pub fn restart(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
         if let Some(row) = self.table.rows.get_mut(&self.own_slot) {
-            row.incarnation = generation;
-            row.cells.retain(|_, cell| cell.value > 0);
+            row.incarnation = incarnation;
+            row.cells.retain(|_, count| count.value > 0);
         }
     }
 
-    /// Says all own counts again, unchanged, so that they do not age out elsewhere.
+    /// Gives all own counts a new version, unchanged, so that they do not expire elsewhere.
     pub fn refresh(&mut self) {
         if let Some(row) = self.table.rows.get_mut(&self.own_slot) {
             self.version += 1;
-            row.cells.values_mut().for_each(|cell| cell.version = self.version);
+            row.cells.values_mut().for_each(|count| count.version = self.version);
         }
     }
 
-    /// Takes in a row of the gateway at `slot`, or a part of it; true where it was news. A word of an earlier life of
-    /// this gateway, or of one aged out, changes nothing.
+    /// Merges a row of the gateway at `slot`, or a part of it; true where it was news. A row of an earlier incarnation
+    /// of this gateway, or of an expired one, changes nothing.
     pub fn merge_remote(&mut self, now: Duration, slot: Slot, row: &ReplicaCounts) -> bool {
         self.advance_to(now);
         if slot == self.own_slot {
@@ -192,12 +211,8 @@
             }
             return false;
         }
-        let latest = row.cells.values().map(|cell| cell.version).max().unwrap_or(0);
-        let gone = self.expired_rows.get(&slot).is_some_and(|&gone| (row.incarnation, latest) <= gone);
-        let known = self.table.rows.get(&slot);
-        let room = known
-            .map_or(self.table.rows.len() < MAX_ROWS, |it| it.cells.len() + row.cells.len() <= 2 * MAX_CELLS);
-        if gone || !room || row.cells.len() > MAX_CELLS || !self.table.merge_row(slot, row) {
+        let is_expired = self.expired_rows.get(&slot).is_some_and(|&expired| ExpiredRow::of(row) <= expired);
+        if is_expired || !self.has_room(slot, row) || !self.table.merge_row(slot, row) {
             return false;
         }
         if let Some(row) = self.table.rows.get_mut(&slot) {
@@ -206,51 +221,60 @@
             }
         }
         self.expired_rows.remove(&slot);
-        self.heard_at.insert(slot, self.now);
+        self.received_at.insert(slot, self.now);
         true
     }
 
-    /// The gateway at `slot` is there, in the life `generation`: its row counts on, and where it was aged out, what it
-    /// says again is news.
-    pub fn record_heartbeat(&mut self, now: Duration, slot: Slot, generation: u64) {
+    fn has_room(&self, slot: Slot, row: &ReplicaCounts) -> bool {
+        let has_room = match self.table.rows.get(&slot) {
+            Some(known) => known.cells.len() + row.cells.len() <= 2 * MAX_CELLS,
+            None => self.table.rows.len() < MAX_ROWS,
+        };
+        has_room && row.cells.len() <= MAX_CELLS
+    }
+
+    /// Records that the gateway at `slot` is there in this incarnation: its row counts on, and where it has expired,
+    /// what it sends again is news.
+    pub fn record_heartbeat(&mut self, now: Duration, slot: Slot, incarnation: u64) {
         self.advance_to(now);
-        if self.expired_rows.get(&slot).is_some_and(|&gone| gone.0 <= generation) {
+        if self.expired_rows.get(&slot).is_some_and(|expired| expired.incarnation <= incarnation) {
             self.expired_rows.remove(&slot);
         }
-        if slot != self.own_slot
-            && self.table.rows.get(&slot).is_some_and(|row| row.incarnation == generation)
-        {
-            self.heard_at.insert(slot, self.now);
+        let row = self.table.rows.get(&slot);
+        if slot != self.own_slot && row.is_some_and(|row| row.incarnation == incarnation) {
+            self.received_at.insert(slot, self.now);
         }
     }
 
-    /// Lets time pass: rows that have not been heard of for [`COUNTED_FOR`] are aged out.
+    /// Lets time pass: rows without news for [`ROW_LIFETIME`] expire.
     pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
-        let old: Vec<Slot> =
-            self.heard_at.iter().filter(|it| self.now - *it.1 >= ROW_LIFETIME).map(|it| *it.0).collect();
-        for slot in old {
-            self.heard_at.remove(&slot);
+        let received = self.received_at.iter();
+        let expired: Vec<Slot> = received
+            .filter(|&(_, &received_at)| self.now - received_at >= ROW_LIFETIME)
+            .map(|(&slot, _)| slot)
+            .collect();
+        for slot in expired {
+            self.received_at.remove(&slot);
             if let Some(row) = self.table.rows.remove(&slot) {
-                let latest = row.cells.values().map(|cell| cell.version).max().unwrap_or(0);
-                self.expired_rows.insert(slot, (row.incarnation, latest));
+                self.expired_rows.insert(slot, ExpiredRow::of(&row));
             }
         }
     }
 
-    /// The sum over all gateways that are heard.
+    /// The sum over all gateways whose rows are known.
     #[must_use]
     pub fn total(&self, key: CounterKey) -> FleetTotal {
-        let mut reading = FleetTotal::default();
+        let mut total = FleetTotal::default();
         for (slot, row) in &self.table.rows {
-            if let Some(cell) = row.cells.get(&key) {
-                reading.sum += u64::from(cell.value);
-                reading.gateway_count += 1;
-                let age = self.heard_at.get(slot).map_or(Duration::ZERO, |&heard| self.now - heard);
-                reading.max_age = reading.max_age.max(age);
+            if let Some(count) = row.cells.get(&key) {
+                total.sum += u64::from(count.value);
+                total.gateway_count += 1;
+                let age = self.received_at.get(slot).map_or(Duration::ZERO, |&at| self.now - at);
+                total.max_age = total.max_age.max(age);
             }
         }
-        reading
+        total
     }
 
     /// This gateway's own row.
@@ -265,36 +289,30 @@
         &self.table
     }
 
-    /// A later life under this gateway's own number has been heard: this one is to stand down.
+    /// The later incarnation under this gateway's own slot that is known: this one is to stop.
     #[must_use]
     pub fn superseded_by(&self) -> Option<u64> {
         self.superseded_by
     }
 
-    /// Holds this core against its invariants.
+    /// Checks the invariants of the counts.
     ///
     /// # Errors
     ///
-    /// Names the first that is broken.
+    /// Names the first that does not hold.
     pub fn check(&self) -> Result<(), Violation> {
         let found = self.own_row().incarnation;
         if found != self.incarnation {
             return Err(Violation::OwnRow { found, expected: self.incarnation });
         }
         for &slot in self.table.rows.keys().filter(|&&slot| slot != self.own_slot) {
-            let age = self.heard_at.get(&slot).map_or(Duration::MAX, |&heard| self.now - heard);
+            let age = self.received_at.get(&slot).map_or(Duration::MAX, |&at| self.now - at);
             if age >= ROW_LIFETIME {
                 return Err(Violation::StaleRow { slot, age });
             }
         }
         let widest = self.table.rows.values().map(|row| row.cells.len()).max().unwrap_or(0);
-        for (table, found, most) in
-            [("counts", self.table.rows.len(), MAX_ROWS), ("a row of counts", widest, MAX_CELLS)]
-        {
-            if found > most {
-                return Err(Violation::OverFull { table, found, most });
-            }
-        }
-        Ok(())
+        Violation::check_size("counts", self.table.rows.len(), MAX_ROWS)?;
+        Violation::check_size("a row of counts", widest, MAX_CELLS)
     }
 }
--- a/crates/ashtide-fleet/src/state/violation.rs
+++ b/crates/ashtide-fleet/src/state/violation.rs
@@ -1,4 +1,4 @@
-//! Broken invariants, by name. The numbers are those of `docs/design/shared-state.md`.
+//! Violated invariants, by name. The numbers are those of `docs/design/shared-state.md`.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
         /// The own one.
         expected: u64,
     },
-    /// C2: a row that has not been heard of for [`COUNTED_FOR`](super::COUNTED_FOR) is not counted.
+    /// C2: a row that has not been heard of for [`ROW_LIFETIME`](super::ROW_LIFETIME) is not counted.
     #[error("C2: the row of gateway {} was heard {age:?} ago and is still counted", .slot.0)]
     StaleRow {
         /// Whose.
@@ -60,10 +60,10 @@
         room: u128,
     },
     /// B4: the rights of all gateways together are at most the total.
-    #[error("B4: all gateways together may use {rights} units of a total of {total}")]
+    #[error("B4: all gateways together may use {usable} units of a total of {total}")]
     OverTotal {
-        /// Sum of all rights.
-        rights: u64,
+        /// Sum of what they may use.
+        usable: u64,
         /// The total.
         total: u64,
     },
@@ -108,7 +108,10 @@
         weight: u32,
     },
     /// A1: what a gateway uses of its root is at most what the settings give it, and all of it once they are agreed on.
-    #[error("A1: of budget {budget:#x} {found:?} is in use, the settings give {due:?}")]
+    #[error(
+        "A1: of budget {budget:#x} a floor of {} and {} lendable units are in use, the settings give {} and {}",
+        .found.floor, .found.lendable, .due.floor, .due.lendable
+    )]
     ShareMismatch {
         /// Of which.
         budget: u32,
@@ -130,6 +133,11 @@
 }
 
 impl Violation {
+    /// Checks that a table has at most `most` entries.
+    pub(super) fn check_size(table: &'static str, found: usize, most: usize) -> Result<(), Self> {
+        if found > most { Err(Self::OverFull { table, found, most }) } else { Ok(()) }
+    }
+
     /// The invariant's number in `docs/design/shared-state.md`.
     #[must_use]
     pub fn invariant_id(&self) -> &'static str {
--- a/crates/ashtide-fleet/tests/agreement.rs
+++ b/crates/ashtide-fleet/tests/agreement.rs
@@ -83,7 +83,7 @@
         let now = machine.clock.read(self.chance.now);
         let (terms, rules) = (LeaseConfig::default(), OutlierLimits::default());
         let setup = ExchangeConfig {
-            tier: 7,
+            fleet_id: 7,
             slot_count: SIZE as u16,
             datagrams_per_second: 40,
             lease: terms,
--- a/crates/ashtide-fleet/tests/budgets.rs
+++ b/crates/ashtide-fleet/tests/budgets.rs
@@ -185,7 +185,7 @@
                 budget.advance_to(now);
                 budget.check()?;
                 rights.push(budget.escrow().usable_units());
-                moved += budget.escrow().held_units();
+                moved += budget.escrow().leased_units();
             }
         }
         self.moved = self.moved.max(moved);
--- a/crates/ashtide-fleet/tests/compatibility.rs
+++ b/crates/ashtide-fleet/tests/compatibility.rs
@@ -76,7 +76,8 @@
     let mut fleets: Vec<Membership> = (0..4)
         .map(|number| {
             let seeds = vec![address(0), address(1)];
-            let options = ViewConfig { tier: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
+            let options =
+                ViewConfig { fleet_id: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
             Membership::new(options, address(number), 1_000 + u64::from(number), seeds, number.into(), ms(0))
         })
         .collect();
@@ -187,7 +188,7 @@
     match why {
         DecodeError::Length => "length",
         DecodeError::Version => "version",
-        DecodeError::Tier => "tier",
+        DecodeError::OtherFleet => "tier",
         DecodeError::Malformed => "malformed",
         DecodeError::Own => "own",
         DecodeError::Full => "full",
@@ -201,7 +202,7 @@
     for why in [
         DecodeError::Length,
         DecodeError::Version,
-        DecodeError::Tier,
+        DecodeError::OtherFleet,
         DecodeError::Malformed,
         DecodeError::Own,
         DecodeError::Full,
@@ -266,8 +267,12 @@
 
 /// Every kind of item, with numbers whose encoding takes more than one byte.
 fn items() -> Vec<StateMessage> {
-    let ask =
-        LeaseRequest { incarnation: 1_700_000_000_000, sequence: 300, wanted_units: 70_000, held_units: 129 };
+    let ask = LeaseRequest {
+        incarnation: 1_700_000_000_000,
+        sequence: 300,
+        wanted_units: 70_000,
+        leased_units: 129,
+    };
     let grant = LeaseGrant { incarnation: 1_700_000_000_001, sequence: 301, units: 70_001, spare_units: 130 };
     let cell = VersionedCount { version: 1_000, value: 77_777 };
     let told = |kind| EvidenceMessage {
@@ -340,7 +345,7 @@
 
 fn exchange(own: u16, slots: u16) -> Exchange {
     let setup = ExchangeConfig {
-        tier: 7,
+        fleet_id: 7,
         slot_count: slots,
         datagrams_per_second: 40,
         lease: LeaseConfig::default(),
@@ -387,7 +392,7 @@
         let budgets: Vec<_> = exchange.budgets().map(|(id, it)| (id, it.clone())).collect();
         for (id, it) in budgets {
             let escrow = it.escrow();
-            let (rights, lent, held) = (escrow.usable_units(), escrow.lent_units(), escrow.held_units());
+            let (rights, lent, held) = (escrow.usable_units(), escrow.lent_units(), escrow.leased_units());
             let _ = writeln!(text, "{at} budget {id} {rights} {lent} {held} {}", it.in_use());
         }
         let traffic = exchange.traffic();
@@ -515,7 +520,7 @@
         Violation::OverLent { lent: 2, lendable: 1 },
         Violation::LongLease { slot, left: age, longest: Duration::from_secs(2) },
         Violation::OverStored { stored: 5, room: 4 },
-        Violation::OverTotal { rights: 6, total: 5 },
+        Violation::OverTotal { usable: 6, total: 5 },
         Violation::OverSpent { spent: 7, most: 6, window: age },
         Violation::NoQuorum { server: 255, observers: 2, quorum: 3 },
         Violation::TooMuchEjected { out: 3, ready: 10, most: 2 },
--- a/crates/ashtide-fleet/tests/counts.rs
+++ b/crates/ashtide-fleet/tests/counts.rs
@@ -105,7 +105,7 @@
             Ok(())
         });
         let found = format!("{:?}", found.expect_err("it is broken"));
-        assert!(found.contains("Count {"), "{broken:?} is found by its name: {found}");
+        assert!(found.contains("MiscountedRow {"), "{broken:?} is found by its name: {found}");
     }
 }
 
--- a/crates/ashtide-fleet/tests/datagrams.rs
+++ b/crates/ashtide-fleet/tests/datagrams.rs
@@ -27,7 +27,7 @@
     let mut two = fleet(2, 5, vec![]);
     let mut other = good.clone();
     other[0] ^= 1;
-    let mut cases = vec![(other, DecodeError::Version), (join(6).1, DecodeError::Tier)];
+    let mut cases = vec![(other, DecodeError::Version), (join(6).1, DecodeError::OtherFleet)];
     cases.push((vec![0; 3], DecodeError::Length));
     cases.push((vec![0x41; MAX_DATAGRAM + 1], DecodeError::Length));
     cases.push((good[..good.len() - 4].to_vec(), DecodeError::Malformed));
--- a/crates/ashtide-fleet/tests/exchanges/mod.rs
+++ b/crates/ashtide-fleet/tests/exchanges/mod.rs
@@ -47,7 +47,7 @@
     pub fn start(&mut self, number: usize, first: bool) {
         let size = self.gateways.len().max(self.roots[0].len());
         let setup = ExchangeConfig {
-            tier: 7,
+            fleet_id: 7,
             slot_count: size as u16,
             datagrams_per_second: 40,
             lease: LeaseConfig::default(),
--- a/crates/ashtide-maintenance/src/lib.rs
+++ b/crates/ashtide-maintenance/src/lib.rs
@@ -1,34 +1,38 @@
-//! Taking machines out for work, in an order that the gateways of a tier settle among themselves.
+//! Taking machines out for maintenance, in an order that the gateways of a tier settle among themselves.
 //!
-//! Operators ask any gateway; what is asked for waits in one queue of all gateways. At most so many machines are out
-//! at once, whatever is lost, late, cut off, stalled or restarted meanwhile, and none is taken out while too few would
-//! be left. `docs/design/maintenance.md` says why this holds and what was not built.
+//! Operators ask any gateway; requests wait in one queue of all gateways. At most so many machines are out at once,
+//! whatever is lost, late, cut off, stalled or restarted meanwhile, and none is taken out while too few would be left.
+//! `docs/design/maintenance.md` says why this holds and what was not built.
 //!
-//! - [`Table`]: the queue and what is given out, with fencing tokens. One value, changed by [`Change`].
-//! - [`Voter`], [`Round`]: how a majority of the settings' list keeps that value.
-//! - [`Knowledge`]: what one gateway knows of it, and for how long it may act on that.
-//! - [`Node`]: all of it for one gateway, without a socket, a file or a clock.
-//! - [`Store`]: a voter's memory on disk.
+//! - [`MaintenanceQueue`]: the queue and the grants, with fencing tokens. One value, changed by [`Change`].
+//! - [`Acceptor`], [`Proposal`]: how a majority of the settings' list keeps that value (Paxos).
+//! - [`LeasedState`]: what one gateway knows of it, and for how long it may act on that.
+//! - [`Replica`]: all of it for one gateway, without a socket, a file or a clock.
+//! - [`Store`]: an acceptor's state on disk.
 
-mod broken;
+mod assembler;
+mod leased_state;
 mod message;
-mod node;
-mod register;
+mod mutation;
+mod paxos;
+mod queue;
+mod replica;
 mod store;
-mod table;
 mod violation;
 
-#[cfg(feature = "broken")]
-pub use broken::Mutation;
-pub use message::{DecodeError, MAX_PARTS, Message, MessageAssembler, encode_message};
-pub use node::{
+pub use assembler::MessageAssembler;
+pub use leased_state::LeasedState;
+pub use message::{DecodeError, MAX_PARTS, Message, encode_message};
+#[cfg(feature = "mutation")]
+pub use mutation::Mutation;
+pub use paxos::{Acceptor, AcceptorState, Ballot, Proposal, StaleBallot, majority};
+pub use queue::{
+    Change, ChangeRejected, Limits, MAX_COMPLETED_REQUESTS, MAX_ENTRIES, MAX_NAME, MAX_REASON, MachineKind,
+    MaintenanceEntry, MaintenanceQueue, Phase,
+};
+pub use replica::{
     Action, MAX_PENDING_REQUESTS, Observations, PersistedVote, Replica, ReplicaConfig, ReplicaMetrics,
     RequestOutcome, TimingConfig, check_machines_out,
 };
-pub use register::{Acceptor, AcceptorState, Ballot, LeasedState, Proposal, StaleBallot, majority};
 pub use store::{Store, StoreError};
-pub use table::{
-    Change, ChangeRejected, Limits, MAX_COMPLETED_REQUESTS, MAX_ENTRIES, MAX_NAME, MAX_REASON, MachineKind,
-    MaintenanceEntry, MaintenanceQueue, Phase,
-};
 pub use violation::Violation;
--- a/crates/ashtide-maintenance/src/message.rs
+++ b/crates/ashtide-maintenance/src/message.rs
@@ -1,104 +1,101 @@
-//! What gateways tell each other, in datagrams of at most [`MAX_DATAGRAM`] bytes: a message that is longer goes in
-//! several, told apart by a digest of the whole, so that what is sent again fills the gaps.
-
-use std::collections::VecDeque;
+//! What gateways send each other, in datagrams of at most [`MAX_DATAGRAM`] bytes: a longer message goes in several
+//! parts, which [`MessageAssembler`](crate::MessageAssembler) puts together.
 
 use ashtide_fleet::MAX_DATAGRAM;
 use ashtide_fleet::state::{Slot, mix};
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
-use crate::register::{AcceptorState, Ballot};
-use crate::table::MaintenanceQueue;
+use crate::paxos::{AcceptorState, Ballot};
+use crate::queue::MaintenanceQueue;
 
 /// The version spoken here; other datagrams of the tier begin with other bytes.
-const VERSION: u8 = 0x4d;
+pub(crate) const VERSION: u8 = 0x4d;
 /// Version, tier, sender, digest, part, parts.
-const HEADER_LEN: usize = 1 + 4 + 2 + 8 + 1 + 1;
-const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_LEN;
-/// Datagrams that one message may take; a full table's vote takes fewer.
+pub(crate) const HEADER_LEN: usize = 1 + 4 + 2 + 8 + 1 + 1;
+/// Bytes of a message that one datagram takes.
+pub(crate) const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_LEN;
+/// Datagrams that one message may take; the state of an acceptor with a full queue takes fewer.
 pub const MAX_PARTS: usize = 24;
-/// Messages that are put together at a time; the oldest goes.
-const MAX_PARTIAL_MESSAGES: usize = 64;
 
-/// What a gateway says.
+/// A message between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
     /// A proposer asks for a promise.
     Prepare {
-        /// Its round.
+        /// Its ballot.
         ballot: Ballot,
     },
-    /// A voter promises, and tells its value.
+    /// An acceptor promises, and sends its value.
     Promise {
-        /// The round.
+        /// The ballot that is promised.
         ballot: Ballot,
         /// The value's ballot.
         accepted: Ballot,
         /// The value.
         queue: MaintenanceQueue,
     },
-    /// A proposer offers the changed value.
+    /// A proposer proposes the changed value.
     Accept {
-        /// Its round.
+        /// Its ballot.
         ballot: Ballot,
         /// The value.
         queue: MaintenanceQueue,
     },
-    /// A voter has taken it.
+    /// An acceptor has accepted it.
     Accepted {
-        /// The round.
+        /// The ballot.
         ballot: Ballot,
     },
-    /// A voter has promised a later round.
+    /// An acceptor has promised a later ballot.
     Nack {
-        /// The round that is refused.
+        /// The ballot that is rejected.
         ballot: Ballot,
         /// The later one.
         promised: Ballot,
     },
-    /// A gateway asks a voter for its value, and says how it stands.
+    /// A gateway reads an acceptor's value, and reports its own state.
     ReadRequest {
-        /// The asker's life.
+        /// The reader's incarnation.
         incarnation: u64,
-        /// Counts its asks.
+        /// Counts its reads.
         sequence: u64,
         /// The ballot of the newest value that it has.
         known_ballot: Ballot,
-        /// The version that it acts on; nothing where what it knows is too old.
+        /// The version that it acts on; 0 where its lease has ended.
         acting_version: u64,
         /// How many connections it still has, by token.
         open_connections: Vec<(u64, u32)>,
     },
-    /// A voter's value.
+    /// An acceptor's value.
     ReadReply {
-        /// The asker's life.
+        /// The reader's incarnation.
         incarnation: u64,
-        /// The ask.
+        /// The read.
         sequence: u64,
         /// The value's ballot.
         accepted: Ballot,
-        /// The value, where the asker does not have it.
+        /// The value, where the reader does not have it.
         queue: Option<MaintenanceQueue>,
     },
-    /// A voter without a memory asks another what it remembers.
+    /// An acceptor that has lost its state asks another for its own.
     CatchUpRequest {
-        /// The asker's life.
+        /// The sender's incarnation.
         incarnation: u64,
     },
-    /// What a voter remembers, if it does.
+    /// An acceptor's state, if it has one.
     CatchUpReply {
-        /// The asker's life.
+        /// The receiver's incarnation.
         incarnation: u64,
-        /// Its memory.
+        /// The state.
         state: Option<AcceptorState>,
     },
 }
 
-/// Why a datagram is not heard. It has changed nothing.
+/// Why a datagram is rejected. It has changed nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DecodeError {
-    /// Over [`MAX_DATAGRAM`] bytes, or too few for a frame.
+    /// Over [`MAX_DATAGRAM`] bytes, or too few for a header.
     #[error("a length that no datagram has")]
     Length,
     /// Another version's.
@@ -106,8 +103,8 @@
     Version,
     /// Another tier's.
     #[error("another tier")]
-    Tier,
-    /// Its inside cannot be read, or its parts do not make up what they should.
+    OtherFleet,
+    /// Its payload cannot be read, or its parts do not make up what they should.
     #[error("malformed")]
     Malformed,
     /// Its sender is not on the settings' list, or is this gateway itself.
@@ -124,7 +121,7 @@
                 "see who sends to this address; gateways of one tier run one version"
             }
             Self::Version => "finish the upgrade of the tier",
-            Self::Tier => "see that each tier has a key of its own, the same at all its gateways",
+            Self::OtherFleet => "see that each tier has a key of its own, the same at all its gateways",
             Self::UnknownSender => {
                 "compare the list of gateways on all of them, and that no two have one slot"
             }
@@ -132,114 +129,32 @@
     }
 }
 
-fn message_digest(bytes: &[u8]) -> u64 {
-    let word = |chunk: &[u8]| chunk.iter().fold(0, |word, &byte| word << 8 | u64::from(byte));
-    bytes.chunks(8).fold(bytes.len() as u64, |so_far, chunk| mix(so_far, word(chunk)))
+/// Tells apart the parts of different messages, and detects a wrong part.
+pub(crate) fn message_digest(bytes: &[u8]) -> u64 {
+    let number = |chunk: &[u8]| chunk.iter().fold(0, |number, &byte| number << 8 | u64::from(byte));
+    bytes.chunks(8).fold(bytes.len() as u64, |digest, chunk| mix(digest, number(chunk)))
 }
 
-/// The datagrams of one message.
-pub fn encode_message(tier: u32, from: Slot, message: &Message) -> Vec<Bytes> {
-    // Writing to memory does not fail; what it could not write would be no message, and is not sent.
-    let Ok(all) = postcard::to_allocvec(message) else { return Vec::new() };
-    let digest = message_digest(&all);
-    let parts = all.chunks(MAX_PAYLOAD);
-    let count = parts.len();
-    let part = |(number, part): (usize, &[u8])| {
+/// The datagrams of one message; none where it takes more than [`MAX_PARTS`].
+pub fn encode_message(fleet_id: u32, from: Slot, message: &Message) -> Vec<Bytes> {
+    // Writing to memory does not fail.
+    let Ok(encoded) = postcard::to_allocvec(message) else { return Vec::new() };
+    let digest = message_digest(&encoded);
+    let parts = encoded.chunks(MAX_PAYLOAD);
+    let part_count = parts.len();
+    if part_count > MAX_PARTS {
+        return Vec::new();
+    }
+    let encode_part = |(number, part): (usize, &[u8])| {
         let mut datagram = BytesMut::with_capacity(HEADER_LEN + part.len());
         datagram.put_u8(VERSION);
-        datagram.put_u32(tier);
+        datagram.put_u32(fleet_id);
         datagram.put_u16(from.0);
         datagram.put_u64(digest);
         datagram.put_u8(number as u8);
-        datagram.put_u8(count as u8);
+        datagram.put_u8(part_count as u8);
         datagram.extend_from_slice(part);
         datagram.freeze()
     };
-    if count > MAX_PARTS {
-        return Vec::new();
-    }
-    parts.enumerate().map(part).collect()
-}
-
-/// Messages of which some parts are here.
-#[derive(Debug, Clone, Default)]
-pub struct MessageAssembler(VecDeque<PartialMessage>);
-
-#[derive(Debug, Clone)]
-struct PartialMessage {
-    sender: Slot,
-    digest: u64,
-    parts: Vec<Option<Bytes>>,
-}
-
-impl MessageAssembler {
-    /// One more datagram; gives the message that it completes, and its sender.
-    ///
-    /// # Errors
-    ///
-    /// Says why it is not heard.
-    pub fn add_datagram(
-        &mut self,
-        tier: u32,
-        datagram: &[u8],
-    ) -> Result<Option<(Slot, Message)>, DecodeError> {
-        if datagram.len() > MAX_DATAGRAM {
-            return Err(DecodeError::Length);
-        }
-        let (frame, inside) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
-        let frame: [u8; HEADER_LEN] = frame.try_into().map_err(|_| DecodeError::Length)?;
-        let [version, t0, t1, t2, t3, f0, f1, digested @ .., number, count] = frame;
-        if version != VERSION {
-            return Err(DecodeError::Version);
-        }
-        if u32::from_be_bytes([t0, t1, t2, t3]) != tier {
-            return Err(DecodeError::Tier);
-        }
-        let from = Slot(u16::from_be_bytes([f0, f1]));
-        let (number, count) = (usize::from(number), usize::from(count));
-        if count == 0
-            || count > MAX_PARTS
-            || number >= count
-            || (inside.len() != MAX_PAYLOAD && number + 1 < count)
-        {
-            return Err(DecodeError::Malformed);
-        }
-        let whole = u64::from_be_bytes(digested);
-        let same =
-            |half: &PartialMessage| (half.sender, half.digest, half.parts.len()) == (from, whole, count);
-        let at = match self.0.iter().position(same) {
-            Some(at) => at,
-            None => {
-                if self.0.len() >= MAX_PARTIAL_MESSAGES {
-                    self.0.pop_front();
-                }
-                self.0.push_back(PartialMessage { sender: from, digest: whole, parts: vec![None; count] });
-                self.0.len() - 1
-            }
-        };
-        let half = &mut self.0[at];
-        half.parts[number] = Some(Bytes::copy_from_slice(inside));
-        let Some(parts) = half.parts.iter().cloned().collect::<Option<Vec<Bytes>>>() else { return Ok(None) };
-        self.0.remove(at);
-        let all = parts.concat();
-        if message_digest(&all) != whole {
-            return Err(DecodeError::Malformed);
-        }
-        match postcard::take_from_bytes(&all) {
-            Ok((message, [])) => Ok(Some((from, message))),
-            _ => Err(DecodeError::Malformed),
-        }
-    }
-
-    /// How many messages are half here.
-    #[must_use]
-    pub fn len(&self) -> usize {
-        self.0.len()
-    }
-
-    /// Whether none is.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
+    parts.enumerate().map(encode_part).collect()
 }
--- a/crates/ashtide-maintenance/src/violation.rs
+++ b/crates/ashtide-maintenance/src/violation.rs
@@ -1,4 +1,4 @@
-//! Broken invariants, by name. The numbers are those of `docs/design/maintenance.md`.
+//! Violated invariants, by name. The numbers are those of `docs/design/maintenance.md`.
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
         /// How many may be.
         most: usize,
     },
-    /// M2: a table gives out no more than its limits allow.
+    /// M2: a queue grants no more than its limits allow.
     #[error("M2: version {version} of the table gives out {found}, at most {most} may be")]
     TooManyGranted {
-        /// The table's version.
+        /// The queue's version.
         version: u64,
-        /// How many are given out.
+        /// How many are granted.
         found: usize,
         /// How many may be.
         most: usize,
     },
-    /// M3: a token is given once, and none is higher than the last one.
+    /// M3: a token is granted once, and none is higher than the last one.
     #[error("M3: version {version} of the table has token {token} twice, or over the last one, {last}")]
     InvalidToken {
-        /// The table's version.
+        /// The queue's version.
         version: u64,
         /// The token.
         token: u64,
-        /// The last one given.
+        /// The last one granted.
         last: u64,
     },
-    /// M4: a machine stands in the table once.
+    /// M4: a machine is in the queue once.
     #[error("M4: version {version} of the table names '{name}' twice")]
     DuplicateMachine {
-        /// The table's version.
+        /// The queue's version.
         version: u64,
         /// The machine.
         name: String,
     },
-    /// M5: tables and buffers stay within their bounds.
+    /// M5: queues and buffers stay within their bounds.
     #[error("M5: {what} holds {found}, room for {room}")]
     OverFull {
         /// Which.
@@ -53,15 +53,15 @@
         /// How many may be.
         room: usize,
     },
-    /// M6: nothing is kept out by what was known longer ago than a lease.
+    /// M6: nothing is kept out after the lease has ended.
     #[error("M6: machines are kept out by what was known {age:?} ago, at most {lease:?} is allowed")]
     LeaseExpired {
-        /// How long ago it was asked for.
+        /// How long ago the queue was requested.
         age: Duration,
         /// How long it may be acted on.
         lease: Duration,
     },
-    /// M7: two tables of one version are the same.
+    /// M7: two queues of one version are the same.
     #[error("M7: version {version} of the table has been chosen with two contents")]
     DivergentValues {
         /// The version.
--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -147,7 +147,7 @@
     match why {
         DecodeError::Length => "length",
         DecodeError::Version => "version",
-        DecodeError::Tier => "tier",
+        DecodeError::OtherFleet => "tier",
         DecodeError::Malformed => "malformed",
         DecodeError::UnknownSender => "foreign",
     }
@@ -159,7 +159,7 @@
     for why in [
         DecodeError::Length,
         DecodeError::Version,
-        DecodeError::Tier,
+        DecodeError::OtherFleet,
         DecodeError::Malformed,
         DecodeError::UnknownSender,
     ] {
@@ -350,7 +350,7 @@
     let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 1 };
     let terms = TimingConfig { max_work: Duration::from_secs(20), ..TimingConfig::default() };
     let setup = ReplicaConfig {
-        tier: 7,
+        fleet_id: 7,
         own_slot: Slot(own),
         members: slots.clone(),
         acceptors: slots,
--- a/crates/ashtide-maintenance/tests/tiers.rs
+++ b/crates/ashtide-maintenance/tests/tiers.rs
@@ -76,7 +76,7 @@
         };
         let terms = TimingConfig { return_when_drained: rng.random_bool(0.3), ..TERMS };
         let setup = |own: u16| ReplicaConfig {
-            tier: 1,
+            fleet_id: 1,
             own_slot: Slot(own),
             members: slots(members),
             acceptors: slots(voters),
@@ -216,7 +216,7 @@
                 continue;
             }
             let Some(node) = &mut gateway.node else { continue };
-            let kept: Vec<String> = node.machines_kept_out(MachineKind::Server).map(str::to_owned).collect();
+            let kept: Vec<String> = node.cordoned_machines(MachineKind::Server).map(str::to_owned).collect();
             for name in &kept {
                 let open = gateway.open.entry(name.clone()).or_default();
                 if *open > 0 && self.rng.random_bool(0.05) {
@@ -260,7 +260,7 @@
             let awake = self.gateways.iter().filter(|gateway| !gateway.stalled);
             awake.filter_map(|gateway| gateway.node.as_ref())
         };
-        let out = |kind| running().flat_map(move |node| node.machines_kept_out(kind));
+        let out = |kind| running().flat_map(move |node| node.cordoned_machines(kind));
         check_machines_out(self.rules.max_servers_out, out(MachineKind::Server))?;
         check_machines_out(self.rules.max_gateways_out, out(MachineKind::Gateway))?;
         self.longest = self.longest.max(out(MachineKind::Server).collect::<BTreeSet<_>>().len());
@@ -480,7 +480,7 @@
             let mut tier = queued(seed, broken);
             let last = tier.gateways.len() - 1;
             let keeps = |tier: &Tier| {
-                tier.gateways[last].node.as_ref().unwrap().machines_kept_out(MachineKind::Server).count()
+                tier.gateways[last].node.as_ref().unwrap().cordoned_machines(MachineKind::Server).count()
             };
             while keeps(&tier) == 0 || tier.rng.random_range(0..5) > 0 {
                 tier.step().expect("all is well");
--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -45,7 +45,7 @@
         let now = Duration::from_secs(9);
         let terms = LeaseConfig::default();
         let setup = ExchangeConfig {
-            tier: 1,
+            fleet_id: 1,
             slot_count: 1,
             datagrams_per_second: 10,
             lease: terms,
--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -228,7 +228,7 @@
         let first_slots = |count: usize| (0..count as u16).map(Slot).collect();
         let seconds = |count: u32| Duration::from_secs(u64::from(count));
         ReplicaConfig {
-            tier: self.fleet_id,
+            fleet_id: self.fleet_id,
             own_slot: Slot(self.slot as u16),
             members: first_slots(gateway_count),
             acceptors: first_slots(self.voters as usize),
--- a/src/fleet/maintenance/text.rs
+++ b/src/fleet/maintenance/text.rs
@@ -17,7 +17,7 @@
         write_entry(&mut text, replica, entry);
     }
     for kind in [MachineKind::Server, MachineKind::Gateway] {
-        for name in replica.machines_kept_out(kind) {
+        for name in replica.cordoned_machines(kind) {
             let entry = queue.entries.iter().find(|entry| entry.name == name);
             let token = entry.and_then(|entry| entry.phase.token()).unwrap_or(0);
             let _ = writeln!(text, "kept-out {name} token={token}");
@@ -54,7 +54,7 @@
     let (queue, is_valid) = replica.queue();
     let metrics: &ReplicaMetrics = replica.metrics();
     let queued = queue.entries.iter().filter(|entry| entry.phase == Phase::Queued).count();
-    let cordoned = |kind| replica.machines_kept_out(kind).count() as u64;
+    let cordoned = |kind| replica.cordoned_machines(kind).count() as u64;
     for (name, value) in [
         ("queued", queued as u64),
         ("given", (queue.entries.len() - queued) as u64),
--- a/src/fleet/quota/admission.rs
+++ b/src/fleet/quota/admission.rs
@@ -144,7 +144,7 @@
     /// The rights of a gateway that shares nothing yet: its floors.
     pub fn standalone_exchange(&self, now: Duration) -> Exchange {
         let config = ExchangeConfig {
-            tier: 0,
+            fleet_id: 0,
             slot_count: self.slot_count,
             datagrams_per_second: 0,
             lease: LeaseConfig::default(),
--- a/src/fleet/quota/text.rs
+++ b/src/fleet/quota/text.rs
@@ -27,7 +27,7 @@
         let units = |budget: &mut Budget| Self {
             usable: budget.escrow().usable_units(),
             lent: budget.escrow().lent_units(),
-            leased: budget.escrow().held_units(),
+            leased: budget.escrow().leased_units(),
             in_use: budget.in_use(),
         };
         exchange.budget_mut(id).map(units).unwrap_or_default()
--- a/src/fleet/shared_state/gateway_state.rs
+++ b/src/fleet/shared_state/gateway_state.rs
@@ -110,7 +110,7 @@
         now: Duration,
     ) -> Self {
         let config = ExchangeConfig {
-            tier: fleet_id,
+            fleet_id,
             slot_count: slots.len(),
             datagrams_per_second: settings.max_datagrams_per_second,
             lease: LeaseConfig::default(),
--- a/src/fleet/shared_state/text.rs
+++ b/src/fleet/shared_state/text.rs
@@ -46,7 +46,7 @@
                 "budget {id:#010x} rights={} lent={} held={} taken={}",
                 escrow.usable_units(),
                 escrow.lent_units(),
-                escrow.held_units(),
+                escrow.leased_units(),
                 budget.in_use()
             );
         }
@@ -124,7 +124,7 @@
     match reason {
         DecodeError::Length => "length",
         DecodeError::Version => "version",
-        DecodeError::Tier => "tier",
+        DecodeError::OtherFleet => "tier",
         DecodeError::Malformed => "malformed",
         DecodeError::Own => "own",
         DecodeError::Full => "full",
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -130,7 +130,7 @@
         };
         let shared_state = table.get("state").map(shared_state::Settings::parse).transpose()?;
         let view = ViewConfig {
-            tier: FLEET_ID.read(&table, "")?,
+            fleet_id: FLEET_ID.read(&table, "")?,
             expected_members: SIZE.read(&table, "")?,
             datagrams_per_second: DATAGRAMS_PER_S.read(&table, "")?,
             burst: BURST.read(&table, "")?,
--- a/src/net/fleet/maintenance/driver.rs
+++ b/src/net/fleet/maintenance/driver.rs
@@ -139,7 +139,7 @@
             info!("maintenance: invariant violated: {violation}; {}", violation.help());
         }
         let names: Vec<String> =
-            self.replica.machines_kept_out(MachineKind::Server).map(str::to_owned).collect();
+            self.replica.cordoned_machines(MachineKind::Server).map(str::to_owned).collect();
         let (reply, observed) = oneshot::channel();
         let inspection = async {
             self.event_loop.send(DriverEvent::ServersInspected(names, reply)).await;
--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -103,7 +103,7 @@
     ) -> Self {
         let incarnation = incarnations.start_next();
         let Settings { listen, public, view: config, shared_state: state_settings, .. } = settings;
-        let fleet_id = config.tier;
+        let fleet_id = config.fleet_id;
         info!(
             "view: listening on {listen} (fleet {fleet_id}, generation {incarnation}, {} seeds)",
             seeds.len()
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -132,7 +132,7 @@
                 "{} {} {seeds} {} {} {} {} {state}",
                 it.listen,
                 it.public,
-                options.tier,
+                options.fleet_id,
                 options.expected_members,
                 options.datagrams_per_second,
                 options.burst
@@ -308,7 +308,7 @@
                 it.listen,
                 addresses(&it.gateways),
                 it.state_directory.display(),
-                it.replica.tier,
+                it.replica.fleet_id,
                 it.replica.own_slot.0,
                 slots(&it.replica.members),
                 slots(&it.replica.acceptors),
@@ -512,7 +512,8 @@
     let mut fleets: Vec<Membership> = (0..4)
         .map(|number| {
             let seeds = vec![address(0)];
-            let options = ViewConfig { tier: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
+            let options =
+                ViewConfig { fleet_id: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
             Membership::new(options, address(number), 1_000, seeds, number.into(), Duration::ZERO)
         })
         .collect();
@@ -599,7 +600,7 @@
             assert_eq!(hubs[0].handle_datagram(stranger, &good), Err(DecodeError::Foreign));
             assert_eq!(hubs[0].handle_datagram(gateways[1], &good[..9]), Err(DecodeError::Length));
             assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x42; 15]), Err(DecodeError::Version));
-            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x53; 15]), Err(DecodeError::Tier));
+            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x53; 15]), Err(DecodeError::OtherFleet));
             assert_eq!(
                 hubs[0].handle_datagram(gateways[1], &[&good[..], &[0xff]].concat()),
                 Err(DecodeError::Malformed)
@@ -646,7 +647,7 @@
 
 fn exchange_setup() -> ExchangeConfig {
     ExchangeConfig {
-        tier: 1,
+        fleet_id: 1,
         slot_count: 2,
         datagrams_per_second: 10,
         lease: LeaseConfig::default(),
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -87,7 +87,7 @@
     fn new() -> Self {
         let now = Duration::from_secs(50);
         let setup = ExchangeConfig {
-            tier: 1,
+            fleet_id: 1,
             slot_count: 1,
             datagrams_per_second: 10,
             lease: LeaseConfig::default(),
