--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -132,7 +132,7 @@
                 "{} {} {seeds} {} {} {} {} {state}",
                 it.listen,
                 it.public,
-                options.tier,
+                options.fleet_id,
                 options.expected_members,
                 options.datagrams_per_second,
                 options.burst
@@ -190,10 +190,15 @@
             let _ = writeln!(text, "{name} seeds by {by}: {}", told(seeds));
         }
     }
-    let twice = GatewaySlots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text);
+    let twice =
+        GatewaySlots::new(vec![peers[0], peers[0]], peers[0]).map(slots_text).map_err(view::ViewError::from);
     let _ = writeln!(text, "twice: {}", told(twice));
     let many = (0..=shared_state::MAX_GATEWAYS as u16).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let _ = writeln!(text, "many: {}", told(GatewaySlots::new(many.collect(), peers[0]).map(slots_text)));
+    let _ = writeln!(
+        text,
+        "many: {}",
+        told(GatewaySlots::new(many.collect(), peers[0]).map(slots_text).map_err(view::ViewError::from))
+    );
     let missing = view::Settings::read(Path::new("/nowhere/view.toml")).map(|_| String::new());
     let _ = writeln!(text, "missing: {}", told(missing));
     let _ = writeln!(text, "schema: {}", view::schema());
@@ -303,7 +308,7 @@
                 it.listen,
                 addresses(&it.gateways),
                 it.state_directory.display(),
-                it.replica.tier,
+                it.replica.fleet_id,
                 it.replica.own_slot.0,
                 slots(&it.replica.members),
                 slots(&it.replica.acceptors),
@@ -507,7 +512,8 @@
     let mut fleets: Vec<Membership> = (0..4)
         .map(|number| {
             let seeds = vec![address(0)];
-            let options = ViewConfig { tier: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
+            let options =
+                ViewConfig { fleet_id: 7, expected_members: 4, datagrams_per_second: 24, burst: 48 };
             Membership::new(options, address(number), 1_000, seeds, number.into(), Duration::ZERO)
         })
         .collect();
@@ -594,7 +600,7 @@
             assert_eq!(hubs[0].handle_datagram(stranger, &good), Err(DecodeError::Foreign));
             assert_eq!(hubs[0].handle_datagram(gateways[1], &good[..9]), Err(DecodeError::Length));
             assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x42; 15]), Err(DecodeError::Version));
-            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x53; 15]), Err(DecodeError::Tier));
+            assert_eq!(hubs[0].handle_datagram(gateways[1], &[0x53; 15]), Err(DecodeError::OtherFleet));
             assert_eq!(
                 hubs[0].handle_datagram(gateways[1], &[&good[..], &[0xff]].concat()),
                 Err(DecodeError::Malformed)
@@ -641,7 +647,7 @@
 
 fn exchange_setup() -> ExchangeConfig {
     ExchangeConfig {
-        tier: 1,
+        fleet_id: 1,
         slot_count: 2,
         datagrams_per_second: 10,
         lease: LeaseConfig::default(),
