--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const FACTS: &str = concat!(
+const SETTINGS: &str = concat!(
     r#"{"azs":["east","west"],"balancers":2,"zone":"east","discovery":"pushed","tick":0.005,"#,
     r#""classes":[{"name":"view","aim":0.5,"deadline":2.0,"effect":"pure","worth":1.0}],"#,
     r#""limits":{"maxAttempts":3,"cancelling":true,"somethingNew":[1]},"weights":"nominal","#,
@@ -29,17 +29,17 @@
     String::from_utf8(output.stdout.clone()).expect("UTF-8")
 }
 
-fn start(relay: u32, seed: u64, servers: &[&str]) -> String {
-    let mut text = format!("START relayId={relay} initSeed={seed} facts={FACTS}\n");
+fn start(gateway: u32, seed: u64, servers: &[&str]) -> String {
+    let mut text = format!("START relayId={gateway} initSeed={seed} facts={SETTINGS}\n");
     text += &format!("DIRECTORY slot=0 entries={}\n", servers.len());
     for server in servers {
         text += &format!("ROW backend={server} rackZone=east model=fast cluster=0 state=on size=1\n");
     }
-    text + &format!("DISCOVERY relayId={relay} how=stale_copy epoch=1 slot=0\n")
+    text + &format!("DISCOVERY relayId={gateway} how=stale_copy epoch=1 slot=0\n")
 }
 
-fn query(relay: u32, id: u32) -> String {
-    format!("QUERY relayId={relay} opId={id} ttl=2 band=view novelty=1\n")
+fn query(gateway: u32, id: u32) -> String {
+    format!("QUERY relayId={gateway} opId={id} ttl=2 band=view novelty=1\n")
 }
 
 fn batch(clock: f64, lines: &str) -> String {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_is_delivered_and_every_batch_answered() {
+fn request_is_delivered_and_every_batch_is_answered() {
     let input = batch(5.0, "")
         + &batch(5.0, &(start(3, 9, &["s1", "s2"]) + &query(3, 4_000_000_000)))
         + &batch(5.1, "UNDER_WAY relayId=3 opId=4000000000 trial=0 backend=s1 delaySeen=0.1\n");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn slots_are_reused_within_a_batch_and_shutdown_may_meet_start() {
+fn slots_are_reused_within_a_batch_and_a_gateway_restarts_after_its_shutdown() {
     let lines = start(0, 1, &["old"])
         + "DIRECTORY slot=0 entries=1\nROW backend=new rackZone=east model=fast cluster=0 state=on\n"
         + "DISCOVERY relayId=0 how=whole epoch=2 slot=0\n"
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn garbage_gets_a_plain_message_and_a_failing_exit() {
+fn invalid_input_gets_a_message_and_a_failing_exit() {
     let started = batch(1.0, &start(0, 1, &["s1"]));
     let bad = [
         "nonsense\n".to_owned(),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn odd_but_legal_values_are_survived() {
+fn unusual_but_valid_values_are_accepted() {
     let lines = start(0, 1, &["s1"])
         + "QUERY relayId=0 opId=1 ttl=0 band=view\n"
         + "QUERY relayId=0 opId=2 ttl=0.000001 band=view workHint=NaN\n"
@@ -119,8 +119,8 @@
     assert!(stdout(&output).ends_with("DONE\n"));
 }
 
-/// A longer exchange of two relays; `name` gives every server, zone and class its name.
-fn exchange(relays: &[u32], name: &dyn Fn(&str) -> String) -> String {
+/// A longer exchange of two gateways; `name` gives every server, zone and class its name.
+fn exchange(gateways: &[u32], name: &dyn Fn(&str) -> String) -> String {
     let servers: Vec<String> = (0..6).map(|i| name(&format!("server{i}"))).collect();
     let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
     let mut input = String::new();
@@ -132,14 +132,14 @@
             .replace("model=fast", &format!("model={}", name("fast")))
             .replace("band=view", &format!("band={}", name("view")))
     };
-    for &relay in relays {
-        input += &batch(1.0, &rename(start(relay, 7 + u64::from(relay), &servers)));
+    for &gateway in gateways {
+        input += &batch(1.0, &rename(start(gateway, 7 + u64::from(gateway), &servers)));
     }
     for step in 0..60 {
         let clock = 1.0 + f64::from(step) * 0.05;
         let mut lines = String::new();
-        for &relay in relays {
-            lines += &query(relay, 1000 * (relay + 1) + step);
+        for &gateway in gateways {
+            lines += &query(gateway, 1000 * (gateway + 1) + step);
         }
         input += &batch(clock, &rename(lines));
     }
@@ -150,21 +150,23 @@
 fn renaming_everything_changes_no_decision() {
     let plain = exchange(&[0, 1], &str::to_owned);
     let renamed = exchange(&[0, 1], &|word| format!("zz-{}", word.chars().rev().collect::<String>()));
-    let back = (0..6).fold(renamed, |text, i| text.replace(&format!("zz-{i}revres"), &format!("server{i}")));
+    let back = (0..6).fold(renamed, |text, number| {
+        text.replace(&format!("zz-{number}revres"), &format!("server{number}"))
+    });
     assert!(plain.matches("DELIVER").count() >= 120);
     assert_eq!(plain, back);
 }
 
 #[test]
 fn instances_act_alike_in_one_process_and_in_two() {
-    let of = |text: &str, relay: u32| -> Vec<String> {
-        let mark = format!("relayId={relay} ");
+    let lines_of = |text: &str, gateway: u32| -> Vec<String> {
+        let mark = format!("relayId={gateway} ");
         text.lines().filter(|line| line.contains(&mark)).map(str::to_owned).collect()
     };
     let together = exchange(&[0, 1], &str::to_owned);
-    for relay in [0, 1] {
-        let alone = exchange(&[relay], &str::to_owned);
-        assert!(!of(&alone, relay).is_empty());
-        assert_eq!(of(&together, relay), of(&alone, relay));
+    for gateway in [0, 1] {
+        let alone = exchange(&[gateway], &str::to_owned);
+        assert!(!lines_of(&alone, gateway).is_empty());
+        assert_eq!(lines_of(&together, gateway), lines_of(&alone, gateway));
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The rules, over random legal sequences of events with a fixed seed.
+//! The rules of the decision module, over random legal sequences of events with a fixed seed.
 
 use std::collections::BTreeMap;
 
@@ -22,36 +22,58 @@
 }
 
 /// What the world knows of a request.
-struct Owed {
+struct RequestState {
     deadline: i64,
     over: bool,
     established: bool,
     attempts: u32,
-    /// The attempt that is out: server, when it times out, when it was sent.
-    out: Option<(ServerId, i64, i64)>,
-    may_have_run: Option<(ServerId, i64)>,
+    in_flight: Option<Attempt>,
+    /// The first attempt that may have been executed.
+    first_execution: Option<Attempt>,
 }
 
-/// A relay's surroundings, which keep to the wire's rules and hold the module to its own.
+/// An attempt that was sent; times in microseconds.
+#[derive(Clone, Copy)]
+struct Attempt {
+    server: ServerId,
+    times_out_at: i64,
+    sent_at: i64,
+}
+
+/// A timer that the module has set, in microseconds.
+#[derive(Clone, Copy)]
+struct Timer {
+    due_at: i64,
+    token: TimerToken,
+}
+
+impl RequestState {
+    /// Whether its attempt should have been established by now.
+    fn is_late(&self, now: i64) -> bool {
+        !self.established && self.in_flight.is_some_and(|attempt| attempt.times_out_at <= now)
+    }
+}
+
+/// A gateway's surroundings, which keep to the protocol and check the module's actions.
 struct World {
     module: Balancer,
-    effect: Idempotency,
+    idempotency: Idempotency,
     now: i64,
-    owed: BTreeMap<RequestId, Owed>,
+    requests: BTreeMap<RequestId, RequestState>,
     state: Vec<ServerState>,
-    timers: Vec<(i64, TimerToken)>,
+    timers: Vec<Timer>,
     next_id: u32,
     answers: u32,
     attempts: u32,
 }
 
 impl World {
-    fn new(effect: Idempotency, seed: u64) -> Self {
+    fn new(idempotency: Idempotency, seed: u64) -> Self {
         let class = RequestClass {
             latency_objective: Span::from_micros(100_000),
             message_latency_objective: Span::from_micros(50_000),
             priority_weight: 1.0,
-            idempotency: effect,
+            idempotency,
         };
         let settings = Settings {
             classes: vec![class],
@@ -72,41 +94,36 @@
         };
         let mut world = World {
             module: Balancer::new(settings, seed),
-            effect,
+            idempotency,
             now: 1_000_000,
-            owed: BTreeMap::new(),
+            requests: BTreeMap::new(),
             state: vec![ServerState::Ready; SERVERS as usize],
             timers: Vec::new(),
             next_id: 0,
             answers: 0,
             attempts: 0,
         };
-        let entries = (0..SERVERS).map(|s| world.listing(ServerId(s), None)).collect();
+        let entries = (0..SERVERS).map(|number| world.endpoint(ServerId(number), None)).collect();
         world.send(Event::EndpointList { update: ListUpdate::Cached, entries });
         world
     }
 
-    fn listing(&self, server: ServerId, started: Option<Time>) -> EndpointEntry {
+    fn endpoint(&self, server: ServerId, started_at: Option<Time>) -> EndpointEntry {
         let state = self.state[server.0 as usize];
-        EndpointEntry {
-            cell: cell(server),
-            state,
-            started_at: started,
-            ..EndpointEntry::ready(server, zone(server))
-        }
+        EndpointEntry { cell: cell(server), state, started_at, ..EndpointEntry::ready(server, zone(server)) }
     }
 
     fn request(&mut self, ttl: i64) -> Request {
         self.next_id += 1;
-        let owed = Owed {
+        let request = RequestState {
             deadline: self.now + ttl,
             over: false,
             established: false,
             attempts: 0,
-            out: None,
-            may_have_run: None,
+            in_flight: None,
+            first_execution: None,
         };
-        self.owed.insert(RequestId(self.next_id), owed);
+        self.requests.insert(RequestId(self.next_id), request);
         Request {
             id: RequestId(self.next_id),
             class: ClassId(0),
@@ -127,187 +144,224 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Attempt { id, server, timeout } => {
-                self.attempts += 1;
-                let effect = self.effect;
-                let now = self.now;
-                assert_eq!(self.state[server.0 as usize], ServerState::Ready, "rule 3: {server:?}");
-                let owed = self.owed.get_mut(&id).expect("a request this relay was given");
-                assert!(!owed.over, "rule 1: an attempt after the end of {id:?}");
-                assert!(owed.out.is_none(), "rule 2: two attempts of {id:?} out together");
-                if let Some((first, sent)) = owed.may_have_run {
-                    match effect {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NotIdempotent => panic!("rule 2: {id:?} may have run and is unsafe"),
-                        Idempotency::WithKey { scope: group, remembered_for: window } => {
-                            assert!(now - sent <= window.as_micros(), "rule 2: {id:?} past its window");
-                            assert!(match group {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => zone(first) == zone(server),
-                                DeduplicationScope::Cell => cell(first) == cell(server),
-                            });
-                        }
-                    }
-                }
-                owed.attempts += 1;
-                assert!(owed.attempts <= MAX_ATTEMPTS);
-                let end = match timeout.as_micros() {
-                    0 => owed.deadline,
-                    cap => owed.deadline.min(now + cap),
-                };
-                owed.out = Some((server, end, now));
-            }
-            Action::Reject { id, .. } => {
-                let owed = &self.owed[&id];
-                let may_have_run = owed.may_have_run.is_some() || owed.out.is_some();
-                let all = matches!(
-                    self.effect,
-                    Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
-                );
-                assert!(all || !may_have_run, "rule 2: {id:?} refused, but may have run");
-                self.answer(id);
-            }
+            Action::Attempt { id, server, timeout } => self.check_attempt(id, server, timeout),
+            Action::Reject { id, .. } => self.check_rejection(id),
             Action::Fail { id } => self.answer(id),
-            Action::CancelAttempt { id, attempt } => assert!(attempt < self.owed[&id].attempts),
-            Action::SetTimer { token, due_at: at } => self.timers.push((at.as_micros(), token)),
-            Action::Migrate { id } => assert!(self.owed[&id].established),
+            Action::CancelAttempt { id, attempt } => assert!(attempt < self.requests[&id].attempts),
+            Action::SetTimer { token, due_at } => {
+                self.timers.push(Timer { due_at: due_at.as_micros(), token })
+            }
+            Action::Migrate { id } => assert!(self.requests[&id].established),
             Action::CheckHealth { server } => assert!(server.0 < SERVERS),
             Action::RequestPermit { server } => assert!(server.0 < SERVERS, "of a server that was listed"),
             Action::Subscribe => {}
         }
     }
 
+    fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Span) {
+        self.attempts += 1;
+        assert_eq!(self.state[server.0 as usize], ServerState::Ready, "rule 3: {server:?}");
+        let request = &self.requests[&id];
+        assert!(!request.over, "rule 1: an attempt after the end of {id:?}");
+        assert!(request.in_flight.is_none(), "rule 2: two attempts of {id:?} in flight");
+        if let Some(first) = request.first_execution {
+            self.check_repeat(id, first, server);
+        }
+        let now = self.now;
+        let request = self.requests.get_mut(&id).expect("just seen");
+        request.attempts += 1;
+        assert!(request.attempts <= MAX_ATTEMPTS);
+        let times_out_at = match timeout.as_micros() {
+            0 => request.deadline,
+            cap => request.deadline.min(now + cap),
+        };
+        request.in_flight = Some(Attempt { server, times_out_at, sent_at: now });
+    }
+
+    /// Checks an attempt of a request that may have been executed before.
+    fn check_repeat(&self, id: RequestId, first: Attempt, server: ServerId) {
+        match self.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => {
+                panic!("rule 2: {id:?} may have been executed and is not idempotent")
+            }
+            Idempotency::WithKey { scope, remembered_for } => {
+                let age = self.now - first.sent_at;
+                assert!(age <= remembered_for.as_micros(), "rule 2: {id:?} past its window");
+                assert!(match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => zone(first.server) == zone(server),
+                    DeduplicationScope::Cell => cell(first.server) == cell(server),
+                });
+            }
+        }
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let request = &self.requests[&id];
+        let may_have_run = request.first_execution.is_some() || request.in_flight.is_some();
+        let is_repeatable = matches!(
+            self.idempotency,
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+        );
+        assert!(is_repeatable || !may_have_run, "rule 2: {id:?} rejected, but may have been executed");
+        self.answer(id);
+    }
+
     /// A final answer by the module.
     fn answer(&mut self, id: RequestId) {
         self.answers += 1;
-        let owed = self.owed.get_mut(&id).expect("a request this relay was given");
-        assert!(!owed.over, "rule 1: {id:?} answered twice");
-        assert!(self.now <= owed.deadline + SLACK, "rule 1: {id:?} answered late");
-        owed.over = true;
+        let request = self.requests.get_mut(&id).expect("a request that was sent");
+        assert!(!request.over, "rule 1: {id:?} answered twice");
+        assert!(self.now <= request.deadline + SLACK, "rule 1: {id:?} answered late");
+        request.over = true;
     }
 
     fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let owed = self.owed.get_mut(&id).expect("known");
-        let Some((server, _, sent)) = owed.out.take() else { return };
-        if !outcome.proves_not_executed() && owed.may_have_run.is_none() {
-            owed.may_have_run = Some((server, sent));
+        let request = self.requests.get_mut(&id).expect("known");
+        let Some(ended) = request.in_flight.take() else { return };
+        if !outcome.proves_not_executed() && request.first_execution.is_none() {
+            request.first_execution = Some(ended);
         }
-        if owed.established || outcome == Outcome::Ok {
-            owed.over = true;
+        if request.established || outcome == Outcome::Ok {
+            request.over = true;
         }
-        let (attempt, request_over) = (owed.attempts - 1, owed.over);
-        self.send(Event::AttemptEnded { id, attempt, outcome, request_done: request_over });
+        let attempt = request.attempts - 1;
+        let request_done = request.over;
+        self.send(Event::AttemptEnded { id, attempt, outcome, request_done });
     }
 
-    /// The `pick`-th attempt that is out, counted around.
-    fn out(&self, pick: u32) -> Option<RequestId> {
-        let out: Vec<_> = self.owed.iter().filter(|(_, o)| o.out.is_some()).map(|(&id, _)| id).collect();
-        (!out.is_empty()).then(|| out[pick as usize % out.len()])
+    /// The `pick`-th request with an attempt in flight, counted around.
+    fn pick_in_flight(&self, pick: u32) -> Option<RequestId> {
+        let requests = self.requests.iter().filter(|(_, request)| request.in_flight.is_some());
+        let ids: Vec<_> = requests.map(|(&id, _)| id).collect();
+        (!ids.is_empty()).then(|| ids[pick as usize % ids.len()])
     }
 
+    /// Lets a step of time pass, sends an event of this kind, and checks that nothing is overdue.
     fn step(&mut self, kind: u32, pick: u32) {
-        self.now += STEP;
-        let due: Vec<_> = self.timers.iter().filter(|(at, _)| *at <= self.now).copied().collect();
-        self.timers.retain(|(at, _)| *at > self.now);
-        let late = |o: &Owed, now| !o.established && o.out.is_some_and(|(_, end, _)| end <= now);
-        let late: Vec<_> = self.owed.iter().filter(|(_, o)| late(o, self.now)).map(|(&id, _)| id).collect();
-        for id in late {
-            self.end(id, Outcome::TimedOut);
-        }
-        for (_, token) in due {
-            self.send(Event::Timer(token));
-        }
+        self.pass_time();
         let server = ServerId(pick % SERVERS);
         match kind {
-            0..=5 => {
-                let ttl = [0, 1, 40_000, 200_000, 600_000][pick as usize % 5];
-                let request = self.request(ttl);
-                self.send(Event::Request(request));
-            }
-            6..=9 => {
-                if let Some(id) = self.out(pick) {
-                    let outcomes = [
-                        Outcome::Failed,
-                        Outcome::QueueFull,
-                        Outcome::ConnectError,
-                        Outcome::Reset,
-                        Outcome::Cancelled,
-                        Outcome::Ok,
-                    ];
-                    self.end(id, outcomes[(pick / 7) as usize % outcomes.len()]);
-                }
-            }
-            10 | 11 => {
-                if let Some(id) = self.out(pick) {
-                    let owed = self.owed.get_mut(&id).expect("known");
-                    if !owed.established && !owed.over {
-                        (owed.established, owed.over) = (true, true);
-                        let attempt = owed.attempts - 1;
-                        self.send(Event::Established { id, attempt, elapsed: Span::from_micros(STEP) });
-                    }
-                }
-            }
-            12 | 13 => {
-                let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
-                self.state[server.0 as usize] = states[(pick / 7) as usize % 3];
-                let started = (pick % 2 == 0).then(|| Time::from_micros(self.now));
-                let entries = vec![self.listing(server, started)];
-                self.send(Event::EndpointList { update: ListUpdate::Delta, entries });
-            }
-            14 => {
-                let open = self.owed.iter().find(|(_, o)| !o.over).map(|(&id, _)| id);
-                if let Some(id) = open {
-                    self.owed.get_mut(&id).expect("known").over = true;
-                    self.send(Event::ClientLeft { id });
-                }
-            }
+            0..=5 => self.send_request(pick),
+            6..=9 => self.end_attempt(pick),
+            10 | 11 => self.establish(pick),
+            12 | 13 => self.change_server(server, pick),
+            14 => self.leave(),
             15 => {
-                let takes = Span::from_micros(i64::from(pick % 100) * 1_000);
-                self.send(Event::SlowResponses { server, response_time: takes });
-            }
-            16 => {
-                let value = [f64::NAN, -1.0, 0.2, 1e300, f64::INFINITY][pick as usize % 5];
-                let report = Some(LoadReport { load_ratio: Some(value), utilisation: None });
-                self.send(Event::HealthChecked {
-                    server,
-                    healthy: pick % 3 > 0,
-                    report: report.filter(|_| pick % 4 > 0),
-                });
-                self.send(Event::LoadChanged { id: RequestId(pick % 50), load: value });
-            }
-            17 => {
-                let request = self.request(0);
-                let id = request.id;
-                let owed = self.owed.get_mut(&id).expect("just made");
-                (owed.over, owed.established, owed.attempts) = (true, true, 1);
-                owed.out = Some((server, i64::MAX, self.now));
-                self.send(Event::ExistingConnection { request, server });
+                let response_time = Span::from_micros(i64::from(pick % 100) * 1_000);
+                self.send(Event::SlowResponses { server, response_time });
             }
+            16 => self.report(server, pick),
+            17 => self.send_existing(server),
             18 => self.send(Event::EndpointList { update: ListUpdate::WatchFailed, entries: Vec::new() }),
-            _ => {
-                let (until, lacks) = (Time::from_micros(self.now + 250_000), pick % 3 == 0);
-                let right = match pick % 4 {
-                    0 => PermitReply::NoReply,
-                    1 => PermitReply::Denied {
-                        retry_after: Span::from_micros(90_000),
-                        below_fair_share: lacks,
-                    },
-                    _ => PermitReply::Granted { expires_at: until, below_fair_share: lacks },
-                };
-                self.send(Event::PermitReply { server: ServerId(pick % 8), reply: right });
-            }
+            _ => self.reply_to_permit_request(pick),
+        }
+        for (id, request) in &self.requests {
+            let latest = request.deadline + SLACK + STEP;
+            assert!(request.over || self.now <= latest, "rule 1: {id:?} never answered");
+        }
+    }
+
+    fn pass_time(&mut self) {
+        self.now += STEP;
+        let now = self.now;
+        let due: Vec<_> = self.timers.iter().filter(|timer| timer.due_at <= now).copied().collect();
+        self.timers.retain(|timer| timer.due_at > now);
+        let late = self.requests.iter().filter(|(_, request)| request.is_late(now));
+        let late: Vec<_> = late.map(|(&id, _)| id).collect();
+        for id in late {
+            self.end(id, Outcome::TimedOut);
+        }
+        for timer in due {
+            self.send(Event::Timer(timer.token));
+        }
+    }
+
+    fn send_request(&mut self, pick: u32) {
+        let ttl = [0, 1, 40_000, 200_000, 600_000][pick as usize % 5];
+        let request = self.request(ttl);
+        self.send(Event::Request(request));
+    }
+
+    fn end_attempt(&mut self, pick: u32) {
+        let outcomes = [
+            Outcome::Failed,
+            Outcome::QueueFull,
+            Outcome::ConnectError,
+            Outcome::Reset,
+            Outcome::Cancelled,
+            Outcome::Ok,
+        ];
+        if let Some(id) = self.pick_in_flight(pick) {
+            self.end(id, outcomes[(pick / 7) as usize % outcomes.len()]);
+        }
+    }
+
+    fn establish(&mut self, pick: u32) {
+        let Some(id) = self.pick_in_flight(pick) else { return };
+        let request = self.requests.get_mut(&id).expect("known");
+        if !request.established && !request.over {
+            request.established = true;
+            request.over = true;
+            let attempt = request.attempts - 1;
+            self.send(Event::Established { id, attempt, elapsed: Span::from_micros(STEP) });
         }
-        for (id, owed) in &self.owed {
-            let held_to = owed.deadline + SLACK + STEP;
-            assert!(owed.over || self.now <= held_to, "rule 1: {id:?} never answered");
+    }
+
+    fn change_server(&mut self, server: ServerId, pick: u32) {
+        let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
+        self.state[server.0 as usize] = states[(pick / 7) as usize % 3];
+        let started_at = (pick % 2 == 0).then(|| Time::from_micros(self.now));
+        let entries = vec![self.endpoint(server, started_at)];
+        self.send(Event::EndpointList { update: ListUpdate::Delta, entries });
+    }
+
+    fn leave(&mut self) {
+        let open = self.requests.iter().find(|(_, request)| !request.over).map(|(&id, _)| id);
+        if let Some(id) = open {
+            self.requests.get_mut(&id).expect("known").over = true;
+            self.send(Event::ClientLeft { id });
         }
     }
 
-    /// Ends all that is out and looks whether the counts return to nothing.
+    fn report(&mut self, server: ServerId, pick: u32) {
+        let value = [f64::NAN, -1.0, 0.2, 1e300, f64::INFINITY][pick as usize % 5];
+        let report = Some(LoadReport { load_ratio: Some(value), utilisation: None });
+        self.send(Event::HealthChecked {
+            server,
+            healthy: pick % 3 > 0,
+            report: report.filter(|_| pick % 4 > 0),
+        });
+        self.send(Event::LoadChanged { id: RequestId(pick % 50), load: value });
+    }
+
+    fn send_existing(&mut self, server: ServerId) {
+        let request = self.request(0);
+        let state = self.requests.get_mut(&request.id).expect("just made");
+        state.over = true;
+        state.established = true;
+        state.attempts = 1;
+        state.in_flight = Some(Attempt { server, times_out_at: i64::MAX, sent_at: self.now });
+        self.send(Event::ExistingConnection { request, server });
+    }
+
+    fn reply_to_permit_request(&mut self, pick: u32) {
+        let expires_at = Time::from_micros(self.now + 250_000);
+        let below_fair_share = pick % 3 == 0;
+        let reply = match pick % 4 {
+            0 => PermitReply::NoReply,
+            1 => PermitReply::Denied { retry_after: Span::from_micros(90_000), below_fair_share },
+            _ => PermitReply::Granted { expires_at, below_fair_share },
+        };
+        self.send(Event::PermitReply { server: ServerId(pick % 8), reply });
+    }
+
+    /// Ends all attempts and connections, and checks that the counts return to zero.
     fn settle(&mut self) {
         for _ in 0..400 {
             self.step(14, 0);
-            while let Some(id) = self.out(0) {
+            while let Some(id) = self.pick_in_flight(0) {
                 self.end(id, Outcome::Cancelled);
             }
         }
@@ -317,14 +371,13 @@
     }
 }
 
-fn holds(effect: Idempotency) {
+fn check_rules(idempotency: Idempotency) {
     let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = vec((0u32..20, any::<u32>()), 50..400);
-    let mut seen = (0, 0);
     TestRunner::new_with_rng(config, rng)
         .run(&(any::<u64>(), steps), |(seed, steps)| {
-            let mut world = World::new(effect, seed);
+            let mut world = World::new(idempotency, seed);
             for (kind, pick) in steps {
                 world.step(kind, pick);
             }
@@ -334,40 +387,39 @@
         })
         .unwrap_or_else(|failure| panic!("{failure}"));
     // The sequences must reach attempts and answers, or nothing above was tested.
-    let mut world = World::new(effect, 1);
+    let mut world = World::new(idempotency, 1);
     for step in 0..500u32 {
         world.step(step % 20, step.wrapping_mul(2_654_435_761));
     }
-    seen.0 += world.attempts;
-    seen.1 += world.answers;
-    assert!(seen.0 > 30 && seen.1 > 10, "{seen:?}");
+    assert!(world.attempts > 30, "{} attempts", world.attempts);
+    assert!(world.answers > 10, "{} answers", world.answers);
 }
 
-fn keyed(group: DeduplicationScope) -> Idempotency {
-    Idempotency::WithKey { scope: group, remembered_for: Span::from_micros(WINDOW) }
+fn keyed(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::WithKey { scope, remembered_for: Span::from_micros(WINDOW) }
 }
 
 #[test]
-fn rules_hold_for_safe_requests() {
-    holds(Idempotency::Idempotent);
+fn rules_apply_to_idempotent_requests() {
+    check_rules(Idempotency::Idempotent);
 }
 
 #[test]
-fn rules_hold_for_keyed_requests_of_all_servers() {
-    holds(keyed(DeduplicationScope::All));
+fn rules_apply_to_requests_with_keys_that_all_servers_share() {
+    check_rules(keyed(DeduplicationScope::All));
 }
 
 #[test]
-fn rules_hold_for_keyed_requests_of_a_zone() {
-    holds(keyed(DeduplicationScope::Zone));
+fn rules_apply_to_requests_with_keys_that_a_zone_shares() {
+    check_rules(keyed(DeduplicationScope::Zone));
 }
 
 #[test]
-fn rules_hold_for_keyed_requests_of_a_cell() {
-    holds(keyed(DeduplicationScope::Cell));
+fn rules_apply_to_requests_with_keys_that_a_cell_shares() {
+    check_rules(keyed(DeduplicationScope::Cell));
 }
 
 #[test]
-fn rules_hold_for_unsafe_requests() {
-    holds(Idempotency::NotIdempotent);
+fn rules_apply_to_non_idempotent_requests() {
+    check_rules(Idempotency::NotIdempotent);
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Turns at a cold server: what all their holders can spend within a window, each at the worst moment, against the
+//! Permits for a warming server: what all their holders can use within a window, each at the worst moment, against the
 //! rule as the page states it.
 
 use ashtide::decision::slow_start::{PermitHolder, PermitSchedule, SlowStartConfig};
@@ -13,71 +13,93 @@
     Span::from_micros((seconds * 1e6) as i64)
 }
 
-fn settings(peers: bool, fall_multiple: f64, overload_for: Span, cold_from: f64, warm: Span) -> Settings {
+fn settings(
+    fleet_permits: bool,
+    overload_factor: f64,
+    overload_window: Span,
+    initial_capacity_share: f64,
+    warm_up_time: Span,
+) -> Settings {
     let base = Settings::for_zone(ZoneId(0));
     Settings {
-        fleet_permits: peers,
+        fleet_permits,
         gateways: 30,
-        overload_factor: fall_multiple,
-        overload_window: overload_for,
-        initial_capacity_share: cold_from,
-        warm_up_time: warm,
+        overload_factor,
+        overload_window,
+        initial_capacity_share,
+        warm_up_time,
         ..base
     }
 }
 
 /// N + 2 x root of N + 2, N what the settings allow at this age. Not the code under test.
-fn falls_at(settings: &Settings, age: Span, full: f64) -> f64 {
+fn overload_threshold(settings: &Settings, age: Span, full: f64) -> f64 {
     let warm = settings.warm_up_time.as_secs();
-    let part = settings.initial_capacity_share
+    let share = settings.initial_capacity_share
         + (1.0 - settings.initial_capacity_share) * (age.as_secs() / warm).min(1.0);
-    let n = settings.overload_factor * part * full / warm * settings.overload_window.as_secs();
-    n + 2.0 * n.sqrt() + 2.0
+    let allowed = settings.overload_factor * share * full / warm * settings.overload_window.as_secs();
+    allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// When each turn may be used first and last: by then it is lost, and a lease has passed. `lost` off: the broken variant, in
-/// which what is not spent is kept.
-fn usable(schedule: PermitSchedule, full: f64, until: Span, lease: Span, lost: bool) -> Vec<(i64, i64)> {
-    let (mut turns, mut gone) = (Vec::<(i64, i64)>::new(), 0);
-    for at in (0..until.as_micros()).step_by(STEP as usize) {
-        let age = Span::from_micros(at);
-        let come = schedule.permits_issued(age, full).floor().max(0.0) as usize;
-        turns.resize(turns.len().max(come).min(20_000), (at, i64::MAX));
-        // Turns up to this one are lost.
-        let edge = schedule.permits_expired(age, full).max(0.0) as usize;
-        for turn in gone..edge.min(turns.len()).max(gone) {
-            turns[turn].1 = if lost { (at + lease.as_micros()).max(turns[turn].0) } else { i64::MAX };
+/// Whether permits that are not used expire; if they are kept, the rule is broken.
+#[derive(Clone, Copy, PartialEq)]
+enum Unused {
+    Expire,
+    NeverExpire,
+}
+
+/// When a permit can be used first and last, in microseconds of the server's age.
+struct Usable {
+    first: i64,
+    last: i64,
+}
+
+/// When each permit can be used: from its issue until it has expired and a lease has passed.
+fn usable(schedule: PermitSchedule, full: f64, until: Span, lease: Span, unused: Unused) -> Vec<Usable> {
+    let mut permits = Vec::new();
+    let mut expired = 0;
+    for micros in (0..until.as_micros()).step_by(STEP as usize) {
+        let age = Span::from_micros(micros);
+        let issued = schedule.permits_issued(age, full).floor().max(0.0) as usize;
+        let count = permits.len().max(issued).min(20_000);
+        permits.resize_with(count, || Usable { first: micros, last: i64::MAX });
+        let last_expired = schedule.permits_expired(age, full).max(0.0) as usize;
+        for number in expired..last_expired.min(permits.len()).max(expired) {
+            let permit = &mut permits[number];
+            permit.last = match unused {
+                Unused::Expire => (micros + lease.as_micros()).max(permit.first),
+                Unused::NeverExpire => i64::MAX,
+            };
         }
-        gone = gone.max(edge.min(turns.len()));
+        expired = expired.max(last_expired.min(permits.len()));
     }
-    // One that was lost before it came is nobody's.
-    turns.retain(|(first, last)| *last > first + lease.as_micros() || lease == Span::ZERO && last > first);
-    turns
+    // One that expired before it was issued is nobody's.
+    permits.retain(|permit| {
+        permit.last > permit.first + lease.as_micros() || lease == Span::ZERO && permit.last > permit.first
+    });
+    permits
 }
 
 /// How much the worst window has more than the rule allows it, if any.
-fn worst(settings: &Settings, full: f64, until: Span, lost: bool) -> f64 {
-    let mut turns = usable(PermitSchedule::ungranted_permits(settings), full, until, Span::ZERO, lost);
+fn worst_excess(settings: &Settings, full: f64, until: Span, unused: Unused) -> f64 {
+    let ungranted = PermitSchedule::ungranted_permits(settings);
+    let mut permits = usable(ungranted, full, until, Span::ZERO, unused);
     if settings.fleet_permits {
-        turns.extend(usable(
-            SlowStartConfig::new(settings).granted_permits(PERMIT_LIFETIME),
-            full,
-            until,
-            PERMIT_LIFETIME,
-            lost,
-        ));
+        let granted = SlowStartConfig::new(settings).granted_permits(PERMIT_LIFETIME);
+        permits.extend(usable(granted, full, until, PERMIT_LIFETIME, unused));
     }
     let window = settings.overload_window.as_micros();
-    // One step of slack on each side, as turns are looked for in steps.
-    let over = |from: i64| {
-        let seen = turns.iter().filter(|&&(first, last)| first < from + window - STEP && last > from + STEP);
-        seen.count() as f64 - falls_at(settings, Span::from_micros(from), full)
+    // One step of slack on each side, as permits are looked for in steps.
+    let excess = |from: i64| {
+        let is_usable = |permit: &&Usable| permit.first < from + window - STEP && permit.last > from + STEP;
+        let count = permits.iter().filter(is_usable).count();
+        count as f64 - overload_threshold(settings, Span::from_micros(from), full)
     };
-    (0..until.as_micros() - window).step_by(5 * STEP as usize).map(over).fold(f64::MIN, f64::max)
+    (0..until.as_micros() - window).step_by(5 * STEP as usize).map(excess).fold(f64::MIN, f64::max)
 }
 
 #[test]
-fn all_turns_together_are_never_more_than_the_rule_allows() {
+fn all_permits_together_never_exceed_the_overload_threshold() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[21; 32]);
     let mut runner =
         TestRunner::new_with_rng(Cases { cases: 160, failure_persistence: None, ..Cases::default() }, rng);
@@ -85,59 +107,67 @@
     runner
         .run(&cases, |(peers, multiple, overload, cold_from, warm, full)| {
             let settings = settings(peers, multiple, secs(overload), cold_from, secs(warm));
-            let (full, until) = (10f64.powf(full), secs(2.0 * warm + 2.0 * overload));
-            let over = worst(&settings, full, until, true);
-            prop_assert!(over <= 0.0, "{over} over the rule with {settings:?} filled by {full}");
+            let full = 10f64.powf(full);
+            let until = secs(2.0 * warm + 2.0 * overload);
+            let excess = worst_excess(&settings, full, until, Unused::Expire);
+            prop_assert!(excess <= 0.0, "{excess} over the rule with {settings:?} filled by {full}");
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn turns_that_are_kept_break_the_rule() {
-    for peers in [false, true] {
-        let settings = settings(peers, 2.5, secs(2.0), 0.13, secs(24.0));
-        assert!(worst(&settings, 54.0, secs(48.0), true) <= 0.0);
-        assert!(worst(&settings, 54.0, secs(48.0), false) > 0.0, "the check finds nothing");
+fn permits_that_never_expire_break_the_rule() {
+    for fleet_permits in [false, true] {
+        let settings = settings(fleet_permits, 2.5, secs(2.0), 0.13, secs(24.0));
+        assert!(worst_excess(&settings, 54.0, secs(48.0), Unused::Expire) <= 0.0);
+        assert!(
+            worst_excess(&settings, 54.0, secs(48.0), Unused::NeverExpire) > 0.0,
+            "the check finds nothing"
+        );
     }
 }
 
 #[test]
-fn each_turn_has_one_holder_who_spends_it_once_and_none_of_an_earlier_process() {
+fn each_permit_has_one_holder_who_uses_it_once_and_none_of_an_earlier_process() {
     let settings = settings(false, 2.5, secs(2.0), 0.13, secs(24.0));
-    let (born, schedule) = (Time::from_micros(1_000_000), PermitSchedule::ungranted_permits(&settings));
-    let mut spent = std::collections::BTreeMap::new();
-    for own in 0..30 {
-        let gateway = Settings { gateway_id: GatewayId(own), ..settings.clone() };
-        let (mut began, mut last) = (Time::from_micros(0), 0);
+    let server_started_at = Time::from_micros(1_000_000);
+    let schedule = PermitSchedule::ungranted_permits(&settings);
+    let mut used = std::collections::BTreeMap::new();
+    for index in 0..30 {
+        let gateway = Settings { gateway_id: GatewayId(index), ..settings.clone() };
+        let mut started_at = Time::from_micros(0);
+        let mut last_used = 0;
         for now in (1_000_000..60_000_000).step_by(100_000) {
             let now = Time::from_micros(now);
-            // Every third gateway is started anew every 7 s, and knows nothing of before.
-            if own % 3 == 0 && now.as_micros() % 7_000_000 == 0 {
-                (began, last) = (now, 0);
+            // Every third gateway is restarted every 7 s, and knows nothing of before.
+            if index % 3 == 0 && now.as_micros() % 7_000_000 == 0 {
+                started_at = now;
+                last_used = 0;
             }
-            let holder = PermitHolder::for_gateway(&gateway, 0x5be2_a07c, began, last);
-            if let Ok(turn) = schedule.next_permit(now, born, 54.0, holder) {
-                last = turn;
-                assert_eq!(spent.insert(turn, own), None, "turn {turn} is spent twice");
-                assert!(turn as f64 <= schedule.permits_issued(now.since(born), 54.0));
+            let holder = PermitHolder::for_gateway(&gateway, 0x5be2_a07c, started_at, last_used);
+            if let Ok(permit) = schedule.next_permit(now, server_started_at, 54.0, holder) {
+                last_used = permit;
+                assert_eq!(used.insert(permit, index), None, "permit {permit} is used twice");
+                assert!(permit as f64 <= schedule.permits_issued(now.since(server_started_at), 54.0));
             }
         }
     }
-    let come = schedule.permits_issued(secs(58.0), 54.0);
-    assert!(spent.len() as f64 > 0.9 * come, "{} of {come} turns spent", spent.len());
+    let issued = schedule.permits_issued(secs(58.0), 54.0);
+    assert!(used.len() as f64 > 0.9 * issued, "{} of {issued} permits used", used.len());
 }
 
 #[test]
-fn a_turn_told_by_another_process_counts_unless_it_cannot_have_come() {
+fn permit_reported_by_another_process_counts_unless_it_cannot_have_been_issued() {
     let settings = settings(false, 2.5, secs(2.0), 0.13, secs(24.0));
-    let (schedule, born) = (PermitSchedule::ungranted_permits(&settings), Time::from_micros(0));
+    let schedule = PermitSchedule::ungranted_permits(&settings);
+    let started_at = Time::from_micros(0);
     let now = Time::from_micros(10_000_000);
-    let come = schedule.permits_issued(now.since(born), 54.0) as u64;
-    assert_eq!(schedule.accept_reported_permit(now, Some(born), 54.0, come), come);
+    let issued = schedule.permits_issued(now.since(started_at), 54.0) as u64;
+    assert_eq!(schedule.accept_reported_permit(now, Some(started_at), 54.0, issued), issued);
     assert_eq!(
-        schedule.accept_reported_permit(now, Some(born), 54.0, come + 3),
+        schedule.accept_reported_permit(now, Some(started_at), 54.0, issued + 3),
         0,
-        "it is of the server's last life"
+        "it is of the server's previous process"
     );
 }
