--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -12,7 +12,7 @@
 use serde_inline_default::serde_inline_default;
 use tokio_util::codec::Decoder;
 
-use crate::decision::interface::{ServerState, Span, Time};
+use crate::decision::interface::{ServerState, Span};
 
 /// Longest head of an answer.
 const MAX_HEAD_BYTES: usize = 8 << 10;
@@ -115,51 +115,6 @@
     Failed,
 }
 
-/// Until when the list is vouched for. It is told events and their times, and has no socket and no clock.
-///
-/// While a watch that has answered is in step, the list stands. Whatever ends that, it stands for [`TOLD`] from
-/// the last whole object or beat on; for a new process, from its start on. Failures that follow change nothing: a
-/// 503, a reset or a time-out shows that something is there, which may have known of a change meanwhile. A
-/// connection that is refused shows that nothing is there at that moment, and the time runs from it: discovery
-/// could not be reached. It does so only as long as nothing else was found since a watch was in step, and while
-/// the list still stands: else a change may count as told already.
-#[derive(Debug, Clone, Copy)]
-pub struct ListLease {
-    /// None while a watch is in step.
-    valid_until: Option<Time>,
-    /// Something may have listened, and known of changes, since the list was last in step.
-    discovery_reached: bool,
-}
-
-impl ListLease {
-    /// For a process that starts now, with whatever list.
-    pub fn new(start: Time) -> Self {
-        Self { valid_until: Some(start + MAX_LIST_STALENESS), discovery_reached: false }
-    }
-
-    /// Discovery has told a whole object or a beat, and the list is as it says.
-    pub fn renew(&mut self) {
-        *self = Self { valid_until: None, discovery_reached: false };
-    }
-
-    /// A call or watch has ended now; the list was last in step at `since`. Until when it is vouched for, if that
-    /// is new.
-    pub fn handle_watch_end(&mut self, now: Time, since: Time, end: WatchEnd) -> Option<Time> {
-        let before = self.valid_until;
-        let until = before.unwrap_or(since + MAX_LIST_STALENESS);
-        self.discovery_reached |= end == WatchEnd::Failed;
-        let unreached = end == WatchEnd::ConnectionRefused && !self.discovery_reached && now < until;
-        let until = if unreached { now + MAX_LIST_STALENESS } else { until };
-        self.valid_until = Some(until);
-        (before != self.valid_until).then_some(until)
-    }
-
-    /// Whether the list stands at this time.
-    pub fn is_valid(&self, now: Time) -> bool {
-        self.valid_until.is_none_or(|until| now < until)
-    }
-}
-
 /// Why a watch is over.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
--- a/src/engine/invariants.rs
+++ b/src/engine/invariants.rs
@@ -1,8 +1,8 @@
-//! What may never happen to a request, checked as it happens.
+//! Invariants of requests, checked while the engine runs.
 //!
-//! The decisions say what may be sent, repeated and answered; this module keeps a record of its own of what the engine
-//! did, by other means, and names what broke a rule of the protocol. It decides nothing, and has no socket and no
-//! clock. The driver counts and logs what it finds; a debug build ends.
+//! The decision module says what may be sent, retried and answered. This module keeps an independent record of what the
+//! engine did, and names each violated rule of the protocol. It decides nothing, and there is no I/O and no clock here.
+//! The driver counts and logs violations; a debug build panics.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +11,42 @@
     ServerState, Settings, Span, Time, ZoneId,
 };
 
-/// A final answer earns nothing this long after its time, and counts as lost later (STANDING).
+/// A final answer that comes later than this after its deadline counts as lost (STANDING).
 const LOST_ANSWER_DELAY: Span = Span::from_micros(500_000);
-/// Violations that wait to be logged at most; further ones are counted alone.
-const MAX_KEPT_VIOLATIONS: usize = 16;
+/// Violations that are stored until they are taken, at most; further ones are only counted.
+const MAX_STORED_VIOLATIONS: usize = 16;
 
-/// A broken rule, and the request that it befell.
+/// A violated rule, and the request concerned.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// An attempt was begun while another of the same request was out.
-    #[error("request {}: attempt {attempt} begun while attempt {out} is out", id.0)]
+    /// An attempt was started while another of the same request was in flight.
+    #[error("request {}: attempt {attempt} started while attempt {in_flight} is in flight", id.0)]
     ConcurrentAttempts {
         /// The request.
         id: RequestId,
-        /// The attempt begun.
+        /// The attempt that was started.
         attempt: u32,
-        /// The attempt that was out.
-        out: u32,
+        /// The attempt that was in flight.
+        in_flight: u32,
     },
-    /// An attempt was begun for a request that had its answer, or whose client had left.
-    #[error("request {}: attempt {attempt} begun after its end", id.0)]
+    /// An attempt was started for a request that had its answer, or whose client had left.
+    #[error("request {}: attempt {attempt} started after the request was over", id.0)]
     AttemptAfterEnd {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// A request that must not be repeated was, or not where or when it may be.
-    #[error("request {}: attempt {attempt} repeats what may have run", id.0)]
+    /// A request that may have run was retried although its class, its server or the time does not allow that.
+    #[error("request {}: attempt {attempt} retries what may have run", id.0)]
     ForbiddenRetry {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// An attempt was begun at a server that was told to drain, or gone, beyond the grace.
-    #[error("request {}: attempt {attempt} begun at server {} that left {} us ago", id.0, server.0, ago.as_micros())]
+    /// An attempt was started at a server that has been draining, or gone, for longer than the grace.
+    #[error("request {}: attempt {attempt} started at server {} that drains since {} us", id.0, server.0, since.as_micros())]
     AttemptAtDrainingServer {
         /// The request.
         id: RequestId,
@@ -54,11 +54,11 @@
         attempt: u32,
         /// The server.
         server: ServerId,
-        /// How long ago it was told.
-        ago: Span,
+        /// For how long it has been draining or gone.
+        since: Span,
     },
-    /// A refusal promised that nothing had run, which may not be so.
-    #[error("request {}: refused though an attempt may have run", id.0)]
+    /// A rejection promised that nothing had run, although an attempt may have.
+    #[error("request {}: rejected though an attempt may have run", id.0)]
     FalseRejection {
         /// The request.
         id: RequestId,
@@ -68,7 +68,7 @@
     LateAnswer {
         /// The request.
         id: RequestId,
-        /// By how much.
+        /// How long after the deadline.
         late: Span,
     },
 }
@@ -100,7 +100,7 @@
     execution: PossibleExecution,
 }
 
-/// A request that has not had its answer.
+/// A request that has no answer yet.
 #[derive(Debug)]
 struct OpenRequest {
     class: ClassId,
@@ -109,16 +109,16 @@
     first_execution: Option<PossibleExecution>,
 }
 
-/// A server as the list tells it.
+/// A server of the list.
 #[derive(Debug)]
 struct ServerLocation {
     zone: ZoneId,
     cell: CellId,
-    /// Since when it takes nothing new.
+    /// Since when it accepts nothing new.
     not_ready_since: Option<Time>,
 }
 
-/// The record of all open requests of one gateway, and what was found.
+/// The open requests of one gateway, and the violations found.
 #[derive(Debug)]
 pub struct RequestInvariants {
     idempotency_by_class: Vec<Idempotency>,
@@ -126,12 +126,12 @@
     answer_slack: Span,
     servers: BTreeMap<ServerId, ServerLocation>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    kept_violations: Vec<Violation>,
+    recent_violations: Vec<Violation>,
     violations_found: u64,
 }
 
 impl RequestInvariants {
-    /// An empty record under these settings.
+    /// Creates an empty record.
     pub fn new(settings: &Settings) -> Self {
         Self {
             idempotency_by_class: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -139,133 +139,143 @@
             answer_slack: settings.answer_slack,
             servers: BTreeMap::new(),
             open_requests: BTreeMap::new(),
-            kept_violations: Vec::new(),
+            recent_violations: Vec::new(),
             violations_found: 0,
         }
     }
 
-    /// The list tells this of a server, or operators do.
+    /// Records an entry of the list, or a cordon.
     pub fn record_listing(&mut self, now: Time, entry: &EndpointEntry) {
-        let ready = entry.state == ServerState::Ready;
-        let left = self.servers.get(&entry.server).and_then(|server| server.not_ready_since);
-        let left = if ready { None } else { Some(left.unwrap_or(now)) };
-        self.servers.insert(
-            entry.server,
-            ServerLocation { zone: entry.zone, cell: entry.cell, not_ready_since: left },
-        );
+        let known = self.servers.get(&entry.server);
+        let not_ready_since = match entry.state {
+            ServerState::Ready => None,
+            ServerState::Draining | ServerState::Removed => {
+                Some(known.and_then(|server| server.not_ready_since).unwrap_or(now))
+            }
+        };
+        let location = ServerLocation { zone: entry.zone, cell: entry.cell, not_ready_since };
+        self.servers.insert(entry.server, location);
     }
 
-    /// A whole list has come, which lacks all servers but those that are told next.
+    /// Records a complete list: it lacks all servers but those that are recorded next.
     pub fn record_snapshot(&mut self, now: Time) {
         for server in self.servers.values_mut() {
             server.not_ready_since.get_or_insert(now);
         }
     }
 
-    /// A request was taken.
+    /// Records a new request.
     pub fn record_request(&mut self, now: Time, id: RequestId, class: ClassId, time_left: Span) {
-        self.open_requests.insert(
-            id,
-            OpenRequest { class, deadline: now + time_left, attempt_in_flight: None, first_execution: None },
-        );
+        let deadline = now + time_left;
+        let request = OpenRequest { class, deadline, attempt_in_flight: None, first_execution: None };
+        self.open_requests.insert(id, request);
     }
 
-    /// The first byte of an attempt is allowed now.
+    /// Records that the first byte of an attempt may be sent now.
     pub fn record_first_byte(&mut self, now: Time, id: RequestId, attempt: u32, server: ServerId) {
+        self.check_server_accepts(now, id, attempt, server);
+        let execution = self.execution_at(now, server);
+        let Some(request) = self.open_requests.get_mut(&id) else {
+            return self.record_violation(Violation::AttemptAfterEnd { id, attempt });
+        };
+        let previous = request.attempt_in_flight.replace(StartedAttempt { attempt, execution });
+        let class = request.class;
+        let first_execution = request.first_execution;
+        let idempotency = self.idempotency(class);
+        if let Some(previous) = previous {
+            let in_flight = previous.attempt;
+            self.record_violation(Violation::ConcurrentAttempts { id, attempt, in_flight });
+        }
+        if first_execution.is_some_and(|first| !may_retry(idempotency, first, execution)) {
+            self.record_violation(Violation::ForbiddenRetry { id, attempt });
+        }
+    }
+
+    fn check_server_accepts(&mut self, now: Time, id: RequestId, attempt: u32, server: ServerId) {
         let known = self.servers.get(&server);
-        let left = known.and_then(|server| server.not_ready_since).map(|at| now.since(at));
-        if let Some(ago) = left.filter(|&ago| ago > self.drain_grace) {
-            self.record_violation(Violation::AttemptAtDrainingServer { id, attempt, server, ago });
+        let Some(not_ready_since) = known.and_then(|server| server.not_ready_since) else { return };
+        let since = now.since(not_ready_since);
+        if since > self.drain_grace {
+            self.record_violation(Violation::AttemptAtDrainingServer { id, attempt, server, since });
         }
+    }
+
+    fn execution_at(&self, now: Time, server: ServerId) -> PossibleExecution {
         let known = self.servers.get(&server);
-        let ran = PossibleExecution {
+        PossibleExecution {
             zone: known.map_or_else(ZoneId::default, |server| server.zone),
             cell: known.map_or_else(CellId::default, |server| server.cell),
             started_at: now,
-        };
-        let Some(open) = self.open_requests.get_mut(&id) else {
-            return self.record_violation(Violation::AttemptAfterEnd { id, attempt });
-        };
-        let before = open.attempt_in_flight.replace(StartedAttempt { attempt, execution: ran });
-        let effect = self
-            .idempotency_by_class
-            .get(open.class.0 as usize)
-            .copied()
-            .unwrap_or(Idempotency::NotIdempotent);
-        let repeats = open.first_execution.is_some_and(|first| !may_retry(effect, first, ran));
-        if let Some(before) = before {
-            self.record_violation(Violation::ConcurrentAttempts { id, attempt, out: before.attempt });
-        }
-        if repeats {
-            self.record_violation(Violation::ForbiddenRetry { id, attempt });
         }
     }
 
-    /// An attempt has ended.
+    fn idempotency(&self, class: ClassId) -> Idempotency {
+        let known = self.idempotency_by_class.get(class.0 as usize);
+        known.copied().unwrap_or(Idempotency::NotIdempotent)
+    }
+
+    /// Records the end of an attempt.
     pub fn record_attempt_end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
-        let Some(begun) = open.attempt_in_flight.take_if(|begun| begun.attempt == attempt) else { return };
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let ended = request.attempt_in_flight.take_if(|started| started.attempt == attempt);
+        let Some(ended) = ended else { return };
         if !outcome.proves_not_executed() {
-            open.first_execution.get_or_insert(begun.execution);
+            request.first_execution.get_or_insert(ended.execution);
         }
     }
 
-    /// The request has its final answer, which is a refusal or a failure.
+    /// Records the final answer of a request: a rejection, or else a failure.
     pub fn record_answer(&mut self, now: Time, id: RequestId, rejected: bool) {
-        let Some(open) = self.open_requests.remove(&id) else { return };
-        let late = now.since(open.deadline + self.answer_slack);
+        let Some(request) = self.open_requests.remove(&id) else { return };
+        let late = now.since(request.deadline + self.answer_slack);
         if late > LOST_ANSWER_DELAY {
             self.record_violation(Violation::LateAnswer { id, late });
         }
-        let effect = self
-            .idempotency_by_class
-            .get(open.class.0 as usize)
-            .copied()
-            .unwrap_or(Idempotency::NotIdempotent);
-        let harmless = matches!(
-            effect,
+        let may_run_anywhere_again = matches!(
+            self.idempotency(request.class),
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
         );
-        if rejected && !harmless && (open.first_execution.is_some() || open.attempt_in_flight.is_some()) {
+        let may_have_run = request.first_execution.is_some() || request.attempt_in_flight.is_some();
+        if rejected && may_have_run && !may_run_anywhere_again {
             self.record_violation(Violation::FalseRejection { id });
         }
     }
 
-    /// The request is served, or its client has gone: nothing is owed any more.
+    /// Records that no answer is due: the request is served, or its client has gone.
     pub fn release_request(&mut self, id: RequestId) {
         self.open_requests.remove(&id);
     }
 
-    /// What was found since the last call, as far as it was kept.
+    /// The violations since the last call, as far as they were stored.
     pub fn take_violations(&mut self) -> Vec<Violation> {
-        std::mem::take(&mut self.kept_violations)
+        std::mem::take(&mut self.recent_violations)
     }
 
-    /// How many were found since the start.
+    /// How many violations there were since the start.
     pub fn violation_count(&self) -> u64 {
         self.violations_found
     }
 
     fn record_violation(&mut self, violation: Violation) {
         self.violations_found += 1;
-        if self.kept_violations.len() < MAX_KEPT_VIOLATIONS {
-            self.kept_violations.push(violation);
+        if self.recent_violations.len() < MAX_STORED_VIOLATIONS {
+            self.recent_violations.push(violation);
         }
     }
 }
 
 /// Whether an attempt may follow one that may have run.
-fn may_retry(effect: Idempotency, first: PossibleExecution, next: PossibleExecution) -> bool {
-    match effect {
+fn may_retry(idempotency: Idempotency, first: PossibleExecution, next: PossibleExecution) -> bool {
+    match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NotIdempotent => false,
-        Idempotency::WithKey { scope: group, remembered_for: window } => {
-            let known = match group {
+        Idempotency::WithKey { scope, remembered_for } => {
+            let is_recognised = match scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => first.zone == next.zone,
                 DeduplicationScope::Cell => first.cell == next.cell,
             };
-            known && next.started_at.since(first.started_at) < window
+            is_recognised && next.started_at.since(first.started_at) < remembered_for
         }
     }
 }
--- a/src/engine/open_ids.rs
+++ b/src/engine/open_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of requests that are open at this gateway.
+//! The ids of requests that are open at this gateway, so that none is used twice at a time.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct OpenIds(Arc<Mutex<HashSet<Bytes>>>);
 
-/// Holds an id; gives it back when dropped.
+/// A claim of an id, which is released when this is dropped.
 #[derive(Debug)]
 pub struct RequestIdClaim {
     ids: OpenIds,
@@ -17,13 +17,12 @@
 }
 
 impl OpenIds {
-    /// Takes an id that no one else holds. A second bearer would be a second copy of the first's
-    /// request at a server, so it gets none.
+    /// Claims an id; none if it is claimed already. To a server, a second request with an id is a copy of the first.
     pub fn claim(&self, id: &[u8]) -> Option<RequestIdClaim> {
-        // A copy, so that it does not keep the whole line in memory.
+        // Copied, so that the claim does not keep the whole line in memory.
         let id = Bytes::copy_from_slice(id);
-        let new = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        new.then(|| RequestIdClaim { ids: self.clone(), id })
+        let is_free = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_free.then(|| RequestIdClaim { ids: self.clone(), id })
     }
 }
 
--- /dev/null
+++ b/src/fleet/permits/datagram.rs
@@ -0,0 +1,176 @@
+//! The datagrams in which gateways request permits and reply.
+//!
+//! | byte | request | reply |
+//! | --- | --- | --- |
+//! | 0 | 18 | 19 |
+//! | 1, 2 | request number, given back by the reply | the request's number |
+//! | 3 to 6 | the server's key, as in connection ids | the same |
+//! | 7 | | bit 0: granted; bit 1: the server is below its fair share |
+//! | 8 | | if denied: when to ask again, in steps of 16 ms |
+
+use crate::decision::interface::{GatewayId, Span};
+
+/// A server's key: the first four bytes of the SHA-256 of its name.
+pub type ServerKey = u32;
+
+/// Length of a request, in bytes.
+pub const REQUEST_LENGTH: usize = 7;
+/// Length of a reply, the longest datagram, in bytes.
+pub const MAX_DATAGRAM_LENGTH: usize = 9;
+const REQUEST_TAG: u8 = 18;
+const REPLY_TAG: u8 = 19;
+const GRANTED_FLAG: u8 = 1;
+const BELOW_FAIR_SHARE_FLAG: u8 = 2;
+/// Microseconds in a step of the wait that a reply carries.
+const WAIT_STEP_MICROS: i64 = 16_000;
+
+/// Why a datagram is ignored. It has changed nothing.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// It is neither a request nor a reply; its length in bytes.
+    #[error("{0} bytes that are neither an ask nor an answer")]
+    Malformed(usize),
+    /// It comes from no gateway of this fleet, or from this one itself.
+    #[error("of no other gateway of this tier")]
+    UnknownSender,
+    /// It requests a permit that other gateways grant.
+    #[error("an ask for what is kept elsewhere")]
+    NotGrantor,
+    /// It replies to no pending request: it is late, or was sent to another gateway.
+    #[error("an answer to nothing asked")]
+    UnexpectedReply,
+}
+
+impl DecodeError {
+    /// What an operator can do about it.
+    pub fn help(&self) -> &'static str {
+        match self {
+            Self::Malformed(_) => "gateways of one tier run one version; see who sends to peer_listen",
+            Self::UnknownSender => "see that `peers` names the same gateways in the same order everywhere",
+            Self::NotGrantor => "see that `peers` and `balancers` are the same everywhere",
+            Self::UnexpectedReply => {
+                "nothing, if rare: the network was slow; often: look for a gateway that stalls"
+            }
+        }
+    }
+}
+
+/// A datagram to another gateway.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PermitDatagram {
+    /// The gateway that it is sent to.
+    pub to: GatewayId,
+    bytes: [u8; MAX_DATAGRAM_LENGTH],
+    length: usize,
+}
+
+impl PermitDatagram {
+    /// A request for a permit.
+    pub(super) fn request(to: GatewayId, number: u16, server: ServerKey) -> Self {
+        Self { to, bytes: encode(REQUEST_TAG, number, server, [0, 0]), length: REQUEST_LENGTH }
+    }
+
+    /// The reply to a request.
+    pub(super) fn reply(to: GatewayId, number: u16, server: ServerKey, reply: Reply) -> Self {
+        let content = [reply.flags(), reply.wait_steps];
+        Self { to, bytes: encode(REPLY_TAG, number, server, content), length: MAX_DATAGRAM_LENGTH }
+    }
+
+    /// The server that it is about.
+    pub fn key(&self) -> ServerKey {
+        ServerKey::from_be_bytes([self.bytes[3], self.bytes[4], self.bytes[5], self.bytes[6]])
+    }
+
+    /// Its content.
+    pub fn bytes(&self) -> &[u8] {
+        &self.bytes[..self.length]
+    }
+}
+
+fn encode(tag: u8, number: u16, server: ServerKey, content: [u8; 2]) -> [u8; MAX_DATAGRAM_LENGTH] {
+    let mut bytes = [0; MAX_DATAGRAM_LENGTH];
+    bytes[0] = tag;
+    bytes[1..3].copy_from_slice(&number.to_be_bytes());
+    bytes[3..7].copy_from_slice(&server.to_be_bytes());
+    bytes[7..].copy_from_slice(&content);
+    bytes
+}
+
+/// What a reply says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct Reply {
+    pub(super) granted: bool,
+    pub(super) below_fair_share: bool,
+    /// If denied: when to ask again.
+    wait_steps: u8,
+}
+
+impl Reply {
+    pub(super) fn granted(below_fair_share: bool) -> Self {
+        Self { granted: true, below_fair_share, wait_steps: 0 }
+    }
+
+    /// A denial; `retry_after` is rounded up, and cut off at the longest that a reply can carry.
+    pub(super) fn denied(retry_after: Span, below_fair_share: bool) -> Self {
+        let steps = retry_after.as_micros() / WAIT_STEP_MICROS + 1;
+        Self { granted: false, below_fair_share, wait_steps: u8::try_from(steps).unwrap_or(u8::MAX) }
+    }
+
+    /// A denial with the longest wait that a reply can carry.
+    pub(super) fn unavailable() -> Self {
+        Self { granted: false, below_fair_share: false, wait_steps: u8::MAX }
+    }
+
+    pub(super) fn retry_after(self) -> Span {
+        Span::from_micros(i64::from(self.wait_steps) * WAIT_STEP_MICROS)
+    }
+
+    fn flags(self) -> u8 {
+        let granted = if self.granted { GRANTED_FLAG } else { 0 };
+        let below_fair_share = if self.below_fair_share { BELOW_FAIR_SHARE_FLAG } else { 0 };
+        granted | below_fair_share
+    }
+
+    fn decode(flags: u8, wait_steps: u8) -> Self {
+        Self {
+            granted: flags & GRANTED_FLAG != 0,
+            below_fair_share: flags & BELOW_FAIR_SHARE_FLAG != 0,
+            wait_steps,
+        }
+    }
+}
+
+/// A datagram that has been read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct Message {
+    pub(super) request_number: u16,
+    pub(super) server: ServerKey,
+    pub(super) content: MessageContent,
+}
+
+/// The kind of a datagram, and what only this kind carries.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum MessageContent {
+    Request,
+    Reply(Reply),
+}
+
+impl Message {
+    /// # Errors
+    ///
+    /// [`DecodeError::Malformed`] if it is neither a request nor a reply.
+    pub(super) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        let malformed = DecodeError::Malformed(bytes.len());
+        let head: &[u8; REQUEST_LENGTH] = bytes.first_chunk().ok_or(malformed)?;
+        let content = match (head[0], &bytes[REQUEST_LENGTH..]) {
+            (REQUEST_TAG, []) => MessageContent::Request,
+            (REPLY_TAG, &[flags, wait_steps]) => MessageContent::Reply(Reply::decode(flags, wait_steps)),
+            _ => return Err(malformed),
+        };
+        Ok(Self {
+            request_number: u16::from_be_bytes([head[1], head[2]]),
+            server: ServerKey::from_be_bytes([head[3], head[4], head[5], head[6]]),
+            content,
+        })
+    }
+}
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -23,7 +23,10 @@
 use crate::decision::interface::*;
 use crate::discovery::start_times::StartTimes;
 use crate::discovery::{Endpoint, EndpointList, EndpointStatus};
-use crate::engine::{Command, Engine, FinalAnswer, TimerEvent};
+use crate::engine::{
+    Command, Engine, EstablishedCounts, FinalAnswer, HealthCheckCounts, MonotonicEpoch, RequestViolations,
+    TimerEvent,
+};
 use crate::fleet::permits::PermitDatagram;
 use crate::fleet::quota;
 use crate::fleet::shared_state::{LocalObservation, ServerObservation, name_hash};
@@ -56,7 +59,7 @@
     names: NameTables,
     addresses: HashMap<ServerId, SocketAddr>,
     sessions: BTreeMap<RequestId, CommandSender>,
-    epoch: (Time, Instant),
+    epoch: MonotonicEpoch,
     events: mpsc::Receiver<DriverEvent>,
     handle: EventLoopHandle,
     subscribe: mpsc::Sender<()>,
@@ -100,7 +103,7 @@
         post: SiblingLink,
     ) -> (Self, EventLoopHandle, AdminContext) {
         let unix = Duration::from_micros(unix_micros());
-        let epoch = (Time::default() + to_span(unix), Instant::now());
+        let epoch = MonotonicEpoch { time: Time::default() + to_span(unix), instant: Instant::now() };
         let names = config.settings.name_tables();
         // Peers that are allowed and have no address cannot be asked: each gateway then has turns of its own.
         let settings =
@@ -244,7 +247,7 @@
 
     /// Logs and counts what broke an invariant of a request. A debug build ends.
     fn report_violations(&mut self) {
-        let (found, count) = self.engine.take_request_violations();
+        let RequestViolations { recent: found, total: count } = self.engine.take_request_violations();
         for violation in &found {
             REQUEST_VIOLATIONS.log(format_args!("invariant broken: {violation}; {}", violation.help()));
         }
@@ -259,7 +262,7 @@
     /// Feeds what the gateways share, and carries out what follows of it.
     fn update_shared_state(&mut self, now: Time) {
         let Some(board) = self.shared_state.clone() else { return };
-        let (servers, tenants) = self.engine.established_counts();
+        let EstablishedCounts { by_server: servers, by_tenant: tenants } = self.engine.established_counts();
         let sights = self.engine.take_outcome_reports(now);
         let listed = self.endpoints.iter().filter_map(|(name, entry)| {
             let server = ServerId(self.names.servers.find(name)?);
@@ -295,7 +298,7 @@
         figures.set_gauge(Gauge::InProgress, self.engine.open_request_count());
         figures.set_gauge(Gauge::KnownServers, self.endpoints.len());
         figures.set_gauge(Gauge::SkippedServers, self.engine.avoided_server_count(now));
-        let (sent, withheld) = self.engine.health_check_counts();
+        let HealthCheckCounts { sent, withheld } = self.engine.health_check_counts();
         figures.set_gauge(Gauge::Probes, sent);
         figures.set_gauge(Gauge::ProbesWithheld, withheld);
         let shares = self.endpoints.keys().filter_map(|name| {
@@ -307,7 +310,7 @@
     }
 
     fn now(&self) -> Time {
-        self.epoch.0 + to_span(self.epoch.1.elapsed())
+        self.epoch.time_at(Instant::now())
     }
 
     fn handle_event(&mut self, report: DriverEvent) {
@@ -440,7 +443,7 @@
                 let last = grace.saturating_sub(CLOSE_MARGIN);
                 let over = last.saturating_sub(CLOSE_MARGIN);
                 if self.post.successor().is_some() {
-                    self.engine.hand_over_connections(now, to_span(over), to_span(last), &mut self.commands);
+                    self.engine.begin_handover(now, to_span(over), to_span(last), &mut self.commands);
                     let handed =
                         self.commands.iter().filter(|it| matches!(it, Command::HandOff { .. })).count();
                     info!("handover: passes {handed} connections to its successor");
--- a/tests/compatibility_discovery.rs
+++ b/tests/compatibility_discovery.rs
@@ -10,9 +10,10 @@
 use ashtide::decision::slow_start::SlowStartConfig;
 use ashtide::discovery::start_times::StartTimes;
 use ashtide::discovery::{
-    CALL_TIMEOUT, Endpoint, EndpointList, EndpointStatus, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, ListLease,
+    CALL_TIMEOUT, Endpoint, EndpointList, EndpointStatus, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT,
     MAX_LIST_STALENESS, MAX_POLL_WAIT, WatchCodec, WatchEnd, WatchError, WatchEvent, watch_request,
 };
+use ashtide::engine::ListLease;
 use ashtide::fleet::permits::{
     MAX_DATAGRAM_LENGTH, PERMIT_LIFETIME, PermitStep, Permits, REPLY_TIMEOUT, REQUEST_LENGTH,
 };
@@ -76,11 +77,11 @@
     match step {
         PermitStep::Send(datagram) => format!("send {} {}", datagram.to.0, hex(datagram.bytes())),
         PermitStep::SendTwice(datagram) => format!("send twice {} {}", datagram.to.0, hex(datagram.bytes())),
-        PermitStep::AwaitReply(datagram, number) => {
+        PermitStep::AwaitReply { datagram, request_number: number } => {
             let (to, bytes) = (datagram.to.0, hex(datagram.bytes()));
             format!("request to {to} {bytes} number {number} key {:08x}", datagram.key())
         }
-        PermitStep::Resolved(key, right) => format!("resolved {key:08x} {}", reply(right)),
+        PermitStep::Resolved { server: key, reply: right } => format!("resolved {key:08x} {}", reply(right)),
     }
 }
 
@@ -94,7 +95,7 @@
         let asker = (round as u32) % GATEWAYS;
         let asked = all[asker as usize].request_permit(now, key, FULL);
         lines.push(format!("{round} of {asker}: {}", step(asked)));
-        let PermitStep::AwaitReply(datagram, number) = asked else { continue };
+        let PermitStep::AwaitReply { datagram, request_number: number } = asked else { continue };
         let later = now + Span::from_micros(20_000);
         let owner = &mut all[datagram.to.0 as usize];
         let answered = owner.handle_datagram(later, GatewayId(asker), datagram.bytes(), FULL);
@@ -104,7 +105,7 @@
             // The answer is lost.
             let next = all[asker as usize].handle_reply_timeout(now + REPLY_TIMEOUT, key, number);
             lines.push(format!("{round} timed out: {}", next.map_or("nothing".to_owned(), step)));
-            if let Some(PermitStep::AwaitReply(_, number)) = next {
+            if let Some(PermitStep::AwaitReply { request_number: number, .. }) = next {
                 let next = all[asker as usize].handle_reply_timeout(
                     now + REPLY_TIMEOUT + REPLY_TIMEOUT,
                     key,
@@ -184,7 +185,7 @@
 fn read_replies(key: u32, owners: &[GatewayId], other: GatewayId, lines: &mut Vec<String>) {
     for (flags, steps) in [(0, 0), (0, 1), (0, 255), (1, 0), (1, 7), (2, 3), (3, 0), (0xfc, 9), (0xff, 255)] {
         let mut asker = gateway(other.0, key);
-        let PermitStep::AwaitReply(ask, _) = asker.request_permit(at(0), key, FULL) else {
+        let PermitStep::AwaitReply { datagram: ask, .. } = asker.request_permit(at(0), key, FULL) else {
             panic!("it asks an owner")
         };
         let forged = *owners.iter().find(|&&owner| owner != ask.to).expect("two owners");
--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -8,7 +8,10 @@
 
 use ashtide::discovery::WatchEnd;
 use ashtide::engine::invariants::Violation;
-use ashtide::engine::{Command, Engine, FinalAnswer, TimerEvent};
+use ashtide::engine::{
+    Command, Engine, EstablishedCounts, FinalAnswer, HealthCheckCounts, MonotonicEpoch, RequestViolations,
+    TimerEvent,
+};
 use ashtide::fleet::permits::DecodeError;
 use ashtide::handover::ServerUsage;
 use ashtide::{
@@ -138,7 +141,8 @@
             cell: CellId(number / 2),
             ..EndpointEntry::ready(ServerId(number), ZoneId(0))
         };
-        let mut engine = Engine::new(settings, rng.random(), (now, Instant::now()));
+        let mut engine =
+            Engine::new(settings, rng.random(), MonotonicEpoch { time: now, instant: Instant::now() });
         if rng.random() {
             engine.enable_outcome_reports();
         }
@@ -457,7 +461,7 @@
 
     fn shut_down(&mut self) {
         if self.rng.random() {
-            self.engine.hand_over_connections(self.now, ms(2_400), ms(2_800), &mut self.commands);
+            self.engine.begin_handover(self.now, ms(2_400), ms(2_800), &mut self.commands);
         } else {
             self.engine.begin_shutdown(self.now, ms(2_400), ms(2_800));
         }
@@ -490,13 +494,13 @@
     fn record_timer(&mut self, due: TimerEvent) {
         match due {
             TimerEvent::Decision(token) => self.record_timer_kind("decision timer", 20, [token.0]),
-            TimerEvent::AttemptTimeout(id, attempt) => {
+            TimerEvent::AttemptTimeout { id, attempt } => {
                 self.record_timer_kind("attempt timer", 21, [u64::from(id.0), u64::from(attempt)])
             }
             TimerEvent::Migrate(id) => self.record_timer_kind("migration timer", 22, [u64::from(id.0)]),
             TimerEvent::Sweep => self.record_timer_kind("sweep timer", 23, []),
             TimerEvent::ListExpired => self.record_timer_kind("list expiry timer", 24, []),
-            TimerEvent::PermitReplyTimeout(key, number) => {
+            TimerEvent::PermitReplyTimeout { server: key, request_number: number } => {
                 self.record_timer_kind("reply timer", 25, [u64::from(key), u64::from(number)])
             }
             TimerEvent::ShutdownDeadline => self.record_timer_kind("shutdown deadline", 26, []),
@@ -584,7 +588,7 @@
         }
         let open = self.engine.open_request_count() as u64;
         let avoided = self.engine.avoided_server_count(now) as u64;
-        let (sent, withheld) = self.engine.health_check_counts();
+        let HealthCheckCounts { sent, withheld } = self.engine.health_check_counts();
         self.record_numbers(30, [open, avoided, u64::from(unvouched), sent as u64, withheld as u64]);
         for server in (0..SERVERS).map(ServerId) {
             let ServerUsage { open, budget, spent, granted } = self.engine.sibling_share(server);
@@ -592,7 +596,7 @@
             let connections = u64::from(self.engine.connections_on(server));
             self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
         }
-        let (servers, tenants) = self.engine.established_counts();
+        let EstablishedCounts { by_server: servers, by_tenant: tenants } = self.engine.established_counts();
         servers
             .iter()
             .for_each(|(server, &count)| self.record_numbers(32, [u64::from(server.0), u64::from(count)]));
@@ -616,7 +620,7 @@
     }
 
     fn record_violations(&mut self) {
-        let (found, count) = self.engine.take_request_violations();
+        let RequestViolations { recent: found, total: count } = self.engine.take_request_violations();
         self.record_numbers(36, [count, u64::from(self.engine.check_permits().is_ok())]);
         for violation in found {
             let code = match violation {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use ashtide::engine::{Command, Engine, FinalAnswer, TimerEvent};
+use ashtide::engine::{Command, Engine, FinalAnswer, MonotonicEpoch, TimerEvent};
 use ashtide::{
     ClassId, EndpointEntry, ListUpdate, Request, RequestClass, RequestId, ServerId, Settings, Span, Time,
     ZoneId,
@@ -165,7 +165,8 @@
         warm_up_time: ms(5_000),
         ..Settings::for_zone(ZoneId(0))
     };
-    (Engine::new(settings, 7, (now, Instant::now())), now)
+    let epoch = MonotonicEpoch { time: now, instant: Instant::now() };
+    (Engine::new(settings, 7, epoch), now)
 }
 
 fn request() -> Request {
--- a/tests/crossings/world.rs
+++ b/tests/crossings/world.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashtide::discovery::WatchEnd;
-use ashtide::engine::{Command, Engine, TimerEvent};
+use ashtide::engine::{Command, Engine, MonotonicEpoch, TimerEvent};
 use ashtide::handover::ServerUsage;
 use ashtide::{
     CellId, ClassId, DeduplicationScope, DiscoveryMode, EndpointEntry, GatewayId, GroupId, ListUpdate,
@@ -135,7 +135,7 @@
     rng: ChaCha8Rng,
     fault: Option<Fault>,
     now: Time,
-    anchor: (Time, Instant),
+    epoch: MonotonicEpoch,
     settings: Settings,
     gateways: u32,
     /// The longest time between two clients.
@@ -193,7 +193,7 @@
             rng,
             fault,
             now,
-            anchor: (now, Instant::now()),
+            epoch: MonotonicEpoch { time: now, instant: Instant::now() },
             history: History::new(settings.clone(), places),
             settings,
             gateways,
@@ -300,10 +300,10 @@
     }
 
     fn fire_timer(&mut self, process: usize, due: TimerEvent) {
-        if matches!(due, TimerEvent::AttemptTimeout(..)) {
+        if matches!(due, TimerEvent::AttemptTimeout { .. }) {
             self.count("time-outs");
         }
-        let late = matches!(due, TimerEvent::AttemptTimeout(..));
+        let late = matches!(due, TimerEvent::AttemptTimeout { .. });
         self.processes[process].engine.handle_timer(self.now, due, &mut self.commands);
         self.perform_commands(process, late);
     }
@@ -372,7 +372,7 @@
                 fact => fact.request_id().is_some() && fact.request_id() == last,
             };
             if shows {
-                let _ = writeln!(text, "  {:>6} ms {fact:?}", at.since(self.anchor.0).as_micros() / 1_000);
+                let _ = writeln!(text, "  {:>6} ms {fact:?}", at.since(self.epoch.time).as_micros() / 1_000);
             }
         }
         text
@@ -397,10 +397,11 @@
         if self.fault == Some(Fault::EachGatewayAlone) {
             (settings.gateways, settings.gateway_id) = (1, GatewayId(0));
         }
-        let anchor = (self.now, self.anchor.1 + duration(self.now.since(self.anchor.0)));
+        let elapsed = duration(self.now.since(self.epoch.time));
+        let epoch = MonotonicEpoch { time: self.now, instant: self.epoch.instant + elapsed };
         let process = Process {
             gateway,
-            engine: Engine::new(settings, self.rng.random(), anchor),
+            engine: Engine::new(settings, self.rng.random(), epoch),
             exited: false,
             shutdown_began_at: None,
             last_report_at: self.now,
@@ -563,7 +564,7 @@
             }
             DriverReport::HandOver => {
                 let (over, last) = (ms(SHUTDOWN_MS - 400), ms(SHUTDOWN_MS));
-                self.processes[process].engine.hand_over_connections(now, over, last, &mut self.commands);
+                self.processes[process].engine.begin_handover(now, over, last, &mut self.commands);
             }
         }
         self.perform_commands(process, false);
@@ -682,7 +683,7 @@
             }
         }
         // What the engine finds itself is found in plays without a fault of the test's as well.
-        let (found, _) = self.processes[process].engine.take_request_violations();
+        let found = self.processes[process].engine.take_request_violations().recent;
         if let Some(violation) = found.first().filter(|_| self.fault.is_none()) {
             panic!("the engine's own invariant: {violation}");
         }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ashtide::discovery::WatchEnd;
-use ashtide::engine::{Command, Engine};
+use ashtide::engine::{Command, Engine, MonotonicEpoch};
 use ashtide::*;
 use futures_util::FutureExt;
 use proptest::collection::vec;
@@ -66,7 +66,7 @@
     fn with(settings: Settings) -> Self {
         let now = Time::from_micros(1_000_000);
         let mut world = Self {
-            engine: Engine::new(settings, 7, (now, Instant::now())),
+            engine: Engine::new(settings, 7, MonotonicEpoch { time: now, instant: Instant::now() }),
             now,
             commands: Vec::new(),
             requests: BTreeMap::new(),
@@ -374,7 +374,7 @@
         let mut world = EngineHarness::new();
         let ids: Vec<RequestId> = (0..6).map(|_| world.request()).collect();
         ids[..4].iter().for_each(|&id| world.establish(id));
-        world.engine.hand_over_connections(world.now, micros(500), micros(800), &mut world.commands);
+        world.engine.begin_handover(world.now, micros(500), micros(800), &mut world.commands);
         world.check_commands();
         assert_eq!(
             (&world.handed_over[..], world.engine.open_request_count()),
@@ -432,7 +432,7 @@
         ids.iter().for_each(|&id| world.establish(id));
         let out = ServerId(1);
         let on = |world: &EngineHarness| {
-            world.engine.established_counts().0.get(&out).copied().unwrap_or_default()
+            world.engine.established_counts().by_server.get(&out).copied().unwrap_or_default()
         };
         let before = on(&world);
         assert!(before > 3, "{before}");
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,10 +1,11 @@
 //! The page of errors names every variant of the types it stands for.
 
 /// Sources whose errors the page lists.
-const SOURCES: [&str; 19] = [
+const SOURCES: [&str; 20] = [
     include_str!("../src/net/connect.rs"),
     include_str!("../src/engine/invariants.rs"),
-    include_str!("../src/fleet/permits.rs"),
+    include_str!("../src/fleet/permits/mod.rs"),
+    include_str!("../src/fleet/permits/datagram.rs"),
     include_str!("../src/discovery/mod.rs"),
     include_str!("../src/fleet/view.rs"),
     include_str!("../src/fleet/maintenance.rs"),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -213,10 +213,10 @@
     fn step(&mut self, relay: usize, step: PermitStep) {
         self.rights[relay].check_invariants().expect("no invariant is broken");
         match step {
-            PermitStep::Resolved(key, right) => {
+            PermitStep::Resolved { server: key, reply: right } => {
                 self.tell(relay, Event::PermitReply { server: ServerId(key), reply: right })
             }
-            PermitStep::AwaitReply(datagram, number) => {
+            PermitStep::AwaitReply { datagram, request_number: number } => {
                 self.later(REPLY_TIMEOUT.as_micros(), Due::Overdue(relay, datagram.key(), number));
                 self.send(relay, &datagram);
             }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -39,8 +39,8 @@
 }
 
 fn awaited_request(step: PermitStep) -> (PermitDatagram, u16) {
-    let PermitStep::AwaitReply(datagram, number) = step else { panic!("{step:?} is no ask") };
-    (datagram, number)
+    let PermitStep::AwaitReply { datagram, request_number } = step else { panic!("{step:?} is no request") };
+    (datagram, request_number)
 }
 
 /// An answer, which is sent twice where it grants a right and else once.
@@ -55,7 +55,7 @@
 }
 
 fn is_granted(step: &PermitStep) -> bool {
-    matches!(step, PermitStep::Resolved(_, PermitReply::Granted { .. }))
+    matches!(step, PermitStep::Resolved { reply: PermitReply::Granted { .. }, .. })
 }
 
 /// Rights that an owner grants in so many asks, one every 10 ms from then on.
@@ -79,7 +79,11 @@
     assert_eq!((answer.to, answer.bytes().len()), (other, MAX_DATAGRAM_LENGTH));
     let heard = all[other.0 as usize].handle_datagram(at(60_000), ask.to, answer.bytes(), FULL);
     let lease = PermitReply::Granted { expires_at: at(0) + PERMIT_LIFETIME, below_fair_share: true };
-    assert_eq!(heard, Ok(Some(PermitStep::Resolved(KEY, lease))), "from the ask, not from the grant");
+    assert_eq!(
+        heard,
+        Ok(Some(PermitStep::Resolved { server: KEY, reply: lease })),
+        "from the ask, not from the grant"
+    );
     let again = all[other.0 as usize].handle_datagram(at(61_000), ask.to, answer.bytes(), FULL);
     assert_eq!(again, Ok(None), "the second copy is no second right, and nothing to complain of");
     // A repeated ask spends what is there, and makes nothing.
@@ -186,10 +190,10 @@
     assert!(first.to != second.to && owners.contains(&second.to));
     assert_eq!(asker.handle_reply_timeout(late, KEY, number), None, "one time-out an ask");
     let given_up = asker.handle_reply_timeout(late + REPLY_TIMEOUT, KEY, next);
-    assert_eq!(given_up, Some(PermitStep::Resolved(KEY, PermitReply::NoReply)));
+    assert_eq!(given_up, Some(PermitStep::Resolved { server: KEY, reply: PermitReply::NoReply }));
     assert_eq!(
         asker.request_permit(late + REPLY_TIMEOUT, KEY, FULL),
-        PermitStep::Resolved(KEY, PermitReply::NoReply),
+        PermitStep::Resolved { server: KEY, reply: PermitReply::NoReply },
         "not asked in vain"
     );
     awaited_request(asker.request_permit(at(5 * SECOND), KEY, FULL));
@@ -222,7 +226,7 @@
             *first = rng.random_range(18..20);
         }
         let heard = owner.handle_datagram(at(0), other, &bytes, FULL);
-        let answer = matches!(heard, Ok(Some(PermitStep::Resolved(..))));
+        let answer = matches!(heard, Ok(Some(PermitStep::Resolved { .. })));
         assert!(!answer, "random bytes answer nothing asked: {heard:?}");
         owner.check_invariants().expect("no invariant is broken");
     }
--- a/tests/request_invariants.rs
+++ b/tests/request_invariants.rs
@@ -105,7 +105,7 @@
     let mut it = with_request(SAFE);
     it.record_first_byte(at(100), ID, 0, ServerId(0));
     it.record_first_byte(at(200), ID, 1, ServerId(1));
-    assert_eq!(it.take_violations(), [Violation::ConcurrentAttempts { id: ID, attempt: 1, out: 0 }]);
+    assert_eq!(it.take_violations(), [Violation::ConcurrentAttempts { id: ID, attempt: 1, in_flight: 0 }]);
     it.release_request(ID);
     it.record_first_byte(at(300), ID, 2, ServerId(1));
     assert_eq!(it.take_violations(), [Violation::AttemptAfterEnd { id: ID, attempt: 2 }]);
@@ -118,7 +118,7 @@
     it.record_first_byte(at(2_001), ID, 0, ServerId(0));
     assert_eq!(
         it.take_violations(),
-        [Violation::AttemptAtDrainingServer { id: ID, attempt: 0, server: ServerId(0), ago: ms(2_001) }]
+        [Violation::AttemptAtDrainingServer { id: ID, attempt: 0, server: ServerId(0), since: ms(2_001) }]
     );
 
     let mut it = with_request(UNSAFE);
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use ashtide::config::Config;
-use ashtide::discovery::{EndpointList, HEARTBEAT_TIMEOUT, ListLease, MAX_LIST_STALENESS, WatchEnd};
-use ashtide::engine::{Command, Engine, TimerEvent};
+use ashtide::discovery::{EndpointList, HEARTBEAT_TIMEOUT, MAX_LIST_STALENESS, WatchEnd};
+use ashtide::engine::{Command, Engine, ListLease, MonotonicEpoch, TimerEvent};
 use ashtide::handover::{PersistedState, ProcessState};
 use ashtide::metrics::Metrics;
 use ashtide::net::discovery::follow_endpoint_list;
@@ -260,7 +260,7 @@
 impl Gateway {
     fn new() -> Self {
         let (start, seed) = (Instant::now(), 7);
-        let mut engine = Engine::new(settings(), seed, (at(0.0), start));
+        let mut engine = Engine::new(settings(), seed, MonotonicEpoch { time: at(0.0), instant: start });
         engine.handle_list_update(
             at(0.0),
             ListUpdate::Cached,
