--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Keeps a watch on discovery whenever the core asks for one.
+//! Keeps a watch on discovery whenever the event loop asks for one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,18 +19,27 @@
     watch_request,
 };
 
-/// What is read of a watch at a time.
+/// Bytes of a watch that are read at a time.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Watches once for each `()` on `subscribe`, and says when a watch has ended. When discovery has
-/// another address, the old watch is left at once and the new one begun, unasked: versions of
-/// another service say nothing, so it is asked for all, and until it answers the last list stands.
+/// Follows the endpoint list: watches once for each `()` on `subscribe`, and reports the end of each watch.
+///
+/// When the address of discovery changes, the old watch is left and a new one is started at once, without a request.
+/// Versions of another service mean nothing, so the new watch starts with the complete list; until that comes, the last
+/// list stands. Returns when the event loop ends.
 pub async fn follow_endpoint_list(
-    mut address: watch::Receiver<SocketAddr>,
+    address: watch::Receiver<SocketAddr>,
     list_version: u64,
-    mut subscribe: mpsc::Receiver<()>,
+    subscribe: mpsc::Receiver<()>,
     event_loop: EventLoopHandle,
 ) {
+    let mut triggers = WatchTriggers {
+        address,
+        requests: subscribe,
+        has_watched: false,
+        address_changed: false,
+        request_expected: true,
+    };
     let mut follower = WatchFollower {
         event_loop,
         watch_number: 0,
@@ -38,70 +47,92 @@
         last_synced_at: Instant::now(),
         has_answered: false,
     };
-    // Whether the core means to ask, or has asked: of two chains of calls each would be soon.
-    let (mut begun, mut moved, mut awaited) = (false, false, true);
-    loop {
-        if !moved {
+    while let Some(address) = triggers.next_address().await {
+        if std::mem::take(&mut triggers.address_changed) {
+            follower.list_version = 0;
+        }
+        let outcome = triggers.run_until_address_changes(follower.run_watch(address)).await;
+        let end = follower.finish_watch(address, &outcome);
+        let resubscribe = triggers.take_resubscribe();
+        let since_synced = follower.last_synced_at.elapsed();
+        follower.event_loop.send(DriverEvent::WatchEnded { since_synced, end, resubscribe }).await;
+    }
+}
+
+/// How a watch was left.
+enum WatchOutcome {
+    AddressChanged,
+    Ended(Result<(), WatchError>),
+}
+
+/// What starts a watch: a request of the event loop, or another address of discovery.
+struct WatchTriggers {
+    address: watch::Receiver<SocketAddr>,
+    requests: mpsc::Receiver<()>,
+    /// Whether there was a watch; the first one is always requested.
+    has_watched: bool,
+    /// Whether the address has changed since the last watch was started.
+    address_changed: bool,
+    /// Whether the event loop is going to request a watch, or has. It must not be asked to do so twice: two chains
+    /// of calls would result.
+    request_expected: bool,
+}
+
+impl WatchTriggers {
+    /// Waits until a watch is to be started, and returns the address for it. None if the event loop has ended.
+    async fn next_address(&mut self) -> Option<SocketAddr> {
+        if !self.address_changed {
             tokio::select! {
-                asked = subscribe.recv() => match asked {
-                    Some(()) => awaited = false,
-                    None => return,
-                },
-                // Nothing is watched unasked for the first time.
-                Ok(()) = address.changed(), if begun => moved = true,
+                request = self.requests.recv() => {
+                    request?;
+                    self.request_expected = false;
+                }
+                Ok(()) = self.address.changed(), if self.has_watched => self.address_changed = true,
             }
         }
-        begun = true;
-        // Also one that moved before the first call, or in the moment in which one is asked for.
-        moved |= address.has_changed().unwrap_or(false);
-        let at = *address.borrow_and_update();
-        if std::mem::take(&mut moved) {
-            follower.list_version = 0;
-        }
-        let why = tokio::select! {
+        self.has_watched = true;
+        // The address may also have changed before the first watch, or while a request came.
+        self.address_changed |= self.address.has_changed().unwrap_or(false);
+        Some(*self.address.borrow_and_update())
+    }
+
+    /// Runs a watch to its end, or until the address of discovery changes.
+    async fn run_until_address_changes(
+        &mut self,
+        watch: impl Future<Output = Result<(), WatchError>>,
+    ) -> WatchOutcome {
+        tokio::select! {
             biased;
-            Ok(()) = address.changed() => {
-                moved = true;
-                None
+            Ok(()) = self.address.changed() => {
+                self.address_changed = true;
+                WatchOutcome::AddressChanged
             }
-            ended = follower.run_watch(at) => Some(ended),
-        };
-        let end = match &why {
-            Some(Err(error)) => error.watch_end(follower.has_answered),
-            _ if follower.has_answered => WatchEnd::Closed,
-            _ => WatchEnd::Failed,
-        };
-        if let Some(why) = why {
-            let why = why.map_or_else(|error| error.to_string(), |()| "ended".to_owned());
-            info!("discovery: {at}: watch after version {}: {why}", follower.list_version);
-        } else {
-            // What the old service has told and the core has not heard yet is void from now on.
-            follower.begin_watch();
+            ended = watch => WatchOutcome::Ended(ended),
         }
-        // Whatever was asked meanwhile was asked of the watch that has ended.
-        while subscribe.try_recv().is_ok() {
-            awaited = false;
+    }
+
+    /// Whether the event loop has to be asked to request the next watch.
+    fn take_resubscribe(&mut self) -> bool {
+        // Requests that came meanwhile were for the watch that has ended.
+        while self.requests.try_recv().is_ok() {
+            self.request_expected = false;
         }
-        let ask = !moved && !awaited;
-        awaited |= ask;
-        let in_step = follower.last_synced_at.elapsed();
-        follower
-            .event_loop
-            .send(DriverEvent::WatchEnded { since_synced: in_step, end, resubscribe: ask })
-            .await;
+        let resubscribe = !self.address_changed && !self.request_expected;
+        self.request_expected |= resubscribe;
+        resubscribe
     }
 }
 
 /// What outlives a single watch.
 struct WatchFollower {
     event_loop: EventLoopHandle,
-    /// The present watch's.
+    /// Number of the current watch.
     watch_number: u64,
-    /// The version of the list.
+    /// Version of the list.
     list_version: u64,
-    /// When the last whole object or beat of any watch came, or the start.
+    /// When the last complete object or heartbeat of any watch came, or the start.
     last_synced_at: Instant,
-    /// Whether the present watch has told something whole.
+    /// Whether the current watch has sent something complete.
     has_answered: bool,
 }
 
@@ -114,17 +145,15 @@
     async fn run_watch(&mut self, address: SocketAddr) -> Result<(), WatchError> {
         self.begin_watch();
         let mut deadline = Instant::now() + CALL_TIMEOUT;
-        let late = || io::Error::from(io::ErrorKind::TimedOut);
-        let ask = open_watch(address, self.list_version, deadline);
-        // The writing half is kept: without it the sending would be shut down.
-        let (mut stream, _write) = timeout_at(deadline, ask).await.map_err(|_| late())??;
-        let (mut codec, mut buffer) = (WatchCodec::default(), BytesMut::with_capacity(READ_BUFFER_BYTES));
+        let opening = WatchConnection::open(address, self.list_version, deadline);
+        let mut connection = timeout_at(deadline, opening).await.map_err(|_| timed_out())??;
+        let mut codec = WatchCodec::default();
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
-            // Bytes alone put nothing off. What has come by the deadline is read first, also by a process
-            // that stalled and wakes late.
-            let Ok(read) = timeout_at(deadline, stream.read_buf(&mut buffer)).await else {
-                let silent = self.last_synced_at.elapsed();
-                return Err(if self.has_answered { WatchError::Silent(silent) } else { late().into() });
+            // Bytes alone extend no deadline. What has come by the deadline is read first, also by a process that
+            // stalled and wakes up late.
+            let Ok(read) = timeout_at(deadline, connection.reader.read_buf(&mut buffer)).await else {
+                return Err(self.deadline_error());
             };
             if read? == 0 {
                 return Ok(());
@@ -136,43 +165,87 @@
         }
     }
 
+    fn deadline_error(&self) -> WatchError {
+        if self.has_answered { WatchError::Silent(self.last_synced_at.elapsed()) } else { timed_out().into() }
+    }
+
     async fn handle_watch_event(&mut self, address: SocketAddr, event: WatchEvent) -> Result<(), WatchError> {
-        let first = !std::mem::replace(&mut self.has_answered, true);
-        if first {
-            let what = match &event {
-                WatchEvent::List(EndpointList { snapshot: true, .. }) => "whole list",
-                WatchEvent::List(_) => "changes",
-                WatchEvent::Heartbeat => "nothing new",
-            };
-            info!("discovery: {address}: watching after version {}, {what}", self.list_version);
+        let is_first = !std::mem::replace(&mut self.has_answered, true);
+        if is_first {
+            self.log_first_event(address, &event);
         }
-        if let WatchEvent::List(news) = event {
-            let (index, fits) = (news.index, news.applies_to(self.list_version));
-            // Only what has been told counts: this may be given up meanwhile.
-            self.event_loop.send(DriverEvent::ListUpdated(self.watch_number, news)).await;
-            let had = std::mem::replace(&mut self.list_version, if fits { index } else { 0 });
-            if !fits {
-                // What these entries say is so, but not what changed before: that takes a whole list.
-                return Err(WatchError::StaleChanges { had, index });
-            }
+        if let WatchEvent::List(update) = event {
+            self.forward_update(update).await?;
         }
         self.last_synced_at = Instant::now();
-        if first {
+        if is_first {
             self.event_loop.send(DriverEvent::WatchSynced(self.watch_number)).await;
         }
         Ok(())
     }
+
+    fn log_first_event(&self, address: SocketAddr, event: &WatchEvent) {
+        let content = match event {
+            WatchEvent::List(EndpointList { snapshot: true, .. }) => "complete list",
+            WatchEvent::List(_) => "changes",
+            WatchEvent::Heartbeat => "no changes",
+        };
+        info!("discovery: watching {address} after version {}: {content}", self.list_version);
+    }
+
+    async fn forward_update(&mut self, update: EndpointList) -> Result<(), WatchError> {
+        let index = update.index;
+        let applies = update.applies_to(self.list_version);
+        // The version counts once the update is sent: this future may be dropped meanwhile.
+        self.event_loop.send(DriverEvent::ListUpdated(self.watch_number, update)).await;
+        let next_version = if applies { index } else { 0 };
+        let had = std::mem::replace(&mut self.list_version, next_version);
+        if applies {
+            return Ok(());
+        }
+        // These entries are true, but what changed before them is unknown: that takes a complete list.
+        Err(WatchError::StaleChanges { had, index })
+    }
+
+    /// Logs the end of a watch, and returns what it shows of discovery.
+    fn finish_watch(&mut self, address: SocketAddr, outcome: &WatchOutcome) -> WatchEnd {
+        let end = match outcome {
+            WatchOutcome::Ended(Err(error)) => error.watch_end(self.has_answered),
+            _ if self.has_answered => WatchEnd::Closed,
+            _ => WatchEnd::Failed,
+        };
+        let reason = match outcome {
+            WatchOutcome::AddressChanged => {
+                // What the old service has sent and the event loop has not handled yet is void from now on.
+                self.begin_watch();
+                return end;
+            }
+            WatchOutcome::Ended(Ok(())) => "closed by discovery".to_owned(),
+            WatchOutcome::Ended(Err(error)) => error.to_string(),
+        };
+        info!("discovery: watch of {address} after version {} ended: {reason}", self.list_version);
+        end
+    }
 }
 
-/// Connects and asks for what came after this version.
-async fn open_watch(
-    address: SocketAddr,
-    after: u64,
-    deadline: Instant,
-) -> io::Result<(TcpReader, TcpWriter)> {
-    let stream = connect(address, deadline).await.map_err(ConnectFailure::into_io)?;
-    stream.set_nodelay(true)?;
-    let (read, mut write) = split_tcp(stream);
-    write.write_all(watch_request(&address.to_string(), after).as_bytes()).await?;
-    Ok((read, write))
+fn timed_out() -> io::Error {
+    io::Error::from(io::ErrorKind::TimedOut)
+}
+
+/// A connection on which a watch was requested.
+struct WatchConnection {
+    reader: TcpReader,
+    /// Dropping it would shut down the sending direction.
+    _writer: TcpWriter,
+}
+
+impl WatchConnection {
+    /// Connects, and requests what changed after this version.
+    async fn open(address: SocketAddr, after: u64, deadline: Instant) -> io::Result<Self> {
+        let stream = connect(address, deadline).await.map_err(ConnectFailure::into_io)?;
+        stream.set_nodelay(true)?;
+        let (reader, mut writer) = split_tcp(stream);
+        writer.write_all(watch_request(&address.to_string(), after).as_bytes()).await?;
+        Ok(Self { reader, _writer: writer })
+    }
 }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,12 +1,13 @@
 //! The page of errors names every variant of the types it stands for.
 
 /// Sources whose errors the page lists.
-const SOURCES: [&str; 20] = [
+const SOURCES: [&str; 21] = [
     include_str!("../src/net/connect.rs"),
     include_str!("../src/engine/invariants.rs"),
     include_str!("../src/fleet/permits/mod.rs"),
     include_str!("../src/fleet/permits/datagram.rs"),
-    include_str!("../src/discovery/mod.rs"),
+    include_str!("../src/discovery/http.rs"),
+    include_str!("../src/discovery/watch.rs"),
     include_str!("../src/fleet/view.rs"),
     include_str!("../src/fleet/maintenance.rs"),
     include_str!("../src/fleet/quota.rs"),
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -773,7 +773,7 @@
 
 /// Waits for the line that says that a watch from this version has begun.
 async fn watching(daemon: &Daemon, at: SocketAddr, after: u64) {
-    let line: &'static str = Box::leak(format!("discovery: {at}: watching after version {after},").into());
+    let line: &'static str = Box::leak(format!("discovery: watching {at} after version {after}:").into());
     daemon.says(line).await.expect("an answer");
 }
 
