--- a/src/fleet/permits/mod.rs
+++ b/src/fleet/permits/mod.rs
@@ -351,7 +351,7 @@
             // The first grantor holds the first permit.
             index: (position.unwrap_or_default() as u32 + 1) % holders,
             holders,
-            started_at: process_started_at,
+            began: process_started_at,
             last_used_permit: share.last_granted_permit,
         };
         let permit = schedule.next_permit(now, started_at, connections_when_full, holder);
