--- a/src/main.rs
+++ b/src/main.rs
@@ -1,35 +1,45 @@
-//! The daemon: one balancer on sockets.
+//! The daemon: one gateway on sockets.
 
 mod cli;
 
+use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtide::config::{Config, FrontendConfig};
-use ashtide::fleet::maintenance::{self as work, MaintenanceError};
-use ashtide::fleet::quota::{self, QuotaError};
+use ashtide::config::{Config, ConfigError, FrontendConfig, QuicConfig, VrrpConfig};
+use ashtide::discovery::EndpointList;
+use ashtide::fleet::maintenance::{self as maintenance_settings, MaintenanceError};
+use ashtide::fleet::permits::PermitDatagram;
+use ashtide::fleet::quota::{self as quota_settings, QuotaError};
 use ashtide::fleet::shared_state::OutlierMode;
-use ashtide::fleet::view::{Settings, ViewError};
-use ashtide::handover::ProcessState;
-use ashtide::net::event_loop::EventLoop;
+use ashtide::fleet::view::{Settings as ViewSettings, ViewError};
+use ashtide::handover::{Deployment, PersistedState, ProcessState};
+use ashtide::net::admin::AdminContext;
+use ashtide::net::connection_handoff::{HandoffReceiver, Successor};
+use ashtide::net::event_loop::{EventLoop, EventLoopParts};
 use ashtide::net::fleet::quota::QuotaService;
 use ashtide::net::fleet::{maintenance, permits, view};
-use ashtide::net::handover::{self, SiblingLink, StateFolder};
-use ashtide::net::messages::{DriverEvent, to_duration};
+use ashtide::net::handover::{self, DiscoveredSiblings, PublishedState, SiblingLink, StateFolder};
+use ashtide::net::messages::{DriverEvent, EventLoopHandle, to_duration};
 use ashtide::net::pending_clients::PendingClients;
 use ashtide::net::{admin, bind_retry, discovery, listen, quic, rate_limited_log, reload, session, vrrp};
 use ashtide::settings::TenantQuota;
 use clap::Parser;
 use cli::{Action, Arguments, ConfigFiles};
-use tokio::signal::unix::{SignalKind, signal};
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
-use tokio::time::Instant;
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, timeout};
 use tracing::{error, info};
 
-/// How long the fleet view may take to say that this gateway leaves.
+/// Limit on telling the fleet view that this gateway leaves.
 const VIEW_DEPARTURE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Watches of the endpoint list that may be asked for while another is being opened.
+const WATCH_REQUEST_QUEUE: usize = 1;
 
 fn main() -> ExitCode {
     let files = match Arguments::parse().execute() {
@@ -37,195 +47,446 @@
         Action::Exit(code) => return code,
     };
     rate_limited_log::init();
-    match run_daemon(files) {
+    match run_daemon(&files) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            error!("ashtide: {problem}");
+        Err(error) => {
+            error!("ashtide: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-fn run_daemon(files: ConfigFiles) -> Result<(), Box<dyn std::error::Error>> {
-    let mut config = Config::read(|name| std::env::var(name).ok())?;
-    let descriptors = bind_retry::descriptor_limit();
-    if descriptors < config.limits.sockets {
-        info!("ashtide: limits.sockets is {}, the system allows {descriptors}", config.limits.sockets);
-        config.limits.sockets = descriptors;
-    }
-    config.settings.warnings().iter().for_each(|remark| info!("ashtide: {remark}"));
-    // The platform names no deploy file.
-    let fronts = files.fronts.as_deref().map(FrontendConfig::read).transpose()?.unwrap_or_default();
-    let view = files.view.as_deref().map(Settings::read).transpose().map_err(ViewError::with_help)?;
-    let quota = match &files.quota {
-        Some(_) if view.as_ref().is_none_or(|it| it.shared_state.is_none()) => {
-            return Err(QuotaError::NoSharedState.with_help().into());
-        }
-        Some(file) => {
-            let customers = config.settings.tenant_quotas();
-            Some((
-                file.clone(),
-                quota::Settings::read(file, &customers).map_err(QuotaError::with_help)?,
-                customers,
-            ))
+/// Why the daemon does not start.
+#[derive(Debug, thiserror::Error)]
+enum StartupError {
+    /// The configuration or the deploy file cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The system failed.
+    #[error(transparent)]
+    System(#[from] io::Error),
+    /// The fleet view's file cannot be used.
+    #[error("{0}; {help}", help = .0.help())]
+    View(#[from] ViewError),
+    /// The quotas' file cannot be used.
+    #[error("{0}; {help}", help = .0.help())]
+    Quota(#[from] QuotaError),
+    /// The maintenance file cannot be used.
+    #[error("{0}; {help}", help = .0.help())]
+    Maintenance(#[from] MaintenanceError),
+    /// The inherited descriptor is no listener.
+    #[error("ROUTER_INHERITED_FD: '{number}': {error}")]
+    InheritedListener { number: i32, error: io::Error },
+    /// The address for clients cannot be had.
+    #[error("listen {address}: {error}")]
+    Listen { address: SocketAddr, error: io::Error },
+    /// The address for operators cannot be had.
+    #[error("operator {address}: {error}")]
+    Admin { address: SocketAddr, error: io::Error },
+    /// The address of the QUIC front end cannot be had.
+    #[error("quic.listen {address}: {error}")]
+    Quic { address: SocketAddr, error: io::Error },
+    /// The QUIC front end asks for a class that the settings do not have.
+    #[error("quic.class: '{0}' is no class of the settings")]
+    UnknownQuicClass(String),
+}
+
+/// What the daemon is started with.
+struct StartupConfig {
+    config: Config,
+    frontends: FrontendConfig,
+    view: Option<ViewSettings>,
+    maintenance: Option<maintenance_settings::Settings>,
+    quota: Option<QuotaConfig>,
+}
+
+/// The quotas of partners, and what a reload reads them from.
+struct QuotaConfig {
+    path: PathBuf,
+    settings: quota_settings::Settings,
+    /// The settings' own quotas, for tenants that the file does not name.
+    tenants: Vec<TenantQuota>,
+}
+
+impl StartupConfig {
+    fn read(files: &ConfigFiles) -> Result<Self, StartupError> {
+        let mut config = Config::read(|name| std::env::var(name).ok())?;
+        let descriptors = bind_retry::descriptor_limit();
+        if descriptors < config.limits.sockets {
+            info!("ashtide: limits.sockets is {}, the system allows {descriptors}", config.limits.sockets);
+            config.limits.sockets = descriptors;
         }
-        None => None,
-    };
+        config.settings.warnings().iter().for_each(|warning| info!("ashtide: {warning}"));
+        // The platform names no deploy file.
+        let frontends = files.fronts.as_deref().map(FrontendConfig::read).transpose()?.unwrap_or_default();
+        let view = files.view.as_deref().map(ViewSettings::read).transpose()?;
+        let quota = match &files.quota {
+            Some(_) if view.as_ref().is_none_or(|view| view.shared_state.is_none()) => {
+                return Err(QuotaError::NoSharedState.into());
+            }
+            Some(path) => Some(QuotaConfig::read(path.clone(), &config)?),
+            None => None,
+        };
+        let maintenance =
+            files.maintenance.as_deref().map(maintenance_settings::Settings::read).transpose()?;
+        Ok(Self { config, frontends, view, maintenance, quota })
+    }
+}
+
+impl QuotaConfig {
+    fn read(path: PathBuf, config: &Config) -> Result<Self, QuotaError> {
+        let tenants = config.settings.tenant_quotas();
+        let settings = quota_settings::Settings::read(&path, &tenants)?;
+        Ok(Self { path, settings, tenants })
+    }
+}
+
+fn run_daemon(files: &ConfigFiles) -> Result<(), StartupError> {
+    let startup = StartupConfig::read(files)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let work = files.maintenance.as_deref().map(work::Settings::read).transpose();
-    let work = work.map_err(MaintenanceError::with_help)?;
-    let end = runtime.block_on(run(config, fronts, view, work, quota));
+    let result = runtime.block_on(run(startup));
     // A file that a reload still reads, on a disk that hangs, is not waited for.
     runtime.shutdown_background();
-    end
+    result
+}
+
+/// Starts all parts, in order, and serves until the process is to end.
+async fn run(startup: StartupConfig) -> Result<(), StartupError> {
+    let StartupConfig { config, frontends, view, maintenance, quota } = startup;
+    let signals = Signals::listen()?;
+    let listener = bind_listener(&config)?;
+    let quic_sockets = frontends.quic.as_ref().map_or(0, |quic| quic.paths);
+    let capacity = config.capacity(quic_sockets);
+    let pending_clients = PendingClients::new(capacity);
+    let siblings = Siblings::discover(&config, &listener, &pending_clients).await;
+    let DaemonParts { mut daemon, mut admin, handover, known_list, outgoing_datagrams, watch_requests } =
+        Daemon::create(config, pending_clients, siblings, quic_sockets);
+    let (name, address) = (&daemon.config.name, listener.local_addr()?);
+    info!("ashtide: {name} listens on {address}, at most {} clients", capacity.max_sessions);
+    let view_task = view.map(|view| daemon.start_view(view, quota.as_ref(), &mut admin)).transpose()?;
+    if let Some(settings) = maintenance {
+        daemon.start_maintenance(settings, &mut admin)?;
+    }
+    daemon.start_admin(admin)?;
+    daemon.start_permits(outgoing_datagrams);
+    let known_version = known_list.as_ref().map_or(0, |list| list.index);
+    daemon.start_discovery(known_version, watch_requests, signals.hangup, quota);
+    daemon.start_clients(listener, handover);
+    if let Some(quic) = frontends.quic {
+        daemon.start_quic(quic, frontends.vrrp).await?;
+    }
+    daemon.stop_on_signal(signals.terminated_at);
+    daemon.run(known_list, view_task).await;
+    Ok(())
+}
+
+/// Signals that the process takes. Each is listened for before any client can come: without a handler, either ends the
+/// process at once.
+struct Signals {
+    hangup: Signal,
+    /// When the process was asked to stop. It may still be discovering its siblings then.
+    terminated_at: JoinHandle<Option<Instant>>,
+}
+
+impl Signals {
+    fn listen() -> io::Result<Self> {
+        let mut terminate = signal(SignalKind::terminate())?;
+        let hangup = signal(SignalKind::hangup())?;
+        let terminated_at = tokio::spawn(async move { terminate.recv().await.map(|()| Instant::now()) });
+        Ok(Self { hangup, terminated_at })
+    }
+}
+
+/// The listener for clients: inherited, or bound anew.
+fn bind_listener(config: &Config) -> Result<TcpListener, StartupError> {
+    match config.inherited_listener {
+        Some(number) => bind_retry::adopt_listener(number)
+            .map_err(|error| StartupError::InheritedListener { number, error }),
+        None => {
+            let address = config.listen_address;
+            bind_retry::bind_listener(address).map_err(|error| StartupError::Listen { address, error })
+        }
+    }
+}
+
+/// What earlier and older processes of this gateway have left and told.
+struct Siblings {
+    deployment: Deployment,
+    state_folder: Option<StateFolder>,
+    /// The order of this process among its siblings.
+    rank: u64,
+    persisted: PersistedState,
+    discovered: Option<DiscoveredSiblings>,
+}
+
+impl Siblings {
+    async fn discover(config: &Config, listener: &TcpListener, pending_clients: &PendingClients) -> Self {
+        let deployment = handover::describe_deployment(config, listener);
+        let state_folder = config
+            .state_folder
+            .as_deref()
+            .map(|folder| StateFolder::for_deployment(folder, deployment.clone()));
+        let rank = state_folder.as_ref().map_or_else(handover::unix_micros, StateFolder::next_rank);
+        let persisted = state_folder.as_ref().map(StateFolder::load).unwrap_or_default();
+        let discovered = match &state_folder {
+            Some(folder) => Some(handover::discover_siblings(folder, rank).await),
+            None => None,
+        };
+        let restore_phase_over =
+            discovered.as_ref().is_some_and(|siblings| siblings.summary(rank).restore_phase_over);
+        if persisted.begun || restore_phase_over {
+            pending_clients.end_restore_phase();
+        }
+        Self { deployment, state_folder, rank, persisted, discovered }
+    }
+
+    /// The newest list that is known: what an older process has heard is newer than what this one was given.
+    fn known_list(&self, config: &Config) -> Option<EndpointList> {
+        let relayed = self.discovered.as_ref().and_then(|siblings| siblings.endpoint_list.clone());
+        [config.initial_list.clone(), relayed].into_iter().flatten().max_by_key(|list| list.index)
+    }
+}
+
+/// What links this process with its siblings.
+struct Handover {
+    discovered: Option<DiscoveredSiblings>,
+    /// Established connections of an older process.
+    receiver: Option<HandoffReceiver>,
+    published: watch::Receiver<PublishedState>,
+    successor_sender: watch::Sender<Option<Arc<Successor>>>,
+    successor: watch::Receiver<Option<Arc<Successor>>>,
+}
+
+/// The daemon, and what its parts are started with.
+struct DaemonParts {
+    daemon: Daemon,
+    admin: AdminContext,
+    handover: Handover,
+    known_list: Option<EndpointList>,
+    /// Datagrams to other gateways.
+    outgoing_datagrams: mpsc::Receiver<PermitDatagram>,
+    /// Each asks discovery's driver for a watch.
+    watch_requests: mpsc::Receiver<()>,
 }
 
-async fn run(
+/// What all parts of the daemon share.
+struct Daemon {
     config: Config,
-    fronts: FrontendConfig,
-    view: Option<Settings>,
-    work: Option<work::Settings>,
-    quota: Option<(PathBuf, quota::Settings, Vec<TenantQuota>)>,
-) -> Result<(), Box<dyn std::error::Error>> {
-    // Both before anything listens: without a handler, either ends the process on the spot. When it was told to
-    // stop counts from then on, as it may still be meeting an older process.
-    let mut terminate = signal(SignalKind::terminate())?;
-    let hangup = signal(SignalKind::hangup())?;
-    let told_to_stop = tokio::spawn(async move { terminate.recv().await.map(|()| Instant::now()) });
-    let listener = match config.inherited_listener {
-        Some(number) => {
-            bind_retry::adopt_listener(number).map_err(|e| format!("ROUTER_INHERITED_FD: '{number}': {e}"))?
+    event_loop: EventLoop,
+    handle: EventLoopHandle,
+    pending_clients: PendingClients,
+    state_folder: Option<StateFolder>,
+    rank: u64,
+    /// Whether this process accepts clients, and not its successor.
+    accepting: watch::Sender<bool>,
+    /// Whether the process has been asked to stop.
+    stop: watch::Sender<bool>,
+}
+
+impl Daemon {
+    fn create(
+        config: Config,
+        pending_clients: PendingClients,
+        siblings: Siblings,
+        quic_sockets: usize,
+    ) -> DaemonParts {
+        let known_list = siblings.known_list(&config);
+        let Siblings { deployment, state_folder, rank, persisted, discovered } = siblings;
+        let receiver = state_folder.as_ref().and_then(|folder| folder.bind_handoff_receiver(rank));
+        let process = ProcessState {
+            whose: Some(deployment),
+            started: rank,
+            adopts: receiver.is_some(),
+            ..ProcessState::default()
+        };
+        let (successor_sender, successor) = watch::channel(None);
+        let sibling_link = SiblingLink::new(
+            pending_clients.clone(),
+            state_folder.clone(),
+            persisted,
+            config.reserved_descriptors(quic_sockets),
+            process,
+            successor.clone(),
+        );
+        let published = sibling_link.subscribe();
+        let (watch_request_sender, watch_requests) = mpsc::channel(WATCH_REQUEST_QUEUE);
+        let (datagram_sender, outgoing_datagrams) = mpsc::channel(permits::SEND_QUEUE_LENGTH);
+        let EventLoopParts { event_loop, handle, admin } =
+            EventLoop::create(&config, watch_request_sender, datagram_sender, sibling_link);
+        DaemonParts {
+            daemon: Self {
+                config,
+                event_loop,
+                handle,
+                pending_clients,
+                state_folder,
+                rank,
+                accepting: watch::Sender::new(true),
+                stop: watch::Sender::new(false),
+            },
+            admin,
+            handover: Handover { discovered, receiver, published, successor_sender, successor },
+            known_list,
+            outgoing_datagrams,
+            watch_requests,
         }
-        None => bind_retry::bind_listener(config.listen_address)
-            .map_err(|e| format!("listen {}: {e}", config.listen_address))?,
-    };
-    // One call asked for while another runs: the queue's one place says so.
-    let (subscribe, subscriptions) = mpsc::channel(1);
-    let others = fronts.quic.as_ref().map_or(0, |quic| quic.paths);
-    let room = config.capacity(others);
-    let lobby = PendingClients::new(room);
-    let whose = handover::describe_deployment(&config, &listener);
-    let place =
-        config.state_folder.as_deref().map(|folder| StateFolder::for_deployment(folder, whose.clone()));
-    let started = place.as_ref().map_or_else(handover::unix_micros, StateFolder::next_rank);
-    let kept = place.as_ref().map(StateFolder::load).unwrap_or_default();
-    let met = match &place {
-        Some(place) => Some(handover::discover_siblings(place, started).await),
-        None => None,
-    };
-    if kept.begun || met.as_ref().is_some_and(|met| met.summary(started).restore_phase_over) {
-        lobby.end_restore_phase();
-    }
-    // What an older process has heard is newer than what this one was given.
-    let relayed = met.as_ref().and_then(|met| met.endpoint_list.clone());
-    let known = [config.initial_list.clone(), relayed].into_iter().flatten().max_by_key(|list| list.index);
-    let inbox = place.as_ref().and_then(|place| place.bind_handoff_receiver(started));
-    let state =
-        ProcessState { whose: Some(whose), started, adopts: inbox.is_some(), ..ProcessState::default() };
-    let (heirs, heir) = watch::channel(None);
-    let own = config.reserved_descriptors(others);
-    let post = SiblingLink::new(lobby.clone(), place.clone(), kept, own, state, heir.clone());
-    let telling = post.subscribe();
-    let (datagrams, sending) = mpsc::channel(permits::SEND_QUEUE_LENGTH);
-    let (mut core, handle, mut office) = EventLoop::new(&config, subscribe, datagrams, post);
-    let listen = listener.local_addr()?;
-    info!("ashtide: {} listens on {listen}, at most {} clients", config.name, room.max_sessions);
-    let (stop, stopping) = watch::channel(false);
-    let mut leaving = None;
-    if let Some(view) = view {
-        let seeds = view
-            .seeds_or_peers(config.peers.as_ref().map(|peers| peers.other_addresses().collect()))
-            .map_err(ViewError::with_help)?;
-        let each = config.peers.as_ref().map(|peers| peers.by_index.as_slice());
-        let slots = view
-            .shared_state
-            .as_ref()
-            .map(|_| view.gateway_slots(each))
-            .transpose()
-            .map_err(ViewError::with_help)?;
-        let shared = slots.map(|slots| {
-            let board = office.shared_state.insert(Arc::default()).clone();
-            if let Some((_, settings, _)) = &quota {
-                let desk =
-                    Arc::new(QuotaService::new(settings.clone(), &slots, board.clone(), place.as_ref()));
-                core.enable_quota(office.quota.insert(desk).clone());
+    }
+
+    /// Starts the fleet view, and with it what the gateways share and the quotas, where they are configured.
+    fn start_view(
+        &mut self,
+        view: ViewSettings,
+        quota: Option<&QuotaConfig>,
+        admin: &mut AdminContext,
+    ) -> Result<JoinHandle<()>, StartupError> {
+        let peers = self.config.peers.as_ref();
+        let seeds = view.seeds_or_peers(peers.map(|peers| peers.other_addresses().collect()))?;
+        let by_index = peers.map(|peers| peers.by_index.as_slice());
+        let shared_state = match &view.shared_state {
+            Some(settings) => {
+                let slots = view.gateway_slots(by_index)?;
+                let state = admin.shared_state.insert(Arc::default()).clone();
+                if let Some(quota) = quota {
+                    let folder = self.state_folder.as_ref();
+                    let service =
+                        Arc::new(QuotaService::new(quota.settings.clone(), &slots, state.clone(), folder));
+                    self.event_loop.enable_quota(admin.quota.insert(service).clone());
+                }
+                let report_outcomes = settings.outlier_mode != OutlierMode::Off;
+                self.event_loop.enable_shared_state(state.clone(), report_outcomes);
+                Some(view::SharedStateHandle { state, slots })
             }
-            core.enable_shared_state(
-                board.clone(),
-                view.shared_state.as_ref().is_some_and(|it| it.outlier_mode != OutlierMode::Off),
-            );
-            view::SharedStateHandle { state: board, slots }
+            None => None,
+        };
+        let incarnations =
+            view::IncarnationStore::new(self.config.state_folder.as_deref(), &self.config.name);
+        let shared_view = admin.view.insert(Arc::default()).clone();
+        let stopping = self.stop.subscribe();
+        Ok(tokio::spawn(view::run(view, seeds, incarnations, shared_view, shared_state, stopping)))
+    }
+
+    fn start_maintenance(
+        &self,
+        settings: maintenance_settings::Settings,
+        admin: &mut AdminContext,
+    ) -> io::Result<()> {
+        let (service, commands) = maintenance::MaintenanceService::new();
+        admin.maintenance = Some(Arc::new(service));
+        let name = self.config.name.clone();
+        maintenance::start(settings, name, commands, self.handle.clone(), self.stop.subscribe())
+    }
+
+    fn start_admin(&self, admin: AdminContext) -> Result<(), StartupError> {
+        if let Some(address) = self.config.admin_address {
+            let bound =
+                admin::start(address, admin).map_err(|error| StartupError::Admin { address, error })?;
+            info!("operator: listens on {bound}");
+        }
+        Ok(())
+    }
+
+    fn start_permits(&self, outgoing_datagrams: mpsc::Receiver<PermitDatagram>) {
+        if let Some(peers) = self.config.peers.clone() {
+            tokio::spawn(permits::run(peers, outgoing_datagrams, self.handle.clone()));
+        }
+    }
+
+    /// Starts to follow the endpoint list, and to read the configuration again at each hang-up.
+    fn start_discovery(
+        &self,
+        known_version: u64,
+        watch_requests: mpsc::Receiver<()>,
+        hangup: Signal,
+        quota: Option<QuotaConfig>,
+    ) {
+        let (address_sender, address) = watch::channel(self.config.discovery_address);
+        let handle = self.handle.clone();
+        tokio::spawn(discovery::follow_endpoint_list(address, known_version, watch_requests, handle));
+        let quota = quota.map(|quota| reload::QuotaReload {
+            file: quota.path,
+            allowances: quota.tenants,
+            event_loop: self.handle.clone(),
         });
-        let lives = view::IncarnationStore::new(config.state_folder.as_deref(), &config.name);
-        let board = office.view.insert(Arc::default()).clone();
-        leaving = Some(tokio::spawn(view::run(view, seeds, lives, board, shared, stopping.clone())));
-    }
-    if let Some(work) = work {
-        let (desk, clerk) = maintenance::MaintenanceService::new();
-        office.maintenance = Some(Arc::new(desk));
-        maintenance::start(work, config.name.clone(), clerk, handle.clone(), stopping.clone())?;
-    }
-    if let Some(operator) = config.admin_address {
-        let at = admin::start(operator, office).map_err(|e| format!("operator {operator}: {e}"))?;
-        info!("operator: listens on {at}");
-    }
-    if let Some(peers) = config.peers {
-        tokio::spawn(permits::run(peers, sending, handle.clone()));
-    }
-    let after = known.as_ref().map_or(0, |known| known.index);
-    let (found, address) = watch::channel(config.discovery_address);
-    tokio::spawn(discovery::follow_endpoint_list(address, after, subscriptions, handle.clone()));
-    let quotas = quota.map(|(file, _, customers)| reload::QuotaReload {
-        file,
-        allowances: customers,
-        event_loop: handle.clone(),
-    });
-    tokio::spawn(reload::reload_on_hangup(hangup, config.reload_baseline, found, quotas));
-    let times = session::Timeouts { connect: to_duration(config.settings.connect_timeout()) };
-    let (accepts, accepting) = watch::channel(true);
-    let front = session::Frontend::new(lobby.clone(), times, handle.clone(), heir);
-    if let Some(inbox) = inbox {
-        tokio::spawn(listen::adopt_connections(inbox, front.clone()));
-    }
-    tokio::spawn(listen::accept_clients(listener, front, accepting, core.closing()));
-    if let (Some(met), Some(place)) = (met, place.clone()) {
-        tokio::spawn(handover::run(met, telling, lobby, accepts.clone(), handle.clone(), place, heirs));
-    }
-    if let Some(front) = fronts.quic {
-        if config.settings.name_tables().classes.find(&front.class).is_none() {
-            return Err(format!("quic.class: '{}' is no class of the settings", front.class).into());
+        let baseline = self.config.reload_baseline.clone();
+        tokio::spawn(reload::reload_on_hangup(hangup, baseline, address_sender, quota));
+    }
+
+    /// Starts to take clients in: those that connect, and those of an older process.
+    fn start_clients(&self, listener: TcpListener, handover: Handover) {
+        let timeouts = session::Timeouts { connect: to_duration(self.config.settings.connect_timeout()) };
+        let pending_clients = self.pending_clients.clone();
+        let frontend = session::Frontend::new(
+            pending_clients.clone(),
+            timeouts,
+            self.handle.clone(),
+            handover.successor,
+        );
+        if let Some(receiver) = handover.receiver {
+            tokio::spawn(listen::adopt_connections(receiver, frontend.clone()));
+        }
+        let closing = self.event_loop.closing();
+        tokio::spawn(listen::accept_clients(listener, frontend, self.accepting.subscribe(), closing));
+        if let (Some(discovered), Some(state_folder)) = (handover.discovered, self.state_folder.clone()) {
+            tokio::spawn(handover::run(
+                discovered,
+                handover.published,
+                pending_clients,
+                self.accepting.clone(),
+                self.handle.clone(),
+                state_folder,
+                handover.successor_sender,
+            ));
+        }
+    }
+
+    /// Starts the QUIC front end, and VRRP, which gates it where it is configured.
+    async fn start_quic(&self, quic: QuicConfig, vrrp: Option<VrrpConfig>) -> Result<(), StartupError> {
+        if self.config.settings.name_tables().classes.find(&quic.class).is_none() {
+            return Err(StartupError::UnknownQuicClass(quic.class));
         }
-        let (gate, open) = watch::channel(fronts.vrrp.is_none());
-        let listen = front.listen;
-        let front =
-            quic::QuicFrontend::bind(front, config.seed, handle.clone(), core.server_addresses(), open)
-                .await
-                .map_err(|e| format!("quic.listen {listen}: {e}"))?;
-        info!("quic: listens on {}", front.address()?);
-        tokio::spawn(front.run());
-        if let Some(router) = fronts.vrrp {
+        let (gate_sender, gate) = watch::channel(vrrp.is_none());
+        let address = quic.listen;
+        let servers = self.event_loop.server_addresses();
+        let frontend = quic::QuicFrontend::bind(quic, self.config.seed, self.handle.clone(), servers, gate)
+            .await
+            .map_err(|error| StartupError::Quic { address, error })?;
+        info!("quic: listens on {}", frontend.address()?);
+        tokio::spawn(frontend.run());
+        if let Some(vrrp) = vrrp {
+            let stopping = self.stop.subscribe();
             tokio::spawn(async move {
-                if let Err(error) = vrrp::run(router, gate, stopping).await {
+                if let Err(error) = vrrp::run(vrrp, gate_sender, stopping).await {
                     info!("vrrp: {error}; this copy takes no new connections");
                 }
             });
         }
+        Ok(())
     }
-    let grace = config.shutdown_grace;
-    tokio::spawn(async move {
-        if let Ok(Some(told)) = told_to_stop.await {
-            info!("ashtide: asked to stop, leaving within {} ms", grace.as_millis());
-            stop.send_replace(true);
-            handle.send(DriverEvent::ShutdownRequested(grace.saturating_sub(told.elapsed()))).await;
-        }
-    });
-    core.run(known).await;
-    if let Some(leaving) = leaving {
-        let _ = tokio::time::timeout(VIEW_DEPARTURE_TIMEOUT, leaving).await;
+
+    /// Begins to shut down once the process is asked to.
+    fn stop_on_signal(&self, terminated_at: JoinHandle<Option<Instant>>) {
+        let grace = self.config.shutdown_grace;
+        let handle = self.handle.clone();
+        let stop = self.stop.clone();
+        tokio::spawn(async move {
+            if let Ok(Some(terminated_at)) = terminated_at.await {
+                info!("ashtide: asked to stop, leaving within {} ms", grace.as_millis());
+                stop.send_replace(true);
+                let grace = grace.saturating_sub(terminated_at.elapsed());
+                handle.send(DriverEvent::ShutdownRequested { grace }).await;
+            }
+        });
     }
-    if let Some(place) = place {
-        place.remove_sockets(started);
+
+    /// Serves until the process is to end.
+    async fn run(self, known_list: Option<EndpointList>, view_task: Option<JoinHandle<()>>) {
+        self.event_loop.run(known_list).await;
+        if let Some(view_task) = view_task {
+            let _ = timeout(VIEW_DEPARTURE_TIMEOUT, view_task).await;
+        }
+        if let Some(state_folder) = self.state_folder {
+            state_folder.remove_sockets(self.rank);
+        }
+        info!("ashtide: left");
     }
-    info!("ashtide: left");
-    Ok(())
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -149,7 +149,7 @@
         if let WatchEvent::List(news) = event {
             let (index, fits) = (news.index, news.applies_to(self.list_version));
             // Only what has been told counts: this may be given up meanwhile.
-            self.event_loop.send(DriverEvent::ListUpdated(self.watch_number, news)).await;
+            self.event_loop.send(DriverEvent::ListUpdated { watch: self.watch_number, update: news }).await;
             let had = std::mem::replace(&mut self.list_version, if fits { index } else { 0 });
             if !fits {
                 // What these entries say is so, but not what changed before: that takes a whole list.
@@ -158,7 +158,7 @@
         }
         self.last_synced_at = Instant::now();
         if first {
-            self.event_loop.send(DriverEvent::WatchSynced(self.watch_number)).await;
+            self.event_loop.send(DriverEvent::WatchSynced { watch: self.watch_number }).await;
         }
         Ok(())
     }
--- /dev/null
+++ b/src/net/event_loop/sessions.rs
@@ -0,0 +1,190 @@
+//! Requests, their attempts and their connections, as front ends report them.
+
+use std::collections::BTreeMap;
+
+use tokio::sync::mpsc;
+use tracing::info;
+
+use super::EventLoop;
+use crate::decision::interface::*;
+use crate::engine::{Command, FinalAnswer};
+use crate::net::messages::{
+    CommandSender, ConnectionRequest, RequestCommand, SessionCommand, SessionEvent, to_span,
+};
+use crate::settings::group_id;
+
+/// The number of the one attempt that a connection from before the start makes.
+const RESTORE_ATTEMPT: u32 = 0;
+
+/// Where the commands of each request go.
+#[derive(Default)]
+pub(super) struct SessionTable {
+    senders: BTreeMap<RequestId, CommandSender>,
+}
+
+impl SessionTable {
+    pub(super) fn is_empty(&self) -> bool {
+        self.senders.is_empty()
+    }
+
+    fn insert(&mut self, id: RequestId, commands: CommandSender) {
+        self.senders.insert(id, commands);
+    }
+
+    fn remove(&mut self, id: RequestId) {
+        self.senders.remove(&id);
+    }
+
+    pub(super) fn send(&self, id: RequestId, command: SessionCommand) {
+        let Some(sender) = self.senders.get(&id) else { return };
+        if let Err(error) = sender.try_send(RequestCommand { id, command }) {
+            // A closed queue is that of a session that has just ended; its event is on the way.
+            if matches!(error, mpsc::error::TrySendError::Full(_)) {
+                info!("session: command queue of request {} is full; the command is dropped", id.0);
+            }
+        }
+    }
+}
+
+/// A request that held a connection before, as the engine knows it.
+struct KnownConnection {
+    request: Request,
+    server: ServerId,
+}
+
+impl EventLoop {
+    pub(super) fn handle_session_event(&mut self, now: Time, event: SessionEvent) {
+        match event {
+            SessionEvent::ConnectionRequested { id, request, commands } => {
+                self.handle_connection_requested(now, id, &request, commands);
+            }
+            SessionEvent::RestoreRequested { id, request, server, commands } => {
+                let known = self.register_connection(id, &request, &server, commands);
+                self.restore_connection(now, id, known);
+            }
+            SessionEvent::ConnectionAdopted { id, request, server, commands } => {
+                match self.register_connection(id, &request, &server, commands) {
+                    Some(known) => {
+                        self.engine.adopt_connection(now, known.request, known.server, &mut self.commands);
+                    }
+                    None => self.commands.push(Command::Migrate { id }),
+                }
+            }
+            SessionEvent::AttemptConnected { id, attempt } => {
+                if self.engine.may_send_first_byte(now, id, attempt, &mut self.commands) {
+                    self.sessions.send(id, SessionCommand::SendFirstLine { attempt });
+                }
+            }
+            SessionEvent::AttemptEstablished { id, attempt } => {
+                if self.engine.handle_established(now, id, attempt, &mut self.commands) {
+                    self.sessions.send(id, SessionCommand::ConfirmEstablished { attempt });
+                }
+            }
+            SessionEvent::AttemptEnded { id, attempt, outcome } => {
+                self.handle_attempt_ended(now, id, attempt, outcome);
+            }
+            SessionEvent::ClientLeft { id } => {
+                self.engine.handle_client_left(now, id, &mut self.commands);
+                self.remove_session(id);
+            }
+            SessionEvent::MessageForwarded { id, answer_due } => {
+                self.engine.handle_client_message(now, id, answer_due);
+            }
+            SessionEvent::ServerResponded { id } => self.engine.handle_server_message(now, id),
+            SessionEvent::LoadReported { id, load } => {
+                self.engine.handle_load_report(now, id, load, &mut self.commands);
+            }
+        }
+    }
+
+    fn handle_connection_requested(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        requested: &ConnectionRequest,
+        commands: CommandSender,
+    ) {
+        self.sessions.insert(id, commands);
+        let Some(request) = self.build_request(id, requested) else {
+            return self.commands.push(Command::Answer { id, answer: FinalAnswer::Failed });
+        };
+        match self.quota.admit(id, requested) {
+            Ok(()) => self.engine.handle_request(now, request, &mut self.commands),
+            Err(wait) => {
+                let answer = FinalAnswer::Rejected(to_span(wait).min(self.max_retry_after));
+                self.commands.push(Command::Answer { id, answer });
+            }
+        }
+    }
+
+    fn restore_connection(&mut self, now: Time, id: RequestId, known: Option<KnownConnection>) {
+        match known {
+            Some(KnownConnection { request, server }) => {
+                let timeout = request.time_left;
+                self.engine.handle_existing_connection(now, request, server, &mut self.commands);
+                self.commands.push(Command::Attempt { id, attempt: RESTORE_ATTEMPT, server, timeout });
+            }
+            None => self.commands.push(Command::Answer { id, answer: FinalAnswer::Failed }),
+        }
+    }
+
+    fn handle_attempt_ended(&mut self, now: Time, id: RequestId, attempt: u32, outcome: Outcome) {
+        if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
+            self.log_server_fault(id, attempt, outcome);
+        }
+        if outcome == Outcome::QueueFull {
+            self.quota.record_rejection();
+        }
+        self.engine.handle_attempt_end(now, id, attempt, outcome, &mut self.commands);
+        // A connection that has ended has no use for commands; a request that was just answered does.
+        if !self.engine.has_request(id) && !self.answers(id) {
+            self.remove_session(id);
+        }
+    }
+
+    /// Whether a final answer to this request is still to be sent.
+    fn answers(&self, id: RequestId) -> bool {
+        let is_answer =
+            |command: &Command| matches!(command, Command::Answer { id: answered, .. } if *answered == id);
+        self.commands.iter().any(is_answer)
+    }
+
+    /// Notes where the commands of a connection from before go; the connection, if its class and server are known here.
+    fn register_connection(
+        &mut self,
+        id: RequestId,
+        requested: &ConnectionRequest,
+        server: &str,
+        commands: CommandSender,
+    ) -> Option<KnownConnection> {
+        self.sessions.insert(id, commands);
+        let server = self.names.servers.find(server).map(ServerId)?;
+        let request = self.build_request(id, requested)?;
+        self.quota.adopt_connection(id, requested);
+        Some(KnownConnection { request, server })
+    }
+
+    fn build_request(&self, id: RequestId, requested: &ConnectionRequest) -> Option<Request> {
+        let tenant = requested.tenant.as_deref().and_then(|tenant| self.names.tenants.find(tenant));
+        Some(Request {
+            id,
+            class: ClassId(self.names.classes.find(&requested.class)?),
+            tenant: tenant.map(TenantId),
+            group: requested.group.as_deref().map(group_id),
+            time_left: requested.client_timeout,
+            load: requested.expected_load,
+        })
+    }
+
+    /// Forgets a request that is answered, or whose connection has ended or gone elsewhere.
+    pub(super) fn remove_session(&mut self, id: RequestId) {
+        self.sessions.remove(id);
+        self.quota.release(id);
+    }
+
+    /// Sends the last command of a request.
+    pub(super) fn send_last_command(&mut self, id: RequestId, command: SessionCommand) {
+        self.sessions.send(id, command);
+        self.remove_session(id);
+    }
+}
--- a/src/net/fleet/maintenance.rs
+++ b/src/net/fleet/maintenance.rs
@@ -184,7 +184,7 @@
         let (reply, seen) = oneshot::channel();
         // A core that is too busy to say is asked again; until then what it said last stands.
         let asked = async {
-            self.event_loop.send(DriverEvent::ServersInspected(names, reply)).await;
+            self.event_loop.send(DriverEvent::InspectServers { names, reply }).await;
             seen.await.ok()
         };
         if let Ok(Some(ServerObservations { ready, open_connections: open })) =
@@ -238,10 +238,14 @@
                     }
                 }
                 Action::Drain { kind: MachineKind::Server, name, .. } => {
-                    self.event_loop.send(DriverEvent::MaintenanceCordon(name, true)).await;
+                    self.event_loop
+                        .send(DriverEvent::MaintenanceCordon { server: name, cordoned: true })
+                        .await;
                 }
                 Action::Return { kind: MachineKind::Server, name } => {
-                    self.event_loop.send(DriverEvent::MaintenanceCordon(name, false)).await;
+                    self.event_loop
+                        .send(DriverEvent::MaintenanceCordon { server: name, cordoned: false })
+                        .await;
                 }
                 // Whoever restarts a gateway moves its clients: this one only says whose turn it is.
                 Action::Drain { .. } | Action::Return { .. } => {}
--- a/src/net/fleet/permits.rs
+++ b/src/net/fleet/permits.rs
@@ -42,7 +42,7 @@
                 match peers.by_index.iter().position(|&peer| peer == from) {
                     Some(at) => {
                         let bytes = Bytes::copy_from_slice(&packet[..length]);
-                        event_loop.send(DriverEvent::DatagramReceived(GatewayId(at as u32), bytes)).await;
+                        event_loop.send(DriverEvent::DatagramReceived { from: GatewayId(at as u32), payload: bytes }).await;
                     }
                     None => REJECTED_DATAGRAMS.log(format_args!("a datagram of {from}, which is no gateway of `peers`")),
                 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -577,10 +577,10 @@
                         ours = true;
                         self.update_sibling(number, Some(state)).await;
                         if let Some(news) = early.take() {
-                            self.event_loop.send(DriverEvent::SiblingList(news)).await;
+                            self.event_loop.send(DriverEvent::SiblingList { list: news }).await;
                         }
                     }
-                    Some(Ok(SiblingMessage::List(news))) if ours => self.event_loop.send(DriverEvent::SiblingList(news)).await,
+                    Some(Ok(SiblingMessage::List(news))) if ours => self.event_loop.send(DriverEvent::SiblingList { list: news }).await,
                     Some(Ok(SiblingMessage::List(news))) => early = Some(news),
                     Some(Err(error)) => {
                         info!("handover: {error}");
@@ -644,6 +644,8 @@
             *accepting = !others.has_ready_successor;
             changed
         });
-        self.event_loop.send(DriverEvent::SiblingState(others.server_usage, others.cordons)).await;
+        self.event_loop
+            .send(DriverEvent::SiblingState { usage: others.server_usage, cordons: others.cordons })
+            .await;
     }
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,30 +1,33 @@
-//! Takes clients of the lines front in: those that come, and those of a process that leaves.
+//! Accepts clients of the line protocol: those that connect, and those of an older process.
 
 use std::io;
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use tokio::task::yield_now;
+use tokio::time::sleep;
 
 use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
 use super::connection_handoff::HandoffReceiver;
+use super::pending_clients::AddedClient;
 use super::rate_limited_log::RateLimitedLog;
 use super::session::Frontend;
 
-/// After a connection that could not be taken over, the next one waits a little.
+/// Wait after a connection that could not be adopted.
 const ADOPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Clients accepted in a row before those accepted get their turn: a burst must not keep the others
-/// and the core waiting, nor displace a client that has not had the chance to be heard.
+/// Clients accepted in a row before other tasks run: a burst must not keep them waiting, nor evict a client that has not
+/// had the chance to be read.
 const ACCEPTS_BEFORE_YIELD: usize = 8;
-/// Waits for descriptors as the process ends, at most: less than the core gives last answers to be written.
+/// Waits for descriptors as the process ends, at most: together less than final answers are given to be written.
 const MAX_FINAL_SHORTAGE_WAITS: u32 = 5;
 
 static ACCEPT_FAILURES: RateLimitedLog = RateLimitedLog::new("clients");
 static HANDOFF_FAILURES: RateLimitedLog = RateLimitedLog::new("handover");
 
-/// Accepts for as long as `accepting` says, whoever comes; the lobby decides who may stay. What is not
-/// accepted waits in the listener's queue for whoever shares it. Once the process is `closing`, all that wait in
-/// the queue are taken in and the listener is closed: who comes later is refused, and not taken and dropped.
+/// Accepts clients while `accepting` says so. Others wait in the listener's queue for a process that shares it. Once the
+/// process is `closing`, all clients in the queue are accepted and the listener is closed: those that come later are
+/// refused by the system, and not accepted and dropped.
 pub async fn accept_clients(
     listener: TcpListener,
     frontend: Frontend,
@@ -32,11 +35,12 @@
     mut closing: watch::Receiver<bool>,
 ) {
     let start_client = |client: TcpStream| {
-        let (slot, evicted_others) = frontend.pending_clients.add();
+        let AddedClient { slot, evicted_others } = frontend.pending_clients.add();
         tokio::spawn(frontend.clone().serve_client(client, slot));
         evicted_others
     };
-    let (mut accepted_in_a_row, mut retries) = (0, AcceptRetries::default());
+    let mut accepted_in_a_row = 0;
+    let mut retries = AcceptRetries::default();
     loop {
         let accepted = tokio::select! {
             biased;
@@ -51,19 +55,10 @@
                 accepted_in_a_row += 1;
                 if evicted_others || accepted_in_a_row >= ACCEPTS_BEFORE_YIELD {
                     accepted_in_a_row = 0;
-                    tokio::task::yield_now().await;
-                }
-            }
-            Err(error) => {
-                ACCEPT_FAILURES.log(format_args!("accept failed: {error}"));
-                let next = retries.record_failure(&error);
-                if next == AcceptRecovery::EvictClients {
-                    frontend.pending_clients.evict_for_descriptors();
-                }
-                if next != AcceptRecovery::Retry {
-                    tokio::time::sleep(SHORTAGE_RETRY).await;
+                    yield_now().await;
                 }
             }
+            Err(error) => recover(&frontend, &mut retries, &error).await,
         }
     }
     if let Ok(listener) = listener.into_std() {
@@ -71,16 +66,29 @@
     }
 }
 
-/// Takes in all that wait in the queue of a listener that is about to close. One that is the successor's by now is left
-/// to it.
+/// Does what a failed accept calls for.
+async fn recover(frontend: &Frontend, retries: &mut AcceptRetries, error: &io::Error) {
+    ACCEPT_FAILURES.log(format_args!("accept failed: {error}"));
+    let recovery = retries.record_failure(error);
+    if recovery == AcceptRecovery::EvictClients {
+        frontend.pending_clients.evict_for_descriptors();
+    }
+    if recovery != AcceptRecovery::Retry {
+        sleep(SHORTAGE_RETRY).await;
+    }
+}
+
+/// Accepts all clients in the queue of a listener that is about to close. A queue that the successor has taken by now is
+/// left to it.
 async fn drain_accept_queue(
     listener: &std::net::TcpListener,
     accepting: &watch::Receiver<bool>,
     start_client: impl Fn(TcpStream) -> bool,
 ) {
-    let (mut retries, mut waits) = (AcceptRetries::default(), 0);
+    let mut retries = AcceptRetries::default();
+    let mut waits = 0;
     while *accepting.borrow() {
-        // Of the socket itself, as the runtime may not have heard yet of those that wait.
+        // Asks the socket itself, as the runtime may not know yet of clients that wait.
         match listener.accept() {
             Ok((client, _)) => {
                 retries.record_success();
@@ -98,14 +106,14 @@
                     if waits > MAX_FINAL_SHORTAGE_WAITS {
                         return;
                     }
-                    tokio::time::sleep(SHORTAGE_RETRY).await;
+                    sleep(SHORTAGE_RETRY).await;
                 }
             }
         }
     }
 }
 
-/// Takes over what an older process passes on, for as long as the process runs.
+/// Adopts the connections that an older process hands off, for as long as this process runs.
 pub async fn adopt_connections(receiver: HandoffReceiver, frontend: Frontend) {
     loop {
         match receiver.receive().await {
@@ -113,8 +121,8 @@
                 tokio::spawn(frontend.clone().adopt_connection(established, client, server));
             }
             Err(error) => {
-                HANDOFF_FAILURES.log(format_args!("a connection that was passed on: {error}"));
-                tokio::time::sleep(ADOPT_RETRY_DELAY).await;
+                HANDOFF_FAILURES.log(format_args!("could not adopt a connection: {error}"));
+                sleep(ADOPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
-//! What fronts and the core say to each other: reports one way, commands the other. Drivers import
-//! this and not each other.
+//! Messages between the event loop and what runs beside it: events to the event loop, commands to sessions. Drivers
+//! import this module and not each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::handover::{Cordons, ServerUsage};
 use crate::metrics::{CloseReason, Counter, Metrics};
 
-/// Commands that may wait for one session: more than all attempts of a request need.
+/// Commands that may be queued for one session: more than all attempts of a request need.
 pub const SESSION_COMMAND_QUEUE: usize = 32;
 
-/// What a client asks for, in the words of its front.
+/// What a client asks for, by the names that its front end uses.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionRequest {
     /// The class's name.
@@ -31,119 +31,243 @@
     pub group: Option<String>,
     /// How long the client waits.
     pub client_timeout: Span,
-    /// Expected load.
+    /// Expected load, as the settings count it.
     pub expected_load: Option<f64>,
-    /// The client asks again, after a refusal or a failure.
+    /// The client repeats a request that was rejected or failed.
     pub is_retry: bool,
-    /// Its connection was moved or broke.
+    /// The client comes back after its connection was migrated or broke.
     pub is_reconnect: bool,
 }
 
-/// What the core asks of a front.
+/// What the event loop asks of a session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionCommand {
-    /// Make an attempt.
+    /// Start an attempt.
     StartAttempt {
         /// Its number.
         attempt: u32,
-        /// Where.
+        /// The server's address.
         address: SocketAddr,
-        /// How long the core will wait.
+        /// How long the event loop waits for it.
         timeout: Span,
     },
-    /// Give the attempt up.
+    /// Cancel an attempt.
     CancelAttempt {
         /// Its number.
         attempt: u32,
     },
-    /// The attempt's connection may be used: its first byte may be written, at once or not at all.
+    /// The attempt's connection may be used: its first byte is written at once or not at all.
     SendFirstLine {
         /// Its number.
         attempt: u32,
     },
-    /// The attempt's connection counts as standing: its line may go to the client.
+    /// The attempt's connection counts as established: the server's line may go to the client.
     ConfirmEstablished {
         /// Its number.
         attempt: u32,
     },
     /// Give the final answer.
     Answer(FinalAnswer),
-    /// Send the client of the standing connection away.
+    /// Tell the client of the established connection to move.
     Migrate,
-    /// Pass the standing connection, which the named server holds, to the successor.
-    HandOff(String),
+    /// Hand the established connection off to the successor.
+    HandOff {
+        /// The name of the server that holds it.
+        server: String,
+    },
 }
 
-/// Where a front takes its commands.
-pub type CommandSender = mpsc::Sender<(RequestId, SessionCommand)>;
+/// A command, and the request that it is for: one queue may serve many requests.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RequestCommand {
+    /// The request.
+    pub id: RequestId,
+    /// What is to be done.
+    pub command: SessionCommand,
+}
 
-/// What fronts and drivers tell the core.
+/// The queue in which a front end takes its commands.
+pub type CommandSender = mpsc::Sender<RequestCommand>;
+
+/// What front ends report of requests and connections.
 #[derive(Debug)]
-pub enum DriverEvent {
+pub enum SessionEvent {
     /// A client asks for a connection.
-    ConnectionRequested(RequestId, ConnectionRequest, CommandSender),
-    /// A connection that stood on the named server before.
-    RestoreRequested(RequestId, ConnectionRequest, String, CommandSender),
-    /// A connection that stands at the named server, taken over from an older process.
-    ConnectionAdopted(RequestId, ConnectionRequest, String, CommandSender),
-    /// An attempt's connection has come up; the front writes nothing before `Begin`, and `Close` comes where it
-    /// may not, as much may have changed since the attempt was chosen.
-    AttemptConnected(RequestId, u32),
-    /// An attempt's connection stands; the front waits for `Pass` or `Close`, as the core may just have given
-    /// the attempt up.
-    AttemptEstablished(RequestId, u32),
-    /// An attempt or connection has ended.
-    AttemptEnded(RequestId, u32, Outcome),
+    ConnectionRequested {
+        /// The request.
+        id: RequestId,
+        /// What is asked for.
+        request: ConnectionRequest,
+        /// Where its commands go.
+        commands: CommandSender,
+    },
+    /// A client asks for a connection that the named server held before the start.
+    RestoreRequested {
+        /// The request.
+        id: RequestId,
+        /// What is asked for.
+        request: ConnectionRequest,
+        /// The server's name.
+        server: String,
+        /// Where its commands go.
+        commands: CommandSender,
+    },
+    /// An established connection with the named server was taken over from an older process.
+    ConnectionAdopted {
+        /// The request.
+        id: RequestId,
+        /// What was asked for.
+        request: ConnectionRequest,
+        /// The server's name.
+        server: String,
+        /// Where its commands go.
+        commands: CommandSender,
+    },
+    /// An attempt has connected. The front end writes nothing before `SendFirstLine`; `CancelAttempt` comes where it
+    /// may not write, as much may have changed since the attempt was started.
+    AttemptConnected {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+    },
+    /// A server has accepted an attempt. The front end waits for `ConfirmEstablished` or `CancelAttempt`, as the event
+    /// loop may just have cancelled it.
+    AttemptEstablished {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+    },
+    /// An attempt or an established connection has ended.
+    AttemptEnded {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+        /// How it ended.
+        outcome: Outcome,
+    },
     /// The client has gone.
-    ClientLeft(RequestId),
-    /// A message was passed to the server; and whether its answer is due at once.
-    MessageForwarded(RequestId, bool),
+    ClientLeft {
+        /// The request.
+        id: RequestId,
+    },
+    /// A message was forwarded to the server.
+    MessageForwarded {
+        /// The request.
+        id: RequestId,
+        /// Whether the server's answer is due at once.
+        answer_due: bool,
+    },
     /// The server sent something.
-    ServerResponded(RequestId),
-    /// The connection's load as the server has told it: microseconds of work a second.
-    LoadReported(RequestId, f64),
-    /// News of the list, on the watch of this number.
-    ListUpdated(u64, EndpointList),
-    /// The list as an older process of this balancer has it.
-    SiblingList(EndpointList),
-    /// What other processes of this balancer hold, by server, and what operators have called out there.
-    SiblingState(BTreeMap<String, ServerUsage>, Cordons),
-    /// Discovery has answered on the watch of this number, and what came with the answer has been told: nothing
-    /// is missed any longer.
-    WatchSynced(u64),
-    /// A call or watch is over.
+    ServerResponded {
+        /// The request.
+        id: RequestId,
+    },
+    /// The server told the connection's load.
+    LoadReported {
+        /// The request.
+        id: RequestId,
+        /// Microseconds of work a second, or as the settings count it.
+        load: f64,
+    },
+}
+
+/// What the event loop takes in.
+#[derive(Debug)]
+pub enum DriverEvent {
+    /// Of a request or its connection.
+    Session(SessionEvent),
+    /// The endpoint list, or changes of it.
+    ListUpdated {
+        /// The number of the watch that it came on.
+        watch: u64,
+        /// The list or the changes.
+        update: EndpointList,
+    },
+    /// The endpoint list as another process of this balancer has it.
+    SiblingList {
+        /// The complete list.
+        list: EndpointList,
+    },
+    /// What other processes of this balancer hold, and the cordons that operators have set there.
+    SiblingState {
+        /// Connections and permits, by the server's name.
+        usage: BTreeMap<String, ServerUsage>,
+        /// The cordons.
+        cordons: Cordons,
+    },
+    /// Discovery has answered on a watch, behind all that came with the answer: no change is missed any longer.
+    WatchSynced {
+        /// The watch's number.
+        watch: u64,
+    },
+    /// A call or watch has ended.
     WatchEnded {
-        /// How long ago the list was last in step: the last whole object or beat of any watch, or the start.
+        /// Since when the list may have changed unseen: the last complete list or heartbeat of any watch, or the start.
         since_synced: Duration,
         /// How it ended.
         end: WatchEnd,
-        /// Whether the core is to ask for another: not where one is asked for already.
+        /// Whether the event loop is to ask for another watch: not where one is asked for already.
         resubscribe: bool,
     },
     /// A datagram of another gateway.
-    DatagramReceived(GatewayId, Bytes),
-    /// A probe is back.
-    HealthChecked(ServerId, bool),
-    /// A server is to be kept out for work, or no longer: what gateways have settled, not an operator's cordon.
-    MaintenanceCordon(String, bool),
-    /// What is seen of the list, and of the connections with these servers.
-    ServersInspected(Vec<String>, oneshot::Sender<ServerObservations>),
-    /// Quotas as their file says now.
-    QuotasReloaded(Box<crate::fleet::quota::Settings>),
-    /// Leave within this time.
-    ShutdownRequested(Duration),
+    DatagramReceived {
+        /// The gateway.
+        from: GatewayId,
+        /// The datagram.
+        payload: Bytes,
+    },
+    /// A health check has ended.
+    HealthChecked {
+        /// The server.
+        server: ServerId,
+        /// Whether it answered as it should.
+        healthy: bool,
+    },
+    /// The gateways together take a server out for maintenance, or back. An operator's cordon is something else.
+    MaintenanceCordon {
+        /// The server's name.
+        server: String,
+        /// Whether it is out.
+        cordoned: bool,
+    },
+    /// Asks what this gateway observes.
+    InspectServers {
+        /// Servers whose connections are asked for.
+        names: Vec<String>,
+        /// Where the answer goes.
+        reply: oneshot::Sender<ServerObservations>,
+    },
+    /// The quotas' file was read again.
+    QuotasReloaded {
+        /// What it says now.
+        settings: Box<crate::fleet::quota::Settings>,
+    },
+    /// The process is to shut down.
+    ShutdownRequested {
+        /// The time until it is killed.
+        grace: Duration,
+    },
 }
 
-/// What this gateway sees for itself.
+impl From<SessionEvent> for DriverEvent {
+    fn from(event: SessionEvent) -> Self {
+        Self::Session(event)
+    }
+}
+
+/// What this gateway observes for itself.
 #[derive(Debug)]
 pub struct ServerObservations {
-    /// Servers that are ready by the list, and not taken out by an operator here.
+    /// Servers that are ready by the list, and not cordoned by an operator here.
     pub ready: BTreeSet<String>,
-    /// Connections with the servers that were asked about.
+    /// Open connections with the servers that were asked about.
     pub open_connections: BTreeMap<String, u32>,
 }
 
-/// What a front holds of the core.
+/// What drivers hold of the event loop.
 #[derive(Clone)]
 pub struct EventLoopHandle {
     metrics: Arc<Metrics>,
@@ -153,55 +277,58 @@
 }
 
 impl EventLoopHandle {
-    /// A handle whose reports go here.
+    /// A handle whose events go into this queue.
     pub fn new(metrics: Arc<Metrics>, events: mpsc::Sender<DriverEvent>) -> Self {
         Self { metrics, events, request_ids: Arc::new(AtomicU32::new(1)), current_watch: Arc::default() }
     }
 
-    /// The figures that all handles count into.
+    /// The metrics that all handles count into.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// A new request's id.
+    /// The id of a new request.
     pub fn next_request_id(&self) -> RequestId {
         RequestId(self.request_ids.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The number of a watch that begins: what earlier ones have told and nobody has heard yet is void.
+    /// The number of a watch that begins: queued events of earlier ones are stale from now on.
     pub fn start_watch(&self) -> u64 {
         self.current_watch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Whether this is what a watch before the present one has told.
+    /// Whether an event came on a watch before the current one.
     pub fn is_stale(&self, event: &DriverEvent) -> bool {
         let current = self.current_watch.load(Ordering::Relaxed);
-        matches!(event, DriverEvent::ListUpdated(watch, _) | DriverEvent::WatchSynced(watch) if *watch != current)
+        match event {
+            DriverEvent::ListUpdated { watch, .. } | DriverEvent::WatchSynced { watch } => *watch != current,
+            _ => false,
+        }
     }
 
-    /// Counts one of this class.
-    pub fn count(&self, count: Counter, class: &str) {
-        self.metrics.increment(count, class);
+    /// Counts a request of this class.
+    pub fn count(&self, counter: Counter, class: &str) {
+        self.metrics.increment(counter, class);
     }
 
-    /// Counts a client that was let go.
+    /// Counts a client whose connection was closed without an answer to a request.
     pub fn count_closed(&self, reason: CloseReason) {
         self.metrics.record_close(reason);
     }
 
-    /// Tells the core; waits while it has much to do.
-    pub async fn send(&self, event: DriverEvent) {
-        // The core only ends with the process.
-        let _ = self.events.send(event).await;
+    /// Sends an event; waits while the queue is full.
+    pub async fn send(&self, event: impl Into<DriverEvent>) {
+        // The event loop only ends with the process.
+        let _ = self.events.send(event.into()).await;
     }
 }
 
-/// A span as the runtime counts it.
+/// A span of the engine as the runtime's duration; zero where it is negative.
 pub fn to_duration(span: Span) -> Duration {
     Duration::from_micros(u64::try_from(span.as_micros()).unwrap_or_default())
 }
 
-/// A runtime's duration as the core counts it.
+/// A runtime's duration as the engine's span.
 pub fn to_span(duration: Duration) -> Span {
     Span::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
--- a/src/net/quic.rs
+++ b/src/net/quic.rs
@@ -23,7 +23,9 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 use tracing::info;
 
-use super::messages::{CommandSender, ConnectionRequest, DriverEvent, EventLoopHandle, SessionCommand};
+use super::messages::{
+    CommandSender, ConnectionRequest, EventLoopHandle, RequestCommand, SessionCommand, SessionEvent,
+};
 use crate::config::QuicConfig;
 use crate::decision::interface::{Outcome, RequestId, Span};
 use crate::engine::FinalAnswer;
@@ -134,7 +136,7 @@
     socket: UdpSocket,
     event_loop: EventLoopHandle,
     command_sender: CommandSender,
-    commands: mpsc::Receiver<(RequestId, SessionCommand)>,
+    commands: mpsc::Receiver<RequestCommand>,
     server_datagrams: mpsc::Receiver<ServerDatagram>,
     server_datagram_sender: mpsc::Sender<ServerDatagram>,
     connection_ids: ConnectionIdTable,
@@ -218,7 +220,7 @@
                     }
                 }
                 Some(from) = self.server_datagrams.recv() => self.handle_server_datagram(from).await,
-                Some((id, command)) = self.commands.recv() => self.handle_command(id, command).await,
+                Some(RequestCommand { id, command }) = self.commands.recv() => self.handle_command(id, command).await,
                 Ok(()) = self.endpoint_addresses.changed() => self.update_endpoints(),
                 _ = sweep.tick() => self.sweep().await,
             }
@@ -305,11 +307,11 @@
         self.connection_ids.insert(to, id);
         self.flows.insert(id, flow);
         self.event_loop
-            .send(DriverEvent::ConnectionRequested(
+            .send(SessionEvent::ConnectionRequested {
                 id,
-                self.connection_request(),
-                self.command_sender.clone(),
-            ))
+                request: self.connection_request(),
+                commands: self.command_sender.clone(),
+            })
             .await;
     }
 
@@ -347,12 +349,12 @@
                 self.connection_ids.insert(to, id);
                 self.flows.insert(id, flow);
                 self.event_loop
-                    .send(DriverEvent::RestoreRequested(
+                    .send(SessionEvent::RestoreRequested {
                         id,
-                        self.connection_request(),
-                        name,
-                        self.command_sender.clone(),
-                    ))
+                        request: self.connection_request(),
+                        server: name,
+                        commands: self.command_sender.clone(),
+                    })
                     .await;
             }
             _ => {
@@ -393,7 +395,7 @@
         }
         if asks {
             // Not every datagram has an answer of its own.
-            self.event_loop.send(DriverEvent::MessageForwarded(id, false)).await;
+            self.event_loop.send(SessionEvent::MessageForwarded { id, answer_due: false }).await;
         }
     }
 
@@ -499,7 +501,7 @@
                     // Only ids that the server issued have a token that the client can know.
                     (flow.state, flow.last_server_connection_id) = (FlowState::Established(attempt), issued);
                     flow.buffered = Vec::new();
-                    self.event_loop.send(DriverEvent::AttemptEstablished(id, attempt)).await;
+                    self.event_loop.send(SessionEvent::AttemptEstablished { id, attempt }).await;
                     self.event_loop.count(Counter::Passed, &self.config.class);
                 }
                 self.connection_ids.insert(issued, id);
@@ -516,7 +518,7 @@
         }
         self.send_to_client(&datagram, client).await;
         if answered {
-            self.event_loop.send(DriverEvent::ServerResponded(id)).await;
+            self.event_loop.send(SessionEvent::ServerResponded { id }).await;
         }
     }
 
@@ -530,7 +532,7 @@
                 flow.state = FlowState::Waiting;
             }
         }
-        self.event_loop.send(DriverEvent::AttemptEnded(id, attempt, outcome)).await;
+        self.event_loop.send(SessionEvent::AttemptEnded { id, attempt, outcome }).await;
     }
 
     // ---- From the core ------------------------------------------------------------------------
@@ -590,7 +592,7 @@
                 (None, _) => self.reset_flow(id).await,
             },
             // Its paths are sockets of this process alone, so it is not handed on.
-            SessionCommand::Migrate | SessionCommand::HandOff(_) => self.reset_flow(id).await,
+            SessionCommand::Migrate | SessionCommand::HandOff { .. } => self.reset_flow(id).await,
         }
     }
 
@@ -657,7 +659,9 @@
         for (id, attempt) in over {
             self.connection_ids.remove_connection(id);
             self.remove_flow(id);
-            self.event_loop.send(DriverEvent::AttemptEnded(id, attempt, Outcome::Cancelled)).await;
+            self.event_loop
+                .send(SessionEvent::AttemptEnded { id, attempt, outcome: Outcome::Cancelled })
+                .await;
         }
         if self.drops != self.reported_drops {
             self.reported_drops = self.drops;
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -9,47 +9,51 @@
 use tracing::info;
 
 use super::messages::{DriverEvent, EventLoopHandle};
-
 use crate::config::ReloadBaseline;
 use crate::fleet::quota::{QuotaError, Settings};
 use crate::settings::TenantQuota;
 
-/// Where quotas are read from, and who is told of them.
+/// Where quotas are read from, and where they go.
 pub struct QuotaReload {
     /// The file.
     pub file: PathBuf,
-    /// The settings' own, for where the file names none.
+    /// The settings' own quotas, for tenants that the file does not name.
     pub allowances: Vec<TenantQuota>,
-    /// Who is told.
+    /// Where the quotas go.
     pub event_loop: EventLoopHandle,
 }
 
 impl QuotaReload {
     async fn reload(&self) {
-        let (file, allowances) = (self.file.clone(), self.allowances.clone());
+        let file = self.file.clone();
+        let allowances = self.allowances.clone();
         let read = tokio::task::spawn_blocking(move || Settings::read(&file, &allowances));
         match read.await {
-            Ok(Ok(settings)) => self.event_loop.send(DriverEvent::QuotasReloaded(Box::new(settings))).await,
-            Ok(Err(error)) => info!("{}; what runs is kept", QuotaError::with_help(error)),
-            Err(error) => info!("quota: {error}; what runs is kept"),
+            Ok(Ok(settings)) => {
+                self.event_loop.send(DriverEvent::QuotasReloaded { settings: Box::new(settings) }).await
+            }
+            Ok(Err(error)) => info!("{}; keeping the quotas that are active", QuotaError::with_help(error)),
+            Err(error) => {
+                info!("quota: reading the file failed: {error}; keeping the quotas that are active")
+            }
         }
     }
 }
 
-/// Reads the file at each hang-up, off the thread that serves; `discovery` takes effect at once. A
-/// file that cannot be used changes nothing, and hang-ups that come while one is read count as one.
+/// Reads the configuration at each hang-up signal, off the thread that serves. A new discovery address takes effect at
+/// once. A file that cannot be used changes nothing, and signals that come while one is handled count as one.
 pub async fn reload_on_hangup(
     mut hangups: Signal,
     running: ReloadBaseline,
     discovery: watch::Sender<SocketAddr>,
     quota_reload: Option<QuotaReload>,
 ) {
-    let standing = Arc::new(running);
+    let running = Arc::new(running);
     while hangups.recv().await.is_some() {
-        if let Some(quotas) = &quota_reload {
-            quotas.reload().await;
+        if let Some(quota_reload) = &quota_reload {
+            quota_reload.reload().await;
         }
-        let compared_with = standing.clone();
+        let compared_with = running.clone();
         let read = tokio::task::spawn_blocking(move || {
             compared_with.reload_from_file(|name| std::env::var(name).ok())
         });
@@ -63,12 +67,12 @@
                 for key in reloaded.keys_needing_restart {
                     info!("reload: {key} has changed and takes effect at a restart only");
                 }
-                for remark in reloaded.warnings {
-                    info!("reload: {remark}");
+                for warning in reloaded.warnings {
+                    info!("reload: {warning}");
                 }
             }
-            Ok(Err(error)) => info!("reload: {error}; what runs is kept"),
-            Err(error) => info!("reload: {error}; what runs is kept"),
+            Ok(Err(error)) => info!("reload: {error}; keeping the configuration that is active"),
+            Err(error) => info!("reload: {error}; keeping the configuration that is active"),
         }
     }
 }
--- /dev/null
+++ b/src/net/session/connection.rs
@@ -0,0 +1,139 @@
+//! One TCP connection of the line protocol: read as lines, written as bytes, and closed without losing the last line.
+//!
+//! Each direction has one buffer: that of the `FramedRead` it is read by, bounded by the codec. A line leaves it only to
+//! be written straight to the other socket, and nothing more is read in that direction until it has been: that is the
+//! back-pressure.
+
+use std::io::{self, Cursor, Read, Write};
+use std::time::Duration;
+
+use ashtide_protocol::LineCodec;
+use ashtide_stream::{TcpReader, TcpWriter, split_tcp};
+use bytes::{Buf, Bytes, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt, Chain};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use tokio_util::codec::FramedRead;
+
+/// Limit on writing a last line, which waits only behind what the peer has not read yet. A peer that pauses for as long
+/// and reads on is not cut off within a line.
+const LAST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A socket whose sending side is shut down waits for the other end, so that no reset overtakes the last line.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes read and discarded after the end, at most: a peer that sends more gets a reset.
+const MAX_DRAINED_BYTES: usize = 256 << 10;
+/// Bytes discarded at a time.
+const DRAIN_BUFFER_SIZE: usize = 4096;
+/// Initial capacity for a line; a longer line makes the buffer grow.
+const LINE_BUFFER_SIZE: usize = 1024;
+
+/// What another process has read from the socket and not passed on comes before the socket itself.
+type Source = Chain<Cursor<Bytes>, TcpReader>;
+/// The lines of one direction.
+pub(super) type Lines = FramedRead<Source, LineCodec>;
+
+/// A connection with a client or a server.
+pub(super) struct LineConnection {
+    pub(super) lines: Lines,
+    pub(super) writer: TcpWriter,
+}
+
+/// A socket that nobody reads any more, and the bytes that were read from it and not taken as lines.
+pub(super) struct DetachedSocket {
+    pub(super) stream: std::net::TcpStream,
+    pub(super) unread: Bytes,
+}
+
+impl LineConnection {
+    /// A connection that nothing has been read from.
+    pub(super) fn new(stream: TcpStream) -> Self {
+        Self::resume(stream, Bytes::new())
+    }
+
+    /// A connection from which another process has read these bytes.
+    pub(super) fn resume(stream: TcpStream, read_before: Bytes) -> Self {
+        let _ = stream.set_nodelay(true);
+        let (reader, writer) = split_tcp(stream);
+        let source = AsyncReadExt::chain(Cursor::new(read_before), reader);
+        Self { lines: FramedRead::with_capacity(source, LineCodec::default(), LINE_BUFFER_SIZE), writer }
+    }
+
+    /// Waits until the socket can be read.
+    pub(super) async fn readable(&self) -> io::Result<()> {
+        self.lines.get_ref().get_ref().1.readable().await
+    }
+
+    /// Whether the beginning of a line has been read.
+    pub(super) fn has_partial_line(&self) -> bool {
+        !self.lines.read_buffer().is_empty()
+    }
+
+    /// The socket, for another process or for a last look.
+    pub(super) fn detach(self) -> io::Result<DetachedSocket> {
+        let mut unread = self.lines.read_buffer().clone();
+        let (before, reader) = self.lines.into_inner().into_inner();
+        let from = usize::try_from(before.position()).unwrap_or(usize::MAX).min(before.get_ref().len());
+        unread.extend_from_slice(&before.get_ref()[from..]);
+        let stream = reader.reunite(self.writer)?.into_std()?;
+        Ok(DetachedSocket { stream, unread: unread.freeze() })
+    }
+
+    /// Writes a last line, shuts the sending side down and waits for the other end: a close over unread input would
+    /// reset the connection and discard the line. Returns false if the line could not be written.
+    pub(super) async fn finish(mut self, last_line: &[u8]) -> bool {
+        if !matches!(timeout(LAST_LINE_TIMEOUT, self.writer.write_all(last_line)).await, Ok(Ok(()))) {
+            return false;
+        }
+        let _ = self.writer.shutdown().await;
+        self.drain().await;
+        true
+    }
+
+    /// Reads on, within bounds, after the sending side has been shut down: a close over unread bytes would be a reset,
+    /// and discard what has been written and not been read by the peer.
+    pub(super) async fn drain(self) {
+        let mut reader = self.lines.into_inner();
+        let mut discarded = BytesMut::with_capacity(DRAIN_BUFFER_SIZE);
+        let drain = async {
+            let mut remaining = MAX_DRAINED_BYTES;
+            while let Ok(read @ 1..) = reader.read_buf(&mut discarded).await {
+                remaining = remaining.saturating_sub(read);
+                if remaining == 0 {
+                    return;
+                }
+                discarded.clear();
+            }
+        };
+        let _ = timeout(LINGER_TIMEOUT, drain).await;
+    }
+
+    /// Writes a last line and closes without waiting, after discarding what has arrived: unread, it would turn the close
+    /// into a reset. Bytes that are still on their way do so all the same.
+    pub(super) fn close_immediately(self, last_line: &[u8]) {
+        // Reads the socket itself, as the runtime may not know yet that it is readable.
+        let Ok(DetachedSocket { mut stream, .. }) = self.detach() else { return };
+        let _ = stream.write(last_line);
+        let mut discarded = [0; DRAIN_BUFFER_SIZE];
+        for _ in 0..MAX_DRAINED_BYTES / DRAIN_BUFFER_SIZE {
+            if !matches!(stream.read(&mut discarded), Ok(1..)) {
+                return;
+            }
+        }
+    }
+
+    /// Ends with a reset, as the other side of the relay did.
+    pub(super) fn reset(self) {
+        if let Ok(stream) = self.lines.into_inner().into_inner().1.reunite(self.writer) {
+            let _ = stream.set_zero_linger();
+        }
+    }
+}
+
+/// The rest of a line that has been partly written, and a last one: `MOVE` may stand only between lines.
+pub(super) fn complete_line(mut partial: Bytes, last_line: &[u8]) -> Bytes {
+    let length = partial.remaining() + last_line.len();
+    let mut bytes = partial.copy_to_bytes(partial.remaining()).to_vec();
+    bytes.reserve_exact(length - bytes.len());
+    bytes.extend_from_slice(last_line);
+    bytes.into()
+}
--- /dev/null
+++ b/src/net/session/handoff.rs
@@ -0,0 +1,100 @@
+//! Established connections that go on in another process: those of an older one, and those passed to a successor.
+
+use std::os::fd::{AsFd, OwnedFd};
+
+use ashtide_protocol::{ClientSide, MOVE, Open, ServerSide};
+use bytes::{Bytes, BytesMut};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+use super::attempt::{EstablishedServer, Session};
+use super::connection::{LineConnection, complete_line};
+use super::frontend::{Frontend, connection_request};
+use crate::handover::EstablishedConnection;
+use crate::net::messages::{SESSION_COMMAND_QUEUE, SessionEvent};
+
+/// The number of an attempt that an older process has made.
+const ADOPTED_ATTEMPT: u32 = 0;
+
+impl Frontend {
+    /// Goes on with a connection that an older process has handed off.
+    pub async fn adopt_connection(
+        self,
+        established: EstablishedConnection,
+        client: OwnedFd,
+        server: OwnedFd,
+    ) {
+        let (Ok(client), Ok(server)) = (into_stream(client), into_stream(server)) else { return };
+        let client = LineConnection::resume(client, established.to_server.1);
+        let server = LineConnection::resume(server, established.to_client.1);
+        let open = Open::parse(established.open_line);
+        let id_claim = open.as_ref().ok().and_then(|open| self.open_ids.claim(&open.id));
+        let (Ok(open), Some(id_claim)) = (open, id_claim) else {
+            // Neither can come from a process that read the line and held the id; the client is owed an answer.
+            return self.finish_client(client, &complete_line(established.to_client.0, MOVE)).await;
+        };
+        let permit = self.pending_clients.adopt_session();
+        let id = self.event_loop.next_request_id();
+        let (sender, commands) = mpsc::channel(SESSION_COMMAND_QUEUE);
+        let event = SessionEvent::ConnectionAdopted {
+            id,
+            request: connection_request(&open),
+            server: established.server,
+            commands: sender,
+        };
+        self.event_loop.send(event).await;
+        let session = Session {
+            id,
+            open,
+            client,
+            side: ClientSide::default(),
+            early_lines: BytesMut::from(&established.to_server.0[..]),
+            commands,
+            frontend: self,
+            id_claim,
+        };
+        let server = EstablishedServer {
+            connection: server,
+            side: ServerSide::standing(),
+            accept_line: established.to_client.0,
+        };
+        session.relay(ADOPTED_ATTEMPT, server, true).await;
+        drop(permit);
+    }
+}
+
+impl Session {
+    /// Hands the connection off to the successor as it is. Where there is none or it does not take the connection, the
+    /// client is told to move.
+    pub(super) async fn hand_off(
+        self,
+        server_name: String,
+        server: LineConnection,
+        to_client: Bytes,
+        to_server: Bytes,
+    ) {
+        let Self { open, client, frontend, id_claim, .. } = self;
+        drop(id_claim);
+        let (Ok(client), Ok(server)) = (client.detach(), server.detach()) else { return };
+        let established = EstablishedConnection {
+            server: server_name,
+            open_line: open.raw,
+            to_client: (to_client.clone(), server.unread),
+            to_server: (to_server, client.unread),
+        };
+        let successor = frontend.successor.borrow().clone();
+        if let (Some(successor), Some(datagram)) = (successor, established.encode()) {
+            if successor.hand_off(&datagram, [client.stream.as_fd(), server.stream.as_fd()]).await.is_ok() {
+                return;
+            }
+        }
+        drop(server.stream);
+        if let Ok(client) = TcpStream::from_std(client.stream) {
+            frontend.finish_client(LineConnection::new(client), &complete_line(to_client, MOVE)).await;
+        }
+    }
+}
+
+fn into_stream(socket: OwnedFd) -> std::io::Result<TcpStream> {
+    TcpStream::from_std(std::net::TcpStream::from(socket))
+}
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -8,9 +8,9 @@
 
 use ashtide::config::Capacity;
 use ashtide::engine::FinalAnswer;
-use ashtide::net::messages::{CommandSender, DriverEvent, SessionCommand};
+use ashtide::net::messages::{CommandSender, SessionCommand, SessionEvent};
 use ashtide::{Outcome, RequestId, Span};
-use frontend::{AMPLE_CAPACITY, CONNECT, OPEN_LINE, STEP, SessionHarness, read_to_end};
+use frontend::{AMPLE_CAPACITY, CONNECT, OPEN_LINE, STEP, SessionHarness, read_to_end, send_command};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
@@ -69,11 +69,14 @@
         let (id, port) = desk.next_request().await;
         if attempt {
             drop(desk.start_attempt(id, &port, 0).await);
-            assert!(matches!(desk.next_event().await, DriverEvent::AttemptEnded(_, 0, Outcome::Reset)));
+            assert!(matches!(
+                desk.next_event().await,
+                SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::Reset, .. }
+            ));
         }
         drop(port);
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
-        assert!(matches!(desk.next_event().await, DriverEvent::ClientLeft(it) if it == id));
+        assert!(matches!(desk.next_event().await, SessionEvent::ClientLeft { id: left } if left == id));
     }
     assert_eq!(desk.closed_count("forgotten"), 2);
 }
@@ -84,20 +87,20 @@
     let (mut client, id, port, mut first) = desk.client_with_attempt().await;
     first.write_all(b"UP first\r\n").await.expect("read");
     // The core has not heard of it when the attempt's time is up, and sends another.
-    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
-    port.try_send((id, SessionCommand::CancelAttempt { attempt: 0 })).expect("room");
-    port.try_send((id, desk.attempt_command(1))).expect("room");
+    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 0 });
+    send_command(&port, id, desk.attempt_command(1));
     assert_eq!(read_to_end(&mut first).await.expect("an end"), "", "closed before the second is sent");
     desk.expect_connected(id, 1).await;
-    port.try_send((id, SessionCommand::SendFirstLine { attempt: 1 })).expect("room");
+    send_command(&port, id, SessionCommand::SendFirstLine { attempt: 1 });
     let mut second = desk.accept_attempt().await;
     second.write_all(b"UP second\r\n").await.expect("read");
-    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 1)));
-    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 1 })).expect("room");
+    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 1, .. }));
+    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 1 });
     let mut said = [0; 11];
     timeout(STEP, client.read_exact(&mut said)).await.expect("an answer").expect("stands");
     assert_eq!(&said, b"UP second\r\n");
-    port.try_send((id, SessionCommand::Migrate)).expect("room");
+    send_command(&port, id, SessionCommand::Migrate);
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "MOVE\r\n");
 }
 
@@ -126,12 +129,11 @@
         server.write_all(spoilt).await.expect("sent");
         server.shutdown().await.expect("ended");
         let ended = desk.next_event().await;
-        let is = matches!(&ended, DriverEvent::AttemptEnded(it, 0, what) if *it == id && *what == outcome);
+        let is = matches!(&ended, SessionEvent::AttemptEnded { id: ended, attempt: 0, outcome: what } if *ended == id && *what == outcome);
         assert!(is, "{what:?}: {ended:?}");
         // A second answer some milliseconds late finds nobody.
         let _ = server.write_all(b"UP later\r\n").await;
-        port.try_send((id, SessionCommand::Answer(FinalAnswer::Rejected(Span::from_micros(7_000)))))
-            .expect("room");
+        send_command(&port, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::from_micros(7_000))));
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 7\r\n", "{what:?}");
     }
 }
@@ -141,20 +143,20 @@
     let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let (mut client, id, port, mut server) = desk.client_with_attempt().await;
     server.write_all(b"UP one\r\nUP two\r\nhalf a").await.expect("sent");
-    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
-    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 0 })).expect("room");
+    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 0 });
     assert!(
-        matches!(desk.next_event().await, DriverEvent::ServerResponded(it) if it == id),
+        matches!(desk.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
         "its second line"
     );
     server.write_all(b" line\r\nBUSY\r\nhalf").await.expect("sent");
     for _ in 0..2 {
         assert!(
-            matches!(desk.next_event().await, DriverEvent::ServerResponded(it) if it == id),
+            matches!(desk.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
             "a line, and no answer"
         );
     }
-    port.try_send((id, SessionCommand::Migrate)).expect("room");
+    send_command(&port, id, SessionCommand::Migrate);
     let said = read_to_end(&mut client).await.expect("no reset");
     assert_eq!(said, "UP one\r\nUP two\r\nhalf a line\r\nBUSY\r\nMOVE\r\n", "between two lines");
 }
@@ -173,8 +175,11 @@
     }
     let mut client = desk.client(OPEN_LINE).await;
     let (id, port) = desk.next_request().await;
-    port.try_send((id, desk.attempt_command(0))).expect("room");
-    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEnded(_, 0, Outcome::ConnectError)));
+    send_command(&port, id, desk.attempt_command(0));
+    assert!(matches!(
+        desk.next_event().await,
+        SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::ConnectError, .. }
+    ));
     // Longer than a system waits before it tries to connect again.
     let late = async {
         let mut bytes = Vec::new();
@@ -185,7 +190,7 @@
         }
     };
     assert!(timeout(Duration::from_millis(1400), late).await.is_err());
-    port.try_send((id, SessionCommand::Answer(FinalAnswer::Failed))).expect("room");
+    send_command(&port, id, SessionCommand::Answer(FinalAnswer::Failed));
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
 }
 
@@ -237,8 +242,8 @@
 async fn talking(desk: &mut SessionHarness) -> (TcpStream, RequestId, CommandSender, TcpStream) {
     let (mut client, id, port, mut server) = desk.client_with_attempt().await;
     server.write_all(b"UP one\r\n").await.expect("read");
-    assert!(matches!(desk.next_event().await, DriverEvent::AttemptEstablished(_, 0)));
-    port.try_send((id, SessionCommand::ConfirmEstablished { attempt: 0 })).expect("room");
+    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 0 });
     let mut up = [0; 8];
     client.read_exact(&mut up).await.expect("stands");
     (client, id, port, server)
@@ -267,8 +272,10 @@
         drop((rest, server));
         loop {
             match desk.next_event().await {
-                DriverEvent::AttemptEnded(_, 0, outcome) => break assert_eq!(outcome, Outcome::Cancelled),
-                DriverEvent::MessageForwarded(..) | DriverEvent::ServerResponded(_) => {}
+                SessionEvent::AttemptEnded { attempt: 0, outcome, .. } => {
+                    break assert_eq!(outcome, Outcome::Cancelled);
+                }
+                SessionEvent::MessageForwarded { .. } | SessionEvent::ServerResponded { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -280,10 +287,10 @@
     let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
     let (mut client, id, port, mut server) = talking(&mut desk).await;
     client.write_all(b"a line\r\n").await.expect("sent");
-    assert!(matches!(desk.next_event().await, DriverEvent::MessageForwarded(..)));
+    assert!(matches!(desk.next_event().await, SessionEvent::MessageForwarded { .. }));
     let mut line = [0; 8];
     server.read_exact(&mut line).await.expect("passed on");
-    port.try_send((id, SessionCommand::Migrate)).expect("room");
+    send_command(&port, id, SessionCommand::Migrate);
     let server = server.into_std().expect("a socket");
     (&server).write_all(b"its answer\r\n").expect("sent");
     let mut server = TcpStream::from_std(server).expect("a socket");
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -198,7 +198,8 @@
     ] {
         rewrite(&daemon, &text);
         let named = |line: &String| {
-            let whole = line.starts_with("reload: ") && line.ends_with("; what runs is kept");
+            let whole =
+                line.starts_with("reload: ") && line.ends_with("; keeping the configuration that is active");
             whole && line.contains(why) && line.contains(&path)
         };
         daemon.log_has("the bad file", |said| said.iter().any(named)).await.expect("named");
--- a/tests/frontend/mod.rs
+++ b/tests/frontend/mod.rs
@@ -5,7 +5,9 @@
 
 use ashtide::config::Capacity;
 use ashtide::metrics::Metrics;
-use ashtide::net::messages::{CommandSender, DriverEvent, EventLoopHandle, SessionCommand};
+use ashtide::net::messages::{
+    CommandSender, DriverEvent, EventLoopHandle, RequestCommand, SessionCommand, SessionEvent,
+};
 use ashtide::net::pending_clients::PendingClients;
 use ashtide::net::session::{Frontend, Timeouts};
 use ashtide::{RequestId, Span};
@@ -49,21 +51,24 @@
     pub async fn client(&self, says: &str) -> TcpStream {
         let mut client = TcpStream::connect(self.listener.local_addr().expect("bound")).await.expect("taken");
         let (theirs, _) = self.listener.accept().await.expect("there");
-        let (place, _) = self.frontend.pending_clients.add();
-        tokio::spawn(self.frontend.clone().serve_client(theirs, place));
+        let slot = self.frontend.pending_clients.add().slot;
+        tokio::spawn(self.frontend.clone().serve_client(theirs, slot));
         client.write_all(says.as_bytes()).await.expect("heard");
         tokio::time::sleep(Duration::from_millis(5)).await;
         client
     }
 
-    pub async fn next_event(&mut self) -> DriverEvent {
-        timeout(STEP, self.events.recv()).await.expect("a report").expect("sessions")
+    pub async fn next_event(&mut self) -> SessionEvent {
+        match timeout(STEP, self.events.recv()).await.expect("a report").expect("sessions") {
+            DriverEvent::Session(event) => event,
+            other => panic!("not of a session: {other:?}"),
+        }
     }
 
     /// The request that a client has made.
     pub async fn next_request(&mut self) -> (RequestId, CommandSender) {
         match self.next_event().await {
-            DriverEvent::ConnectionRequested(id, _, port) => (id, port),
+            SessionEvent::ConnectionRequested { id, commands, .. } => (id, commands),
             other => panic!("{other:?}"),
         }
     }
@@ -88,16 +93,16 @@
     pub async fn expect_connected(&mut self, id: RequestId, number: u32) {
         let report = self.next_event().await;
         assert!(
-            matches!(report, DriverEvent::AttemptConnected(it, which) if (it, which) == (id, number)),
+            matches!(report, SessionEvent::AttemptConnected { id: connected, attempt } if (connected, attempt) == (id, number)),
             "{report:?}"
         );
     }
 
     /// Has an attempt made, as the core does it; the server's end of it.
     pub async fn start_attempt(&mut self, id: RequestId, port: &CommandSender, number: u32) -> TcpStream {
-        port.try_send((id, self.attempt_command(number))).expect("room");
+        send_command(port, id, self.attempt_command(number));
         self.expect_connected(id, number).await;
-        port.try_send((id, SessionCommand::SendFirstLine { attempt: number })).expect("room");
+        send_command(port, id, SessionCommand::SendFirstLine { attempt: number });
         self.accept_attempt().await
     }
 
@@ -119,6 +124,11 @@
 
 pub const AMPLE_CAPACITY: Capacity = Capacity { descriptors: 64, max_sessions: 16 };
 
+/// Sends a session one command, as the event loop does.
+pub fn send_command(sender: &CommandSender, id: RequestId, command: SessionCommand) {
+    sender.try_send(RequestCommand { id, command }).expect("room");
+}
+
 /// All that comes before a clean end; an error where the end is a reset.
 pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut said = String::new();
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -7,9 +7,9 @@
 
 use ashtide::Outcome;
 use ashtide::engine::FinalAnswer;
-use ashtide::net::messages::{DriverEvent, SessionCommand};
+use ashtide::net::messages::{RequestCommand, SessionCommand, SessionEvent};
 use ashtide::{RequestId, Span};
-use frontend::{AMPLE_CAPACITY, OPEN_LINE, STEP, SessionHarness, read_to_end};
+use frontend::{AMPLE_CAPACITY, OPEN_LINE, STEP, SessionHarness, read_to_end, send_command};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -58,7 +58,7 @@
 
 async fn left(harness: &mut SessionHarness, id: RequestId, what: &str) {
     let report = harness.next_event().await;
-    assert!(matches!(report, DriverEvent::ClientLeft(it) if it == id), "{what}: {report:?}");
+    assert!(matches!(report, SessionEvent::ClientLeft { id: left } if left == id), "{what}: {report:?}");
 }
 
 #[tokio::test]
@@ -69,7 +69,7 @@
         let client = harness.client(OPEN_LINE).await;
         let (id, port) = harness.next_request().await;
         let rest = leave(client, how);
-        port.try_send((id, harness.attempt_command(0))).expect("room");
+        send_command(&port, id, harness.attempt_command(0));
         left(&mut harness, id, &format!("{how:?} while it waits")).await;
         nothing_arrives(&harness, how).await;
         drop(rest);
@@ -82,10 +82,10 @@
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
         let (id, port) = harness.next_request().await;
-        port.try_send((id, harness.attempt_command(0))).expect("room");
+        send_command(&port, id, harness.attempt_command(0));
         harness.expect_connected(id, 0).await;
         let rest = leave(client, how);
-        port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
+        send_command(&port, id, SessionCommand::SendFirstLine { attempt: 0 });
         left(&mut harness, id, &format!("{how:?} in connect")).await;
         assert_eq!(got(&harness).await, "", "{how:?} in connect");
         drop(rest);
@@ -102,7 +102,13 @@
             if !out {
                 server.write_all(b"BUSY\r\n").await.expect("read");
                 let report = harness.next_event().await;
-                assert!(matches!(report, DriverEvent::AttemptEnded(_, 0, Outcome::QueueFull)), "{report:?}");
+                assert!(
+                    matches!(
+                        report,
+                        SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::QueueFull, .. }
+                    ),
+                    "{report:?}"
+                );
             }
             let rest = leave(client, how);
             left(&mut harness, id, &format!("{how:?}, attempt out: {out}")).await;
@@ -111,7 +117,8 @@
             assert_eq!(harness.closed_count("left"), seen + 1, "counted for the operators' door");
             seen += 1;
             assert!(
-                port.is_closed() || port.try_send((id, harness.attempt_command(1))).is_err(),
+                port.is_closed()
+                    || port.try_send(RequestCommand { id, command: harness.attempt_command(1) }).is_err(),
                 "no session is left"
             );
             drop(rest);
@@ -129,7 +136,7 @@
             let client = harness.client(&format!("{ahead}{half}")).await;
             let (id, port) = harness.next_request().await;
             let rest = leave(client, how);
-            port.try_send((id, harness.attempt_command(0))).expect("room");
+            send_command(&port, id, harness.attempt_command(0));
             left(&mut harness, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
             nothing_arrives(&harness, how).await;
             drop(rest);
@@ -149,17 +156,17 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut client = harness.client(OPEN_LINE).await;
     let (id, port) = harness.next_request().await;
-    port.try_send((id, harness.attempt_command(0))).expect("room");
+    send_command(&port, id, harness.attempt_command(0));
     harness.expect_connected(id, 0).await;
     // Meanwhile its server was told to drain: the core gives the attempt up, and sends another.
-    port.try_send((id, SessionCommand::CancelAttempt { attempt: 0 })).expect("room");
-    port.try_send((id, harness.attempt_command(1))).expect("room");
+    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 0 });
+    send_command(&port, id, harness.attempt_command(1));
     assert_eq!(got(&harness).await, "", "given up before its first byte");
     harness.expect_connected(id, 1).await;
     // A consent to the first is none to the second.
-    port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
-    port.try_send((id, SessionCommand::CancelAttempt { attempt: 1 })).expect("room");
+    send_command(&port, id, SessionCommand::SendFirstLine { attempt: 0 });
+    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 1 });
     assert_eq!(got(&harness).await, "", "given up before its first byte");
-    port.try_send((id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)))).expect("room");
+    send_command(&port, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)));
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY\r\n");
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -112,7 +112,7 @@
     let before = (taken(&fleet, 0), taken(&fleet, 1));
     let (_refused, refused) = place(&daemon, 1).await;
     assert_eq!((refused, (taken(&fleet, 0), taken(&fleet, 1))), (1, before), "refused, not placed");
-    daemon.says("discovery: the list is unvouched for").await.expect("a line for those on call");
+    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a line for those on call");
     // Those that stand are served all the while.
     for mut client in standing.into_iter().take(2) {
         assert!(client.echoes("still here").await.expect("an echo"));
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -13,7 +13,7 @@
 use ashtide::handover::{PersistedState, ProcessState};
 use ashtide::metrics::Metrics;
 use ashtide::net::discovery::follow_endpoint_list;
-use ashtide::net::event_loop::EventLoop;
+use ashtide::net::event_loop::{EventLoop, EventLoopParts};
 use ashtide::net::handover::SiblingLink;
 use ashtide::net::messages::{DriverEvent, EventLoopHandle};
 use ashtide::net::pending_clients::PendingClients;
@@ -166,14 +166,14 @@
 
     async fn news(&mut self) -> EndpointList {
         match self.next().await {
-            DriverEvent::ListUpdated(_, news) => news,
+            DriverEvent::ListUpdated { update, .. } => update,
             other => panic!("news, not {other:?}"),
         }
     }
 
     async fn watching(&mut self) {
         let next = self.next().await;
-        assert!(matches!(next, DriverEvent::WatchSynced(_)), "in step, not {next:?}");
+        assert!(matches!(next, DriverEvent::WatchSynced { .. }), "in step, not {next:?}");
     }
 }
 
@@ -503,7 +503,7 @@
     watch.left().await;
     assert!(!new.is_called(), "not before the core has been told of the end");
     let report = follower.next().await;
-    assert!(matches!(&report, DriverEvent::ListUpdated(_, news) if news.index == 42), "{report:?}");
+    assert!(matches!(&report, DriverEvent::ListUpdated { update, .. } if update.index == 42), "{report:?}");
     assert!(follower.core.is_stale(&report), "told by the old, and heard after the move");
     let ended = follower.ended().await;
     assert_eq!((ended.end, ended.ask), (WatchEnd::Closed, false), "the new one is called unasked");
@@ -511,7 +511,7 @@
     assert_eq!(call.after, 0, "versions of another service say nothing");
     call.tell(&list(3, true, &["new"])).await;
     let report = follower.next().await;
-    assert!(matches!(&report, DriverEvent::ListUpdated(_, news) if news.index == 3), "{report:?}");
+    assert!(matches!(&report, DriverEvent::ListUpdated { update, .. } if update.index == 3), "{report:?}");
     assert!(!follower.core.is_stale(&report));
     follower.watching().await;
     // Back to the first before anybody looked: what it told last was void, so it is asked for all, too.
@@ -644,13 +644,14 @@
     let (_heirs, heir) = watch::channel(None);
     let lobby = PendingClients::new(config.capacity(0));
     let post = SiblingLink::new(lobby, None, PersistedState::default(), 0, ProcessState::default(), heir);
-    let (core, handle, _office) = EventLoop::new(&config, subscribe, datagrams, post);
-    let mut fleet = core.server_addresses();
+    let EventLoopParts { event_loop, handle, admin: _admin } =
+        EventLoop::create(&config, subscribe, datagrams, post);
+    let mut fleet = event_loop.server_addresses();
     let news = |name| serde_json::from_value(list(1, false, &[name])).expect("a list");
     let tells = async {
         // Both are in the queue before the core looks.
-        handle.send(DriverEvent::ListUpdated(handle.start_watch(), news("old"))).await;
-        handle.send(DriverEvent::ListUpdated(handle.start_watch(), news("new"))).await;
+        handle.send(DriverEvent::ListUpdated { watch: handle.start_watch(), update: news("old") }).await;
+        handle.send(DriverEvent::ListUpdated { watch: handle.start_watch(), update: news("new") }).await;
         let listed = within("a list", fleet.wait_for(|fleet| fleet.contains_key("new"))).await;
         let listed = listed.expect("in time").expect("a core that runs");
         assert!(!listed.contains_key("old"), "told before a later watch began, and heard after");
@@ -658,7 +659,7 @@
     tokio::select! {
         biased;
         () = tells => {}
-        () = core.run(None) => panic!("a core that ends unasked"),
+        () = event_loop.run(None) => panic!("a core that ends unasked"),
     }
 }
 
@@ -714,7 +715,7 @@
     sleep_until(last + Duration::from_millis(6500)).await;
     let (_refused, refused) = place(daemon, 2).await;
     assert_eq!(refused, 2, "a change counts as told by now");
-    daemon.says("discovery: the list is unvouched for").await.expect("a line for those on call");
+    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a line for those on call");
 }
 
 #[tokio::test]
