--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,16 +1,22 @@
-//! The command line: `serve`, which is what the platform runs without arguments, and what checks lists.
+//! The command line: `serve`, which is what the platform runs without arguments, and commands for operators.
 
-use std::net::SocketAddr;
+use std::fs::File;
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ashtide_endpoints::{Fragment, Generation, Limits, MAX_FILE, Problems, schema};
+use ashtide_endpoints::{Fragment, Generation, Limits, MAX_FILE, Problem, Problems, schema};
 use clap::{Parser, Subcommand};
 use ipnet::IpNet;
 use serde_json::json;
 
-/// How long a door may take to answer.
+/// Names the admin endpoint where the command line does not.
+const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_OPERATOR";
+/// The answer to a request that is not carried out begins with this.
+const REJECTED_STATUS: &str = "400";
+/// Limit on connecting to the admin endpoint, and on each part of its answer.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest answer that is read.
 const MAX_RESPONSE_BYTES: u64 = 65536;
@@ -107,28 +113,28 @@
     },
 }
 
-/// The files that serving may be given beside its configuration.
+/// Files that the daemon may be given beside its configuration.
 pub struct ConfigFiles {
-    /// The deploy file of the fronts.
+    /// The deploy file of the front ends.
     pub fronts: Option<PathBuf>,
     /// The file of the fleet view.
     pub view: Option<PathBuf>,
-    /// The file of taking machines out.
+    /// The file of maintenance.
     pub maintenance: Option<PathBuf>,
     /// The file of partners' quotas.
     pub quota: Option<PathBuf>,
 }
 
-/// What the program is to do.
+/// What the program does next.
 pub enum Action {
     /// Serve, with these files.
     Serve(ConfigFiles),
-    /// It is done.
+    /// End, with this exit code.
     Exit(ExitCode),
 }
 
 impl Arguments {
-    /// Does what was asked for, unless that is to serve.
+    /// Carries the command out, unless that is to serve.
     pub fn execute(self) -> Action {
         match self.command {
             None => {
@@ -138,7 +144,7 @@
             Some(Command::Serve { fronts, view, maintenance, quota }) => {
                 Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
             }
-            Some(Command::Maintenance { door, order }) => Action::Exit(call_admin_endpoint(door, order)),
+            Some(Command::Maintenance { door, order }) => Action::Exit(run_maintenance_command(door, order)),
             Some(Command::Check { files, allow, json }) => {
                 Action::Exit(check_server_lists(&files, &Limits { allow, ..Limits::default() }, json))
             }
@@ -150,11 +156,11 @@
     }
 }
 
-/// Makes a call at a door, and prints the answer.
-fn call_admin_endpoint(door: Option<SocketAddr>, command: MaintenanceCommand) -> ExitCode {
-    use std::io::{Read, Write};
-    let from_environment = || std::env::var("ROUTER_OPERATOR").ok().and_then(|it| it.parse().ok());
-    let Some(door) = door.or_else(from_environment) else {
+/// Sends a command to the admin endpoint of a gateway, and prints the answer.
+fn run_maintenance_command(address: Option<SocketAddr>, command: MaintenanceCommand) -> ExitCode {
+    let from_environment =
+        || std::env::var(ADMIN_ADDRESS_VARIABLE).ok().and_then(|address| address.parse().ok());
+    let Some(address) = address.or_else(from_environment) else {
         eprintln!("ashtide: --door: found nothing; expected the address of a gateway's operators' door");
         return ExitCode::from(2);
     };
@@ -164,46 +170,51 @@
         MaintenanceCommand::Done { name } => format!("done {name}"),
         MaintenanceCommand::Cancel { name } => format!("cancel {name}"),
     };
-    let exchange = || {
-        let mut stream = std::net::TcpStream::connect_timeout(&door, ADMIN_TIMEOUT)?;
-        stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
-        stream.write_all(format!("maintenance {}\n", request.trim_end()).as_bytes())?;
-        let mut answer = String::new();
-        stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut answer).map(|_| answer)
-    };
-    match exchange() {
+    match call_admin_endpoint(address, &request) {
         Ok(answer) => {
             print!("{answer}");
-            if answer.starts_with("400") { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+            if answer.starts_with(REJECTED_STATUS) { ExitCode::FAILURE } else { ExitCode::SUCCESS }
         }
         Err(error) => {
-            eprintln!("ashtide: {door}: {error}");
+            eprintln!("ashtide: {address}: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// A file's bytes; one that is too large is read no further than to see that.
-fn read_bounded(file: &Path) -> std::io::Result<Vec<u8>> {
-    use std::io::Read;
+/// One request of maintenance, and its answer.
+fn call_admin_endpoint(address: SocketAddr, request: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, ADMIN_TIMEOUT)?;
+    stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
+    stream.write_all(format!("maintenance {}\n", request.trim_end()).as_bytes())?;
+    let mut answer = String::new();
+    stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut answer)?;
+    Ok(answer)
+}
+
+/// A file's bytes. A file that is too large is read no further than to notice that.
+fn read_bounded(file: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    std::fs::File::open(file)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(file)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
+/// Checks lists, each by itself and then all together, and prints what was found.
 fn check_server_lists(files: &[PathBuf], limits: &Limits, as_json: bool) -> ExitCode {
-    let (mut fragments, mut invalid) = (Vec::new(), Vec::new());
+    let mut fragments = Vec::new();
+    let mut invalid = Vec::new();
     for file in files {
         let name = file.display().to_string();
-        match read_bounded(file) {
-            Ok(bytes) => match Fragment::read(&name, &bytes, limits) {
-                Ok(fragment) => fragments.push(fragment),
-                Err(problems) => invalid.push(problems),
-            },
+        let bytes = match read_bounded(file) {
+            Ok(bytes) => bytes,
             Err(error) => {
                 eprintln!("ashtide: {name}: {error}");
                 return ExitCode::from(2);
             }
+        };
+        match Fragment::read(&name, &bytes, limits) {
+            Ok(fragment) => fragments.push(fragment),
+            Err(problems) => invalid.push(problems),
         }
     }
     let mut list = Generation::default();
@@ -213,19 +224,34 @@
             Err(problems) => invalid.push(problems),
         }
     }
-    let count: usize = invalid.iter().map(Problems::count).sum();
     if as_json {
-        let each = |problem: &ashtide_endpoints::Problem| json!({"file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected});
-        let problems: Vec<_> = invalid.iter().flat_map(Problems::iter).map(each).collect();
-        let digest = invalid.is_empty().then(|| list.digest());
-        let summary = json!({"usable": invalid.is_empty(), "files": files.len(), "servers": list.len(),
-                          "digest": digest, "count": count, "problems": problems});
-        println!("{summary}");
-    } else if invalid.is_empty() {
-        println!("{} servers in {} files, digest {}", list.len(), files.len(), list.digest());
+        print_check_as_json(files.len(), &list, &invalid);
     } else {
-        invalid.iter().for_each(|problems| println!("{problems}"));
-        println!("{count} problems: the list cannot be used");
+        print_check_as_text(files.len(), &list, &invalid);
     }
     if invalid.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
+
+fn problem_count(invalid: &[Problems]) -> usize {
+    invalid.iter().map(Problems::count).sum()
+}
+
+fn print_check_as_json(files: usize, list: &Generation, invalid: &[Problems]) {
+    let usable = invalid.is_empty();
+    let describe = |problem: &Problem| json!({"file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected});
+    let problems: Vec<_> = invalid.iter().flat_map(Problems::iter).map(describe).collect();
+    let summary = json!({
+        "usable": usable, "files": files, "servers": list.len(), "digest": usable.then(|| list.digest()),
+        "count": problem_count(invalid), "problems": problems,
+    });
+    println!("{summary}");
+}
+
+fn print_check_as_text(files: usize, list: &Generation, invalid: &[Problems]) {
+    if invalid.is_empty() {
+        println!("{} servers in {files} files, digest {}", list.len(), list.digest());
+        return;
+    }
+    invalid.iter().for_each(|problems| println!("{problems}"));
+    println!("{} problems: the list cannot be used", problem_count(invalid));
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -161,7 +161,8 @@
     let siblings = Siblings::discover(&config, &listener, &pending_clients).await;
     let DaemonParts { mut daemon, mut admin, handover, known_list, outgoing_datagrams, watch_requests } =
         Daemon::create(config, pending_clients, siblings, quic_sockets);
-    let (name, address) = (&daemon.config.name, listener.local_addr()?);
+    let address = listener.local_addr()?;
+    let name = &daemon.config.name;
     info!("ashtide: {name} listens on {address}, at most {} clients", capacity.max_sessions);
     let view_task = view.map(|view| daemon.start_view(view, quota.as_ref(), &mut admin)).transpose()?;
     if let Some(settings) = maintenance {
@@ -245,6 +246,38 @@
         let relayed = self.discovered.as_ref().and_then(|siblings| siblings.endpoint_list.clone());
         [config.initial_list.clone(), relayed].into_iter().flatten().max_by_key(|list| list.index)
     }
+
+    /// Prepares what this process publishes to its siblings, and how it takes over from them.
+    fn link(self, pending_clients: &PendingClients, reserved_descriptors: usize) -> LinkedSiblings {
+        let receiver = self.state_folder.as_ref().and_then(|folder| folder.bind_handoff_receiver(self.rank));
+        let process = ProcessState {
+            whose: Some(self.deployment),
+            started: self.rank,
+            adopts: receiver.is_some(),
+            ..ProcessState::default()
+        };
+        let (successor_sender, successor) = watch::channel(None);
+        let link = SiblingLink::new(
+            pending_clients.clone(),
+            self.state_folder,
+            self.persisted,
+            reserved_descriptors,
+            process,
+            successor.clone(),
+        );
+        let published = link.subscribe();
+        let discovered = self.discovered;
+        LinkedSiblings {
+            link,
+            handover: Handover { discovered, receiver, published, successor_sender, successor },
+        }
+    }
+}
+
+/// The event loop's side of the link with siblings, and the rest.
+struct LinkedSiblings {
+    link: SiblingLink,
+    handover: Handover,
 }
 
 /// What links this process with its siblings.
@@ -291,28 +324,14 @@
         quic_sockets: usize,
     ) -> DaemonParts {
         let known_list = siblings.known_list(&config);
-        let Siblings { deployment, state_folder, rank, persisted, discovered } = siblings;
-        let receiver = state_folder.as_ref().and_then(|folder| folder.bind_handoff_receiver(rank));
-        let process = ProcessState {
-            whose: Some(deployment),
-            started: rank,
-            adopts: receiver.is_some(),
-            ..ProcessState::default()
-        };
-        let (successor_sender, successor) = watch::channel(None);
-        let sibling_link = SiblingLink::new(
-            pending_clients.clone(),
-            state_folder.clone(),
-            persisted,
-            config.reserved_descriptors(quic_sockets),
-            process,
-            successor.clone(),
-        );
-        let published = sibling_link.subscribe();
+        let rank = siblings.rank;
+        let state_folder = siblings.state_folder.clone();
+        let LinkedSiblings { link, handover } =
+            siblings.link(&pending_clients, config.reserved_descriptors(quic_sockets));
         let (watch_request_sender, watch_requests) = mpsc::channel(WATCH_REQUEST_QUEUE);
         let (datagram_sender, outgoing_datagrams) = mpsc::channel(permits::SEND_QUEUE_LENGTH);
         let EventLoopParts { event_loop, handle, admin } =
-            EventLoop::create(&config, watch_request_sender, datagram_sender, sibling_link);
+            EventLoop::create(&config, watch_request_sender, datagram_sender, link);
         DaemonParts {
             daemon: Self {
                 config,
@@ -325,7 +344,7 @@
                 stop: watch::Sender::new(false),
             },
             admin,
-            handover: Handover { discovered, receiver, published, successor_sender, successor },
+            handover,
             known_list,
             outgoing_datagrams,
             watch_requests,
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,13 +1,13 @@
-//! What a failed accept calls for. None of its errors says anything against a client that is connected already.
+//! Recovery from a failed accept. None of its errors says anything about a client that is connected already.
 
 use std::io;
 use std::time::Duration;
 
 use rustix::io::Errno;
 
-/// A system that lacks descriptors or memory is asked again after this time.
+/// Wait before accepting again where the system lacks descriptors or memory.
 pub const SHORTAGE_RETRY: Duration = Duration::from_millis(20);
-/// Accepts that fail at once in a row before others get their turn.
+/// Accepts that may fail in a row before other tasks run.
 const MAX_IMMEDIATE_RETRIES: u32 = 64;
 
 /// Why an accept failed, as far as it bears on what to do next.
@@ -20,7 +20,7 @@
 }
 
 impl AcceptFailure {
-    /// Reads an error of accept(2), which passes on errors of the network that a new connection has met.
+    /// Classifies an error of accept(2), which also returns errors of the network that a new connection has met.
     pub fn classify(error: &io::Error) -> Self {
         match Errno::from_io_error(error) {
             Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Self::Shortage,
@@ -36,11 +36,11 @@
     Retry,
     /// Accept again after [`SHORTAGE_RETRY`].
     RetryLater,
-    /// The shortage lasts: close connections that nobody needs, and accept again after [`SHORTAGE_RETRY`].
+    /// The shortage lasts: evict clients without a session, and accept again after [`SHORTAGE_RETRY`].
     EvictClients,
 }
 
-/// Failures in a row of one listener.
+/// Consecutive failures of one listener.
 #[derive(Debug, Default)]
 pub struct AcceptRetries {
     transient_failures: u32,
@@ -48,13 +48,13 @@
 }
 
 impl AcceptRetries {
-    /// An accept has succeeded.
+    /// Records that an accept has succeeded.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// An accept has failed. A shortage may be over in a moment, and costs a client its connection only where it is
-    /// not.
+    /// Records that an accept has failed. A shortage may be over in a moment, and costs a client its connection only where
+    /// it lasts.
     pub fn record_failure(&mut self, error: &io::Error) -> AcceptRecovery {
         match AcceptFailure::classify(error) {
             AcceptFailure::Transient => {
--- a/src/net/bind_retry.rs
+++ b/src/net/bind_retry.rs
@@ -1,4 +1,4 @@
-//! Listeners: bound anew, or inherited from whoever started the process.
+//! Listeners for clients, bound or inherited, and sockets for datagrams that are bound as soon as their address is free.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Connections that wait to be accepted: all clients of a restart at once.
+/// Connections that may wait to be accepted: all clients may come at once after a restart.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// Binds the address on which clients come.
@@ -26,18 +26,18 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// How many descriptors the system lets this process have, whatever it is told: what clients may fill is
-/// reckoned from the lower of both, or the rest of the process would find none.
+/// How many descriptors the system lets this process have. The capacity for clients follows from this where it is lower
+/// than the configured limit, or the rest of the process would find none.
 pub fn descriptor_limit() -> usize {
     let limit = getrlimit(Resource::Nofile).current;
     limit.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
 }
 
-/// Between two tries to bind an address for datagrams.
+/// Wait between two attempts to bind an address for datagrams.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Binds an address for datagrams as soon as it can be had: another process of this gateway may still have it, as
-/// in an upgrade. The first failure is logged, under this topic.
+/// Binds an address for datagrams as soon as it is free: another process of this gateway may still have it, as in an
+/// upgrade. The first failure is logged for this subsystem.
 pub async fn bind_udp_with_retry(subsystem: &str, address: SocketAddr) -> UdpSocket {
     let mut attempts = 0_u64;
     loop {
@@ -46,15 +46,15 @@
             Err(error) => error,
         };
         if attempts == 0 {
-            info!("{subsystem}: {address}: {error}; tried again, silently, until it can be had");
+            info!("{subsystem}: {address}: {error}; retrying until the address is free");
         }
         attempts += 1;
         sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-/// Adopts a listener that the process has inherited under this number. Only a copy of the descriptor
-/// is held, and it is never shut down: the queue behind it belongs to other processes as well.
+/// Adopts a listener that the process has inherited under this descriptor number. Only a copy of the descriptor is held,
+/// and it is never shut down: its queue belongs to other processes as well.
 ///
 /// # Errors
 ///
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,7 +1,7 @@
-//! Connecting over TCP, with errors of this machine told from those of the network and of the other side.
+//! Connects over TCP, and distinguishes errors of this machine from those of the network and of the peer.
 //!
 //! connect(2) and socket(2) fail for a moment where this machine lacks a port, a descriptor, a buffer or a route. That
-//! says nothing of who was to be reached: it is tried again within the time that connecting may take.
+//! says nothing about the peer: it is retried within the time that connecting may take.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Wait before the first retry after an error of this machine. It doubles with each.
+/// Wait before the first retry after an error of this machine. It doubles with each retry.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Longest wait between two tries.
+/// Longest wait between two attempts.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(16);
 
-/// Why no connection came up.
+/// Why no connection was established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// The other side refused, its network answered so, or there was no route to it all the time.
+    /// The peer refused, its network answered for it, or there was no route to it all the time.
     #[error(transparent)]
     Unreachable(io::Error),
-    /// Nothing came in time.
+    /// No answer came in time.
     #[error("no connection in time")]
     TimedOut,
     /// This machine had no port, descriptor or buffer all the time: nothing has been sent.
@@ -40,14 +40,14 @@
     }
 }
 
-/// What an error of connect(2) or socket(2) says.
+/// Where an error of connect(2) or socket(2) comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ErrorOrigin {
-    /// Of the other side or of the network on the way.
+    /// The peer or the network on the way.
     Remote,
-    /// Of this machine's resources.
+    /// This machine's resources.
     Resources,
-    /// Of this machine's routes and interfaces, which may be of this destination alone if it lasts.
+    /// This machine's routes and interfaces; where it lasts, perhaps only those to this peer.
     Route,
 }
 
@@ -70,11 +70,11 @@
     }
 }
 
-/// Connects, and goes on trying until `deadline` as long as it is this machine that fails.
+/// Connects, and retries until `deadline` as long as it is this machine that fails.
 ///
 /// # Errors
 ///
-/// Says whose failure it was.
+/// Says whose failure it was, and what the system said.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, ConnectFailure> {
     let mut delay = INITIAL_RETRY_DELAY;
     loop {
--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -69,30 +69,7 @@
         }
         let mut entries = Vec::with_capacity(list.endpoints.len());
         for endpoint in list.endpoints {
-            let is_known = names.servers.find(&endpoint.name).is_some();
-            if !is_known && names.servers.names().len() >= MAX_KNOWN_SERVERS {
-                info!(
-                    "list: {MAX_KNOWN_SERVERS} servers are known already; ignoring new server '{}'",
-                    endpoint.name
-                );
-                continue;
-            }
-            let server = ServerId(names.servers.intern(&endpoint.name));
-            entries.push(EndpointEntry {
-                server,
-                hash_key: u32::from_be_bytes(server_id_for_name(&endpoint.name)),
-                zone: ZoneId(names.zones.intern(&endpoint.zone)),
-                machine_kind: KindId(names.kinds.intern(&endpoint.kind)),
-                cell: CellId(endpoint.group),
-                state: endpoint.status.into(),
-                weight: endpoint.weight,
-                started_at: self.start_times.start_time(now, server, endpoint.since_ms, unlisted_until),
-            });
-            self.addresses.insert(server, endpoint.address);
-            match endpoint.status {
-                EndpointStatus::Deleted => _ = self.entries.remove(&endpoint.name),
-                _ => _ = self.entries.insert(endpoint.name.clone(), endpoint),
-            }
+            entries.extend(self.apply_endpoint(now, endpoint, unlisted_until, names));
         }
         if kind != ListUpdate::Cached {
             self.start_times.record_update(now);
@@ -100,6 +77,39 @@
         entries
     }
 
+    /// Takes one endpoint in; nothing where too many servers are known.
+    fn apply_endpoint(
+        &mut self,
+        now: Time,
+        endpoint: Endpoint,
+        unlisted_until: Option<Time>,
+        names: &mut NameTables,
+    ) -> Option<EndpointEntry> {
+        let is_known = names.servers.find(&endpoint.name).is_some();
+        if !is_known && names.servers.names().len() >= MAX_KNOWN_SERVERS {
+            let name = &endpoint.name;
+            info!("list: {MAX_KNOWN_SERVERS} servers are known already; ignoring new server '{name}'");
+            return None;
+        }
+        let server = ServerId(names.servers.intern(&endpoint.name));
+        let entry = EndpointEntry {
+            server,
+            hash_key: u32::from_be_bytes(server_id_for_name(&endpoint.name)),
+            zone: ZoneId(names.zones.intern(&endpoint.zone)),
+            machine_kind: KindId(names.kinds.intern(&endpoint.kind)),
+            cell: CellId(endpoint.group),
+            state: endpoint.status.into(),
+            weight: endpoint.weight,
+            started_at: self.start_times.start_time(now, server, endpoint.since_ms, unlisted_until),
+        };
+        self.addresses.insert(server, endpoint.address);
+        match endpoint.status {
+            EndpointStatus::Deleted => _ = self.entries.remove(&endpoint.name),
+            _ => _ = self.entries.insert(endpoint.name.clone(), endpoint),
+        }
+        Some(entry)
+    }
+
     fn publish_addresses(&self) {
         self.published_addresses.send_if_modified(|published| {
             let current: BTreeMap<_, _> =
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -99,22 +99,17 @@
         let unix_time = Duration::from_micros(unix_micros());
         let epoch = (Time::default() + to_span(unix_time), Instant::now());
         let names = config.settings.name_tables();
-        // Gateways that are allowed and have no address cannot be asked: each then has permits of its own.
-        let settings =
-            Settings { fleet_permits: config.peers.is_some(), ..config.settings.balancer_settings(&names) };
+        let settings = engine_settings(config, &names);
         let (sender, events) = mpsc::channel(EVENT_QUEUE);
         let metrics = Arc::new(Metrics::new(names.classes.names()));
         let (admin, cordon_requests) = AdminContext::new(metrics.clone());
         let handle = EventLoopHandle::new(metrics, sender);
-        // A list that is pushed comes from an agent of this machine, which has to be watched all the same; the decision
-        // module asks only where the list is one service for all.
-        let is_pushed = settings.discovery == DiscoveryMode::Pushed;
         let event_loop = Self {
             max_retry_after: settings.max_retry_after,
+            commands: initial_commands(&settings),
             engine: Engine::new(settings, config.seed, epoch),
             epoch,
             names,
-            commands: is_pushed.then_some(Command::Subscribe).into_iter().collect(),
             events,
             cordon_requests,
             handle: handle.clone(),
@@ -256,6 +251,20 @@
     }
 }
 
+fn engine_settings(config: &Config, names: &NameTables) -> Settings {
+    // Gateways that are allowed and have no address cannot be asked: each then has permits of its own.
+    Settings { fleet_permits: config.peers.is_some(), ..config.settings.balancer_settings(names) }
+}
+
+/// A list that is pushed comes from an agent of this machine, which has to be watched all the same; the decision module
+/// asks only where the list is one service for all.
+fn initial_commands(settings: &Settings) -> Vec<Command> {
+    match settings.discovery {
+        DiscoveryMode::Pushed => vec![Command::Subscribe],
+        _ => Vec::new(),
+    }
+}
+
 /// Sleeps until then, or for ever where there is no such time.
 async fn sleep_until_some(deadline: Option<Instant>) {
     match deadline {
--- a/src/net/event_loop/sessions.rs
+++ b/src/net/event_loop/sessions.rs
@@ -63,12 +63,8 @@
                 self.restore_connection(now, id, known);
             }
             SessionEvent::ConnectionAdopted { id, request, server, commands } => {
-                match self.register_connection(id, &request, &server, commands) {
-                    Some(known) => {
-                        self.engine.adopt_connection(now, known.request, known.server, &mut self.commands);
-                    }
-                    None => self.commands.push(Command::Migrate { id }),
-                }
+                let known = self.register_connection(id, &request, &server, commands);
+                self.adopt_connection(now, id, known);
             }
             SessionEvent::AttemptConnected { id, attempt } => {
                 if self.engine.may_send_first_byte(now, id, attempt, &mut self.commands) {
@@ -128,6 +124,15 @@
         }
     }
 
+    fn adopt_connection(&mut self, now: Time, id: RequestId, known: Option<KnownConnection>) {
+        match known {
+            Some(KnownConnection { request, server }) => {
+                self.engine.adopt_connection(now, request, server, &mut self.commands);
+            }
+            None => self.commands.push(Command::Migrate { id }),
+        }
+    }
+
     fn handle_attempt_ended(&mut self, now: Time, id: RequestId, attempt: u32, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
             self.log_server_fault(id, attempt, outcome);
--- a/src/net/event_loop/shared_state.rs
+++ b/src/net/event_loop/shared_state.rs
@@ -67,7 +67,8 @@
     ///
     /// Says how long its client is to wait.
     pub(super) fn admit(&self, id: RequestId, requested: &ConnectionRequest) -> Result<(), Duration> {
-        let (Some(active), Some(tenant)) = (&self.active, &requested.tenant) else { return Ok(()) };
+        let Some(active) = &self.active else { return Ok(()) };
+        let Some(tenant) = &requested.tenant else { return Ok(()) };
         let kind = match (requested.is_reconnect, requested.is_retry) {
             (true, _) => ConnectionKind::Migrated,
             (false, true) => ConnectionKind::Retry,
--- a/src/net/health_check.rs
+++ b/src/net/health_check.rs
@@ -1,4 +1,4 @@
-//! Probes: one `PING` on a connection of its own.
+//! Health checks: one `PING` on a connection of its own.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +12,14 @@
 
 use ashtide_protocol::{LineCodec, PONG};
 
-/// Probes once; whether the server answered properly within `limit`.
+const PING: &[u8] = b"PING\r\n";
+
+/// Checks a server once. Returns whether it answered with `PONG` within `limit`, connecting included.
 pub async fn check_health(address: SocketAddr, limit: Duration) -> bool {
     let exchange = async {
-        let (read, mut write) = split_tcp(TcpStream::connect(address).await.ok()?);
-        write.write_all(b"PING\r\n").await.ok()?;
-        FramedRead::new(read, LineCodec::default()).next().await?.ok()
+        let (reader, mut writer) = split_tcp(TcpStream::connect(address).await.ok()?);
+        writer.write_all(PING).await.ok()?;
+        FramedRead::new(reader, LineCodec::default()).next().await?.ok()
     };
     matches!(timeout(limit, exchange).await, Ok(Some(line)) if line == PONG)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Drivers: what reads and writes sockets, one file a concern. They decide nothing.
+//! Drivers: what reads and writes sockets, files and signals, one module a concern. They decide nothing.
 
 pub mod accept;
 pub mod admin;
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -10,12 +10,20 @@
 use super::attempt::{EstablishedServer, Session};
 use super::connection::{LineConnection, complete_line};
 use super::frontend::{Frontend, connection_request};
+use crate::decision::interface::RequestId;
+use crate::engine::open_ids::RequestIdClaim;
 use crate::handover::EstablishedConnection;
-use crate::net::messages::{SESSION_COMMAND_QUEUE, SessionEvent};
+use crate::net::messages::{RequestCommand, SESSION_COMMAND_QUEUE, SessionEvent};
 
 /// The number of an attempt that an older process has made.
 const ADOPTED_ATTEMPT: u32 = 0;
 
+/// A request whose id is held here.
+struct ClaimedRequest {
+    open: Open,
+    id_claim: RequestIdClaim,
+}
+
 impl Frontend {
     /// Goes on with a connection that an older process has handed off.
     pub async fn adopt_connection(
@@ -24,25 +32,17 @@
         client: OwnedFd,
         server: OwnedFd,
     ) {
-        let (Ok(client), Ok(server)) = (into_stream(client), into_stream(server)) else { return };
+        let Ok(client) = into_stream(client) else { return };
+        let Ok(server) = into_stream(server) else { return };
         let client = LineConnection::resume(client, established.to_server.1);
         let server = LineConnection::resume(server, established.to_client.1);
-        let open = Open::parse(established.open_line);
-        let id_claim = open.as_ref().ok().and_then(|open| self.open_ids.claim(&open.id));
-        let (Ok(open), Some(id_claim)) = (open, id_claim) else {
-            // Neither can come from a process that read the line and held the id; the client is owed an answer.
+        let Some(ClaimedRequest { open, id_claim }) = self.claim(established.open_line) else {
+            // Cannot come from a process that read the line and held the id; the client is owed an answer.
             return self.finish_client(client, &complete_line(established.to_client.0, MOVE)).await;
         };
         let permit = self.pending_clients.adopt_session();
         let id = self.event_loop.next_request_id();
-        let (sender, commands) = mpsc::channel(SESSION_COMMAND_QUEUE);
-        let event = SessionEvent::ConnectionAdopted {
-            id,
-            request: connection_request(&open),
-            server: established.server,
-            commands: sender,
-        };
-        self.event_loop.send(event).await;
+        let commands = self.report_adoption(id, &open, established.server).await;
         let session = Session {
             id,
             open,
@@ -61,6 +61,26 @@
         session.relay(ADOPTED_ATTEMPT, server, true).await;
         drop(permit);
     }
+
+    fn claim(&self, open_line: Bytes) -> Option<ClaimedRequest> {
+        let open = Open::parse(open_line).ok()?;
+        let id_claim = self.open_ids.claim(&open.id)?;
+        Some(ClaimedRequest { open, id_claim })
+    }
+
+    /// Tells the event loop of an adopted connection; its commands.
+    async fn report_adoption(
+        &self,
+        id: RequestId,
+        open: &Open,
+        server: String,
+    ) -> mpsc::Receiver<RequestCommand> {
+        let (sender, commands) = mpsc::channel(SESSION_COMMAND_QUEUE);
+        let request = connection_request(open);
+        let event = SessionEvent::ConnectionAdopted { id, request, server, commands: sender };
+        self.event_loop.send(event).await;
+        commands
+    }
 }
 
 impl Session {
@@ -75,7 +95,8 @@
     ) {
         let Self { open, client, frontend, id_claim, .. } = self;
         drop(id_claim);
-        let (Ok(client), Ok(server)) = (client.detach(), server.detach()) else { return };
+        let Ok(client) = client.detach() else { return };
+        let Ok(server) = server.detach() else { return };
         let established = EstablishedConnection {
             server: server_name,
             open_line: open.raw,
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -19,88 +19,88 @@
 
 #[tokio::test]
 async fn a_displaced_client_reads_its_refusal_whatever_it_has_just_sent() {
-    let desk = SessionHarness::new(ONE).await;
+    let harness = SessionHarness::new(ONE).await;
     let closers: Vec<_> =
-        std::iter::from_fn(|| desk.frontend.pending_clients.try_acquire_graceful_close()).collect();
+        std::iter::from_fn(|| harness.frontend.pending_clients.try_acquire_graceful_close()).collect();
     assert_eq!(closers.len(), 8, "few are waited for, as descriptors are short");
     for (closer, cause) in [(closers, "hurried"), (Vec::new(), "displaced")] {
-        let client = desk.client("").await.into_std().expect("a socket");
+        let client = harness.client("").await.into_std().expect("a socket");
         client.set_nonblocking(false).expect("blocks");
         // It speaks at the moment at which another comes: the runtime has not heard of it yet.
         (&client).write_all(OPEN_LINE.as_bytes()).expect("sent");
-        let _next = desk.frontend.pending_clients.add();
+        let _next = harness.frontend.pending_clients.add();
         tokio::task::yield_now().await;
         client.set_nonblocking(true).expect("waits");
         let mut client = TcpStream::from_std(client).expect("a socket");
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n", "{cause}");
-        assert_eq!(desk.closed_count(cause), 1);
+        assert_eq!(harness.closed_count(cause), 1);
         drop(closer);
     }
 }
 
 #[tokio::test]
 async fn a_stop_tells_those_that_have_not_asked_yet_and_those_that_still_come() {
-    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
-    let mut clients = vec![desk.client("").await, desk.client("OPEN 1").await];
-    desk.frontend.pending_clients.close();
-    clients.push(desk.client("").await);
+    let harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut clients = vec![harness.client("").await, harness.client("OPEN 1").await];
+    harness.frontend.pending_clients.close();
+    clients.push(harness.client("").await);
     for client in &mut clients {
         assert_eq!(read_to_end(client).await.expect("no reset"), "BUSY 1000\r\n");
     }
-    assert_eq!((desk.closed_count("stopped"), desk.frontend.pending_clients.sockets_in_use()), (3, 0));
+    assert_eq!((harness.closed_count("stopped"), harness.frontend.pending_clients.sockets_in_use()), (3, 0));
 }
 
 #[tokio::test]
 async fn a_first_line_that_ends_half_way_is_answered_and_silence_is_not() {
-    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for (says, answer) in [("OPEN 1 2 c=me", "ERR\r\n"), ("PING\r\nOPEN", "PONG\r\nERR\r\n"), ("", "")] {
-        let mut client = desk.client(says).await;
+        let mut client = harness.client(says).await;
         client.shutdown().await.expect("ends");
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), answer, "{says:?}");
     }
-    assert_eq!(desk.closed_count("unasked"), 1);
+    assert_eq!(harness.closed_count("unasked"), 1);
 }
 
 #[tokio::test]
 async fn a_client_whom_the_core_forgets_is_refused() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for attempt in [false, true] {
-        let mut client = desk.client(OPEN_LINE).await;
-        let (id, port) = desk.next_request().await;
+        let mut client = harness.client(OPEN_LINE).await;
+        let (id, commands) = harness.next_request().await;
         if attempt {
-            drop(desk.start_attempt(id, &port, 0).await);
+            drop(harness.start_attempt(id, &commands, 0).await);
             assert!(matches!(
-                desk.next_event().await,
+                harness.next_event().await,
                 SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::Reset, .. }
             ));
         }
-        drop(port);
+        drop(commands);
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
-        assert!(matches!(desk.next_event().await, SessionEvent::ClientLeft { id: left } if left == id));
+        assert!(matches!(harness.next_event().await, SessionEvent::ClientLeft { id: left } if left == id));
     }
-    assert_eq!(desk.closed_count("forgotten"), 2);
+    assert_eq!(harness.closed_count("forgotten"), 2);
 }
 
 #[tokio::test]
 async fn an_attempt_that_comes_up_as_it_is_given_up_serves_nobody() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, port, mut first) = desk.client_with_attempt().await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let (mut client, id, commands, mut first) = harness.client_with_attempt().await;
     first.write_all(b"UP first\r\n").await.expect("read");
     // The core has not heard of it when the attempt's time is up, and sends another.
-    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
-    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 0 });
-    send_command(&port, id, desk.attempt_command(1));
+    assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 0 });
+    send_command(&commands, id, harness.attempt_command(1));
     assert_eq!(read_to_end(&mut first).await.expect("an end"), "", "closed before the second is sent");
-    desk.expect_connected(id, 1).await;
-    send_command(&port, id, SessionCommand::SendFirstLine { attempt: 1 });
-    let mut second = desk.accept_attempt().await;
+    harness.expect_connected(id, 1).await;
+    send_command(&commands, id, SessionCommand::SendFirstLine { attempt: 1 });
+    let mut second = harness.accept_attempt().await;
     second.write_all(b"UP second\r\n").await.expect("read");
-    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 1, .. }));
-    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 1 });
+    assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 1, .. }));
+    send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 1 });
     let mut said = [0; 11];
     timeout(STEP, client.read_exact(&mut said)).await.expect("an answer").expect("stands");
     assert_eq!(&said, b"UP second\r\n");
-    send_command(&port, id, SessionCommand::Migrate);
+    send_command(&commands, id, SessionCommand::Migrate);
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "MOVE\r\n");
 }
 
@@ -122,82 +122,82 @@
         (long.as_bytes(), Outcome::Reset),
         (b"UP without an end", Outcome::Reset),
     ];
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for (spoilt, outcome) in cases {
         let what = String::from_utf8_lossy(spoilt);
-        let (mut client, id, port, mut server) = desk.client_with_attempt().await;
+        let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
         server.write_all(spoilt).await.expect("sent");
         server.shutdown().await.expect("ended");
-        let ended = desk.next_event().await;
+        let ended = harness.next_event().await;
         let is = matches!(&ended, SessionEvent::AttemptEnded { id: ended, attempt: 0, outcome: what } if *ended == id && *what == outcome);
         assert!(is, "{what:?}: {ended:?}");
         // A second answer some milliseconds late finds nobody.
         let _ = server.write_all(b"UP later\r\n").await;
-        send_command(&port, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::from_micros(7_000))));
+        send_command(&commands, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::from_micros(7_000))));
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 7\r\n", "{what:?}");
     }
 }
 
 #[tokio::test]
 async fn what_a_server_says_behind_its_answer_passes_as_it_came() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, port, mut server) = desk.client_with_attempt().await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
     server.write_all(b"UP one\r\nUP two\r\nhalf a").await.expect("sent");
-    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
-    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 0 });
+    assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 0 });
     assert!(
-        matches!(desk.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
+        matches!(harness.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
         "its second line"
     );
     server.write_all(b" line\r\nBUSY\r\nhalf").await.expect("sent");
     for _ in 0..2 {
         assert!(
-            matches!(desk.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
+            matches!(harness.next_event().await, SessionEvent::ServerResponded { id: responded } if responded == id),
             "a line, and no answer"
         );
     }
-    send_command(&port, id, SessionCommand::Migrate);
+    send_command(&commands, id, SessionCommand::Migrate);
     let said = read_to_end(&mut client).await.expect("no reset");
     assert_eq!(said, "UP one\r\nUP two\r\nhalf a line\r\nBUSY\r\nMOVE\r\n", "between two lines");
 }
 
 #[tokio::test]
 async fn a_connection_given_up_before_it_comes_up_sends_nothing_later() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     // A full queue keeps connections from coming up, until it is emptied.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    desk.server = socket.listen(1).expect("listens");
-    let at = desk.server.local_addr().expect("bound");
+    harness.server = socket.listen(1).expect("listens");
+    let at = harness.server.local_addr().expect("bound");
     let mut fillers = Vec::new();
     while let Ok(Ok(filler)) = timeout(CONNECT, TcpStream::connect(at)).await {
         fillers.push(filler);
     }
-    let mut client = desk.client(OPEN_LINE).await;
-    let (id, port) = desk.next_request().await;
-    send_command(&port, id, desk.attempt_command(0));
+    let mut client = harness.client(OPEN_LINE).await;
+    let (id, commands) = harness.next_request().await;
+    send_command(&commands, id, harness.attempt_command(0));
     assert!(matches!(
-        desk.next_event().await,
+        harness.next_event().await,
         SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::ConnectError, .. }
     ));
     // Longer than a system waits before it tries to connect again.
     let late = async {
         let mut bytes = Vec::new();
         loop {
-            let (mut stream, _) = desk.server.accept().await.expect("listens");
+            let (mut stream, _) = harness.server.accept().await.expect("listens");
             let _ = timeout(CONNECT, stream.read_to_end(&mut bytes)).await;
             assert_eq!(String::from_utf8_lossy(&bytes), "", "sent after it was given up");
         }
     };
     assert!(timeout(Duration::from_millis(1400), late).await.is_err());
-    send_command(&port, id, SessionCommand::Answer(FinalAnswer::Failed));
+    send_command(&commands, id, SessionCommand::Answer(FinalAnswer::Failed));
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
 }
 
 #[tokio::test]
 async fn who_asks_as_a_resting_connection_ends_has_an_answer_and_is_not_sent_on() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
-    let mut client = desk.client("PING\r\n").await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut client = harness.client("PING\r\n").await;
     let mut pong = [0; 6];
     client.read_exact(&mut pong).await.expect("there");
     assert_eq!(&pong, b"PONG\r\n");
@@ -212,17 +212,17 @@
     }
     assert_eq!(said, "BUSY 1000\r\n");
     client.write_all(b"and more\r\n").await.expect("no reset");
-    assert!(timeout(CONNECT, desk.events.recv()).await.is_err(), "no request of it");
+    assert!(timeout(CONNECT, harness.events.recv()).await.is_err(), "no request of it");
 }
 
 #[tokio::test]
 async fn a_stop_waits_for_all_that_rest_however_many() {
-    let desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut clients = Vec::new();
     for _ in 0..20 {
-        clients.push(desk.client("").await.into_std().expect("a socket"));
+        clients.push(harness.client("").await.into_std().expect("a socket"));
     }
-    desk.frontend.pending_clients.close();
+    harness.frontend.pending_clients.close();
     // Each asks before it has heard of the stop: unread, that would be a reset at its end.
     for client in &clients {
         client.set_nonblocking(false).expect("blocks");
@@ -235,25 +235,25 @@
         let mut client = TcpStream::from_std(client).expect("a socket");
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY 1000\r\n");
     }
-    assert_eq!((desk.closed_count("stopped"), desk.closed_count("hurried")), (20, 0));
+    assert_eq!((harness.closed_count("stopped"), harness.closed_count("hurried")), (20, 0));
 }
 
 /// A standing connection whose server has said something that the client does not read any more.
-async fn talking(desk: &mut SessionHarness) -> (TcpStream, RequestId, CommandSender, TcpStream) {
-    let (mut client, id, port, mut server) = desk.client_with_attempt().await;
+async fn talking(harness: &mut SessionHarness) -> (TcpStream, RequestId, CommandSender, TcpStream) {
+    let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
     server.write_all(b"UP one\r\n").await.expect("read");
-    assert!(matches!(desk.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
-    send_command(&port, id, SessionCommand::ConfirmEstablished { attempt: 0 });
+    assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
+    send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 0 });
     let mut up = [0; 8];
     client.read_exact(&mut up).await.expect("stands");
-    (client, id, port, server)
+    (client, id, commands, server)
 }
 
 #[tokio::test]
 async fn a_clients_last_line_reaches_its_server_whatever_that_says_meanwhile() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for half in [false, true] {
-        let (client, _, _port, server) = talking(&mut desk).await;
+        let (client, _, _port, server) = talking(&mut harness).await;
         let (client, server) = (client.into_std().expect("a socket"), server.into_std().expect("a socket"));
         // The server's line and the client's end are there together; nobody reads the one any more.
         (&client).write_all(b"the last\r\n").expect("sent");
@@ -271,7 +271,7 @@
         assert!(!half || end.is_ok_and(|more| more.is_empty()), "a clean end, no reset");
         drop((rest, server));
         loop {
-            match desk.next_event().await {
+            match harness.next_event().await {
                 SessionEvent::AttemptEnded { attempt: 0, outcome, .. } => {
                     break assert_eq!(outcome, Outcome::Cancelled);
                 }
@@ -284,13 +284,13 @@
 
 #[tokio::test]
 async fn a_server_whose_client_is_moved_has_a_clean_end() {
-    let mut desk = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, port, mut server) = talking(&mut desk).await;
+    let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
+    let (mut client, id, commands, mut server) = talking(&mut harness).await;
     client.write_all(b"a line\r\n").await.expect("sent");
-    assert!(matches!(desk.next_event().await, SessionEvent::MessageForwarded { .. }));
+    assert!(matches!(harness.next_event().await, SessionEvent::MessageForwarded { .. }));
     let mut line = [0; 8];
     server.read_exact(&mut line).await.expect("passed on");
-    send_command(&port, id, SessionCommand::Migrate);
+    send_command(&commands, id, SessionCommand::Migrate);
     let server = server.into_std().expect("a socket");
     (&server).write_all(b"its answer\r\n").expect("sent");
     let mut server = TcpStream::from_std(server).expect("a socket");
--- a/tests/frontend/mod.rs
+++ b/tests/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! Sessions of the lines front on loopback, with the test in the place of their core and of their server.
+//! Sessions of the line protocol on loopback, with the test in the place of the event loop and of the server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 
 /// Whatever takes longer has failed.
 pub const STEP: Duration = Duration::from_secs(5);
-/// When connections are given up here.
+/// Limit on connecting to a server.
 pub const CONNECT: Duration = Duration::from_millis(60);
 pub const OPEN_LINE: &str = "OPEN 1 2 c=meter,d=3000\r\n";
 
-/// Where clients come, with the test in the core's place.
+/// Where clients come, with the test in the event loop's place.
 pub struct SessionHarness {
     pub frontend: Frontend,
     pub events: mpsc::Receiver<DriverEvent>,
@@ -32,40 +32,40 @@
 }
 
 impl SessionHarness {
-    pub async fn new(room: Capacity) -> Self {
-        let figures = Arc::new(Metrics::new(&["meter".to_owned()]));
-        let (sender, reports) = mpsc::channel(64);
-        let handle = EventLoopHandle::new(figures.clone(), sender);
-        let front = Frontend::new(
-            PendingClients::new(room),
+    pub async fn new(capacity: Capacity) -> Self {
+        let metrics = Arc::new(Metrics::new(&["meter".to_owned()]));
+        let (sender, events) = mpsc::channel(64);
+        let handle = EventLoopHandle::new(metrics.clone(), sender);
+        let frontend = Frontend::new(
+            PendingClients::new(capacity),
             Timeouts { connect: CONNECT },
             handle,
             watch::channel(None).1,
         );
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Self { frontend: front, events: reports, metrics: figures, listener, server }
+        Self { frontend, events, metrics, listener, server }
     }
 
-    /// A client that has been taken in and has had the time to say what it sends here.
-    pub async fn client(&self, says: &str) -> TcpStream {
+    /// A client that has been accepted, and whose bytes have had the time to arrive.
+    pub async fn client(&self, sends: &str) -> TcpStream {
         let mut client = TcpStream::connect(self.listener.local_addr().expect("bound")).await.expect("taken");
         let (theirs, _) = self.listener.accept().await.expect("there");
         let slot = self.frontend.pending_clients.add().slot;
         tokio::spawn(self.frontend.clone().serve_client(theirs, slot));
-        client.write_all(says.as_bytes()).await.expect("heard");
+        client.write_all(sends.as_bytes()).await.expect("sent");
         tokio::time::sleep(Duration::from_millis(5)).await;
         client
     }
 
     pub async fn next_event(&mut self) -> SessionEvent {
-        match timeout(STEP, self.events.recv()).await.expect("a report").expect("sessions") {
+        match timeout(STEP, self.events.recv()).await.expect("an event").expect("sessions") {
             DriverEvent::Session(event) => event,
             other => panic!("not of a session: {other:?}"),
         }
     }
 
-    /// The request that a client has made.
+    /// The request that a client has made, and where its commands go.
     pub async fn next_request(&mut self) -> (RequestId, CommandSender) {
         match self.next_event().await {
             SessionEvent::ConnectionRequested { id, commands, .. } => (id, commands),
@@ -89,36 +89,37 @@
         stream
     }
 
-    /// The session reports that this attempt's connection has come up, and has written nothing on it.
+    /// Expects the session to report that this attempt has connected; it has written nothing yet.
     pub async fn expect_connected(&mut self, id: RequestId, number: u32) {
-        let report = self.next_event().await;
-        assert!(
-            matches!(report, SessionEvent::AttemptConnected { id: connected, attempt } if (connected, attempt) == (id, number)),
-            "{report:?}"
-        );
+        match self.next_event().await {
+            SessionEvent::AttemptConnected { id: connected, attempt } => {
+                assert_eq!((connected, attempt), (id, number));
+            }
+            other => panic!("{other:?}"),
+        }
     }
 
-    /// Has an attempt made, as the core does it; the server's end of it.
-    pub async fn start_attempt(&mut self, id: RequestId, port: &CommandSender, number: u32) -> TcpStream {
-        send_command(port, id, self.attempt_command(number));
+    /// Has an attempt made, as the event loop does it; the server's end of it.
+    pub async fn start_attempt(&mut self, id: RequestId, commands: &CommandSender, number: u32) -> TcpStream {
+        send_command(commands, id, self.attempt_command(number));
         self.expect_connected(id, number).await;
-        send_command(port, id, SessionCommand::SendFirstLine { attempt: number });
+        send_command(commands, id, SessionCommand::SendFirstLine { attempt: number });
         self.accept_attempt().await
     }
 
-    /// A client that has asked, its request with the first attempt out, and the server's end of that.
+    /// A client that has asked, its request with the first attempt in flight, and the server's end of that.
     pub async fn client_with_attempt(&mut self) -> (TcpStream, RequestId, CommandSender, TcpStream) {
         let client = self.client(OPEN_LINE).await;
-        let (id, port) = self.next_request().await;
-        let server = self.start_attempt(id, &port, 0).await;
-        (client, id, port, server)
+        let (id, commands) = self.next_request().await;
+        let server = self.start_attempt(id, &commands, 0).await;
+        (client, id, commands, server)
     }
 
     pub fn closed_count(&self, cause: &str) -> u64 {
         let name = format!("router_closed_{cause}_total ");
         let text = self.metrics.render("");
         let value = text.lines().find_map(|line| line.strip_prefix(&name));
-        value.and_then(|value| value.parse().ok()).expect("counted at the door")
+        value.and_then(|value| value.parse().ok()).expect("a counter")
     }
 }
 
@@ -131,7 +132,7 @@
 
 /// All that comes before a clean end; an error where the end is a reset.
 pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
-    let mut said = String::new();
-    timeout(STEP, stream.read_to_string(&mut said)).await.expect("an end")?;
-    Ok(said)
+    let mut received = String::new();
+    timeout(STEP, stream.read_to_string(&mut received)).await.expect("an end")?;
+    Ok(received)
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -67,9 +67,9 @@
     // Both are there when the session looks; it must not be a matter of luck which it sees.
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, port) = harness.next_request().await;
+        let (id, commands) = harness.next_request().await;
         let rest = leave(client, how);
-        send_command(&port, id, harness.attempt_command(0));
+        send_command(&commands, id, harness.attempt_command(0));
         left(&mut harness, id, &format!("{how:?} while it waits")).await;
         nothing_arrives(&harness, how).await;
         drop(rest);
@@ -81,11 +81,11 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, port) = harness.next_request().await;
-        send_command(&port, id, harness.attempt_command(0));
+        let (id, commands) = harness.next_request().await;
+        send_command(&commands, id, harness.attempt_command(0));
         harness.expect_connected(id, 0).await;
         let rest = leave(client, how);
-        send_command(&port, id, SessionCommand::SendFirstLine { attempt: 0 });
+        send_command(&commands, id, SessionCommand::SendFirstLine { attempt: 0 });
         left(&mut harness, id, &format!("{how:?} in connect")).await;
         assert_eq!(got(&harness).await, "", "{how:?} in connect");
         drop(rest);
@@ -98,7 +98,7 @@
     let mut seen = 0;
     for how in ALL {
         for out in [false, true] {
-            let (client, id, port, mut server) = harness.client_with_attempt().await;
+            let (client, id, commands, mut server) = harness.client_with_attempt().await;
             if !out {
                 server.write_all(b"BUSY\r\n").await.expect("read");
                 let report = harness.next_event().await;
@@ -117,8 +117,8 @@
             assert_eq!(harness.closed_count("left"), seen + 1, "counted for the operators' door");
             seen += 1;
             assert!(
-                port.is_closed()
-                    || port.try_send(RequestCommand { id, command: harness.attempt_command(1) }).is_err(),
+                commands.is_closed()
+                    || commands.try_send(RequestCommand { id, command: harness.attempt_command(1) }).is_err(),
                 "no session is left"
             );
             drop(rest);
@@ -134,9 +134,9 @@
     for how in [Leaves::Closes, Leaves::HalfCloses] {
         for half in ["", "half a line"] {
             let client = harness.client(&format!("{ahead}{half}")).await;
-            let (id, port) = harness.next_request().await;
+            let (id, commands) = harness.next_request().await;
             let rest = leave(client, how);
-            send_command(&port, id, harness.attempt_command(0));
+            send_command(&commands, id, harness.attempt_command(0));
             left(&mut harness, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
             nothing_arrives(&harness, how).await;
             drop(rest);
@@ -155,18 +155,18 @@
 async fn a_connection_that_comes_up_too_late_carries_no_byte() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut client = harness.client(OPEN_LINE).await;
-    let (id, port) = harness.next_request().await;
-    send_command(&port, id, harness.attempt_command(0));
+    let (id, commands) = harness.next_request().await;
+    send_command(&commands, id, harness.attempt_command(0));
     harness.expect_connected(id, 0).await;
     // Meanwhile its server was told to drain: the core gives the attempt up, and sends another.
-    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 0 });
-    send_command(&port, id, harness.attempt_command(1));
+    send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 0 });
+    send_command(&commands, id, harness.attempt_command(1));
     assert_eq!(got(&harness).await, "", "given up before its first byte");
     harness.expect_connected(id, 1).await;
     // A consent to the first is none to the second.
-    send_command(&port, id, SessionCommand::SendFirstLine { attempt: 0 });
-    send_command(&port, id, SessionCommand::CancelAttempt { attempt: 1 });
+    send_command(&commands, id, SessionCommand::SendFirstLine { attempt: 0 });
+    send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 1 });
     assert_eq!(got(&harness).await, "", "given up before its first byte");
-    send_command(&port, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)));
+    send_command(&commands, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)));
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY\r\n");
 }
