--- a/src/main.rs
+++ b/src/main.rs
@@ -56,37 +56,27 @@
     }
 }
 
-/// Why the daemon does not start.
+/// Why the daemon does not start. Each text names the key, variable or file at fault.
 #[derive(Debug, thiserror::Error)]
 enum StartupError {
-    /// The configuration or the deploy file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system failed.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The fleet view's file cannot be used.
     #[error("{0}; {help}", help = .0.help())]
     View(#[from] ViewError),
-    /// The quotas' file cannot be used.
     #[error("{0}; {help}", help = .0.help())]
     Quota(#[from] QuotaError),
-    /// The maintenance file cannot be used.
     #[error("{0}; {help}", help = .0.help())]
     Maintenance(#[from] MaintenanceError),
-    /// The inherited descriptor is no listener.
     #[error("ROUTER_INHERITED_FD: '{number}': {error}")]
     InheritedListener { number: i32, error: io::Error },
-    /// The address for clients cannot be had.
     #[error("listen {address}: {error}")]
     Listen { address: SocketAddr, error: io::Error },
-    /// The address for operators cannot be had.
     #[error("operator {address}: {error}")]
     Admin { address: SocketAddr, error: io::Error },
-    /// The address of the QUIC front end cannot be had.
     #[error("quic.listen {address}: {error}")]
     Quic { address: SocketAddr, error: io::Error },
-    /// The QUIC front end asks for a class that the settings do not have.
     #[error("quic.class: '{0}' is no class of the settings")]
     UnknownQuicClass(String),
 }
@@ -124,7 +114,11 @@
             Some(_) if view.as_ref().is_none_or(|view| view.shared_state.is_none()) => {
                 return Err(QuotaError::NoSharedState.into());
             }
-            Some(path) => Some(QuotaConfig::read(path.clone(), &config)?),
+            Some(path) => {
+                let tenants = config.settings.tenant_quotas();
+                let settings = quota_settings::Settings::read(path, &tenants)?;
+                Some(QuotaConfig { path: path.clone(), settings, tenants })
+            }
             None => None,
         };
         let maintenance =
@@ -133,14 +127,6 @@
     }
 }
 
-impl QuotaConfig {
-    fn read(path: PathBuf, config: &Config) -> Result<Self, QuotaError> {
-        let tenants = config.settings.tenant_quotas();
-        let settings = quota_settings::Settings::read(&path, &tenants)?;
-        Ok(Self { path, settings, tenants })
-    }
-}
-
 fn run_daemon(files: &ConfigFiles) -> Result<(), StartupError> {
     let startup = StartupConfig::read(files)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/src/net/event_loop/observability.rs
+++ b/src/net/event_loop/observability.rs
@@ -18,19 +18,19 @@
     pub(super) fn report_violations(&mut self) {
         let (violations, total) = self.engine.take_request_violations();
         for violation in &violations {
-            REQUEST_VIOLATIONS.log(format_args!("invariant broken: {violation}; {}", violation.help()));
+            REQUEST_VIOLATIONS.log(format_args!("invariant violated: {violation}; {}", violation.help()));
         }
         if !violations.is_empty() {
             let total = usize::try_from(total).unwrap_or(usize::MAX);
             self.handle.metrics().set_gauge(Gauge::InvariantViolations, total);
         }
-        debug_assert!(violations.is_empty(), "an invariant is broken: {violations:?}");
+        debug_assert!(violations.is_empty(), "an invariant is violated: {violations:?}");
     }
 
     /// Checks what this gateway may grant others.
     pub(super) fn check_permits(&self) {
         if let Err(violation) = self.engine.check_permits() {
-            PERMIT_VIOLATIONS.log(format_args!("invariant broken: {violation}; {}", violation.help()));
+            PERMIT_VIOLATIONS.log(format_args!("invariant violated: {violation}; {}", violation.help()));
         }
     }
 
--- a/src/net/event_loop/shared_state.rs
+++ b/src/net/event_loop/shared_state.rs
@@ -138,7 +138,7 @@
         let Some(decision) = decision else { return };
         decision.log_lines.iter().for_each(|line| info!("{line}"));
         if let Some(violation) = decision.violation {
-            VIOLATIONS.log(format_args!("invariant broken: {violation}; {}", violation.help()));
+            VIOLATIONS.log(format_args!("invariant violated: {violation}; {}", violation.help()));
         }
         self.engine.set_quorum_ejections(now, &decision.ejected, &mut self.commands);
     }
