--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -1,5 +1,5 @@
-//! How clients and attempts end: sessions on loopback before a core that the test plays. Nobody is let go
-//! without the last line that is due, and nothing of an attempt that was given up reaches anyone.
+//! How clients and attempts end: sessions on loopback, with the test as their event loop. Every client reads the last
+//! line that is due, and nothing of a cancelled attempt reaches anyone.
 
 mod frontend;
 
@@ -8,9 +8,12 @@
 
 use ashtide::config::Capacity;
 use ashtide::engine::FinalAnswer;
-use ashtide::net::messages::{CommandSender, SessionCommand, SessionEvent};
-use ashtide::{Outcome, RequestId, Span};
-use frontend::{AMPLE_CAPACITY, CONNECT, OPEN_LINE, STEP, SessionHarness, read_to_end, send_command};
+use ashtide::net::messages::{SessionCommand, SessionEvent};
+use ashtide::{Outcome, Span};
+use frontend::{
+    AMPLE_CAPACITY, CONNECT, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP, SessionHarness, read_to_end,
+    send_command,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
@@ -66,7 +69,7 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for attempt in [false, true] {
         let mut client = harness.client(OPEN_LINE).await;
-        let (id, commands) = harness.next_request().await;
+        let ClientRequest { id, commands } = harness.next_request().await;
         if attempt {
             drop(harness.start_attempt(id, &commands, 0).await);
             assert!(matches!(
@@ -84,9 +87,10 @@
 #[tokio::test]
 async fn an_attempt_that_comes_up_as_it_is_given_up_serves_nobody() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, commands, mut first) = harness.client_with_attempt().await;
+    let ClientWithAttempt { mut client, id, commands, server: mut first } =
+        harness.client_with_attempt().await;
     first.write_all(b"UP first\r\n").await.expect("read");
-    // The core has not heard of it when the attempt's time is up, and sends another.
+    // The event loop does not know of it when the attempt's time is up, and starts another.
     assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
     send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 0 });
     send_command(&commands, id, harness.attempt_command(1));
@@ -97,9 +101,9 @@
     second.write_all(b"UP second\r\n").await.expect("read");
     assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 1, .. }));
     send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 1 });
-    let mut said = [0; 11];
-    timeout(STEP, client.read_exact(&mut said)).await.expect("an answer").expect("stands");
-    assert_eq!(&said, b"UP second\r\n");
+    let mut received = [0; 11];
+    timeout(STEP, client.read_exact(&mut received)).await.expect("an answer").expect("stands");
+    assert_eq!(&received, b"UP second\r\n");
     send_command(&commands, id, SessionCommand::Migrate);
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "MOVE\r\n");
 }
@@ -125,7 +129,7 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for (spoilt, outcome) in cases {
         let what = String::from_utf8_lossy(spoilt);
-        let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
+        let ClientWithAttempt { mut client, id, commands, mut server } = harness.client_with_attempt().await;
         server.write_all(spoilt).await.expect("sent");
         server.shutdown().await.expect("ended");
         let ended = harness.next_event().await;
@@ -141,7 +145,7 @@
 #[tokio::test]
 async fn what_a_server_says_behind_its_answer_passes_as_it_came() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
+    let ClientWithAttempt { mut client, id, commands, mut server } = harness.client_with_attempt().await;
     server.write_all(b"UP one\r\nUP two\r\nhalf a").await.expect("sent");
     assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
     send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 0 });
@@ -157,8 +161,8 @@
         );
     }
     send_command(&commands, id, SessionCommand::Migrate);
-    let said = read_to_end(&mut client).await.expect("no reset");
-    assert_eq!(said, "UP one\r\nUP two\r\nhalf a line\r\nBUSY\r\nMOVE\r\n", "between two lines");
+    let received = read_to_end(&mut client).await.expect("no reset");
+    assert_eq!(received, "UP one\r\nUP two\r\nhalf a line\r\nBUSY\r\nMOVE\r\n", "between two lines");
 }
 
 #[tokio::test]
@@ -174,7 +178,7 @@
         fillers.push(filler);
     }
     let mut client = harness.client(OPEN_LINE).await;
-    let (id, commands) = harness.next_request().await;
+    let ClientRequest { id, commands } = harness.next_request().await;
     send_command(&commands, id, harness.attempt_command(0));
     assert!(matches!(
         harness.next_event().await,
@@ -202,15 +206,15 @@
     client.read_exact(&mut pong).await.expect("there");
     assert_eq!(&pong, b"PONG\r\n");
     // It rests until it is ended, and asks in that moment: the sending has been shut down, and it is read on.
-    let mut said = String::new();
+    let mut received = String::new();
     let mut byte = [0];
     while client.read(&mut byte).await.expect("no reset") > 0 {
-        said.push(char::from(byte[0]));
-        if said.len() == 1 {
+        received.push(char::from(byte[0]));
+        if received.len() == 1 {
             client.write_all(OPEN_LINE.as_bytes()).await.expect("taken");
         }
     }
-    assert_eq!(said, "BUSY 1000\r\n");
+    assert_eq!(received, "BUSY 1000\r\n");
     client.write_all(b"and more\r\n").await.expect("no reset");
     assert!(timeout(CONNECT, harness.events.recv()).await.is_err(), "no request of it");
 }
@@ -238,23 +242,25 @@
     assert_eq!((harness.closed_count("stopped"), harness.closed_count("hurried")), (20, 0));
 }
 
-/// A standing connection whose server has said something that the client does not read any more.
-async fn talking(harness: &mut SessionHarness) -> (TcpStream, RequestId, CommandSender, TcpStream) {
-    let (mut client, id, commands, mut server) = harness.client_with_attempt().await;
+/// A client whose connection is established; it has read so.
+async fn established(harness: &mut SessionHarness) -> ClientWithAttempt {
+    let ClientWithAttempt { mut client, id, commands, mut server } = harness.client_with_attempt().await;
     server.write_all(b"UP one\r\n").await.expect("read");
     assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 0, .. }));
     send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 0 });
     let mut up = [0; 8];
     client.read_exact(&mut up).await.expect("stands");
-    (client, id, commands, server)
+    ClientWithAttempt { client, id, commands, server }
 }
 
 #[tokio::test]
 async fn a_clients_last_line_reaches_its_server_whatever_that_says_meanwhile() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for half in [false, true] {
-        let (client, _, _port, server) = talking(&mut harness).await;
-        let (client, server) = (client.into_std().expect("a socket"), server.into_std().expect("a socket"));
+        let ClientWithAttempt { client, id: _, commands: _commands, server } =
+            established(&mut harness).await;
+        let client = client.into_std().expect("a socket");
+        let server = server.into_std().expect("a socket");
         // The server's line and the client's end are there together; nobody reads the one any more.
         (&client).write_all(b"the last\r\n").expect("sent");
         client.shutdown(std::net::Shutdown::Write).expect("ends");
@@ -285,7 +291,7 @@
 #[tokio::test]
 async fn a_server_whose_client_is_moved_has_a_clean_end() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let (mut client, id, commands, mut server) = talking(&mut harness).await;
+    let ClientWithAttempt { mut client, id, commands, mut server } = established(&mut harness).await;
     client.write_all(b"a line\r\n").await.expect("sent");
     assert!(matches!(harness.next_event().await, SessionEvent::MessageForwarded { .. }));
     let mut line = [0; 8];
--- a/tests/frontend/mod.rs
+++ b/tests/frontend/mod.rs
@@ -31,6 +31,21 @@
     pub server: TcpListener,
 }
 
+/// A request, and where its commands go.
+pub struct ClientRequest {
+    pub id: RequestId,
+    pub commands: CommandSender,
+}
+
+/// A client whose request has an attempt at a server.
+pub struct ClientWithAttempt {
+    pub client: TcpStream,
+    pub id: RequestId,
+    pub commands: CommandSender,
+    /// The server's end of the attempt.
+    pub server: TcpStream,
+}
+
 impl SessionHarness {
     pub async fn new(capacity: Capacity) -> Self {
         let metrics = Arc::new(Metrics::new(&["meter".to_owned()]));
@@ -66,9 +81,9 @@
     }
 
     /// The request that a client has made, and where its commands go.
-    pub async fn next_request(&mut self) -> (RequestId, CommandSender) {
+    pub async fn next_request(&mut self) -> ClientRequest {
         match self.next_event().await {
-            SessionEvent::ConnectionRequested { id, commands, .. } => (id, commands),
+            SessionEvent::ConnectionRequested { id, commands, .. } => ClientRequest { id, commands },
             other => panic!("{other:?}"),
         }
     }
@@ -108,11 +123,11 @@
     }
 
     /// A client that has asked, its request with the first attempt in flight, and the server's end of that.
-    pub async fn client_with_attempt(&mut self) -> (TcpStream, RequestId, CommandSender, TcpStream) {
+    pub async fn client_with_attempt(&mut self) -> ClientWithAttempt {
         let client = self.client(OPEN_LINE).await;
-        let (id, commands) = self.next_request().await;
+        let ClientRequest { id, commands } = self.next_request().await;
         let server = self.start_attempt(id, &commands, 0).await;
-        (client, id, commands, server)
+        ClientWithAttempt { client, id, commands, server }
     }
 
     pub fn closed_count(&self, cause: &str) -> u64 {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while they wait, and attempts whose time is over before their first byte: sessions on
-//! loopback before a core that the test plays, which forces each order.
+//! Clients that leave while they wait, and attempts whose time is over before their first byte: sessions on loopback,
+//! with the test as their event loop, which forces each order.
 
 mod frontend;
 
@@ -9,7 +9,10 @@
 use ashtide::engine::FinalAnswer;
 use ashtide::net::messages::{RequestCommand, SessionCommand, SessionEvent};
 use ashtide::{RequestId, Span};
-use frontend::{AMPLE_CAPACITY, OPEN_LINE, STEP, SessionHarness, read_to_end, send_command};
+use frontend::{
+    AMPLE_CAPACITY, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP, SessionHarness, read_to_end,
+    send_command,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -67,7 +70,7 @@
     // Both are there when the session looks; it must not be a matter of luck which it sees.
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, commands) = harness.next_request().await;
+        let ClientRequest { id, commands } = harness.next_request().await;
         let rest = leave(client, how);
         send_command(&commands, id, harness.attempt_command(0));
         left(&mut harness, id, &format!("{how:?} while it waits")).await;
@@ -81,7 +84,7 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, commands) = harness.next_request().await;
+        let ClientRequest { id, commands } = harness.next_request().await;
         send_command(&commands, id, harness.attempt_command(0));
         harness.expect_connected(id, 0).await;
         let rest = leave(client, how);
@@ -98,7 +101,7 @@
     let mut seen = 0;
     for how in ALL {
         for out in [false, true] {
-            let (client, id, commands, mut server) = harness.client_with_attempt().await;
+            let ClientWithAttempt { client, id, commands, mut server } = harness.client_with_attempt().await;
             if !out {
                 server.write_all(b"BUSY\r\n").await.expect("read");
                 let report = harness.next_event().await;
@@ -134,7 +137,7 @@
     for how in [Leaves::Closes, Leaves::HalfCloses] {
         for half in ["", "half a line"] {
             let client = harness.client(&format!("{ahead}{half}")).await;
-            let (id, commands) = harness.next_request().await;
+            let ClientRequest { id, commands } = harness.next_request().await;
             let rest = leave(client, how);
             send_command(&commands, id, harness.attempt_command(0));
             left(&mut harness, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
@@ -145,7 +148,7 @@
     // And who says more than that is told so, and called off.
     for more in ["one more\r\n".to_owned(), "y".repeat(5000)] {
         let mut client = harness.client(&format!("{ahead}{more}")).await;
-        let (id, _port) = harness.next_request().await;
+        let ClientRequest { id, commands: _commands } = harness.next_request().await;
         left(&mut harness, id, "too much ahead").await;
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
     }
@@ -155,10 +158,10 @@
 async fn a_connection_that_comes_up_too_late_carries_no_byte() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut client = harness.client(OPEN_LINE).await;
-    let (id, commands) = harness.next_request().await;
+    let ClientRequest { id, commands } = harness.next_request().await;
     send_command(&commands, id, harness.attempt_command(0));
     harness.expect_connected(id, 0).await;
-    // Meanwhile its server was told to drain: the core gives the attempt up, and sends another.
+    // Meanwhile its server was told to drain: the event loop cancels the attempt, and starts another.
     send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 0 });
     send_command(&commands, id, harness.attempt_command(1));
     assert_eq!(got(&harness).await, "", "given up before its first byte");
