--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -9,6 +9,7 @@
 pub mod start_times;
 mod watch;
 
+pub use crate::decision::MAX_POLL_WAIT;
 pub use endpoints::{Endpoint, EndpointList, EndpointStatus};
 pub use http::{HttpError, watch_request};
 pub use watch::{WatchCodec, WatchEnd, WatchError, WatchEvent};
@@ -24,6 +25,3 @@
 /// A gateway counts as told of a change this long after discovery had it and could be reached (STANDING, "One clock
 /// for silence").
 pub const MAX_LIST_STALENESS: Span = Span::from_micros(6_000_000);
-/// Longest wait between two calls: [`MAX_LIST_STALENESS`] less a call of 3 s, so that each call can be answered in
-/// time.
-pub const MAX_POLL_WAIT: Span = Span::from_micros(3_000_000);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -179,7 +179,7 @@
         }
         self.last_synced_at = Instant::now();
         if is_first {
-            self.event_loop.send(DriverEvent::WatchSynced(self.watch_number)).await;
+            self.event_loop.send(DriverEvent::WatchSynced { watch: self.watch_number }).await;
         }
         Ok(())
     }
@@ -197,7 +197,7 @@
         let index = update.index;
         let applies = update.applies_to(self.list_version);
         // The version counts once the update is sent: this future may be dropped meanwhile.
-        self.event_loop.send(DriverEvent::ListUpdated(self.watch_number, update)).await;
+        self.event_loop.send(DriverEvent::ListUpdated { watch: self.watch_number, update }).await;
         let next_version = if applies { index } else { 0 };
         let had = std::mem::replace(&mut self.list_version, next_version);
         if applies {
--- a/src/net/fleet/maintenance/driver.rs
+++ b/src/net/fleet/maintenance/driver.rs
@@ -142,7 +142,7 @@
             self.replica.cordoned_machines(MachineKind::Server).map(str::to_owned).collect();
         let (reply, observed) = oneshot::channel();
         let inspection = async {
-            self.event_loop.send(DriverEvent::ServersInspected(names, reply)).await;
+            self.event_loop.send(DriverEvent::InspectServers { names, reply }).await;
             observed.await.ok()
         };
         // An event loop that is too busy is asked again; until then its last answer stands.
@@ -203,7 +203,7 @@
     }
 
     async fn cordon(&self, name: String, cordoned: bool) {
-        self.event_loop.send(DriverEvent::MaintenanceCordon(name, cordoned)).await;
+        self.event_loop.send(DriverEvent::MaintenanceCordon { server: name, cordoned }).await;
     }
 
     fn answer(&mut self, request_id: u64, outcome: RequestOutcome) {
--- a/src/net/fleet/permits.rs
+++ b/src/net/fleet/permits.rs
@@ -58,5 +58,5 @@
         return REJECTED_DATAGRAMS.log(format_args!("datagram from {from}, which is no gateway of `peers`"));
     };
     let payload = Bytes::copy_from_slice(packet);
-    event_loop.send(DriverEvent::DatagramReceived(GatewayId(index as u32), payload)).await;
+    event_loop.send(DriverEvent::DatagramReceived { from: GatewayId(index as u32), payload }).await;
 }
--- a/tests/frontend/mod.rs
+++ b/tests/frontend/mod.rs
@@ -1,11 +1,13 @@
-//! Sessions of the lines front on loopback, with the test in the place of their core and of their server.
+//! Sessions of the line protocol on loopback, with the test in the place of the event loop and of the server.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use ashtide::config::Capacity;
 use ashtide::metrics::Metrics;
-use ashtide::net::messages::{CommandSender, DriverEvent, EventLoopHandle, SessionCommand};
+use ashtide::net::messages::{
+    CommandSender, DriverEvent, EventLoopHandle, RequestCommand, SessionCommand, SessionEvent,
+};
 use ashtide::net::pending_clients::PendingClients;
 use ashtide::net::session::{Frontend, Timeouts};
 use ashtide::{RequestId, Span};
@@ -16,11 +18,11 @@
 
 /// Whatever takes longer has failed.
 pub const STEP: Duration = Duration::from_secs(5);
-/// When connections are given up here.
+/// Limit on connecting to a server.
 pub const CONNECT: Duration = Duration::from_millis(60);
 pub const OPEN_LINE: &str = "OPEN 1 2 c=meter,d=3000\r\n";
 
-/// Where clients come, with the test in the core's place.
+/// Where clients come, with the test in the event loop's place.
 pub struct SessionHarness {
     pub frontend: Frontend,
     pub events: mpsc::Receiver<DriverEvent>,
@@ -29,41 +31,59 @@
     pub server: TcpListener,
 }
 
+/// A request, and where its commands go.
+pub struct ClientRequest {
+    pub id: RequestId,
+    pub commands: CommandSender,
+}
+
+/// A client whose request has an attempt at a server.
+pub struct ClientWithAttempt {
+    pub client: TcpStream,
+    pub id: RequestId,
+    pub commands: CommandSender,
+    /// The server's end of the attempt.
+    pub server: TcpStream,
+}
+
 impl SessionHarness {
-    pub async fn new(room: Capacity) -> Self {
-        let figures = Arc::new(Metrics::new(&["meter".to_owned()]));
-        let (sender, reports) = mpsc::channel(64);
-        let handle = EventLoopHandle::new(figures.clone(), sender);
-        let front = Frontend::new(
-            PendingClients::new(room),
+    pub async fn new(capacity: Capacity) -> Self {
+        let metrics = Arc::new(Metrics::new(&["meter".to_owned()]));
+        let (sender, events) = mpsc::channel(64);
+        let handle = EventLoopHandle::new(metrics.clone(), sender);
+        let frontend = Frontend::new(
+            PendingClients::new(capacity),
             Timeouts { connect: CONNECT },
             handle,
             watch::channel(None).1,
         );
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Self { frontend: front, events: reports, metrics: figures, listener, server }
+        Self { frontend, events, metrics, listener, server }
     }
 
-    /// A client that has been taken in and has had the time to say what it sends here.
-    pub async fn client(&self, says: &str) -> TcpStream {
+    /// A client that has been accepted, and whose bytes have had the time to arrive.
+    pub async fn client(&self, sends: &str) -> TcpStream {
         let mut client = TcpStream::connect(self.listener.local_addr().expect("bound")).await.expect("taken");
         let (theirs, _) = self.listener.accept().await.expect("there");
-        let (place, _) = self.frontend.pending_clients.add();
-        tokio::spawn(self.frontend.clone().serve_client(theirs, place));
-        client.write_all(says.as_bytes()).await.expect("heard");
+        let slot = self.frontend.pending_clients.add().slot;
+        tokio::spawn(self.frontend.clone().serve_client(theirs, slot));
+        client.write_all(sends.as_bytes()).await.expect("sent");
         tokio::time::sleep(Duration::from_millis(5)).await;
         client
     }
 
-    pub async fn next_event(&mut self) -> DriverEvent {
-        timeout(STEP, self.events.recv()).await.expect("a report").expect("sessions")
+    pub async fn next_event(&mut self) -> SessionEvent {
+        match timeout(STEP, self.events.recv()).await.expect("an event").expect("sessions") {
+            DriverEvent::Session(event) => event,
+            other => panic!("not of a session: {other:?}"),
+        }
     }
 
-    /// The request that a client has made.
-    pub async fn next_request(&mut self) -> (RequestId, CommandSender) {
+    /// The request that a client has made, and where its commands go.
+    pub async fn next_request(&mut self) -> ClientRequest {
         match self.next_event().await {
-            DriverEvent::ConnectionRequested(id, _, port) => (id, port),
+            SessionEvent::ConnectionRequested { id, commands, .. } => ClientRequest { id, commands },
             other => panic!("{other:?}"),
         }
     }
@@ -84,44 +104,50 @@
         stream
     }
 
-    /// The session reports that this attempt's connection has come up, and has written nothing on it.
+    /// Expects the session to report that this attempt has connected; it has written nothing yet.
     pub async fn expect_connected(&mut self, id: RequestId, number: u32) {
-        let report = self.next_event().await;
-        assert!(
-            matches!(report, DriverEvent::AttemptConnected(it, which) if (it, which) == (id, number)),
-            "{report:?}"
-        );
+        match self.next_event().await {
+            SessionEvent::AttemptConnected { id: connected, attempt } => {
+                assert_eq!((connected, attempt), (id, number));
+            }
+            other => panic!("{other:?}"),
+        }
     }
 
-    /// Has an attempt made, as the core does it; the server's end of it.
-    pub async fn start_attempt(&mut self, id: RequestId, port: &CommandSender, number: u32) -> TcpStream {
-        port.try_send((id, self.attempt_command(number))).expect("room");
+    /// Has an attempt made, as the event loop does it; the server's end of it.
+    pub async fn start_attempt(&mut self, id: RequestId, commands: &CommandSender, number: u32) -> TcpStream {
+        send_command(commands, id, self.attempt_command(number));
         self.expect_connected(id, number).await;
-        port.try_send((id, SessionCommand::SendFirstLine { attempt: number })).expect("room");
+        send_command(commands, id, SessionCommand::SendFirstLine { attempt: number });
         self.accept_attempt().await
     }
 
-    /// A client that has asked, its request with the first attempt out, and the server's end of that.
-    pub async fn client_with_attempt(&mut self) -> (TcpStream, RequestId, CommandSender, TcpStream) {
+    /// A client that has asked, its request with the first attempt in flight, and the server's end of that.
+    pub async fn client_with_attempt(&mut self) -> ClientWithAttempt {
         let client = self.client(OPEN_LINE).await;
-        let (id, port) = self.next_request().await;
-        let server = self.start_attempt(id, &port, 0).await;
-        (client, id, port, server)
+        let ClientRequest { id, commands } = self.next_request().await;
+        let server = self.start_attempt(id, &commands, 0).await;
+        ClientWithAttempt { client, id, commands, server }
     }
 
     pub fn closed_count(&self, cause: &str) -> u64 {
         let name = format!("router_closed_{cause}_total ");
         let text = self.metrics.render("");
         let value = text.lines().find_map(|line| line.strip_prefix(&name));
-        value.and_then(|value| value.parse().ok()).expect("counted at the door")
+        value.and_then(|value| value.parse().ok()).expect("a counter")
     }
 }
 
 pub const AMPLE_CAPACITY: Capacity = Capacity { descriptors: 64, max_sessions: 16 };
 
+/// Sends a session one command, as the event loop does.
+pub fn send_command(sender: &CommandSender, id: RequestId, command: SessionCommand) {
+    sender.try_send(RequestCommand { id, command }).expect("room");
+}
+
 /// All that comes before a clean end; an error where the end is a reset.
 pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
-    let mut said = String::new();
-    timeout(STEP, stream.read_to_string(&mut said)).await.expect("an end")?;
-    Ok(said)
+    let mut received = String::new();
+    timeout(STEP, stream.read_to_string(&mut received)).await.expect("an end")?;
+    Ok(received)
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while they wait, and attempts whose time is over before their first byte: sessions on
-//! loopback before a core that the test plays, which forces each order.
+//! Clients that leave while they wait, and attempts whose time is over before their first byte: sessions on loopback,
+//! with the test as their event loop, which forces each order.
 
 mod frontend;
 
@@ -7,9 +7,12 @@
 
 use ashtide::Outcome;
 use ashtide::engine::FinalAnswer;
-use ashtide::net::messages::{DriverEvent, SessionCommand};
+use ashtide::net::messages::{RequestCommand, SessionCommand, SessionEvent};
 use ashtide::{RequestId, Span};
-use frontend::{AMPLE_CAPACITY, OPEN_LINE, STEP, SessionHarness, read_to_end};
+use frontend::{
+    AMPLE_CAPACITY, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP, SessionHarness, read_to_end,
+    send_command,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -58,7 +61,7 @@
 
 async fn left(harness: &mut SessionHarness, id: RequestId, what: &str) {
     let report = harness.next_event().await;
-    assert!(matches!(report, DriverEvent::ClientLeft(it) if it == id), "{what}: {report:?}");
+    assert!(matches!(report, SessionEvent::ClientLeft { id: left } if left == id), "{what}: {report:?}");
 }
 
 #[tokio::test]
@@ -67,9 +70,9 @@
     // Both are there when the session looks; it must not be a matter of luck which it sees.
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, port) = harness.next_request().await;
+        let ClientRequest { id, commands } = harness.next_request().await;
         let rest = leave(client, how);
-        port.try_send((id, harness.attempt_command(0))).expect("room");
+        send_command(&commands, id, harness.attempt_command(0));
         left(&mut harness, id, &format!("{how:?} while it waits")).await;
         nothing_arrives(&harness, how).await;
         drop(rest);
@@ -81,11 +84,11 @@
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for how in ALL.into_iter().cycle().take(30) {
         let client = harness.client(OPEN_LINE).await;
-        let (id, port) = harness.next_request().await;
-        port.try_send((id, harness.attempt_command(0))).expect("room");
+        let ClientRequest { id, commands } = harness.next_request().await;
+        send_command(&commands, id, harness.attempt_command(0));
         harness.expect_connected(id, 0).await;
         let rest = leave(client, how);
-        port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
+        send_command(&commands, id, SessionCommand::SendFirstLine { attempt: 0 });
         left(&mut harness, id, &format!("{how:?} in connect")).await;
         assert_eq!(got(&harness).await, "", "{how:?} in connect");
         drop(rest);
@@ -98,11 +101,17 @@
     let mut seen = 0;
     for how in ALL {
         for out in [false, true] {
-            let (client, id, port, mut server) = harness.client_with_attempt().await;
+            let ClientWithAttempt { client, id, commands, mut server } = harness.client_with_attempt().await;
             if !out {
                 server.write_all(b"BUSY\r\n").await.expect("read");
                 let report = harness.next_event().await;
-                assert!(matches!(report, DriverEvent::AttemptEnded(_, 0, Outcome::QueueFull)), "{report:?}");
+                assert!(
+                    matches!(
+                        report,
+                        SessionEvent::AttemptEnded { attempt: 0, outcome: Outcome::QueueFull, .. }
+                    ),
+                    "{report:?}"
+                );
             }
             let rest = leave(client, how);
             left(&mut harness, id, &format!("{how:?}, attempt out: {out}")).await;
@@ -111,7 +120,8 @@
             assert_eq!(harness.closed_count("left"), seen + 1, "counted for the operators' door");
             seen += 1;
             assert!(
-                port.is_closed() || port.try_send((id, harness.attempt_command(1))).is_err(),
+                commands.is_closed()
+                    || commands.try_send(RequestCommand { id, command: harness.attempt_command(1) }).is_err(),
                 "no session is left"
             );
             drop(rest);
@@ -127,9 +137,9 @@
     for how in [Leaves::Closes, Leaves::HalfCloses] {
         for half in ["", "half a line"] {
             let client = harness.client(&format!("{ahead}{half}")).await;
-            let (id, port) = harness.next_request().await;
+            let ClientRequest { id, commands } = harness.next_request().await;
             let rest = leave(client, how);
-            port.try_send((id, harness.attempt_command(0))).expect("room");
+            send_command(&commands, id, harness.attempt_command(0));
             left(&mut harness, id, &format!("{how:?} behind {} bytes", ahead.len() + half.len())).await;
             nothing_arrives(&harness, how).await;
             drop(rest);
@@ -138,7 +148,7 @@
     // And who says more than that is told so, and called off.
     for more in ["one more\r\n".to_owned(), "y".repeat(5000)] {
         let mut client = harness.client(&format!("{ahead}{more}")).await;
-        let (id, _port) = harness.next_request().await;
+        let ClientRequest { id, commands: _commands } = harness.next_request().await;
         left(&mut harness, id, "too much ahead").await;
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
     }
@@ -148,18 +158,18 @@
 async fn a_connection_that_comes_up_too_late_carries_no_byte() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut client = harness.client(OPEN_LINE).await;
-    let (id, port) = harness.next_request().await;
-    port.try_send((id, harness.attempt_command(0))).expect("room");
+    let ClientRequest { id, commands } = harness.next_request().await;
+    send_command(&commands, id, harness.attempt_command(0));
     harness.expect_connected(id, 0).await;
-    // Meanwhile its server was told to drain: the core gives the attempt up, and sends another.
-    port.try_send((id, SessionCommand::CancelAttempt { attempt: 0 })).expect("room");
-    port.try_send((id, harness.attempt_command(1))).expect("room");
+    // Meanwhile its server was told to drain: the event loop cancels the attempt, and starts another.
+    send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 0 });
+    send_command(&commands, id, harness.attempt_command(1));
     assert_eq!(got(&harness).await, "", "given up before its first byte");
     harness.expect_connected(id, 1).await;
     // A consent to the first is none to the second.
-    port.try_send((id, SessionCommand::SendFirstLine { attempt: 0 })).expect("room");
-    port.try_send((id, SessionCommand::CancelAttempt { attempt: 1 })).expect("room");
+    send_command(&commands, id, SessionCommand::SendFirstLine { attempt: 0 });
+    send_command(&commands, id, SessionCommand::CancelAttempt { attempt: 1 });
     assert_eq!(got(&harness).await, "", "given up before its first byte");
-    port.try_send((id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)))).expect("room");
+    send_command(&commands, id, SessionCommand::Answer(FinalAnswer::Rejected(Span::ZERO)));
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "BUSY\r\n");
 }
