--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -85,6 +85,7 @@
 
 /// The whole list or changes to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(expecting = "struct News")]
 pub struct EndpointList {
     /// The list's version.
     #[serde(default)]
