--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -438,7 +438,7 @@
         lines.push(client);
     }
     let second = Daemon::start(program, &fleet, &options).await?;
-    first.says("handover: its successor takes the clients").await?;
+    first.says("handover: the successor accepts clients").await?;
     for client in &mut lines {
         client.begin("whole\r\nhal").await?;
     }
@@ -460,7 +460,7 @@
 
     // One that stalls takes what its queue holds; the others are moved, and those it holds go on later.
     let third = Daemon::start(program, &fleet, &options).await?;
-    second.says("handover: its successor takes the clients").await?;
+    second.says("handover: the successor accepts clients").await?;
     third.stall(true)?;
     second.terminate()?;
     let (status, _) = second.end().await?;
@@ -604,7 +604,7 @@
         lines.push(client);
     }
     let mut second = Daemon::start(program, &fleet, &options).await?;
-    first.says("handover: its successor takes the clients").await?;
+    first.says("handover: the successor accepts clients").await?;
     let health = second.call("health").await?;
     checks.that("the second is ready", health.starts_with("200"), health);
     let open = "OPEN 00000000000000aa 77 c=meter,d=3000,g=1,at=s-0\r\n";
@@ -623,7 +623,7 @@
     }
     // It outlives a process, holds in the next, and is taken back there.
     let mut third = Daemon::start(program, &fleet, &options).await?;
-    second.says("handover: its successor takes the clients").await?;
+    second.says("handover: the successor accepts clients").await?;
     let before = taken(&fleet, 0);
     for number in 0..FEW as u64 {
         let (client, answer) = LineClient::open(at, 400 + number).await?;
@@ -643,7 +643,7 @@
 
     // A third that is killed leaves the clients to the second again.
     third.kill().await?;
-    second.says("handover: this process takes the clients").await?;
+    second.says("handover: this process accepts clients").await?;
 
     first.terminate()?;
     let (status, _) = first.end().await?;
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -658,7 +658,12 @@
         share: ServerUsage,
         commands: &mut Vec<Command>,
     ) {
-        let ServerUsage { open, budget, spent, granted } = share;
+        let ServerUsage {
+            open_connections: open,
+            recovery_tokens: budget,
+            last_used_permit: spent,
+            last_granted_permit: granted,
+        } = share;
         let (key, full) = (
             self.listings.get(&server).map(|it| it.hash_key),
             self.balancer.fleet_connections_when_full(now),
@@ -677,7 +682,12 @@
             self.balancer.sibling_state(server);
         let rights = self.permits.as_ref().zip(self.listings.get(&server));
         let granted = rights.map_or(0, |(rights, it)| rights.last_granted_permit(it.hash_key));
-        ServerUsage { open, budget: allowance, spent, granted }
+        ServerUsage {
+            open_connections: open,
+            recovery_tokens: allowance,
+            last_used_permit: spent,
+            last_granted_permit: granted,
+        }
     }
 
     /// A server has told a connection's load, in microseconds of work a second.
--- /dev/null
+++ b/src/handover/established_connection.rs
@@ -0,0 +1,106 @@
+//! An established connection on its way to the successor: the datagram that travels with its two sockets.
+
+use bytes::{Buf, Bytes};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+/// Longest datagram in bytes: the rest of a line for each side, and what was read behind it.
+pub const MAX_HANDOFF_LENGTH: usize = 64 << 10;
+
+/// Why a datagram cannot be decoded.
+#[derive(Debug, thiserror::Error)]
+pub enum HandoffDecodeError {
+    /// No end of the header.
+    #[error("no head")]
+    MissingHeader,
+    /// Not a header of this version.
+    #[error("{0}")]
+    MalformedHeader(#[from] serde_json::Error),
+    /// The sections do not have the length that the header declares.
+    #[error("{declared} bytes told, {found} found")]
+    LengthMismatch {
+        /// Bytes that the header declares.
+        declared: usize,
+        /// Bytes behind the header.
+        found: usize,
+    },
+}
+
+/// An established connection that is handed over, apart from its two sockets.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct EstablishedConnection {
+    /// Name of its server.
+    pub server: String,
+    /// The client's `OPEN` line as it came.
+    pub open_line: Bytes,
+    /// Rest of a line to the client whose beginning has been written already, and what was read of the server behind it.
+    pub to_client: (Bytes, Bytes),
+    /// The same towards the server, and what was read of the client.
+    pub to_server: (Bytes, Bytes),
+}
+
+/// Name of [`HandoffHeader`] in the texts of errors, which operators know.
+type Head = HandoffHeader;
+
+/// First line of the datagram, before the sections.
+#[derive(Serialize, Deserialize)]
+#[serde(remote = "Head")]
+struct HandoffHeader {
+    server: String,
+    #[serde(rename = "lengths")]
+    section_lengths: [usize; 5],
+}
+
+impl<'de> Deserialize<'de> for HandoffHeader {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        // The derived function.
+        Self::deserialize(deserializer)
+    }
+}
+
+impl Serialize for HandoffHeader {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        Self::serialize(self, serializer)
+    }
+}
+
+impl EstablishedConnection {
+    fn sections(&self) -> [&Bytes; 5] {
+        [&self.open_line, &self.to_client.0, &self.to_client.1, &self.to_server.0, &self.to_server.1]
+    }
+
+    /// Encodes the datagram; `None` where it would exceed [`MAX_HANDOFF_LENGTH`].
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        let sections = self.sections();
+        let header = HandoffHeader { server: self.server.clone(), section_lengths: sections.map(Bytes::len) };
+        let mut datagram = serde_json::to_vec(&header).ok()?;
+        datagram.push(b'\n');
+        sections.iter().for_each(|section| datagram.extend_from_slice(section));
+        (datagram.len() <= MAX_HANDOFF_LENGTH).then_some(datagram)
+    }
+
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the datagram is incomplete or has another form.
+    pub fn decode(mut datagram: Bytes) -> Result<Self, HandoffDecodeError> {
+        let header_length =
+            datagram.iter().position(|&byte| byte == b'\n').ok_or(HandoffDecodeError::MissingHeader)?;
+        let HandoffHeader { server, section_lengths } =
+            serde_json::from_slice(&datagram.split_to(header_length))?;
+        datagram.advance(1);
+        let declared = section_lengths.iter().copied().fold(0, usize::saturating_add);
+        let found = datagram.len();
+        if declared != found {
+            return Err(HandoffDecodeError::LengthMismatch { declared, found });
+        }
+        let [open_line, client_line, client_unread, server_line, server_unread] =
+            section_lengths.map(|length| datagram.split_to(length));
+        Ok(Self {
+            server,
+            open_line,
+            to_client: (client_line, client_unread),
+            to_server: (server_line, server_unread),
+        })
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -113,15 +113,19 @@
         Some(place) => Some(handover::discover_siblings(place, started).await),
         None => None,
     };
-    if kept.begun || met.as_ref().is_some_and(|met| met.summary(started).restore_phase_over) {
+    if kept.restore_phase_over || met.as_ref().is_some_and(|met| met.summary(started).restore_phase_over) {
         lobby.end_restore_phase();
     }
     // What an older process has heard is newer than what this one was given.
     let relayed = met.as_ref().and_then(|met| met.endpoint_list.clone());
     let known = [config.initial_list.clone(), relayed].into_iter().flatten().max_by_key(|list| list.index);
     let inbox = place.as_ref().and_then(|place| place.bind_handoff_receiver(started));
-    let state =
-        ProcessState { whose: Some(whose), started, adopts: inbox.is_some(), ..ProcessState::default() };
+    let state = ProcessState {
+        deployment: Some(whose),
+        rank: started,
+        adopts_connections: inbox.is_some(),
+        ..ProcessState::default()
+    };
     let (heirs, heir) = watch::channel(None);
     let own = config.reserved_descriptors(others);
     let post = SiblingLink::new(lobby.clone(), place.clone(), kept, own, state, heir.clone());
@@ -188,8 +192,16 @@
         tokio::spawn(listen::adopt_connections(inbox, front.clone()));
     }
     tokio::spawn(listen::accept_clients(listener, front, accepting, core.closing()));
-    if let (Some(met), Some(place)) = (met, place.clone()) {
-        tokio::spawn(handover::run(met, telling, lobby, accepts.clone(), handle.clone(), place, heirs));
+    if let (Some(met), Some(state_folder)) = (met, place.clone()) {
+        let context = handover::SiblingContext {
+            published: telling,
+            pending_clients: lobby,
+            accepting: accepts.clone(),
+            event_loop: handle.clone(),
+            state_folder,
+            successor: heirs,
+        };
+        tokio::spawn(handover::run(met, context));
     }
     if let Some(front) = fronts.quic {
         if config.settings.name_tables().classes.find(&front.class).is_none() {
--- a/src/net/connection_handoff.rs
+++ b/src/net/connection_handoff.rs
@@ -1,6 +1,7 @@
-//! Standing connections that go from a process that leaves to its successor, sockets and all: no client has
-//! to come again for an upgrade. Each is one datagram at a Unix socket in `$TMPDIR`, with the client's and
-//! the server's descriptors beside it.
+//! Hands established connections over to the successor, so that their clients need not reconnect for an upgrade.
+//!
+//! Each connection is one datagram to a Unix socket in `$TMPDIR`, with the descriptors of the client's and the server's
+//! socket as ancillary data.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -18,68 +19,85 @@
 use tokio::net::UnixDatagram;
 use tokio::time::timeout;
 
-use crate::handover::{EstablishedConnection, MAX_HANDOFF_LENGTH};
+use crate::handover::{EstablishedConnection, HandoffDecodeError, MAX_HANDOFF_LENGTH};
 
-/// How long a connection may wait for room in the successor's queue. Its client is moved then.
+/// How long a connection may wait for room in the successor's receive queue.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(800);
+/// Descriptors of a connection: the client's and the server's.
+const DESCRIPTORS_PER_CONNECTION: usize = 2;
 
-/// The way to the successor.
+/// Why a received datagram is not a connection.
+#[derive(Debug, thiserror::Error)]
+enum ReceiveError {
+    #[error(transparent)]
+    Decode(#[from] HandoffDecodeError),
+    #[error("{0} descriptors")]
+    DescriptorCount(usize),
+}
+
+impl From<ReceiveError> for io::Error {
+    fn from(error: ReceiveError) -> Self {
+        io::Error::new(io::ErrorKind::InvalidData, error.to_string())
+    }
+}
+
+/// The process that takes over the established connections.
 #[derive(Debug)]
 pub struct Successor {
-    /// When the successor started.
+    /// Rank of the process.
     pub rank: u64,
     socket: UnixDatagram,
-    /// Connections that are being passed.
     handoffs_in_flight: AtomicUsize,
 }
 
 impl Successor {
-    /// The way to the process that started then and receives here.
+    /// Connects to the process of this rank that receives at `path`.
     ///
     /// # Errors
     ///
-    /// Fails where nobody receives there.
-    pub fn connect(path: &Path, started: u64) -> io::Result<Self> {
+    /// Fails where no process receives there.
+    pub fn connect(path: &Path, rank: u64) -> io::Result<Self> {
         let socket = UnixDatagram::unbound()?;
         socket.connect(path)?;
-        Ok(Self { rank: started, socket, handoffs_in_flight: AtomicUsize::new(0) })
+        Ok(Self { rank, socket, handoffs_in_flight: AtomicUsize::new(0) })
     }
 
-    /// Whether connections are on their way.
+    /// Whether connections are being handed over.
     pub fn has_handoffs_in_flight(&self) -> bool {
         self.handoffs_in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Passes a connection on. Once this succeeds it is the successor's, and the caller's copies of the
-    /// descriptors are to be closed without shutting anything down.
+    /// Hands a connection over. On success it belongs to the successor, and the caller must close its copies of the
+    /// descriptors without shutting the sockets down.
     ///
     /// # Errors
     ///
-    /// Fails where the successor is gone or takes too long; the connection is still the caller's then.
-    pub async fn hand_off(&self, datagram: &[u8], fds: [BorrowedFd<'_>; 2]) -> io::Result<()> {
+    /// Fails where the successor is gone or has no room in time; the connection still belongs to the caller.
+    pub async fn hand_off(&self, datagram: &[u8], descriptors: [BorrowedFd<'_>; 2]) -> io::Result<()> {
         self.handoffs_in_flight.fetch_add(1, Ordering::Relaxed);
-        let sent = self.socket.async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-            let mut beside = SendAncillaryBuffer::new(&mut space);
-            beside.push(SendAncillaryMessage::ScmRights(&fds));
-            sendmsg(&self.socket, &[IoSlice::new(datagram)], &mut beside, SendFlags::NOSIGNAL)?;
-            Ok(())
-        });
-        let sent =
-            timeout(HANDOFF_TIMEOUT, sent).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+        let send = self.socket.async_io(Interest::WRITABLE, || self.try_send(datagram, &descriptors));
+        let sent = timeout(HANDOFF_TIMEOUT, send).await;
         self.handoffs_in_flight.fetch_sub(1, Ordering::Relaxed);
-        sent
+        sent.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    }
+
+    fn try_send(&self, datagram: &[u8], descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_CONNECTION))];
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
+        sendmsg(&self.socket, &[IoSlice::new(datagram)], &mut ancillary, SendFlags::NOSIGNAL)?;
+        Ok(())
     }
 }
 
-/// Where a process receives the connections of one that leaves.
+/// Receives the established connections of a process that shuts down.
 #[derive(Debug)]
 pub struct HandoffReceiver {
     socket: UnixDatagram,
 }
 
 impl HandoffReceiver {
-    /// Receives here.
+    /// Binds the socket at `path`.
     ///
     /// # Errors
     ///
@@ -89,39 +107,42 @@
         Ok(Self { socket: UnixDatagram::bind(path)? })
     }
 
-    /// The next connection: what goes with it, the client's socket and the server's.
+    /// Receives the next connection, with the client's socket and the server's.
     ///
     /// # Errors
     ///
     /// Fails where the datagram is no connection; its descriptors, if any, are closed.
     pub async fn receive(&self) -> io::Result<(EstablishedConnection, [OwnedFd; 2])> {
-        let bad = |why: String| io::Error::new(io::ErrorKind::InvalidData, why);
-        let (bytes, fds) = self
-            .socket
-            .async_io(Interest::READABLE, || {
-                let mut bytes = vec![0; MAX_HANDOFF_LENGTH];
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-                let mut beside = RecvAncillaryBuffer::new(&mut space);
-                let into = &mut [IoSliceMut::new(&mut bytes)];
-                let got = recvmsg(&self.socket, into, &mut beside, RecvFlags::CMSG_CLOEXEC)?;
-                let cut = got.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC);
-                let fds: Vec<OwnedFd> = beside
-                    .drain()
-                    .filter_map(|message| match message {
-                        RecvAncillaryMessage::ScmRights(fds) => Some(fds),
-                        _ => None,
-                    })
-                    .flatten()
-                    .collect();
-                bytes.truncate(if cut { 0 } else { got.bytes });
-                // The session keeps a part of it for as long as it lasts.
-                bytes.shrink_to_fit();
-                Ok((bytes, fds))
-            })
-            .await?;
-        let standing =
-            EstablishedConnection::decode(Bytes::from(bytes)).map_err(|error| bad(error.to_string()))?;
-        let fds = fds.try_into().map_err(|fds: Vec<_>| bad(format!("{} descriptors", fds.len())))?;
-        Ok((standing, fds))
+        let (datagram, descriptors) = self.socket.async_io(Interest::READABLE, || self.try_receive()).await?;
+        let connection = EstablishedConnection::decode(Bytes::from(datagram)).map_err(ReceiveError::from)?;
+        let descriptors = descriptors
+            .try_into()
+            .map_err(|descriptors: Vec<OwnedFd>| ReceiveError::DescriptorCount(descriptors.len()))?;
+        Ok((connection, descriptors))
+    }
+
+    /// Receives a datagram and its descriptors; the datagram is empty where either was truncated.
+    fn try_receive(&self) -> io::Result<(Vec<u8>, Vec<OwnedFd>)> {
+        let mut datagram = vec![0; MAX_HANDOFF_LENGTH];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_CONNECTION))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let buffers = &mut [IoSliceMut::new(&mut datagram)];
+        let received = recvmsg(&self.socket, buffers, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+        let is_truncated = received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC);
+        let descriptors = take_descriptors(&mut ancillary);
+        datagram.truncate(if is_truncated { 0 } else { received.bytes });
+        // The session keeps a part of it for as long as the connection lasts.
+        datagram.shrink_to_fit();
+        Ok((datagram, descriptors))
+    }
+}
+
+fn take_descriptors(ancillary: &mut RecvAncillaryBuffer<'_>) -> Vec<OwnedFd> {
+    let mut descriptors = Vec::new();
+    for message in ancillary.drain() {
+        if let RecvAncillaryMessage::ScmRights(received) = message {
+            descriptors.extend(received);
+        }
     }
+    descriptors
 }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -27,6 +27,7 @@
 use crate::fleet::permits::PermitDatagram;
 use crate::fleet::quota;
 use crate::fleet::shared_state::{LocalObservation, ServerObservation, name_hash};
+use crate::handover::CordonTransition;
 use crate::metrics::{Gauge, Metrics};
 use crate::quic::placing::server_id_for_name;
 use crate::settings::{NameTables, group_id};
@@ -387,7 +388,7 @@
                 }
             }
             DriverEvent::SiblingState(shares, cordons) => {
-                for (server, out) in self.post.merge_cordons(&cordons) {
+                for CordonTransition { server, cordoned: out } in self.post.merge_cordons(&cordons) {
                     self.cordon(now, &server, out);
                 }
                 for (name, share) in shares {
--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -60,7 +60,7 @@
 impl IncarnationStore {
     /// Of the gateway of this name, in this folder; without one, the clock alone tells lives apart.
     pub fn new(folder: Option<&Path>, name: &str) -> Self {
-        Self(folder.map(|folder| StateFolder::for_balancer(folder, name).file_path("generation")))
+        Self(folder.map(|folder| StateFolder::for_gateway(folder, name).file_path("generation")))
     }
 
     pub(super) fn start_next(&self) -> u64 {
--- /dev/null
+++ b/src/net/handover/connections.rs
@@ -0,0 +1,244 @@
+//! Connections to the siblings while the process runs, and what follows from their messages.
+
+use std::collections::BTreeMap;
+use std::ops::ControlFlow;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use ashtide_stream::UnixWriter;
+use futures_util::StreamExt;
+use tokio::io::AsyncWriteExt;
+use tokio::net::UnixListener;
+use tokio::sync::watch;
+use tokio::time::{sleep, timeout};
+use tracing::info;
+
+use super::discovery::{
+    DiscoveredSiblings, ForeignProcess, MAX_SIBLINGS, MessageReader, SiblingConnection, split_messages,
+};
+use super::link::PublishedState;
+use super::state_folder::StateFolder;
+use crate::discovery::EndpointList;
+use crate::handover::{ProcessState, SiblingMessage, SiblingSummary};
+use crate::net::connection_handoff::Successor;
+use crate::net::messages::{DriverEvent, EventLoopHandle};
+use crate::net::pending_clients::PendingClients;
+
+/// A sibling that does not read a message within this time is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Wait after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// What the connections to siblings read and change.
+#[derive(Clone)]
+pub struct SiblingContext {
+    /// State that is sent to the siblings.
+    pub published: watch::Receiver<PublishedState>,
+    /// Clients of this process.
+    pub pending_clients: PendingClients,
+    /// Whether this process accepts clients.
+    pub accepting: watch::Sender<bool>,
+    /// Event loop of this process.
+    pub event_loop: EventLoopHandle,
+    /// Folder of this deployment.
+    pub state_folder: StateFolder,
+    /// The successor, once it takes over established connections.
+    pub successor: watch::Sender<Option<Arc<Successor>>>,
+}
+
+/// Serves the discovered siblings and accepts later ones for as long as the process runs.
+pub async fn run(siblings: DiscoveredSiblings, context: SiblingContext) {
+    let own_rank = context.published.borrow().process.rank;
+    let connections = SiblingConnections { own_rank, context, sibling_states: Arc::default() };
+    let mut next_number = 0;
+    for SiblingConnection { messages, writer, state } in siblings.connections {
+        let is_verified = state.is_some();
+        connections.update_sibling(next_number, Some(state.unwrap_or_default())).await;
+        tokio::spawn(connections.session(next_number, messages, writer, is_verified).run());
+        next_number += 1;
+    }
+    if let Some(listener) = siblings.listener {
+        connections.accept_siblings(listener, next_number).await;
+    }
+}
+
+/// All connections to siblings.
+#[derive(Clone)]
+struct SiblingConnections {
+    own_rank: u64,
+    context: SiblingContext,
+    /// Last state of each connected sibling, by the connection's number.
+    sibling_states: Arc<Mutex<BTreeMap<u64, ProcessState>>>,
+}
+
+impl SiblingConnections {
+    fn lock_states(&self) -> MutexGuard<'_, BTreeMap<u64, ProcessState>> {
+        self.sibling_states.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    async fn accept_siblings(&self, listener: UnixListener, mut last_number: u64) {
+        loop {
+            let Ok((stream, _)) = listener.accept().await else {
+                sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            };
+            if self.lock_states().len() >= MAX_SIBLINGS {
+                continue;
+            }
+            last_number += 1;
+            let (messages, writer) = split_messages(stream);
+            self.update_sibling(last_number, Some(ProcessState::default())).await;
+            tokio::spawn(self.session(last_number, messages, writer, false).run());
+        }
+    }
+
+    /// The session of a new connection.
+    fn session(
+        &self,
+        number: u64,
+        messages: MessageReader,
+        writer: UnixWriter,
+        is_verified: bool,
+    ) -> SiblingSession {
+        SiblingSession {
+            published: self.context.published.clone(),
+            connections: self.clone(),
+            number,
+            messages,
+            writer,
+            is_verified,
+            unverified_list: None,
+            sent_list_index: None,
+        }
+    }
+
+    /// Records the state of a sibling, `None` once it has disconnected, and applies what follows from all states.
+    async fn update_sibling(&self, number: u64, state: Option<ProcessState>) {
+        let summary = {
+            let mut states = self.lock_states();
+            match state {
+                Some(state) => _ = states.insert(number, state),
+                None => _ = states.remove(&number),
+            }
+            SiblingSummary::aggregate(self.own_rank, states.values())
+        };
+        self.context.pending_clients.set_sibling_sockets(summary.descriptors);
+        if summary.restore_phase_over {
+            self.context.pending_clients.end_restore_phase();
+        }
+        // Before the successor accepts the clients: from then on, connections can be handed over to it.
+        self.update_successor(summary.successor_rank);
+        self.update_accepting(!summary.has_ready_successor);
+        let event = DriverEvent::SiblingState(summary.server_usage, summary.cordons);
+        self.context.event_loop.send(event).await;
+    }
+
+    fn update_successor(&self, successor_rank: Option<u64>) {
+        self.context.successor.send_if_modified(|successor| {
+            if successor.as_ref().map(|successor| successor.rank) == successor_rank {
+                return false;
+            }
+            *successor = successor_rank.and_then(|rank| self.connect_to_successor(rank)).map(Arc::new);
+            true
+        });
+    }
+
+    fn connect_to_successor(&self, rank: u64) -> Option<Successor> {
+        Successor::connect(&self.context.state_folder.handoff_path(rank), rank).ok()
+    }
+
+    fn update_accepting(&self, accepts_clients: bool) {
+        self.context.accepting.send_if_modified(|accepting| {
+            if *accepting == accepts_clients {
+                return false;
+            }
+            match accepts_clients {
+                true => info!("handover: this process accepts clients from now on"),
+                false => info!("handover: the successor accepts clients from now on"),
+            }
+            *accepting = accepts_clients;
+            true
+        });
+    }
+}
+
+/// The connection to one sibling.
+struct SiblingSession {
+    connections: SiblingConnections,
+    number: u64,
+    messages: MessageReader,
+    writer: UnixWriter,
+    published: watch::Receiver<PublishedState>,
+    /// Whether the sibling's state has shown that it is of the same deployment. Nothing else is used before.
+    is_verified: bool,
+    /// Endpoint list that came before the first state.
+    unverified_list: Option<EndpointList>,
+    /// Index of the endpoint list that was sent last.
+    sent_list_index: Option<u64>,
+}
+
+impl SiblingSession {
+    /// Serves the sibling until it disconnects.
+    async fn run(mut self) {
+        self.published.mark_changed();
+        while self.serve_next().await.is_continue() {}
+        self.connections.update_sibling(self.number, None).await;
+    }
+
+    async fn serve_next(&mut self) -> ControlFlow<()> {
+        tokio::select! {
+            message = self.messages.next() => match message {
+                Some(Ok(SiblingMessage::State(state))) => self.handle_state(state).await,
+                Some(Ok(SiblingMessage::List(list))) => self.handle_list(list).await,
+                Some(Err(error)) => {
+                    info!("handover: unreadable message from a sibling: {error}; disconnecting it");
+                    ControlFlow::Break(())
+                }
+                None => ControlFlow::Break(()),
+            },
+            changed = self.published.changed() => match changed {
+                Ok(()) => self.send_published_state().await,
+                Err(_) => ControlFlow::Break(()),
+            },
+        }
+    }
+
+    async fn handle_state(&mut self, state: ProcessState) -> ControlFlow<()> {
+        if let Some(other) = self.connections.context.state_folder.foreign_deployment(&state) {
+            info!("handover: {}", ForeignProcess(other));
+            return ControlFlow::Break(());
+        }
+        self.is_verified = true;
+        self.connections.update_sibling(self.number, Some(state)).await;
+        match self.unverified_list.take() {
+            Some(list) => self.handle_list(list).await,
+            None => ControlFlow::Continue(()),
+        }
+    }
+
+    async fn handle_list(&mut self, list: EndpointList) -> ControlFlow<()> {
+        if self.is_verified {
+            self.connections.context.event_loop.send(DriverEvent::SiblingList(list)).await;
+        } else {
+            self.unverified_list = Some(list);
+        }
+        ControlFlow::Continue(())
+    }
+
+    async fn send_published_state(&mut self) -> ControlFlow<()> {
+        let PublishedState { mut process, endpoint_list } = self.published.borrow_and_update().clone();
+        // It may have ended since the event loop has published the state.
+        process.restore_phase_over |= self.connections.context.pending_clients.restore_phase_is_over();
+        let mut lines = Vec::new();
+        // The list goes first: the sibling waits for the state.
+        if let Some(list) = endpoint_list.filter(|list| self.sent_list_index != Some(list.index)) {
+            self.sent_list_index = Some(list.index);
+            lines.extend_from_slice(&SiblingMessage::List(EndpointList::clone(&list)).encode_line());
+        }
+        lines.extend_from_slice(&SiblingMessage::State(process).encode_line());
+        match timeout(WRITE_TIMEOUT, self.writer.write_all(&lines)).await {
+            Ok(Ok(())) => ControlFlow::Continue(()),
+            _ => ControlFlow::Break(()),
+        }
+    }
+}
--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -402,10 +402,10 @@
     fn share_sibling_state(&mut self) {
         let server = self.random_server();
         let share = ServerUsage {
-            open: self.rng.random_range(0..8),
-            budget: f64::from(self.rng.random_range(0..30)) / 4.0,
-            spent: self.rng.random_range(0..6),
-            granted: self.rng.random_range(0..6),
+            open_connections: self.rng.random_range(0..8),
+            recovery_tokens: f64::from(self.rng.random_range(0..30)) / 4.0,
+            last_used_permit: self.rng.random_range(0..6),
+            last_granted_permit: self.rng.random_range(0..6),
         };
         self.engine.handle_sibling_state(self.now, server, share, &mut self.commands);
     }
@@ -587,7 +587,12 @@
         let (sent, withheld) = self.engine.health_check_counts();
         self.record_numbers(30, [open, avoided, u64::from(unvouched), sent as u64, withheld as u64]);
         for server in (0..SERVERS).map(ServerId) {
-            let ServerUsage { open, budget, spent, granted } = self.engine.sibling_share(server);
+            let ServerUsage {
+                open_connections: open,
+                recovery_tokens: budget,
+                last_used_permit: spent,
+                last_granted_permit: granted,
+            } = self.engine.sibling_share(server);
             let ready = u64::from(self.engine.is_ready(server));
             let connections = u64::from(self.engine.connections_on(server));
             self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -404,7 +404,7 @@
 
 /// What is on disk after a start with this file there, and what the quotas' text begins with.
 fn quota_start(folder: &Path, before: Option<&str>, generation: u32) -> (String, String) {
-    let place = StateFolder::for_balancer(folder, "n 0");
+    let place = StateFolder::for_gateway(folder, "n 0");
     let path = place.file_path("quota");
     let _ = std::fs::remove_file(&path);
     if let Some(before) = before {
@@ -453,7 +453,7 @@
 #[tokio::test]
 async fn the_file_that_tells_lives_apart_is_written_and_read_the_same() {
     let folder = Folder::new("lives");
-    let path = StateFolder::for_balancer(&folder.0, "n0").file_path("generation");
+    let path = StateFolder::for_gateway(&folder.0, "n0").file_path("generation");
     assert_eq!(path.file_name().and_then(|it| it.to_str()), Some("ashtide.n0.generation"));
     for (before, expected) in [
         (Some("99999999999999\n"), Some("100000000000000\n")),
--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -27,8 +27,8 @@
 fn deployment() -> Deployment {
     Deployment {
         name: "north/1 \"a\"".to_owned(),
-        listen: Some("10.0.0.1:8080".parse().expect("an address")),
-        socket: Some(4_211),
+        listen_address: Some("10.0.0.1:8080".parse().expect("an address")),
+        listener_inode: Some(4_211),
         classes: names(&["read", "pay"]),
         tenants: names(&["acme"]),
     }
@@ -36,10 +36,10 @@
 
 fn cordons() -> Cordons {
     let mut cordons = Cordons::default();
-    cordons.record("s-1", CordonChange { at: 1_800_000_000_000_000, out: true });
-    cordons.record("s-0", CordonChange { at: 5, out: true });
-    cordons.record("s-0", CordonChange { at: 6, out: false });
-    cordons.record("s-0", CordonChange { at: 4, out: true });
+    cordons.record("s-1", CordonChange { timestamp: 1_800_000_000_000_000, cordoned: true });
+    cordons.record("s-0", CordonChange { timestamp: 5, cordoned: true });
+    cordons.record("s-0", CordonChange { timestamp: 6, cordoned: false });
+    cordons.record("s-0", CordonChange { timestamp: 4, cordoned: true });
     cordons.record_now("s-2", 7, true);
     cordons.record_now("s-2", 3, false);
     cordons.record_now("s-2", 3, true);
@@ -47,15 +47,20 @@
 }
 
 fn state() -> ProcessState {
-    let share = ServerUsage { open: 3, budget: 0.5, spent: 7, granted: 9 };
+    let share = ServerUsage {
+        open_connections: 3,
+        recovery_tokens: 0.5,
+        last_used_permit: 7,
+        last_granted_permit: 9,
+    };
     ProcessState {
-        whose: Some(deployment()),
-        started: 1_800_000_000_000_001,
+        deployment: Some(deployment()),
+        rank: 1_800_000_000_000_001,
         ready: true,
-        adopts: true,
-        begun: true,
-        sockets: 40,
-        shares: BTreeMap::from([("s-1".to_owned(), share), ("s-0".to_owned(), ServerUsage::default())]),
+        adopts_connections: true,
+        restore_phase_over: true,
+        descriptors: 40,
+        server_usage: BTreeMap::from([("s-1".to_owned(), share), ("s-0".to_owned(), ServerUsage::default())]),
         cordons: cordons(),
     }
 }
@@ -80,7 +85,10 @@
 }
 
 fn encode_deployment(whose: Option<&Deployment>) -> String {
-    let Some(Deployment { name, listen, socket, classes, tenants }) = whose else { return "none".to_owned() };
+    let Some(Deployment { name, listen_address: listen, listener_inode: socket, classes, tenants }) = whose
+    else {
+        return "none".to_owned();
+    };
     let listen = listen.map_or("none".to_owned(), |listen| listen.to_string());
     let socket = socket.map_or("none".to_owned(), |socket| socket.to_string());
     format!("{name} listen {listen} socket {socket} classes {} tenants {}", joined(classes), joined(tenants))
@@ -91,7 +99,7 @@
 }
 
 fn encode_kept(kept: &PersistedState) -> String {
-    let PersistedState { whose, begun, cordons } = kept;
+    let PersistedState { deployment: whose, restore_phase_over: begun, cordons } = kept;
     let whose = encode_deployment(whose.as_ref());
     format!("deployment {whose}\nbegun {begun}\ncordons {}", encode_cordons(cordons))
 }
@@ -107,13 +115,31 @@
             text
         }
         SiblingMessage::State(state) => {
-            let ProcessState { whose, started, ready, adopts, begun, sockets, shares, cordons } = state;
+            let ProcessState {
+                deployment: whose,
+                rank: started,
+                ready,
+                adopts_connections: adopts,
+                restore_phase_over: begun,
+                descriptors: sockets,
+                server_usage: shares,
+                cordons,
+            } = state;
             let mut text = format!("state deployment {}\n", encode_deployment(whose.as_ref()));
             let _ = write!(
                 text,
                 "started {started} ready {ready} adopts {adopts} begun {begun} sockets {sockets}"
             );
-            for (server, ServerUsage { open, budget, spent, granted }) in shares {
+            for (
+                server,
+                ServerUsage {
+                    open_connections: open,
+                    recovery_tokens: budget,
+                    last_used_permit: spent,
+                    last_granted_permit: granted,
+                },
+            ) in shares
+            {
                 let _ =
                     write!(text, "\n{server} open {open} budget {budget} spent {spent} granted {granted}");
             }
@@ -173,18 +199,25 @@
 fn the_state_file_has_its_name_and_its_bytes() {
     let folder = Folder::new("written");
     let place = StateFolder::for_deployment(&folder.0, deployment());
-    place.store(&PersistedState { whose: None, begun: true, cordons: cordons() }).expect("kept");
+    place
+        .store(&PersistedState { deployment: None, restore_phase_over: true, cordons: cordons() })
+        .expect("kept");
     assert_eq!(folder.files(), ["ashtide.north_1__a_.kept"]);
     let written = std::fs::read(folder.0.join("ashtide.north_1__a_.kept")).expect("written");
     assert_written("handover/state_file.json", &written);
     let read = place.load();
     assert_eq!(
         encode_kept(&read),
-        encode_kept(&PersistedState { whose: Some(deployment()), begun: true, cordons: cordons() })
+        encode_kept(&PersistedState {
+            deployment: Some(deployment()),
+            restore_phase_over: true,
+            cordons: cordons()
+        })
     );
     // Another deployment of the same name keeps its own beside it.
-    let other = Deployment { listen: Some("10.0.0.2:8080".parse().expect("an address")), ..deployment() };
-    let other = StateFolder::for_deployment(&folder.0, Deployment { socket: None, ..other });
+    let other =
+        Deployment { listen_address: Some("10.0.0.2:8080".parse().expect("an address")), ..deployment() };
+    let other = StateFolder::for_deployment(&folder.0, Deployment { listener_inode: None, ..other });
     other.store(&PersistedState::default()).expect("kept");
     assert_eq!(folder.files(), ["ashtide.north_1__a_.2.kept", "ashtide.north_1__a_.kept"]);
     let written = std::fs::read(folder.0.join("ashtide.north_1__a_.2.kept")).expect("written");
@@ -209,7 +242,7 @@
     let older = r#"{"begun":true,"cordons":{"s-0":{"at":9,"out":true}}}"#;
     std::fs::write(&file, older).expect("written");
     let kept = place.load();
-    assert!(kept.begun && kept.cordons.is_cordoned("s-0") && kept.whose.is_none());
+    assert!(kept.restore_phase_over && kept.cordons.is_cordoned("s-0") && kept.deployment.is_none());
     std::fs::write(&file, &older[..20]).expect("written");
     assert_eq!(encode_kept(&place.load()), encode_kept(&PersistedState::default()));
 }
@@ -217,7 +250,7 @@
 #[tokio::test]
 async fn the_files_of_a_process_have_their_names() {
     let folder = Folder::new("names");
-    let place = StateFolder::for_balancer(&folder.0, "north/1");
+    let place = StateFolder::for_gateway(&folder.0, "north/1");
     assert!(place.bind_handoff_receiver(17).is_some());
     assert_eq!(folder.files(), ["ashtide.north_1.17.inbox"]);
     assert_eq!(place.file_path("generation"), folder.0.join("ashtide.north_1.generation"));
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -282,7 +282,8 @@
     let one = site.start(&site.options(&json!({"name": "a.b"}))).await;
     let two = site.start(&site.options(&json!({"name": "a_b"}))).await;
     two.log_has("the other", |said| {
-        said.iter().any(|line| line.contains("a process of another deployment, 'a.b'; left alone"))
+        said.iter()
+            .any(|line| line.contains("process belongs to another deployment, 'a.b'; leaving it alone"))
     })
     .await
     .expect("told apart");
@@ -326,7 +327,7 @@
     assert!(first.call("cordon s-0").await.expect("an answer").starts_with("200"));
     // An upgrade may rename its only class: the listener is the same.
     let mut second = site.start(&options(&["metre"], &["acme"], Some(&shared))).await;
-    second.says("handover: met an older process").await.expect("met");
+    second.says("handover: received state from the previous process").await.expect("met");
     second.says("operator: s-0 is out").await.expect("kept");
     first.kill().await.expect("it ran");
     assert!(second.call("cordon s-0").await.expect("an answer").starts_with("200"));
@@ -337,7 +338,10 @@
     let mut third = site.start(&options(&["metre"], &["bolt"], None)).await;
     third.says("handover: ").await.expect("said");
     let named = |line: &String| {
-        line.starts_with(&format!("handover: {}: it is 'shared' on {at}'s; left alone", file.display()))
+        line.starts_with(&format!(
+            "handover: state file {}: it belongs to the deployment 'shared' on {at}; leaving it alone",
+            file.display()
+        ))
     };
     assert!(third.said().iter().any(named), "{:?}", third.said());
     assert!(!third.said().iter().any(|line| line.ends_with("is out")), "{:?}", third.said());
@@ -359,13 +363,13 @@
 fn a_file_that_does_not_say_whose_it_is_is_read_and_a_huge_one_is_not() {
     let folder = std::env::temp_dir().join(format!("ashtide-customers-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let place = StateFolder::for_balancer(&folder, "n0");
+    let place = StateFolder::for_gateway(&folder, "n0");
     let file = |name: &str| folder.join(format!("ashtide.n0.{name}"));
     std::fs::write(file("kept"), r#"{"begun":true,"cordons":{"s-0":{"at":7,"out":true}}}"#).expect("written");
     let kept = place.load();
-    assert!(kept.begun && kept.cordons.is_cordoned("s-0") && kept.whose.is_none());
+    assert!(kept.restore_phase_over && kept.cordons.is_cordoned("s-0") && kept.deployment.is_none());
     place.store(&kept).expect("kept");
-    assert_eq!(place.load().whose.as_ref(), Some(place.deployment()));
+    assert_eq!(place.load().deployment.as_ref(), Some(place.deployment()));
     // Four gigabytes, sparse; and a pipe that nobody writes.
     std::fs::remove_file(file("kept")).expect("there");
     std::fs::File::create(file("kept")).expect("created").set_len(4 << 30).expect("sparse");
@@ -382,11 +386,11 @@
     let folder = std::env::temp_dir().join(format!("ashtide-customers-beside-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let names = ["a.a", "a_a", "a,a", "a a", "a+a", "a=a", "a:a", "a;a", "a/a"];
-    let places: Vec<_> = names.iter().map(|name| StateFolder::for_balancer(&folder, name)).collect();
+    let places: Vec<_> = names.iter().map(|name| StateFolder::for_gateway(&folder, name)).collect();
     let kept = |at| {
         let mut cordons = Cordons::default();
-        cordons.record("s-0", CordonChange { at, out: true });
-        PersistedState { begun: true, cordons, whose: None }
+        cordons.record("s-0", CordonChange { timestamp: at, cordoned: true });
+        PersistedState { restore_phase_over: true, cordons, deployment: None }
     };
     for round in 0..2 {
         for (number, place) in places.iter().enumerate().take(8) {
@@ -405,16 +409,16 @@
 /// What a process of another deployment tells: a list without the only server, that operators have it out,
 /// and that it takes the clients.
 fn foreign(site: &Site, started: u64) -> Vec<u8> {
-    let theirs = StateFolder::for_balancer(&site.folder, "a_b");
+    let theirs = StateFolder::for_gateway(&site.folder, "a_b");
     let mut cordons = Cordons::default();
-    cordons.record("s-0", CordonChange { at: u64::MAX, out: true });
+    cordons.record("s-0", CordonChange { timestamp: u64::MAX, cordoned: true });
     let whose = Some(theirs.deployment().clone());
     let state = ProcessState {
-        whose,
-        started,
+        deployment: whose,
+        rank: started,
         ready: true,
-        adopts: true,
-        begun: true,
+        adopts_connections: true,
+        restore_phase_over: true,
         cordons,
         ..ProcessState::default()
     };
@@ -451,9 +455,10 @@
     link.write_all(&foreign(&site, u64::MAX)).await.expect("told");
     let mut said = Vec::new();
     within("an end", link.read_to_end(&mut said)).await.expect("in time").expect("let go");
-    let apart = |line: &&String| line.contains("a process of another deployment, 'a_b'; left alone");
+    let apart =
+        |line: &&String| line.contains("process belongs to another deployment, 'a_b'; leaving it alone");
     daemon.log_has("both", |said| said.iter().filter(apart).count() == 2).await.expect("told apart");
-    assert!(!daemon.said().iter().any(|line| line.contains("is out") || line.contains("takes the clients")));
+    assert!(!daemon.said().iter().any(|line| line.contains("is out") || line.contains("accepts clients")));
     // It still takes clients, and its server is on its list.
     let _ = site.standing(daemon.lines).await;
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use ashtide::handover::{
-    CordonChange, Cordons, Deployment, EstablishedConnection, MAX_HANDOFF_LENGTH, MAX_MESSAGE_LENGTH,
-    PersistedState, ProcessState, ServerUsage, SiblingMessage, SiblingMessageCodec, SiblingSummary,
-    rank_after,
+    CordonChange, CordonTransition, Cordons, Deployment, EstablishedConnection, MAX_HANDOFF_LENGTH,
+    MAX_MESSAGE_LENGTH, PersistedState, ProcessState, ServerUsage, SiblingMessage, SiblingMessageCodec,
+    SiblingSummary, rank_after,
 };
 use ashtide::net::connection_handoff::HandoffReceiver;
 use ashtide::net::handover::StateFolder;
@@ -42,19 +42,24 @@
 fn state(started: u64, ready: bool, open: u32) -> ProcessState {
     let shares = BTreeMap::from([(
         "s-0".to_owned(),
-        ServerUsage { open, budget: 0.5, spent: started, granted: 20 - started },
+        ServerUsage {
+            open_connections: open,
+            recovery_tokens: 0.5,
+            last_used_permit: started,
+            last_granted_permit: 20 - started,
+        },
     )]);
     let mut cordons = Cordons::default();
-    cordons.record("s-0", CordonChange { at: started, out: ready });
+    cordons.record("s-0", CordonChange { timestamp: started, cordoned: ready });
     ProcessState {
-        started,
+        rank: started,
         ready,
-        adopts: started % 2 == 1,
-        begun: true,
-        sockets: 40,
-        shares,
+        adopts_connections: started % 2 == 1,
+        restore_phase_over: true,
+        descriptors: 40,
+        server_usage: shares,
         cordons,
-        whose: None,
+        deployment: None,
     }
 }
 
@@ -106,7 +111,12 @@
         (Some(11), Some(11), None)
     );
     // What may still be sent adds up; a turn that any has spent is spent for all.
-    let share = ServerUsage { open: 4, budget: 1.0, spent: 11, granted: 11 };
+    let share = ServerUsage {
+        open_connections: 4,
+        recovery_tokens: 1.0,
+        last_used_permit: 11,
+        last_granted_permit: 11,
+    };
     assert_eq!((both.descriptors, both.server_usage["s-0"]), (80, share));
 }
 
@@ -135,7 +145,15 @@
 #[test]
 fn a_word_of_a_version_without_turns_is_read() {
     let old: ServerUsage = serde_json::from_str(r#"{"open":3,"budget":0.5}"#).expect("read");
-    assert_eq!(old, ServerUsage { open: 3, budget: 0.5, spent: 0, granted: 0 });
+    assert_eq!(
+        old,
+        ServerUsage {
+            open_connections: 3,
+            recovery_tokens: 0.5,
+            last_used_permit: 0,
+            last_granted_permit: 0
+        }
+    );
 }
 
 #[test]
@@ -183,7 +201,7 @@
             let cordons = |calls: &[(usize, u64, bool)]| {
                 let mut cordons = Cordons::default();
                 for &(server, at, out) in calls {
-                    cordons.record(["a", "b", "c"][server], CordonChange { at, out });
+                    cordons.record(["a", "b", "c"][server], CordonChange { timestamp: at, cordoned: out });
                 }
                 cordons
             };
@@ -194,7 +212,7 @@
             left.merge(&second);
             let changed = right.merge(&first);
             prop_assert_eq!((&left, &right), (&whole, &whole));
-            for (server, out) in changed {
+            for CordonTransition { server, cordoned: out } in changed {
                 prop_assert_eq!(right.is_cordoned(&server), out);
             }
             prop_assert!(left.merge(&whole).is_empty());
@@ -208,10 +226,11 @@
     let folder = std::env::temp_dir().join(format!("ashtide-kept-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (place, other) =
-        (StateFolder::for_balancer(&folder, "n0/../x"), StateFolder::for_balancer(&folder, "n1"));
+        (StateFolder::for_gateway(&folder, "n0/../x"), StateFolder::for_gateway(&folder, "n1"));
     assert_eq!(place.load(), PersistedState::default());
     let whose = Some(place.deployment().clone());
-    let kept = PersistedState { whose, begun: true, cordons: state(7, true, 0).cordons };
+    let kept =
+        PersistedState { deployment: whose, restore_phase_over: true, cordons: state(7, true, 0).cordons };
     place.store(&kept).expect("kept");
     assert!(place.load().cordons.is_cordoned("s-0"));
     assert_eq!((place.load(), other.load()), (kept, PersistedState::default()));
@@ -225,7 +244,13 @@
 fn whose(name: &str, listen: &str, classes: &[&str], tenants: &[&str]) -> Deployment {
     let all = |names: &[&str]| names.iter().map(|&name| name.to_owned()).collect::<BTreeSet<_>>();
     let listen = listen.parse().ok();
-    Deployment { name: name.to_owned(), listen, socket: None, classes: all(classes), tenants: all(tenants) }
+    Deployment {
+        name: name.to_owned(),
+        listen_address: listen,
+        listener_inode: None,
+        classes: all(classes),
+        tenants: all(tenants),
+    }
 }
 
 #[test]
@@ -251,8 +276,9 @@
         );
     }
     // One listener that both inherit is one balancer's, whatever is renamed.
-    let inherited = |socket, listen| Deployment { socket, ..whose("n0", listen, &["a"], &["x"]) };
-    let renamed = |socket| Deployment { socket, ..whose("n0", here, &["b"], &["y"]) };
+    let inherited =
+        |socket, listen| Deployment { listener_inode: socket, ..whose("n0", listen, &["a"], &["x"]) };
+    let renamed = |socket| Deployment { listener_inode: socket, ..whose("n0", here, &["b"], &["y"]) };
     assert!(inherited(Some(7), here).is_same_deployment(&renamed(Some(7))));
     assert!(!inherited(Some(7), here).is_same_deployment(&renamed(Some(8))));
     assert!(
@@ -282,9 +308,10 @@
         let path = site.folder.join(format!("ashtide.shared.{LATER}.inbox"));
         let inbox = HandoffReceiver::bind(&path).expect("bound");
         let mut link = UnixStream::connect(&sockets(site)[0]).await.expect("it listens");
-        let state = ProcessState { started: LATER, ready: true, adopts: true, ..ProcessState::default() };
+        let state =
+            ProcessState { rank: LATER, ready: true, adopts_connections: true, ..ProcessState::default() };
         link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("told");
-        daemon.says("handover: its successor takes the clients").await.expect("met");
+        daemon.says("handover: the successor accepts clients").await.expect("met");
         Self { _link: link, inbox, path }
     }
 }
@@ -413,8 +440,7 @@
     };
     let older = UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound");
     let state = || {
-        SiblingMessage::State(ProcessState { started: 1, ready: true, ..ProcessState::default() })
-            .encode_line()
+        SiblingMessage::State(ProcessState { rank: 1, ready: true, ..ProcessState::default() }).encode_line()
     };
     let first = [news(5, "SERVING", "DRAINING"), state()].concat();
     let met = tokio::spawn(async move {
@@ -446,7 +472,7 @@
     let site = Site::new(3).await;
     let (first, options, _clients) = standing(&site, 1).await;
     let second = site.start(&options).await;
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     assert!(first.call("cordon s-0").await.expect("an answer").starts_with("200"));
     second.says("operator: s-0 is out").await.expect("known");
     assert!(second.call("cordon s-1").await.expect("an answer").starts_with("200"));
@@ -460,7 +486,7 @@
     let site = Site::new(2).await;
     let (first, options, mut clients) = standing(&site, 8).await;
     let second = site.start(&options).await;
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     let at = options.shared.as_ref().expect("shared").listener.local_addr().expect("bound");
     for _ in 0..4 {
         clients.push(site.standing(at).await);
@@ -489,10 +515,17 @@
     let second = site.start(&options).await;
     let took = started.elapsed();
     assert!(took < Duration::from_millis(1900), "{took:?}: one after the other");
-    assert_eq!(second.said().iter().filter(|it| it.ends_with("an older process tells nothing")).count(), 4);
+    assert_eq!(
+        second
+            .said()
+            .iter()
+            .filter(|it| it.ends_with("handover: the previous process has sent no state in time"))
+            .count(),
+        4
+    );
     let _new = site.standing(at).await;
     first.stall(false).expect("it runs");
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     first.terminate().expect("it runs");
     let (status, _) = first.end().await.expect("it ends");
     assert!(status.success(), "{status}");
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -179,7 +179,7 @@
         let mut options = options;
         options.environment.extend(preload.environment.iter().cloned());
         let second = site.start(&options).await;
-        first.says("handover: its successor takes the clients").await.expect("the successor is known");
+        first.says("handover: the successor accepts clients").await.expect("the successor is known");
         // A call at either is known to both, and the later one counts.
         for (process, call, said) in [
             (&first, "cordon s-0", "operator: s-0 is out"),
@@ -283,7 +283,7 @@
     let (call, server) = last.split_once(' ').expect("a call and its server");
     let out = second.said().iter().any(|line| *line == format!("operator: {server} is out"));
     assert_eq!(out, call == "cordon", "after {last}: {:?}", second.said());
-    assert!(second.said().iter().all(|line| !line.contains("begun anew")), "{:?}", second.said());
+    assert!(second.said().iter().all(|line| !line.contains("starting without it")), "{:?}", second.said());
     let left = std::fs::read_dir(&site.folder).expect("the folder").flatten().map(|it| it.path());
     let aside: Vec<_> = left.filter(|path| path.extension().is_some_and(|it| it == "next")).collect();
     assert!(aside.is_empty(), "{aside:?} left behind");
