--- a/src/handover/established_connection.rs
+++ b/src/handover/established_connection.rs
@@ -25,6 +25,15 @@
     },
 }
 
+/// Bytes that were read of one side and are still to be written to the other.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct PendingBytes {
+    /// Rest of a line whose beginning has been written already.
+    pub line_remainder: Bytes,
+    /// Bytes read from the socket behind that line.
+    pub read_ahead: Bytes,
+}
+
 /// An established connection that is handed over, apart from its two sockets.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EstablishedConnection {
@@ -32,10 +41,10 @@
     pub server: String,
     /// The client's `OPEN` line as it came.
     pub open_line: Bytes,
-    /// Rest of a line to the client whose beginning has been written already, and what was read of the server behind it.
-    pub to_client: (Bytes, Bytes),
-    /// The same towards the server, and what was read of the client.
-    pub to_server: (Bytes, Bytes),
+    /// Bytes from the server for the client.
+    pub to_client: PendingBytes,
+    /// Bytes from the client for the server.
+    pub to_server: PendingBytes,
 }
 
 /// Name of [`HandoffHeader`] in the texts of errors, which operators know.
@@ -65,7 +74,13 @@
 
 impl EstablishedConnection {
     fn sections(&self) -> [&Bytes; 5] {
-        [&self.open_line, &self.to_client.0, &self.to_client.1, &self.to_server.0, &self.to_server.1]
+        [
+            &self.open_line,
+            &self.to_client.line_remainder,
+            &self.to_client.read_ahead,
+            &self.to_server.line_remainder,
+            &self.to_server.read_ahead,
+        ]
     }
 
     /// Encodes the datagram; `None` where it would exceed [`MAX_HANDOFF_LENGTH`].
@@ -94,13 +109,13 @@
         if declared != found {
             return Err(HandoffDecodeError::LengthMismatch { declared, found });
         }
-        let [open_line, client_line, client_unread, server_line, server_unread] =
+        let [open_line, client_line, client_read_ahead, server_line, server_read_ahead] =
             section_lengths.map(|length| datagram.split_to(length));
         Ok(Self {
             server,
             open_line,
-            to_client: (client_line, client_unread),
-            to_server: (server_line, server_unread),
+            to_client: PendingBytes { line_remainder: client_line, read_ahead: client_read_ahead },
+            to_server: PendingBytes { line_remainder: server_line, read_ahead: server_read_ahead },
         })
     }
 }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -12,7 +12,9 @@
 
 pub use cordons::{CordonChange, CordonTransition, Cordons};
 pub use deployment::Deployment;
-pub use established_connection::{EstablishedConnection, HandoffDecodeError, MAX_HANDOFF_LENGTH};
+pub use established_connection::{
+    EstablishedConnection, HandoffDecodeError, MAX_HANDOFF_LENGTH, PendingBytes,
+};
 pub use message::{MAX_MESSAGE_LENGTH, SiblingMessage, SiblingMessageCodec, SiblingMessageError};
 pub use persisted_state::PersistedState;
 pub use process_state::{ProcessState, ServerUsage, SiblingSummary, rank_after};
--- a/src/net/connection_handoff.rs
+++ b/src/net/connection_handoff.rs
@@ -90,6 +90,17 @@
     }
 }
 
+/// A connection as it was received.
+#[derive(Debug)]
+pub struct ReceivedConnection {
+    /// State of the connection.
+    pub connection: EstablishedConnection,
+    /// Socket of the client.
+    pub client: OwnedFd,
+    /// Socket of the server.
+    pub server: OwnedFd,
+}
+
 /// Receives the established connections of a process that shuts down.
 #[derive(Debug)]
 pub struct HandoffReceiver {
@@ -107,18 +118,18 @@
         Ok(Self { socket: UnixDatagram::bind(path)? })
     }
 
-    /// Receives the next connection, with the client's socket and the server's.
+    /// Receives the next connection.
     ///
     /// # Errors
     ///
     /// Fails where the datagram is no connection; its descriptors, if any, are closed.
-    pub async fn receive(&self) -> io::Result<(EstablishedConnection, [OwnedFd; 2])> {
+    pub async fn receive(&self) -> io::Result<ReceivedConnection> {
         let (datagram, descriptors) = self.socket.async_io(Interest::READABLE, || self.try_receive()).await?;
         let connection = EstablishedConnection::decode(Bytes::from(datagram)).map_err(ReceiveError::from)?;
-        let descriptors = descriptors
+        let [client, server] = descriptors
             .try_into()
             .map_err(|descriptors: Vec<OwnedFd>| ReceiveError::DescriptorCount(descriptors.len()))?;
-        Ok((connection, descriptors))
+        Ok(ReceivedConnection { connection, client, server })
     }
 
     /// Receives a datagram and its descriptors; the datagram is empty where either was truncated.
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
-use super::connection_handoff::HandoffReceiver;
+use super::connection_handoff::{HandoffReceiver, ReceivedConnection};
 use super::rate_limited_log::RateLimitedLog;
 use super::session::Frontend;
 
@@ -109,7 +109,7 @@
 pub async fn adopt_connections(receiver: HandoffReceiver, frontend: Frontend) {
     loop {
         match receiver.receive().await {
-            Ok((established, [client, server])) => {
+            Ok(ReceivedConnection { connection: established, client, server }) => {
                 tokio::spawn(frontend.clone().adopt_connection(established, client, server));
             }
             Err(error) => {
--- a/src/net/session/mod.rs
+++ b/src/net/session/mod.rs
@@ -38,7 +38,7 @@
 use crate::decision::interface::{Outcome, RequestId};
 use crate::engine::FinalAnswer;
 use crate::engine::open_ids::{OpenIds, RequestIdClaim};
-use crate::handover::EstablishedConnection;
+use crate::handover::{EstablishedConnection, PendingBytes};
 use crate::metrics::{CloseReason, Counter};
 
 /// From its arrival on, a client has so long to say what it wants, whatever it says before: a true one
@@ -217,13 +217,15 @@
     ) {
         let stream = |socket: OwnedFd| TcpStream::from_std(std::net::TcpStream::from(socket));
         let (Ok(client), Ok(server)) = (stream(client), stream(server)) else { return };
-        let client = LineConnection::resume(client, established.to_server.1);
-        let server = LineConnection::resume(server, established.to_client.1);
+        let client = LineConnection::resume(client, established.to_server.read_ahead);
+        let server = LineConnection::resume(server, established.to_client.read_ahead);
         let open = Open::parse(established.open_line);
         let claim = open.as_ref().ok().and_then(|open| self.open_ids.claim(&open.id));
         let (Ok(open), Some(claim)) = (open, claim) else {
             // Neither can come of a process that read the line and held the id; the client is owed a word.
-            return self.finish_client(client, &complete_line(established.to_client.0, MOVE)).await;
+            return self
+                .finish_client(client, &complete_line(established.to_client.line_remainder, MOVE))
+                .await;
         };
         let permit = self.pending_clients.adopt_session();
         let (id, (port, commands)) =
@@ -231,7 +233,7 @@
         self.event_loop
             .send(DriverEvent::ConnectionAdopted(id, connection_request(&open), established.server, port))
             .await;
-        let (front, early) = (self, BytesMut::from(&established.to_server.0[..]));
+        let (front, early) = (self, BytesMut::from(&established.to_server.line_remainder[..]));
         let side = ClientSide::default();
         let session = Session {
             id,
@@ -243,7 +245,7 @@
             frontend: front,
             id_claim: claim,
         };
-        session.relay(0, server, ServerSide::standing(), established.to_client.0, true).await;
+        session.relay(0, server, ServerSide::standing(), established.to_client.line_remainder, true).await;
         drop(permit);
     }
 
@@ -768,8 +770,8 @@
         let established = EstablishedConnection {
             server: name,
             open_line: open.raw,
-            to_client: (to_client.clone(), server_said),
-            to_server: (to_server, client_said),
+            to_client: PendingBytes { line_remainder: to_client.clone(), read_ahead: server_said },
+            to_server: PendingBytes { line_remainder: to_server, read_ahead: client_said },
         };
         let successor = front.successor.borrow().clone();
         if let (Some(heir), Some(datagram)) = (successor, established.encode()) {
--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -11,10 +11,10 @@
 
 use ashtide::discovery::EndpointList;
 use ashtide::handover::{
-    CordonChange, Cordons, Deployment, EstablishedConnection, PersistedState, ProcessState, ServerUsage,
-    SiblingMessage, SiblingMessageCodec,
+    CordonChange, Cordons, Deployment, EstablishedConnection, PendingBytes, PersistedState, ProcessState,
+    ServerUsage, SiblingMessage, SiblingMessageCodec,
 };
-use ashtide::net::connection_handoff::{HandoffReceiver, Successor};
+use ashtide::net::connection_handoff::{HandoffReceiver, ReceivedConnection, Successor};
 use ashtide::net::handover::{CLOCK_OFFSET_VARIABLE, StateFolder};
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
@@ -151,7 +151,7 @@
 fn encode_standing(standing: &EstablishedConnection) -> String {
     let EstablishedConnection { server, open_line: open, to_client, to_server } = standing;
     let mut text = format!("server {}\nopen {}", escape(server.as_bytes()), escape(open));
-    for (begun, behind) in [to_client, to_server] {
+    for PendingBytes { line_remainder: begun, read_ahead: behind } in [to_client, to_server] {
         let _ = write!(text, "\nbegun {}\nbehind {}", escape(begun), escape(behind));
     }
     text
@@ -295,8 +295,14 @@
     EstablishedConnection {
         server: "s-\n0".to_owned(),
         open_line: Bytes::from_static(b"OPEN 1 2 c=meter,d=3000,g=1\r\n"),
-        to_client: (Bytes::from_static(b"beg"), Bytes::from_static(b"said\nby the server")),
-        to_server: (Bytes::from_static(b""), Bytes::from_static(b"\x00\xff{}")),
+        to_client: PendingBytes {
+            line_remainder: Bytes::from_static(b"beg"),
+            read_ahead: Bytes::from_static(b"said\nby the server"),
+        },
+        to_server: PendingBytes {
+            line_remainder: Bytes::from_static(b""),
+            read_ahead: Bytes::from_static(b"\x00\xff{}"),
+        },
     }
 }
 
@@ -343,7 +349,8 @@
     let inbox = HandoffReceiver::bind(&path).expect("bound");
     let heir = Successor::connect(&path, 8).expect("connected");
     heir.hand_off(&bytes("handover/connection.bin"), [one.as_fd(), two.as_fd()]).await.expect("taken");
-    let (read, [first, second]) = inbox.receive().await.expect("whole");
+    let ReceivedConnection { connection: read, client: first, server: second } =
+        inbox.receive().await.expect("whole");
     assert_eq!(encode_standing(&read), encode_standing(&standing()));
     // The client's socket is the first: what is written to it comes out at the second one's end.
     UnixDatagram::from(first).send(b"to the server's end").expect("sent");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -11,10 +11,10 @@
 
 use ashtide::handover::{
     CordonChange, CordonTransition, Cordons, Deployment, EstablishedConnection, MAX_HANDOFF_LENGTH,
-    MAX_MESSAGE_LENGTH, PersistedState, ProcessState, ServerUsage, SiblingMessage, SiblingMessageCodec,
-    SiblingSummary, rank_after,
+    MAX_MESSAGE_LENGTH, PendingBytes, PersistedState, ProcessState, ServerUsage, SiblingMessage,
+    SiblingMessageCodec, SiblingSummary, rank_after,
 };
-use ashtide::net::connection_handoff::HandoffReceiver;
+use ashtide::net::connection_handoff::{HandoffReceiver, ReceivedConnection};
 use ashtide::net::handover::StateFolder;
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
@@ -164,11 +164,12 @@
         .run(
             &(bytes(), pairs(), pairs(), any::<prop::sample::Index>()),
             |(open, to_client, to_server, cut)| {
+                let pending = |(line_remainder, read_ahead)| PendingBytes { line_remainder, read_ahead };
                 let standing = EstablishedConnection {
                     server: "s-\n0".to_owned(),
                     open_line: open,
-                    to_client,
-                    to_server,
+                    to_client: pending(to_client),
+                    to_server: pending(to_server),
                 };
                 let datagram = bytes::Bytes::from(standing.encode().expect("short"));
                 prop_assert_eq!(&EstablishedConnection::decode(datagram.clone()).expect("whole"), &standing);
@@ -402,7 +403,7 @@
     assert_eq!(&seen, b"early\r\n");
     let successor = Successor::of(&site, &daemon).await;
     daemon.terminate().expect("it runs");
-    let (standing, [to_client, to_server]) =
+    let ReceivedConnection { connection: standing, client: to_client, server: to_server } =
         within("the connection", successor.inbox.receive()).await.expect("in time").expect("whole");
     let (status, _) = daemon.end().await.expect("it ends");
     assert!(status.success(), "{status}");
@@ -416,7 +417,7 @@
         (stream(to_client), &standing.to_client, &mut client, &b"sec"[..]),
         (stream(to_server), &standing.to_server, &mut server.stream, &b"hal"[..]),
     ];
-    for (mut ours, (begun, behind), theirs, half) in ends {
+    for (mut ours, PendingBytes { line_remainder: begun, read_ahead: behind }, theirs, half) in ends {
         for part in [&begun[..], &behind[..], b"ond\r\n"] {
             ours.write_all(part).await.expect("it stands");
         }
