--- a/src/admin/protocol.rs
+++ b/src/admin/protocol.rs
@@ -1,56 +1,56 @@
-//! The operators' calls: one line in, one answer out. Knows no socket and no server.
+//! Requests of operators: one line in, one response out.
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
 use crate::fleet::maintenance::MaintenanceCommand;
 
-/// Longest call, its end of line included: a word and a server's name.
+/// Longest request in bytes, its end of line included: a command and a server's name.
 pub const MAX_REQUEST_LENGTH: usize = 512;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// The metrics.
     Metrics,
     /// The gateways of the tier.
     Members,
-    /// What gateways settle about machines that are taken out for work.
+    /// A command to the maintenance queue.
     Maintenance(MaintenanceCommand),
     /// What the gateways of the tier share.
     SharedState,
-    /// Partners' quotas.
+    /// Quotas of tenants.
     Quota,
-    /// Take the named server out, or put it back.
+    /// Cordon or uncordon a server.
     Cordon {
-        /// Which server.
+        /// Name of the server.
         server: String,
-        /// Whether it is to be out.
+        /// Whether it is to be cordoned.
         cordon: bool,
     },
 }
 
-/// Why a call is answered `400`.
+/// Why a request is answered with code 400.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminRequestError {
-    /// Not one of the calls.
+    /// Not one of the commands.
     #[error("no such call")]
     UnknownCommand,
-    /// A call without its server, or with more words than it takes.
+    /// A command without its server, or with more arguments than it takes.
     #[error("wrong number of words")]
     WrongArgumentCount,
-    /// Not text.
+    /// Not printable text.
     #[error("not printable text")]
     NotPrintable,
-    /// More than [`MAX_CALL`] bytes without an end of line.
+    /// More than [`MAX_REQUEST_LENGTH`] bytes without an end of line.
     #[error("over {MAX_REQUEST_LENGTH} bytes")]
     TooLong,
-    /// The caller ended before its line did.
+    /// The connection ended before the line.
     #[error("no end of line")]
     Truncated,
-    /// The caller's time was up before its line was.
+    /// The line was not complete in time.
     #[error("no call in time")]
     TimedOut,
     /// The socket failed.
@@ -59,59 +59,58 @@
 }
 
 impl AdminRequest {
-    /// Reads a call, without its end of line.
+    /// Parses a request, without its end of line.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with it.
+    /// Says what is wrong with the request.
     pub fn parse(line: &[u8]) -> Result<Self, AdminRequestError> {
         let text = std::str::from_utf8(line).map_err(|_| AdminRequestError::NotPrintable)?;
         if text.chars().any(char::is_control) {
             return Err(AdminRequestError::NotPrintable);
         }
-        let mut words = text.split(' ').filter(|word| !word.is_empty());
-        let call = words.next().ok_or(AdminRequestError::UnknownCommand)?;
-        if call == "maintenance" {
-            let (what, name) = (words.next(), words.next().map(str::to_owned));
-            let reason = words.collect::<Vec<_>>().join(" ");
-            return match (what, name) {
-                (Some("list"), None) => Ok(AdminRequest::Maintenance(MaintenanceCommand::List)),
-                (Some("request"), Some(name)) => {
-                    Ok(AdminRequest::Maintenance(MaintenanceCommand::Request(name, reason)))
-                }
-                (Some("cancel"), Some(name)) if reason.is_empty() => {
-                    Ok(AdminRequest::Maintenance(MaintenanceCommand::Cancel(name)))
-                }
-                (Some("done"), Some(name)) if reason.is_empty() => {
-                    Ok(AdminRequest::Maintenance(MaintenanceCommand::Done(name)))
-                }
-                (Some("list" | "request" | "cancel" | "done"), _) => {
-                    Err(AdminRequestError::WrongArgumentCount)
-                }
-                _ => Err(AdminRequestError::UnknownCommand),
-            };
+        let mut tokens = text.split(' ').filter(|token| !token.is_empty());
+        let command = tokens.next().ok_or(AdminRequestError::UnknownCommand)?;
+        let arguments: Vec<&str> = tokens.collect();
+        match command {
+            "health" => Self::Health.without_arguments(&arguments),
+            "counters" => Self::Metrics.without_arguments(&arguments),
+            "members" => Self::Members.without_arguments(&arguments),
+            "state" => Self::SharedState.without_arguments(&arguments),
+            "quota" => Self::Quota.without_arguments(&arguments),
+            "cordon" => Self::parse_cordon(true, &arguments),
+            "uncordon" => Self::parse_cordon(false, &arguments),
+            "maintenance" => parse_maintenance(&arguments).map(Self::Maintenance),
+            _ => Err(AdminRequestError::UnknownCommand),
         }
-        let server = words.next();
-        let cordon = |out| match server {
-            Some(server) => Ok(AdminRequest::Cordon { server: server.to_owned(), cordon: out }),
-            None => Err(AdminRequestError::WrongArgumentCount),
-        };
-        let call = match call {
-            "health" => AdminRequest::Health,
-            "counters" => AdminRequest::Metrics,
-            "members" => AdminRequest::Members,
-            "state" => AdminRequest::SharedState,
-            "quota" => AdminRequest::Quota,
-            "cordon" => cordon(true)?,
-            "uncordon" => cordon(false)?,
-            _ => return Err(AdminRequestError::UnknownCommand),
-        };
-        let alone = !matches!(call, AdminRequest::Cordon { .. }) && server.is_some();
-        if alone || words.next().is_some() { Err(AdminRequestError::WrongArgumentCount) } else { Ok(call) }
+    }
+
+    fn without_arguments(self, arguments: &[&str]) -> Result<Self, AdminRequestError> {
+        if arguments.is_empty() { Ok(self) } else { Err(AdminRequestError::WrongArgumentCount) }
+    }
+
+    fn parse_cordon(cordon: bool, arguments: &[&str]) -> Result<Self, AdminRequestError> {
+        match arguments {
+            [server] => Ok(Self::Cordon { server: (*server).to_owned(), cordon }),
+            _ => Err(AdminRequestError::WrongArgumentCount),
+        }
+    }
+}
+
+fn parse_maintenance(arguments: &[&str]) -> Result<MaintenanceCommand, AdminRequestError> {
+    match arguments {
+        ["list"] => Ok(MaintenanceCommand::List),
+        ["request", name, reason @ ..] => {
+            Ok(MaintenanceCommand::Request((*name).to_owned(), reason.join(" ")))
+        }
+        ["cancel", name] => Ok(MaintenanceCommand::Cancel((*name).to_owned())),
+        ["done", name] => Ok(MaintenanceCommand::Done((*name).to_owned())),
+        ["list" | "request" | "cancel" | "done", ..] => Err(AdminRequestError::WrongArgumentCount),
+        _ => Err(AdminRequestError::UnknownCommand),
     }
 }
 
-/// Cuts a call out of a caller's bytes, whether its line ends with CRLF or LF.
+/// Decodes a request whose line ends with CRLF or LF.
 #[derive(Debug, Default)]
 pub struct AdminRequestCodec;
 
@@ -121,9 +120,9 @@
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<AdminRequest>, AdminRequestError> {
         match buffer.iter().take(MAX_REQUEST_LENGTH).position(|&byte| byte == b'\n') {
-            Some(end) => {
-                let line = buffer.split_to(end + 1);
-                let line = &line[..end];
+            Some(length) => {
+                let line = buffer.split_to(length + 1);
+                let line = &line[..length];
                 AdminRequest::parse(line.strip_suffix(b"\r").unwrap_or(line)).map(Some)
             }
             None if buffer.len() < MAX_REQUEST_LENGTH => Ok(None),
@@ -134,17 +133,17 @@
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<AdminRequest>, AdminRequestError> {
         match self.decode(buffer)? {
             None if !buffer.is_empty() => Err(AdminRequestError::Truncated),
-            call => Ok(call),
+            request => Ok(request),
         }
     }
 }
 
-/// A yes.
-pub fn success_response(what: &str) -> Bytes {
-    format!("200 {what}\n").into()
+/// The response to a request that was carried out.
+pub fn success_response(message: &str) -> Bytes {
+    format!("200 {message}\n").into()
 }
 
-/// A no, and why.
-pub fn error_response(why: impl std::fmt::Display) -> Bytes {
-    format!("400 {why}\n").into()
+/// The response to a request that was not carried out, with the reason.
+pub fn error_response(reason: impl std::fmt::Display) -> Bytes {
+    format!("400 {reason}\n").into()
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,11 +1,11 @@
-//! The operators' door: a thread and a runtime of its own, so that neither the core nor a crowd of
-//! clients can keep a caller waiting.
+//! The admin endpoint: a thread with a runtime of its own, so that neither the event loop nor many clients can delay a
+//! response.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use ashtide_stream::{TcpWriter, split_tcp};
@@ -13,17 +13,17 @@
 use futures_util::StreamExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
 use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
 use super::bind_retry;
-use super::fleet::shared_state;
-use super::rate_limited_log::RateLimitedLog;
-
+use super::fleet::maintenance::MaintenanceService;
+use super::fleet::quota::QuotaService;
+use super::fleet::shared_state::SharedState;
 use super::fleet::view::SharedView;
-use super::fleet::{maintenance, quota};
+use super::rate_limited_log::RateLimitedLog;
 use crate::admin::protocol::{
     AdminRequest, AdminRequestCodec, AdminRequestError, error_response, success_response,
 };
@@ -31,237 +31,307 @@
 use crate::fleet::maintenance::MaintenanceCommand;
 use crate::metrics::{END_OF_RESPONSE, Metrics};
 
-/// How long a caller may take to say its call: some are silent for seconds and then speak.
+/// How long a caller may take to send its request: some are silent for seconds and then send it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an answer may take to be written.
+/// How long a response may take to be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the core may take to carry a call out; a caller is owed its answer within a second.
+/// How long the event loop may take to carry a request out; a caller is owed a response within a second.
 const EVENT_LOOP_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long other gateways have to tell what they keep.
+/// How long other gateways have to send their part of the shared state.
 const SHARED_STATE_WAIT: Duration = Duration::from_millis(150);
-/// Calls that may wait for the core: each caller has one.
+/// Requests that may wait for the event loop: one for each connection.
 const CORDON_QUEUE_LENGTH: usize = MAX_ADMIN_CONNECTIONS;
 
 static ACCEPT_LOG: RateLimitedLog = RateLimitedLog::new("operator");
 
-/// Whether this process is ready to serve.
+/// Whether this process is ready to serve. Starts as not ready.
 #[derive(Debug, Default)]
 pub struct Health(AtomicU8);
 
+const STARTING: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
 
 impl Health {
-    /// It listens and has a list. One that leaves does not become ready again.
+    /// Marks the process as ready: it listens and has an endpoint list. One that drains does not become ready again.
     pub fn mark_ready(&self) {
-        let _ = self.0.compare_exchange(0, READY, Ordering::Relaxed, Ordering::Relaxed);
+        let _ = self.0.compare_exchange(STARTING, READY, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// It has been asked to stop.
+    /// Marks the process as draining: it has been told to stop.
     pub fn mark_draining(&self) {
         self.0.store(DRAINING, Ordering::Relaxed);
     }
 
-    /// Whether it is.
+    /// Whether the process is ready.
     pub fn is_ready(&self) -> bool {
         self.0.load(Ordering::Relaxed) == READY
     }
 }
 
-/// A call that the core carries out: take a server out, or put it back.
+/// A request that the event loop carries out: cordon a server, or uncordon it.
 #[derive(Debug)]
 pub struct CordonRequest {
-    /// Which server.
+    /// Name of the server.
     pub server: String,
-    /// Whether it is to be out.
+    /// Whether it is to be cordoned.
     pub cordon: bool,
-    /// Takes whether it was done; the reason where it was not.
+    /// Takes the outcome, with the reason of a failure for the operator.
     pub reply: oneshot::Sender<Result<(), String>>,
 }
 
-/// What the door answers from.
+/// What the admin endpoint answers from.
 #[derive(Clone)]
 pub struct AdminContext {
-    /// The figures.
+    /// Metrics of this process.
     pub metrics: Arc<Metrics>,
     /// Whether this process is ready.
     pub health: Arc<Health>,
-    /// The fleet view, where there is one.
+    /// View of the fleet, where it is enabled.
     pub view: Option<Arc<SharedView>>,
-    /// Where machines are taken out for work, if they are.
-    pub maintenance: Option<Arc<maintenance::MaintenanceService>>,
-    /// What is shared beside it, where anything is.
-    pub shared_state: Option<Arc<shared_state::SharedState>>,
-    /// Partners' quotas, where they are kept.
-    pub quota: Option<Arc<quota::QuotaService>>,
+    /// Maintenance queue, where it is enabled.
+    pub maintenance: Option<Arc<MaintenanceService>>,
+    /// Shared state of the fleet, where it is enabled.
+    pub shared_state: Option<Arc<SharedState>>,
+    /// Quotas of tenants, where they are enabled.
+    pub quota: Option<Arc<QuotaService>>,
     cordon_requests: mpsc::Sender<CordonRequest>,
 }
 
 impl AdminContext {
-    /// An office, and where the core takes its calls.
-    pub fn new(figures: Arc<Metrics>) -> (Self, mpsc::Receiver<CordonRequest>) {
-        let (calls, taken) = mpsc::channel(CORDON_QUEUE_LENGTH);
-        let office = Self {
-            metrics: figures,
+    /// A context without optional subsystems, and where the event loop receives its requests.
+    pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<CordonRequest>) {
+        let (cordon_requests, received) = mpsc::channel(CORDON_QUEUE_LENGTH);
+        let context = Self {
+            metrics,
             health: Arc::default(),
             view: None,
             maintenance: None,
             shared_state: None,
             quota: None,
-            cordon_requests: calls,
+            cordon_requests,
         };
-        (office, taken)
+        (context, received)
     }
 
-    async fn handle_request(&self, call: AdminRequest) -> Bytes {
-        match call {
-            AdminRequest::Health if self.health.is_ready() => success_response("ready"),
-            AdminRequest::Health => error_response("not ready"),
-            AdminRequest::Metrics => {
-                let view = self.view.as_ref().map(|view| view.metrics_text()).unwrap_or_default();
-                let state = self.shared_state.as_ref().and_then(|it| it.with(|hub, _| hub.metrics_text()));
-                let quota = self.quota.as_ref().map(|it| it.metrics_text()).unwrap_or_default();
-                let work = self.maintenance.as_ref().map(|it| it.metrics_text()).unwrap_or_default();
-                self.metrics.render(&(view + &state.unwrap_or_default() + &quota + &work)).into()
-            }
-            AdminRequest::Members => match self.view.as_ref().map(|view| view.members_text()) {
-                Some(Some(members)) => (members + END_OF_RESPONSE).into(),
-                Some(None) => error_response("no members yet: the address of the view cannot be had so far"),
-                None => error_response("no view: this process was started without --view"),
-            },
-            AdminRequest::Maintenance(order) => {
-                let Some(desk) = &self.maintenance else {
-                    return error_response("no maintenance: this process was started without --maintenance");
-                };
-                let listed = order == MaintenanceCommand::List;
-                match timeout(EVENT_LOOP_TIMEOUT, desk.execute(order)).await {
-                    Ok(Ok(text)) if listed => (text + END_OF_RESPONSE).into(),
-                    Ok(Ok(text)) => success_response(&text),
-                    Ok(Err(why)) => error_response(why),
-                    Err(_) => error_response("not settled in time; see the list, asking again does no harm"),
-                }
-            }
+    async fn handle_request(&self, request: AdminRequest) -> Bytes {
+        match request {
+            AdminRequest::Health => self.describe_health(),
+            AdminRequest::Metrics => self.render_metrics(),
+            AdminRequest::Members => self.list_members(),
+            AdminRequest::Maintenance(command) => self.execute_maintenance(command).await,
             AdminRequest::SharedState => self.describe_shared_state().await,
-            AdminRequest::Quota => match &self.quota {
-                Some(quota) => (quota.status_text() + END_OF_RESPONSE).into(),
-                None => error_response("no quotas: this process was started without --quota"),
-            },
-            AdminRequest::Cordon { server, cordon: out } => {
-                let (done, answered) = oneshot::channel();
-                let call = CordonRequest { server, cordon: out, reply: done };
-                let carried =
-                    async { self.cordon_requests.send(call).await.is_ok().then_some(answered.await.ok()) };
-                match timeout(EVENT_LOOP_TIMEOUT, carried).await {
-                    Ok(Some(Some(Ok(())))) => success_response(if out { "out" } else { "back" }),
-                    Ok(Some(Some(Err(why)))) => error_response(why),
-                    _ => error_response("not carried out in time"),
-                }
-            }
+            AdminRequest::Quota => self.describe_quotas(),
+            AdminRequest::Cordon { server, cordon } => self.cordon(server, cordon).await,
+        }
+    }
+
+    fn describe_health(&self) -> Bytes {
+        if self.health.is_ready() { success_response("ready") } else { error_response("not ready") }
+    }
+
+    fn render_metrics(&self) -> Bytes {
+        let view = self.view.as_ref().map(|view| view.metrics_text()).unwrap_or_default();
+        let shared_state =
+            self.shared_state.as_ref().and_then(|state| state.with(|state, _| state.metrics_text()));
+        let quota = self.quota.as_ref().map(|quota| quota.metrics_text()).unwrap_or_default();
+        let maintenance = self.maintenance.as_ref().map(|service| service.metrics_text()).unwrap_or_default();
+        let additional_lines = view + &shared_state.unwrap_or_default() + &quota + &maintenance;
+        self.metrics.render(&additional_lines).into()
+    }
+
+    fn list_members(&self) -> Bytes {
+        let Some(view) = &self.view else {
+            return error_response("no view: this process was started without --view");
+        };
+        match view.members_text() {
+            Some(members) => lines_response(members),
+            None => error_response("no members yet: the address of the view cannot be had so far"),
+        }
+    }
+
+    async fn execute_maintenance(&self, command: MaintenanceCommand) -> Bytes {
+        let Some(service) = &self.maintenance else {
+            return error_response("no maintenance: this process was started without --maintenance");
+        };
+        let is_list = command == MaintenanceCommand::List;
+        match timeout(EVENT_LOOP_TIMEOUT, service.execute(command)).await {
+            Ok(Ok(lines)) if is_list => lines_response(lines),
+            Ok(Ok(message)) => success_response(&message),
+            Ok(Err(reason)) => error_response(reason),
+            Err(_) => error_response("not settled in time; see the list, asking again does no harm"),
         }
     }
-}
 
-impl AdminContext {
     async fn describe_shared_state(&self) -> Bytes {
-        let Some(state) = &self.shared_state else {
+        let Some(shared_state) = &self.shared_state else {
             return error_response("no state: the file of --view has no table 'state', or there is none");
         };
-        // What is kept at other gateways is asked for first.
-        state.with(|hub, _| hub.request_totals());
+        shared_state.with(|state, _| state.request_totals());
         tokio::time::sleep(SHARED_STATE_WAIT).await;
-        match state.with(|hub, _| hub.status_text()) {
-            Some(text) => (text + END_OF_RESPONSE).into(),
+        match shared_state.with(|state, _| state.status_text()) {
+            Some(lines) => lines_response(lines),
             None => error_response("no state yet: the address of the view cannot be had so far"),
         }
     }
+
+    fn describe_quotas(&self) -> Bytes {
+        match &self.quota {
+            Some(quota) => lines_response(quota.status_text()),
+            None => error_response("no quotas: this process was started without --quota"),
+        }
+    }
+
+    async fn cordon(&self, server: String, cordon: bool) -> Bytes {
+        let (reply, outcome) = oneshot::channel();
+        let request = CordonRequest { server, cordon, reply };
+        let carried_out = async {
+            self.cordon_requests.send(request).await.ok()?;
+            outcome.await.ok()
+        };
+        match timeout(EVENT_LOOP_TIMEOUT, carried_out).await {
+            Ok(Some(Ok(()))) => success_response(if cordon { "out" } else { "back" }),
+            Ok(Some(Err(reason))) => error_response(reason),
+            _ => error_response("not carried out in time"),
+        }
+    }
+}
+
+/// The response with several lines, and the line that ends them.
+fn lines_response(lines: String) -> Bytes {
+    (lines + END_OF_RESPONSE).into()
 }
 
-/// Binds the door's address and opens it on a thread of its own.
+/// Binds the admin endpoint's address and serves it on a thread of its own; returns the bound address.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound or no thread can be had.
+/// Fails where the address cannot be bound or the thread cannot be started.
 pub fn start(address: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let listener = {
-        let _inside = runtime.enter();
+        let _runtime_context = runtime.enter();
         bind_retry::bind_listener(address)?
     };
-    let bound = listener.local_addr()?;
-    std::thread::Builder::new()
-        .name("door".to_owned())
-        .spawn(move || runtime.block_on(serve(listener, context)))?;
-    Ok(bound)
+    let bound_address = listener.local_addr()?;
+    let thread = std::thread::Builder::new().name("admin".to_owned());
+    thread.spawn(move || runtime.block_on(serve_callers(listener, context)))?;
+    Ok(bound_address)
+}
+
+/// Connections that have not sent their request yet, the longest there first.
+#[derive(Clone, Default)]
+struct SilentCallers(Arc<Mutex<BTreeMap<u64, oneshot::Sender<()>>>>);
+
+impl SilentCallers {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<()>>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Adds a caller; the receiver ends once the caller is evicted.
+    fn add(&self, number: u64) -> oneshot::Receiver<()> {
+        let (sender, evicted) = oneshot::channel();
+        self.lock().insert(number, sender);
+        evicted
+    }
+
+    fn remove(&self, number: u64) {
+        self.lock().remove(&number);
+    }
+
+    fn evict_oldest(&self) {
+        let oldest = self.lock().pop_first();
+        drop(oldest);
+    }
+}
+
+async fn serve_callers(listener: TcpListener, context: AdminContext) {
+    let silent_callers = SilentCallers::default();
+    let slots = Arc::new(Semaphore::new(MAX_ADMIN_CONNECTIONS));
+    let mut number = 0;
+    while let Some(slot) = acquire_slot(&slots, &silent_callers).await {
+        let stream = accept(&listener).await;
+        number += 1;
+        let evicted = silent_callers.add(number);
+        let caller = Caller { number, evicted, silent_callers: silent_callers.clone(), _slot: slot };
+        tokio::spawn(caller.serve(stream, context.clone()));
+    }
 }
 
-type SilentCallers = Arc<Mutex<BTreeMap<u64, oneshot::Sender<()>>>>;
+/// Acquires a slot for a caller; where all are taken, the oldest silent caller is evicted.
+async fn acquire_slot(
+    slots: &Arc<Semaphore>,
+    silent_callers: &SilentCallers,
+) -> Option<OwnedSemaphorePermit> {
+    if let Ok(slot) = slots.clone().try_acquire_owned() {
+        return Some(slot);
+    }
+    // A caller with a request has sent it long before this one came.
+    silent_callers.evict_oldest();
+    slots.clone().acquire_owned().await.ok()
+}
 
-async fn serve(listener: TcpListener, office: AdminContext) {
-    // Those that have not said their call yet, the longest there first; and all that are inside.
-    let silent = SilentCallers::default();
-    let inside = Arc::new(tokio::sync::Semaphore::new(MAX_ADMIN_CONNECTIONS));
-    let mut number = 0_u64;
+/// Accepts a connection; failures are logged and retried.
+async fn accept(listener: &TcpListener) -> TcpStream {
+    let mut retries = AcceptRetries::default();
     loop {
-        let permit = match inside.clone().try_acquire_owned() {
-            Ok(permit) => permit,
-            Err(_) => {
-                // A caller that knows what it wants has said so long before this one came.
-                let longest = silent.lock().unwrap_or_else(PoisonError::into_inner).pop_first();
-                drop(longest);
-                match inside.clone().acquire_owned().await {
-                    Ok(permit) => permit,
-                    Err(_) => return,
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(error) => {
+                ACCEPT_LOG.log(format_args!("accept failed: {error}"));
+                if retries.record_failure(&error) != AcceptRecovery::Retry {
+                    tokio::time::sleep(SHORTAGE_RETRY).await;
                 }
             }
+        }
+    }
+}
+
+/// A connection to the admin endpoint.
+struct Caller {
+    number: u64,
+    evicted: oneshot::Receiver<()>,
+    silent_callers: SilentCallers,
+    /// Released with the connection.
+    _slot: OwnedSemaphorePermit,
+}
+
+impl Caller {
+    async fn serve(mut self, stream: TcpStream, context: AdminContext) {
+        let received = tokio::select! {
+            biased;
+            received = receive_request(stream) => received,
+            _ = &mut self.evicted => None,
         };
-        let mut retries = AcceptRetries::default();
-        let caller = loop {
-            match listener.accept().await {
-                Ok((caller, _)) => break caller,
-                Err(error) => {
-                    ACCEPT_LOG.log(format_args!("accept failed: {error}"));
-                    if retries.record_failure(&error) != AcceptRecovery::Retry {
-                        tokio::time::sleep(SHORTAGE_RETRY).await;
-                    }
-                }
-            }
+        self.silent_callers.remove(self.number);
+        let Some(ReceivedRequest { request, mut writer }) = received else { return };
+        let response = match request {
+            Ok(request) => context.handle_request(request).await,
+            Err(error) => error_response(error),
         };
-        number += 1;
-        let (place, displaced) = oneshot::channel();
-        silent.lock().unwrap_or_else(PoisonError::into_inner).insert(number, place);
-        let (office, silent) = (office.clone(), silent.clone());
-        tokio::spawn(async move {
-            let call = tokio::select! {
-                biased;
-                call = read_request(caller) => call,
-                _ = displaced => None,
-            };
-            silent.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
-            if let Some((call, mut caller)) = call {
-                let answer = match call {
-                    Ok(call) => office.handle_request(call).await,
-                    Err(why) => error_response(why),
-                };
-                let written = async {
-                    caller.write_all(&answer).await?;
-                    caller.shutdown().await
-                };
-                let _ = timeout(WRITE_TIMEOUT, written).await;
-            }
-            drop(permit);
-        });
+        let written = async {
+            writer.write_all(&response).await?;
+            writer.shutdown().await
+        };
+        let _ = timeout(WRITE_TIMEOUT, written).await;
     }
 }
 
-/// A caller's call, and the caller; none where nobody is there to be answered.
-async fn read_request(caller: TcpStream) -> Option<(Result<AdminRequest, AdminRequestError>, TcpWriter)> {
-    let _ = caller.set_nodelay(true);
-    let (read, write) = split_tcp(caller);
-    let mut calls = FramedRead::new(read, AdminRequestCodec);
-    let call = match timeout(REQUEST_TIMEOUT, calls.next()).await {
+/// A request, or why there is none, and where the response goes.
+struct ReceivedRequest {
+    request: Result<AdminRequest, AdminRequestError>,
+    writer: TcpWriter,
+}
+
+/// Receives the request of a caller; `None` where the caller has gone.
+async fn receive_request(stream: TcpStream) -> Option<ReceivedRequest> {
+    let _ = stream.set_nodelay(true);
+    let (reader, writer) = split_tcp(stream);
+    let mut requests = FramedRead::new(reader, AdminRequestCodec);
+    let request = match timeout(REQUEST_TIMEOUT, requests.next()).await {
         Ok(None | Some(Err(AdminRequestError::Io(_)))) => return None,
-        Ok(Some(call)) => call,
+        Ok(Some(request)) => request,
         Err(_) => Err(AdminRequestError::TimedOut),
     };
-    Some((call, write))
+    Some(ReceivedRequest { request, writer })
 }
