--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,140 +1,166 @@
-//! The figures that operators fetch: their names, their counts and their text.
+//! Metrics that operators fetch: their names, their values and their text.
 //!
-//! Sessions raise counts where the thing happens and the core sets the gauges; whoever renders them
-//! asks nobody and waits for nobody.
+//! Sessions increment counters where the event happens, and the event loop sets the gauges. Rendering takes no lock.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use strum::{EnumCount, EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// What all names begin with.
+/// Beginning of all names.
 pub(crate) const METRIC_PREFIX: &str = "router";
-/// The label that names a class.
+/// Label that names a class.
 const CLASS_LABEL: &str = "category";
-/// The line that ends the text.
+/// Last line of a response with several lines.
 pub const END_OF_RESPONSE: &str = "EOF\n";
 
-/// What is counted by class, from 0 at the start of the process.
+/// Events that are counted for each class since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
-#[strum(serialize_all = "snake_case")]
 pub enum Counter {
-    /// Connections brought up: `UP` has been written to the client.
-    Passed,
-    /// Connections refused.
-    Dropped,
+    /// Connections established: `UP` has been written to the client.
+    #[strum(serialize = "passed")]
+    Established,
+    /// Connections rejected.
+    #[strum(serialize = "dropped")]
+    Rejected,
     /// Connections failed.
-    BadGateway,
-    /// Attempts written whole to a server.
+    #[strum(serialize = "bad_gateway")]
+    Failed,
+    /// Attempts whose request was written completely to a server.
     #[strum(serialize = "upstream_tries")]
     Attempts,
 }
 
-/// Why a client was let go without what it came for, beside the refusals and failures that are counted by
-/// class. All count from 0 at the start of the process.
+/// Why the connection of a client was closed without an answer that [`Counter`] counts. All are counted since the start
+/// of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
-#[strum(serialize_all = "snake_case")]
 pub enum CloseReason {
-    /// It had not asked yet and made room for another: told `BUSY`, and waited for.
-    Displaced,
-    /// The same while too many were waited for: told `BUSY` and closed at once. What it sent just then may
-    /// turn that into a reset, which takes the line along.
-    Hurried,
-    /// It had not asked yet when this process ended: told `BUSY`.
-    Stopped,
-    /// It ended the connection, or its time to ask was up, without a byte that is owed an answer.
-    Unasked,
-    /// It ended the connection before its answer.
-    Left,
+    /// It was evicted for another client before its request: `BUSY` was sent, and the close was graceful.
+    #[strum(serialize = "displaced")]
+    Evicted,
+    /// It was evicted while too many graceful closes were in progress: `BUSY` was sent, and the connection closed at once.
+    /// Bytes that the client sent at the same time may turn the close into a reset, which discards the line.
+    #[strum(serialize = "hurried")]
+    EvictedImmediately,
+    /// The process ended before its request: `BUSY` was sent.
+    #[strum(serialize = "stopped")]
+    ProcessStopped,
+    /// It closed the connection, or was too slow, without a byte that is owed an answer.
+    #[strum(serialize = "unasked")]
+    NoRequest,
+    /// It closed the connection before its answer.
+    #[strum(serialize = "left")]
+    ClientLeft,
     /// It did not read its last line in time.
-    Unread,
-    /// No answer came for it from the core: told `BUSY`. A fault of the program.
-    Forgotten,
+    #[strum(serialize = "unread")]
+    AnswerUnread,
+    /// The event loop has sent no answer: `BUSY` was sent. A fault of the program.
+    #[strum(serialize = "forgotten")]
+    Unanswered,
 }
 
-/// What is so now.
+/// Current values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
-#[strum(serialize_all = "snake_case")]
 pub enum Gauge {
-    /// Connections taken and not yet ended.
+    /// Connections accepted and not yet ended.
+    #[strum(serialize = "in_progress")]
     InProgress,
-    /// Servers on the list.
+    /// Servers on the endpoint list.
     #[strum(serialize = "known_reading_servers")]
     KnownServers,
-    /// Servers on the list that are avoided, by hand or by choice.
+    /// Servers on the endpoint list that are avoided, as operators or the balancer have decided.
     #[strum(serialize = "skipped_reading_servers")]
     SkippedServers,
-    /// Probes sent since the start.
+    /// Health checks sent since the start.
     #[strum(serialize = "probes_total")]
-    Probes,
-    /// Probes asked for since the start and not sent, for their price.
+    HealthChecks,
+    /// Health checks since the start that were withheld for their price.
     #[strum(serialize = "probes_withheld_total")]
-    ProbesWithheld,
-    /// Broken invariants of requests since the start: a fault of the program.
+    HealthChecksWithheld,
+    /// Violations of request invariants since the start: a fault of the program.
     #[strum(serialize = "invariant_violations_total")]
     InvariantViolations,
 }
 
-/// The figures of one process.
+/// The counters of one class.
+#[derive(Debug)]
+struct ClassCounters {
+    class: String,
+    counters: [AtomicU64; Counter::COUNT],
+}
+
+/// The metrics of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    counters_by_class: Vec<(String, [AtomicU64; Counter::COUNT])>,
+    counters_by_class: Vec<ClassCounters>,
     gauges: [AtomicU64; Gauge::COUNT],
     close_counts: [AtomicU64; CloseReason::COUNT],
 }
 
 impl Metrics {
-    /// Figures for these classes, all at 0.
+    /// Metrics for these classes, all at 0.
     pub fn new(classes: &[String]) -> Self {
-        let classes = classes.iter().map(|class| (class.clone(), Default::default())).collect();
-        Self { counters_by_class: classes, ..Self::default() }
+        let new_counters =
+            |class: &String| ClassCounters { class: class.clone(), counters: Default::default() };
+        Self { counters_by_class: classes.iter().map(new_counters).collect(), ..Self::default() }
     }
 
-    /// Counts one. A class that the settings do not name has no count: names that clients make up
-    /// must not grow the text.
-    pub fn increment(&self, count: Counter, class: &str) {
-        if let Some((_, counts)) = self.counters_by_class.iter().find(|(name, _)| name == class) {
-            counts[count as usize].fetch_add(1, Ordering::Relaxed);
+    /// Increments a counter of a class. Classes that the settings do not define are not counted: clients must not be able
+    /// to add lines.
+    pub fn increment(&self, counter: Counter, class: &str) {
+        if let Some(known) = self.counters_by_class.iter().find(|known| known.class == class) {
+            known.counters[counter as usize].fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Counts a client that was let go.
-    pub fn record_close(&self, cause: CloseReason) {
-        self.close_counts[cause as usize].fetch_add(1, Ordering::Relaxed);
+    /// Counts a closed connection.
+    pub fn record_close(&self, reason: CloseReason) {
+        self.close_counts[reason as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Sets what is so now.
+    /// Sets a gauge.
     pub fn set_gauge(&self, gauge: Gauge, value: usize) {
         self.gauges[gauge as usize].store(value as u64, Ordering::Relaxed);
     }
 
-    /// All figures, one a line, then those of `more`, lines too, and the line that ends them.
+    /// Renders all metrics, a line each, then `additional_lines` and the last line of the response.
     pub fn render(&self, additional_lines: &str) -> String {
         let mut text = String::new();
-        for count in Counter::iter() {
-            let name: &str = count.into();
-            for (class, counts) in &self.counters_by_class {
-                let value = counts[count as usize].load(Ordering::Relaxed);
-                let _ = writeln!(
-                    text,
-                    "{METRIC_PREFIX}_{name}_total{{{CLASS_LABEL}=\"{}\"}} {value}",
-                    escape_label_value(class)
-                );
+        self.render_counters(&mut text);
+        self.render_close_counts(&mut text);
+        self.render_gauges(&mut text);
+        text + additional_lines + END_OF_RESPONSE
+    }
+
+    fn render_counters(&self, text: &mut String) {
+        for counter in Counter::iter() {
+            let name: &str = counter.into();
+            for ClassCounters { class, counters } in &self.counters_by_class {
+                let value = counters[counter as usize].load(Ordering::Relaxed);
+                let class = escape_label_value(class);
+                let _ = writeln!(text, "{METRIC_PREFIX}_{name}_total{{{CLASS_LABEL}=\"{class}\"}} {value}");
             }
         }
-        for (cause, count) in CloseReason::iter().zip(&self.close_counts) {
-            let (cause, value): (&str, _) = (cause.into(), count.load(Ordering::Relaxed));
-            let _ = writeln!(text, "{METRIC_PREFIX}_closed_{cause}_total {value}");
+    }
+
+    fn render_close_counts(&self, text: &mut String) {
+        for (reason, count) in CloseReason::iter().zip(&self.close_counts) {
+            let name: &str = reason.into();
+            let value = count.load(Ordering::Relaxed);
+            let _ = writeln!(text, "{METRIC_PREFIX}_closed_{name}_total {value}");
         }
+    }
+
+    fn render_gauges(&self, text: &mut String) {
         for (gauge, value) in Gauge::iter().zip(&self.gauges) {
-            let (name, value): (&str, _) = (gauge.into(), value.load(Ordering::Relaxed));
+            let name: &str = gauge.into();
+            let value = value.load(Ordering::Relaxed);
             let _ = writeln!(text, "{METRIC_PREFIX}_{name} {value}");
         }
-        text + additional_lines + END_OF_RESPONSE
     }
 }
 
-/// A label's value, with what would end it or the line escaped.
+/// Escapes what would end a label's value or its line.
 fn escape_label_value(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -297,8 +297,8 @@
         figures.set_gauge(Gauge::KnownServers, self.endpoints.len());
         figures.set_gauge(Gauge::SkippedServers, self.engine.avoided_server_count(now));
         let (sent, withheld) = self.engine.health_check_counts();
-        figures.set_gauge(Gauge::Probes, sent);
-        figures.set_gauge(Gauge::ProbesWithheld, withheld);
+        figures.set_gauge(Gauge::HealthChecks, sent);
+        figures.set_gauge(Gauge::HealthChecksWithheld, withheld);
         let shares = self.endpoints.keys().filter_map(|name| {
             let server = self.names.servers.find(name).map(ServerId)?;
             Some((name.clone(), self.engine.sibling_share(server)))
--- a/src/net/quic.rs
+++ b/src/net/quic.rs
@@ -500,7 +500,7 @@
                     (flow.state, flow.last_server_connection_id) = (FlowState::Established(attempt), issued);
                     flow.buffered = Vec::new();
                     self.event_loop.send(DriverEvent::AttemptEstablished(id, attempt)).await;
-                    self.event_loop.count(Counter::Passed, &self.config.class);
+                    self.event_loop.count(Counter::Established, &self.config.class);
                 }
                 self.connection_ids.insert(issued, id);
             }
@@ -578,9 +578,9 @@
                     let (count, code, reason) = match answer {
                         FinalAnswer::Rejected(wait) => {
                             let reason = format!("BUSY {}", wait.as_micros() / 1000);
-                            (Counter::Dropped, CONNECTION_REFUSED, reason)
+                            (Counter::Rejected, CONNECTION_REFUSED, reason)
                         }
-                        FinalAnswer::Failed => (Counter::BadGateway, INTERNAL_ERROR, "ERR".to_owned()),
+                        FinalAnswer::Failed => (Counter::Failed, INTERNAL_ERROR, "ERR".to_owned()),
                     };
                     self.event_loop.count(count, &self.config.class);
                     self.connection_ids.close_connection(id);
--- a/src/net/session/mod.rs
+++ b/src/net/session/mod.rs
@@ -269,10 +269,10 @@
             FirstLine::Invalid(why) => Err(self.log_client_error(&why)),
             // It may ask at this very moment: what it reads then is an answer, and harmless.
             FirstLine::Idle => {
-                self.event_loop.count_closed(CloseReason::Unasked);
+                self.event_loop.count_closed(CloseReason::NoRequest);
                 Err(busy(OVER_LIMIT_RETRY_AFTER))
             }
-            FirstLine::Closed => return self.event_loop.count_closed(CloseReason::Unasked),
+            FirstLine::Closed => return self.event_loop.count_closed(CloseReason::NoRequest),
         };
         match admitted {
             Ok((open, permit, claim)) => {
@@ -291,7 +291,7 @@
     /// Ends a client with a last line, and counts one that did not read it.
     async fn finish_client(&self, client: LineConnection, last: &[u8]) {
         if !client.finish(last).await {
-            self.event_loop.count_closed(CloseReason::Unread);
+            self.event_loop.count_closed(CloseReason::AnswerUnread);
         }
     }
 
@@ -301,10 +301,14 @@
         let stopping = self.pending_clients.is_closed();
         let graceful_close = if stopping { None } else { self.pending_clients.try_acquire_graceful_close() };
         if graceful_close.is_none() && !stopping {
-            self.event_loop.count_closed(CloseReason::Hurried);
+            self.event_loop.count_closed(CloseReason::EvictedImmediately);
             return client.close_immediately(&busy(OVER_LIMIT_RETRY_AFTER));
         }
-        self.event_loop.count_closed(if stopping { CloseReason::Stopped } else { CloseReason::Displaced });
+        self.event_loop.count_closed(if stopping {
+            CloseReason::ProcessStopped
+        } else {
+            CloseReason::Evicted
+        });
         self.finish_client(client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
         drop(graceful_close);
     }
@@ -317,15 +321,15 @@
     /// Whether the client may have what it asks for, or what it is answered at once.
     fn admit(&self, open: Box<Open>) -> Result<(Box<Open>, SessionPermit, RequestIdClaim), (Counter, Bytes)> {
         if open.at.is_some() && self.pending_clients.restore_phase_is_over() {
-            return Err((Counter::BadGateway, self.log_client_error(&ClientError::RestoreAfterStart)));
+            return Err((Counter::Failed, self.log_client_error(&ClientError::RestoreAfterStart)));
         }
         let claim = self
             .open_ids
             .claim(&open.id)
-            .ok_or_else(|| (Counter::BadGateway, self.log_client_error(&ClientError::DuplicateId)))?;
+            .ok_or_else(|| (Counter::Failed, self.log_client_error(&ClientError::DuplicateId)))?;
         let Some(permit) = self.pending_clients.try_acquire_session() else {
             LIMIT_REJECTIONS.log("all sessions are taken, one told to come again");
-            return Err((Counter::Dropped, busy(OVER_LIMIT_RETRY_AFTER)));
+            return Err((Counter::Rejected, busy(OVER_LIMIT_RETRY_AFTER)));
         };
         Ok((open, permit, claim))
     }
@@ -465,7 +469,7 @@
                             AttemptEnd::Failed(outcome) => {
                                 self.frontend.event_loop.send(DriverEvent::AttemptEnded(self.id, attempt, outcome)).await;
                                 if self.open.at.is_some() {
-                                    self.count(Counter::BadGateway);
+                                    self.count(Counter::Failed);
                                     drop(self.id_claim);
                                     return self.frontend.finish_client(self.client, FAILED).await;
                                 }
@@ -490,13 +494,13 @@
     }
 
     async fn client_left(self) {
-        self.frontend.event_loop.count_closed(CloseReason::Left);
+        self.frontend.event_loop.count_closed(CloseReason::ClientLeft);
         self.frontend.event_loop.send(DriverEvent::ClientLeft(self.id)).await;
     }
 
     /// The core gives no answer any more. It should not come to this, but the client is owed one.
     async fn abandon(self) {
-        self.frontend.event_loop.count_closed(CloseReason::Forgotten);
+        self.frontend.event_loop.count_closed(CloseReason::Unanswered);
         self.frontend.event_loop.send(DriverEvent::ClientLeft(self.id)).await;
         drop(self.id_claim);
         self.frontend.finish_client(self.client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
@@ -562,15 +566,15 @@
     async fn reject_client(self, why: &ClientError) {
         self.frontend.event_loop.send(DriverEvent::ClientLeft(self.id)).await;
         let answer = self.frontend.log_client_error(why);
-        self.count(Counter::BadGateway);
+        self.count(Counter::Failed);
         drop(self.id_claim);
         self.frontend.finish_client(self.client, &answer).await;
     }
 
     async fn answer(self, answer: FinalAnswer) {
         let (count, line) = match answer {
-            FinalAnswer::Rejected(wait) => (Counter::Dropped, busy(to_duration(wait))),
-            FinalAnswer::Failed => (Counter::BadGateway, Bytes::from_static(FAILED)),
+            FinalAnswer::Rejected(wait) => (Counter::Rejected, busy(to_duration(wait))),
+            FinalAnswer::Failed => (Counter::Failed, Bytes::from_static(FAILED)),
         };
         self.count(count);
         drop(self.id_claim);
@@ -673,7 +677,7 @@
                     }
                     if !client_informed && to_client.is_empty() {
                         client_informed = true;
-                        self.frontend.event_loop.count(Counter::Passed, &self.open.class);
+                        self.frontend.event_loop.count(Counter::Established, &self.open.class);
                     }
                 }
                 written = server.write.write_buf(&mut to_server), if !to_server.is_empty() => {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -86,7 +86,7 @@
     let gauges = gauges.map(|name| format!("router_{name} 0\n"));
     assert_eq!(zeros, classes.chain(closed).chain(gauges).chain(["EOF\n".to_owned()]).collect::<String>());
     figures.increment(Counter::Attempts, "a");
-    figures.increment(Counter::Dropped, "made up");
+    figures.increment(Counter::Rejected, "made up");
     figures.set_gauge(Gauge::InProgress, 14);
     let text = figures.render("");
     assert!(text.contains("\nrouter_upstream_tries_total{category=\"a\"} 1\n"), "{text}");
--- a/tests/compatibility_admin.rs
+++ b/tests/compatibility_admin.rs
@@ -81,20 +81,20 @@
 fn figures() -> Arc<Metrics> {
     let figures = Metrics::new(&["read".to_owned(), "a\\b\"c\nd".to_owned()]);
     let mut times = 0;
-    for count in [Counter::Passed, Counter::Dropped, Counter::BadGateway, Counter::Attempts] {
+    for count in [Counter::Established, Counter::Rejected, Counter::Failed, Counter::Attempts] {
         for class in ["read", "a\\b\"c\nd", "made up"] {
             times += 1;
             (0..times).for_each(|_| figures.increment(count, class));
         }
     }
     let causes = [
-        CloseReason::Displaced,
-        CloseReason::Hurried,
-        CloseReason::Stopped,
-        CloseReason::Unasked,
-        CloseReason::Left,
-        CloseReason::Unread,
-        CloseReason::Forgotten,
+        CloseReason::Evicted,
+        CloseReason::EvictedImmediately,
+        CloseReason::ProcessStopped,
+        CloseReason::NoRequest,
+        CloseReason::ClientLeft,
+        CloseReason::AnswerUnread,
+        CloseReason::Unanswered,
     ];
     for cause in causes {
         times += 1;
@@ -104,8 +104,8 @@
         Gauge::InProgress,
         Gauge::KnownServers,
         Gauge::SkippedServers,
-        Gauge::Probes,
-        Gauge::ProbesWithheld,
+        Gauge::HealthChecks,
+        Gauge::HealthChecksWithheld,
         Gauge::InvariantViolations,
     ];
     for gauge in gauges {
