--- a/src/main.rs
+++ b/src/main.rs
@@ -49,9 +49,9 @@
 fn run_daemon(files: ConfigFiles) -> Result<(), Box<dyn std::error::Error>> {
     let mut config = Config::read(|name| std::env::var(name).ok())?;
     let descriptors = bind_retry::descriptor_limit();
-    if descriptors < config.limits.sockets {
-        info!("ashtide: limits.sockets is {}, the system allows {descriptors}", config.limits.sockets);
-        config.limits.sockets = descriptors;
+    if descriptors < config.limits.descriptors {
+        info!("ashtide: limits.sockets is {}, the system allows {descriptors}", config.limits.descriptors);
+        config.limits.descriptors = descriptors;
     }
     config.settings.warnings().iter().for_each(|remark| info!("ashtide: {remark}"));
     // The platform names no deploy file.
--- a/src/net/vrrp.rs
+++ b/src/net/vrrp.rs
@@ -35,7 +35,7 @@
             match effect {
                 RouterAction::Send(advertisement) => send(&socket, &front.peers, &advertisement).await,
                 RouterAction::EnterState(state) => {
-                    info!("vrrp: router {} is {state:?}", front.router);
+                    info!("vrrp: router {} is {state:?}", front.virtual_router_id);
                     active.send_replace(state == RouterState::Active);
                 }
                 RouterAction::StartTimer(wait) => wake = Some(Instant::now() + wait),
--- a/tests/compatibility_settings.rs
+++ b/tests/compatibility_settings.rs
@@ -137,7 +137,7 @@
     let _ = writeln!(text, "inherited {}", optional(config.inherited_listener));
     let _ = writeln!(text, "folder {}", optional(config.state_folder.as_ref().map(|it| it.display())));
     let _ = writeln!(text, "operator {} seed {}", optional(config.admin_address), config.seed);
-    let ResourceLimits { memory_mb, sockets } = config.limits;
+    let ResourceLimits { memory_mb, descriptors: sockets } = config.limits;
     let _ = writeln!(text, "memory {memory_mb} sockets {sockets}");
     match &config.initial_list {
         None => text += "no list\n",
@@ -279,7 +279,7 @@
     let mut text = String::new();
     for (memory_mb, sockets) in [(0, 0), (1, 64), (192, 256), (256, 1024), (256, 100_000), (4096, 100_000)] {
         for others in [0, 16, 300] {
-            let room = ResourceLimits { memory_mb, sockets }.capacity(others);
+            let room = ResourceLimits { memory_mb, descriptors: sockets }.capacity(others);
             let _ = write!(text, "{memory_mb} MB {sockets} sockets, {others} others: ");
             let _ = write!(text, "{} sockets {} sessions", room.descriptors, room.max_sessions);
             for beside in [0, 40, 5_000] {
@@ -317,7 +317,15 @@
     match &fronts.vrrp {
         None => text += "no vrrp",
         Some(vrrp) => {
-            let VrrpConfig { router, priority, interval_ms, preempt, listen, peers, addresses } = vrrp;
+            let VrrpConfig {
+                virtual_router_id: router,
+                priority,
+                interval_ms,
+                preempt,
+                listen,
+                peers,
+                addresses,
+            } = vrrp;
             let peers: String = peers.iter().map(|it| format!("[{it}]")).collect();
             let addresses: String = addresses.iter().map(|it| format!("[{it}]")).collect();
             let _ =
