--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -98,7 +98,7 @@
     }
     // Both ways in refuse a name that stands twice.
     let twice = json!({"classes": [class("a", "pure", 0.0, 1.0), class("a", "side_effect", 0.0, 1.0)]});
-    let error = PlatformSettings::parse(&twice.to_string()).err().expect("refused");
+    let error = PlatformSettings::parse(&twice.to_string()).err().expect("refused").to_string();
     assert!(error.starts_with("classes[1].name: 'a' stands twice"), "{error}");
 }
 
