--- a/src/net/vrrp.rs
+++ b/src/net/vrrp.rs
@@ -1,5 +1,6 @@
-//! Runs a virtual router over UDP; the QUIC front takes new connections only while it is active.
+//! Runs a virtual router over UDP; the QUIC front end accepts new connections only while it is active.
 
+use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::UdpSocket;
@@ -10,67 +11,99 @@
 use crate::config::VrrpConfig;
 use crate::vrrp::{Advertisement, RouterAction, RouterState, VirtualRouter};
 
-/// Longer packets are none of ours.
+/// Longest packet that is received whole, in bytes; longer ones are no valid advertisements.
 const MAX_PACKET_LENGTH: usize = 128;
 
-/// Runs until `stop` turns true; `active` tells whether this copy is the active one.
+/// Runs until `stop` turns true; `active` tells whether this router is the active one.
 ///
 /// # Errors
 ///
 /// Fails where the address cannot be bound.
 pub async fn run(
-    front: VrrpConfig,
+    config: VrrpConfig,
     active: watch::Sender<bool>,
     mut stop: watch::Receiver<bool>,
-) -> std::io::Result<()> {
-    let socket = UdpSocket::bind(front.listen).await?;
-    let own = socket.local_addr()?;
-    let mut machine = VirtualRouter::new(front.virtual_router_config());
-    let mut effects = Vec::new();
-    machine.handle_startup(&mut effects);
-    let (mut wake, mut dropped) = (None, 0_u64);
+) -> io::Result<()> {
+    let socket = UdpSocket::bind(config.listen).await?;
+    let mut driver = RouterDriver {
+        own_address: socket.local_addr()?,
+        router: VirtualRouter::new(config.virtual_router_config()),
+        config,
+        socket,
+        active,
+        timer_at: None,
+        discarded_packets: 0,
+    };
+    let mut actions = Vec::new();
+    driver.router.handle_startup(&mut actions);
     let mut packet = [0; MAX_PACKET_LENGTH];
     loop {
-        for effect in effects.drain(..) {
-            match effect {
-                RouterAction::Send(advertisement) => send(&socket, &front.peers, &advertisement).await,
-                RouterAction::EnterState(state) => {
-                    info!("vrrp: router {} is {state:?}", front.virtual_router_id);
-                    active.send_replace(state == RouterState::Active);
-                }
-                RouterAction::StartTimer(wait) => wake = Some(Instant::now() + wait),
-                RouterAction::StopTimer => wake = None,
-            }
-        }
-        if machine.state() == RouterState::Initialize {
+        driver.perform(&mut actions).await;
+        if driver.router.state() == RouterState::Initialize {
             return Ok(());
         }
         tokio::select! {
-            heard = socket.recv_from(&mut packet) => {
-                // A peer that is not there shows as an error of the socket; it is no concern of ours.
-                let Ok((length, from)) = heard else { continue };
-                // Only the routers of the deploy file count: anyone can send to a UDP port.
-                let known = front.peers.contains(&from);
-                match Advertisement::decode(&packet[..length]) {
-                    Ok(heard) if known => machine.handle_advertisement(&heard, from > own, &mut effects),
-                    Ok(_) | Err(_) => {
-                        dropped += 1;
-                        info!("vrrp: packet of {from} dropped, {dropped} so far");
-                    }
-                }
-            }
-            () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => {
-                wake = None;
-                machine.handle_timer(&mut effects);
+            // An error shows that a peer is not there, which needs no reaction.
+            received = driver.socket.recv_from(&mut packet) => if let Ok((length, sender)) = received {
+                driver.handle_packet(&packet[..length], sender, &mut actions);
+            },
+            () = sleep_until(driver.timer_at.unwrap_or_else(Instant::now)), if driver.timer_at.is_some() => {
+                driver.timer_at = None;
+                driver.router.handle_timer(&mut actions);
             }
-            _ = stop.wait_for(|&stop| stop) => machine.handle_shutdown(&mut effects),
+            _ = stop.wait_for(|&stop| stop) => driver.router.handle_shutdown(&mut actions),
         }
     }
 }
 
-async fn send(socket: &UdpSocket, peers: &[SocketAddr], advertisement: &Advertisement) {
-    let packet = advertisement.encode();
-    for peer in peers {
-        let _ = socket.send_to(&packet, peer).await;
+/// A virtual router with its socket and timer.
+struct RouterDriver {
+    config: VrrpConfig,
+    router: VirtualRouter,
+    socket: UdpSocket,
+    own_address: SocketAddr,
+    active: watch::Sender<bool>,
+    timer_at: Option<Instant>,
+    discarded_packets: u64,
+}
+
+impl RouterDriver {
+    /// Performs the actions of the state machine, in order.
+    async fn perform(&mut self, actions: &mut Vec<RouterAction>) {
+        for action in actions.drain(..) {
+            match action {
+                RouterAction::Send(advertisement) => self.send(&advertisement).await,
+                RouterAction::EnterState(state) => self.enter_state(state),
+                RouterAction::StartTimer(wait) => self.timer_at = Some(Instant::now() + wait),
+                RouterAction::StopTimer => self.timer_at = None,
+            }
+        }
+    }
+
+    async fn send(&self, advertisement: &Advertisement) {
+        let packet = advertisement.encode();
+        for peer in &self.config.peers {
+            let _ = self.socket.send_to(&packet, peer).await;
+        }
+    }
+
+    fn enter_state(&self, state: RouterState) {
+        info!("vrrp: router {} is {state:?}", self.config.virtual_router_id);
+        self.active.send_replace(state == RouterState::Active);
+    }
+
+    fn handle_packet(&mut self, packet: &[u8], sender: SocketAddr, actions: &mut Vec<RouterAction>) {
+        // Anyone can send to a UDP port: only the configured routers count.
+        let is_peer = self.config.peers.contains(&sender);
+        match Advertisement::decode(packet) {
+            Ok(advertisement) if is_peer => {
+                let sender_is_higher = sender > self.own_address;
+                self.router.handle_advertisement(&advertisement, sender_is_higher, actions);
+            }
+            Ok(_) | Err(_) => {
+                self.discarded_packets += 1;
+                info!("vrrp: discarded a packet of {sender}, {} so far", self.discarded_packets);
+            }
+        }
     }
 }
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -1,37 +1,47 @@
 //! VRRP version 3 (RFC 9568): the advertisement and the state machine of one virtual router.
 //!
-//! The packets are the standard's own. Here they travel in UDP datagrams, so the checksum covers the
-//! packet alone, without the pseudo-header of an IP protocol.
+//! The packets are those of the standard. They travel in UDP datagrams here, so the checksum covers the packet alone,
+//! without the pseudo-header of an IP protocol.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 use bytes::{Buf, BufMut};
 
-/// A packet of version 3, type 1.
+/// First byte of a packet: version 3, type 1 (advertisement).
 const VERSION_AND_TYPE: u8 = 0x31;
-/// Virtual addresses that one packet may carry here.
+/// Length of a packet without addresses, in bytes.
+const HEADER_LENGTH: usize = 8;
+/// Where the checksum stands in a packet.
+const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
+/// Length of an IPv4 address, in bytes.
+const ADDRESS_LENGTH: usize = 4;
+/// Bits of the interval field; the upper four are reserved.
+const INTERVAL_MASK: u16 = 0x0fff;
+/// Virtual addresses that a packet may carry here.
 const MAX_ADDRESSES: usize = 16;
-/// The owner of the address has this priority, and no other router may.
+/// Priority of the owner of the addresses; no other router may have it.
 pub const OWNER_PRIORITY: u8 = 255;
+/// Priority in an advertisement of an active router that gives up.
+const SHUTDOWN_PRIORITY: u8 = 0;
 
 /// An advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router's number.
+    /// Virtual router id.
     pub virtual_router_id: u8,
-    /// The sender's priority; 0 means that it leaves.
+    /// Priority of the sender; 0 where it gives up.
     pub priority: u8,
-    /// The sender's interval, in hundredths of a second, below 4096.
+    /// Max Advertise Interval of the sender, in hundredths of a second, below 4096.
     pub max_advertise_interval: u16,
-    /// The virtual addresses.
+    /// Virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// Why a packet is dropped.
+/// Why a packet is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// Too short, or not as long as its count of addresses says.
+    /// Too short, or not of the length that its number of addresses requires.
     #[error("wrong length")]
     Length,
     /// Another version or type.
@@ -40,107 +50,114 @@
     /// The checksum is wrong.
     #[error("wrong checksum")]
     Checksum,
-    /// No router is number 0, and an interval of 0 would mean a packet at every moment.
+    /// The virtual router id or the interval is 0.
     #[error("a field is out of its range")]
     Range,
 }
 
+/// The Internet checksum (RFC 1071).
 fn checksum(packet: &[u8]) -> u16 {
-    let words = packet.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0)));
-    let sum = words.sum::<u32>();
+    let sum: u32 = packet.chunks(2).map(big_endian_word).sum();
     let folded = (sum & 0xffff) + (sum >> 16);
     !((folded & 0xffff) + (folded >> 16)) as u16
 }
 
+/// Two bytes as a number; a single one counts as followed by zero.
+fn big_endian_word(pair: &[u8]) -> u32 {
+    let low = pair.get(1).copied().unwrap_or(0);
+    u32::from(pair[0]) << 8 | u32::from(low)
+}
+
 impl Advertisement {
-    /// The packet.
+    /// Encodes the packet.
     pub fn encode(&self) -> Vec<u8> {
         let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
-        let mut out = Vec::with_capacity(8 + 4 * addresses.len());
-        out.put_slice(&[VERSION_AND_TYPE, self.virtual_router_id, self.priority, addresses.len() as u8]);
-        out.put_u16(self.max_advertise_interval & 0x0fff);
-        out.put_u16(0);
-        addresses.iter().for_each(|address| out.put_slice(&address.octets()));
-        let sum = checksum(&out);
-        out[6..8].copy_from_slice(&sum.to_be_bytes());
-        out
+        let mut packet = Vec::with_capacity(HEADER_LENGTH + ADDRESS_LENGTH * addresses.len());
+        packet.put_slice(&[VERSION_AND_TYPE, self.virtual_router_id, self.priority, addresses.len() as u8]);
+        packet.put_u16(self.max_advertise_interval & INTERVAL_MASK);
+        packet.put_u16(0);
+        addresses.iter().for_each(|address| packet.put_slice(&address.octets()));
+        let checksum = checksum(&packet);
+        packet[CHECKSUM_RANGE].copy_from_slice(&checksum.to_be_bytes());
+        packet
     }
 
-    /// Reads a packet.
+    /// Decodes a packet.
     ///
     /// # Errors
     ///
-    /// Says why the packet is to be dropped.
+    /// Says why the packet is to be discarded.
     pub fn decode(mut packet: &[u8]) -> Result<Self, PacketError> {
-        if packet.len() < 8 {
+        if packet.len() < HEADER_LENGTH {
             return Err(PacketError::Length);
         }
         if packet[0] != VERSION_AND_TYPE {
             return Err(PacketError::Version);
         }
-        let count = usize::from(packet[3]);
-        if count > MAX_ADDRESSES || packet.len() != 8 + 4 * count {
+        let address_count = usize::from(packet[3]);
+        let expected_length = HEADER_LENGTH + ADDRESS_LENGTH * address_count;
+        if address_count > MAX_ADDRESSES || packet.len() != expected_length {
             return Err(PacketError::Length);
         }
         if checksum(packet) != 0 {
             return Err(PacketError::Checksum);
         }
-        let (router, priority) = (packet[1], packet[2]);
-        let interval = u16::from_be_bytes([packet[4], packet[5]]) & 0x0fff;
-        if router == 0 || interval == 0 {
+        let virtual_router_id = packet[1];
+        let priority = packet[2];
+        let max_advertise_interval = u16::from_be_bytes([packet[4], packet[5]]) & INTERVAL_MASK;
+        if virtual_router_id == 0 || max_advertise_interval == 0 {
             return Err(PacketError::Range);
         }
-        packet.advance(8);
-        let addresses = (0..count).map(|_| Ipv4Addr::from(packet.get_u32())).collect();
-        Ok(Self { virtual_router_id: router, priority, max_advertise_interval: interval, addresses })
+        packet.advance(HEADER_LENGTH);
+        let addresses = (0..address_count).map(|_| Ipv4Addr::from(packet.get_u32())).collect();
+        Ok(Self { virtual_router_id, priority, max_advertise_interval, addresses })
     }
 }
 
-/// What a virtual router is told.
+/// Configuration of a virtual router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VirtualRouterConfig {
-    /// Its number, 1 to 255.
+    /// Virtual router id, 1 to 255.
     pub virtual_router_id: u8,
-    /// 1 to 254, or [`OWNER`].
+    /// Priority, 1 to 254, or [`OWNER_PRIORITY`].
     pub priority: u8,
-    /// Hundredths of a second between advertisements, 1 to 4095.
+    /// Advertisement_Interval in hundredths of a second, 1 to 4095.
     pub advertisement_interval: u16,
-    /// Whether it takes over from an active router of lower priority.
+    /// Preempt_Mode: whether it takes over from an active router of lower priority.
     pub preempt: bool,
-    /// The virtual addresses.
+    /// Virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// A router's state.
+/// State of a virtual router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterState {
     /// Not started.
     Initialize,
-    /// Listens for the active router.
+    /// Monitors the active router.
     Backup,
     /// Serves the virtual addresses.
     Active,
 }
 
-/// What the state machine asks of its driver.
+/// What the driver of a virtual router does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouterAction {
-    /// Send this to the other routers.
+    /// Send an advertisement to the other routers.
     Send(Advertisement),
-    /// The state is now this.
+    /// The router is in this state from now on.
     EnterState(RouterState),
-    /// Call [`Machine::timer`] after this long, instead of what was asked before.
+    /// Call [`VirtualRouter::handle_timer`] after this time, in place of an earlier timer.
     StartTimer(Duration),
     /// No timer runs any more.
     StopTimer,
 }
 
-/// The state machine of section 6.4. `id` sets apart senders of one priority, as their primary
-/// addresses do in the standard.
+/// The state machine of RFC 9568, section 6.4.
 pub struct VirtualRouter {
     config: VirtualRouterConfig,
     state: RouterState,
-    /// The active router's interval, learnt from its packets.
+    /// Active_Adver_Interval: that of the active router, learnt from its advertisements, in hundredths of a second.
     active_advertisement_interval: u16,
 }
 
@@ -150,134 +167,140 @@
 
 impl VirtualRouter {
     /// A router that has not started.
-    pub fn new(settings: VirtualRouterConfig) -> Self {
-        let active_interval = settings.advertisement_interval;
-        Self {
-            config: settings,
-            state: RouterState::Initialize,
-            active_advertisement_interval: active_interval,
-        }
+    pub fn new(config: VirtualRouterConfig) -> Self {
+        let active_advertisement_interval = config.advertisement_interval;
+        Self { config, state: RouterState::Initialize, active_advertisement_interval }
     }
 
-    /// Its state.
+    /// The state.
     pub fn state(&self) -> RouterState {
         self.state
     }
 
-    fn advertisement(&self, priority: u8) -> RouterAction {
-        let VirtualRouterConfig {
-            virtual_router_id: router,
-            advertisement_interval: interval,
-            ref addresses,
-            ..
-        } = self.config;
-        RouterAction::Send(Advertisement {
-            virtual_router_id: router,
-            priority,
-            max_advertise_interval: interval,
-            addresses: addresses.clone(),
-        })
-    }
-
-    /// Lower priorities wait longer, so that the highest takes over first.
-    fn skew_time(&self) -> u32 {
-        (256 - u32::from(self.config.priority)) * u32::from(self.active_advertisement_interval) / 256
-    }
-
-    fn start_active_down_timer(&self) -> RouterAction {
-        RouterAction::StartTimer(centiseconds(
-            3 * u32::from(self.active_advertisement_interval) + self.skew_time(),
-        ))
-    }
-
-    fn enter_state(&mut self, state: RouterState, out: &mut Vec<RouterAction>) {
-        self.state = state;
-        out.push(RouterAction::EnterState(state));
-    }
-
-    fn become_active(&mut self, out: &mut Vec<RouterAction>) {
-        out.push(self.advertisement(self.config.priority));
-        self.enter_state(RouterState::Active, out);
-        out.push(RouterAction::StartTimer(centiseconds(u32::from(self.config.advertisement_interval))));
-    }
-
-    /// The startup event.
-    pub fn handle_startup(&mut self, out: &mut Vec<RouterAction>) {
+    /// Handles the startup event.
+    pub fn handle_startup(&mut self, actions: &mut Vec<RouterAction>) {
         if self.state != RouterState::Initialize {
             return;
         }
         if self.config.priority == OWNER_PRIORITY {
-            return self.become_active(out);
+            return self.become_active(actions);
         }
         self.active_advertisement_interval = self.config.advertisement_interval;
-        self.enter_state(RouterState::Backup, out);
-        out.push(self.start_active_down_timer());
+        self.become_backup(actions);
     }
 
-    /// The shutdown event: an active router says that it leaves, so that another takes over at once.
-    pub fn handle_shutdown(&mut self, out: &mut Vec<RouterAction>) {
+    /// Handles the shutdown event: an active router gives up, so that another one takes over at once.
+    pub fn handle_shutdown(&mut self, actions: &mut Vec<RouterAction>) {
         if self.state == RouterState::Active {
-            out.push(self.advertisement(0));
+            actions.push(self.advertise(SHUTDOWN_PRIORITY));
         }
-        out.push(RouterAction::StopTimer);
-        self.enter_state(RouterState::Initialize, out);
+        actions.push(RouterAction::StopTimer);
+        self.enter_state(RouterState::Initialize, actions);
     }
 
-    /// The timer has run out.
-    pub fn handle_timer(&mut self, out: &mut Vec<RouterAction>) {
+    /// Handles the end of the timer.
+    pub fn handle_timer(&mut self, actions: &mut Vec<RouterAction>) {
         match self.state {
             RouterState::Initialize => {}
-            RouterState::Backup => self.become_active(out),
-            RouterState::Active => {
-                out.push(self.advertisement(self.config.priority));
-                out.push(RouterAction::StartTimer(centiseconds(u32::from(
-                    self.config.advertisement_interval,
-                ))));
-            }
+            RouterState::Backup => self.become_active(actions),
+            RouterState::Active => self.advertise_and_restart_timer(actions),
         }
     }
 
-    /// An advertisement of another router; `sender_is_higher` where its address is above ours.
+    /// Handles an advertisement of another router. `sender_is_higher` says whether its primary address is above that of
+    /// this router, which decides between equal priorities.
     pub fn handle_advertisement(
         &mut self,
-        heard: &Advertisement,
+        advertisement: &Advertisement,
         sender_is_higher: bool,
-        out: &mut Vec<RouterAction>,
+        actions: &mut Vec<RouterAction>,
     ) {
-        if heard.virtual_router_id != self.config.virtual_router_id {
+        if advertisement.virtual_router_id != self.config.virtual_router_id {
             return;
         }
         match self.state {
             RouterState::Initialize => {}
-            RouterState::Backup if heard.priority == 0 => {
-                out.push(RouterAction::StartTimer(centiseconds(self.skew_time())));
-            }
-            RouterState::Backup => {
-                if !self.config.preempt || heard.priority >= self.config.priority {
-                    self.active_advertisement_interval = heard.max_advertise_interval;
-                    out.push(self.start_active_down_timer());
-                }
-            }
-            RouterState::Active if heard.priority == 0 => {
-                out.push(self.advertisement(self.config.priority));
-                out.push(RouterAction::StartTimer(centiseconds(u32::from(
-                    self.config.advertisement_interval,
-                ))));
-            }
+            RouterState::Backup => self.handle_advertisement_as_backup(advertisement, actions),
             RouterState::Active => {
-                let ours = self.config.priority;
-                if heard.priority > ours || (heard.priority == ours && sender_is_higher) {
-                    self.active_advertisement_interval = heard.max_advertise_interval;
-                    self.enter_state(RouterState::Backup, out);
-                    out.push(self.start_active_down_timer());
-                } else {
-                    // RFC 9568 has the lesser one told at once, so that it steps down.
-                    out.push(self.advertisement(ours));
-                    out.push(RouterAction::StartTimer(centiseconds(u32::from(
-                        self.config.advertisement_interval,
-                    ))));
-                }
+                self.handle_advertisement_as_active(advertisement, sender_is_higher, actions);
             }
         }
     }
+
+    fn handle_advertisement_as_backup(
+        &mut self,
+        advertisement: &Advertisement,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        if advertisement.priority == SHUTDOWN_PRIORITY {
+            actions.push(RouterAction::StartTimer(centiseconds(self.skew_time())));
+        } else if !self.config.preempt || advertisement.priority >= self.config.priority {
+            self.active_advertisement_interval = advertisement.max_advertise_interval;
+            actions.push(self.start_active_down_timer());
+        }
+    }
+
+    fn handle_advertisement_as_active(
+        &mut self,
+        advertisement: &Advertisement,
+        sender_is_higher: bool,
+        actions: &mut Vec<RouterAction>,
+    ) {
+        let own_priority = self.config.priority;
+        let sender_has_precedence = advertisement.priority > own_priority
+            || (advertisement.priority == own_priority && sender_is_higher);
+        if advertisement.priority != SHUTDOWN_PRIORITY && sender_has_precedence {
+            self.active_advertisement_interval = advertisement.max_advertise_interval;
+            self.become_backup(actions);
+        } else {
+            // A sender without precedence is answered at once, so that it becomes a backup.
+            self.advertise_and_restart_timer(actions);
+        }
+    }
+
+    /// Skew_Time in hundredths of a second: the router with the highest priority takes over first.
+    fn skew_time(&self) -> u32 {
+        (256 - u32::from(self.config.priority)) * u32::from(self.active_advertisement_interval) / 256
+    }
+
+    /// Starts the Active_Down_Timer.
+    fn start_active_down_timer(&self) -> RouterAction {
+        let active_down_interval = 3 * u32::from(self.active_advertisement_interval) + self.skew_time();
+        RouterAction::StartTimer(centiseconds(active_down_interval))
+    }
+
+    /// Starts the Adver_Timer.
+    fn start_advertisement_timer(&self) -> RouterAction {
+        RouterAction::StartTimer(centiseconds(u32::from(self.config.advertisement_interval)))
+    }
+
+    fn advertise(&self, priority: u8) -> RouterAction {
+        RouterAction::Send(Advertisement {
+            virtual_router_id: self.config.virtual_router_id,
+            priority,
+            max_advertise_interval: self.config.advertisement_interval,
+            addresses: self.config.addresses.clone(),
+        })
+    }
+
+    fn advertise_and_restart_timer(&self, actions: &mut Vec<RouterAction>) {
+        actions.push(self.advertise(self.config.priority));
+        actions.push(self.start_advertisement_timer());
+    }
+
+    fn become_active(&mut self, actions: &mut Vec<RouterAction>) {
+        actions.push(self.advertise(self.config.priority));
+        self.enter_state(RouterState::Active, actions);
+        actions.push(self.start_advertisement_timer());
+    }
+
+    fn become_backup(&mut self, actions: &mut Vec<RouterAction>) {
+        self.enter_state(RouterState::Backup, actions);
+        actions.push(self.start_active_down_timer());
+    }
+
+    fn enter_state(&mut self, state: RouterState, actions: &mut Vec<RouterAction>) {
+        self.state = state;
+        actions.push(RouterAction::EnterState(state));
+    }
 }
