--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -21,7 +21,7 @@
 use ashtide::config::decode_hex;
 use ashtide::quic::header::{MIN_INITIAL_DATAGRAM, write_long_header};
 use ashtide::quic::initial::{self, Side};
-use ashtide::quic::placing::{QuicServerId, SERVER_ID_LENGTH, decode_server_id};
+use ashtide::quic::load_balancing::{QuicServerId, SERVER_ID_LENGTH, decode_server_id};
 use ashtide::quic::reset::{RESET_TOKEN_LENGTH, ResetKey};
 use ashtide::quic::{ConnectionId, Header, LongPacketType};
 use ashtide_protocol::LineCodec;
--- a/crates/ashtide-testkit/src/fleet.rs
+++ b/crates/ashtide-testkit/src/fleet.rs
@@ -20,7 +20,7 @@
 use ashtide::discovery::{Endpoint, EndpointList, EndpointStatus};
 use ashtide::quic::header::MIN_INITIAL_DATAGRAM;
 use ashtide::quic::initial::{self, CONNECTION_REFUSED, Side};
-use ashtide::quic::placing::{encode_routable_id, server_id_for_name};
+use ashtide::quic::load_balancing::{encode_routable_id, server_id_for_name};
 use ashtide::quic::{ConnectionId, Header, LongPacketType};
 use ashtide_protocol::{LineCodec, Open, PONG};
 
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -15,7 +15,7 @@
 use ashtide::discovery::EndpointStatus;
 use ashtide::quic::ConnectionId;
 use ashtide::quic::initial::CONNECTION_REFUSED;
-use ashtide::quic::placing::{encode_routable_id, server_id_for_name};
+use ashtide::quic::load_balancing::{encode_routable_id, server_id_for_name};
 
 /// The names of all scenarios.
 pub const NAMES: [&str; 13] = [
--- a/src/bin/ashtide-adapter/wire.rs
+++ b/src/bin/ashtide-adapter/wire.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-use ashtide::quic::placing::server_id_for_name;
+use ashtide::quic::load_balancing::server_id_for_name;
 use ashtide::settings::{NameTables, PlatformSettings, group_id, span_from_seconds};
 use ashtide::{
     Action, Balancer, CellId, ClassId, EndpointEntry, Event, KindId, ListUpdate, LoadReport, Outcome,
--- a/src/config/frontends.rs
+++ b/src/config/frontends.rs
@@ -9,7 +9,7 @@
 use super::ConfigError;
 use super::error::invalid_value;
 use crate::quic::header::MAX_CONNECTION_ID_LENGTH;
-use crate::quic::placing::MIN_ROUTABLE_ID_LENGTH;
+use crate::quic::load_balancing::MIN_ROUTABLE_ID_LENGTH;
 use crate::vrrp::VirtualRouterConfig;
 
 /// Shortest reset key in bytes.
--- a/src/fleet/shared_state.rs
+++ b/src/fleet/shared_state.rs
@@ -17,7 +17,7 @@
 use crate::decision::interface::{Outcome, ServerId, Span, Time};
 use crate::fleet::view::{ViewError, invalid_key, parse_address};
 use crate::metrics::METRIC_PREFIX;
-use crate::quic::placing::server_id_for_name;
+use crate::quic::load_balancing::server_id_for_name;
 
 /// Gateways that a list may name.
 pub const MAX_GATEWAYS: usize = 8192;
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -29,7 +29,7 @@
 use crate::fleet::shared_state::{LocalObservation, ServerObservation, name_hash};
 use crate::handover::CordonTransition;
 use crate::metrics::{Gauge, Metrics};
-use crate::quic::placing::server_id_for_name;
+use crate::quic::load_balancing::server_id_for_name;
 use crate::settings::{NameTables, group_id};
 
 /// Reports that may wait for the core before fronts have to.
--- a/src/net/quic.rs
+++ b/src/net/quic.rs
@@ -28,11 +28,11 @@
 use crate::decision::interface::{Outcome, RequestId, Span};
 use crate::engine::FinalAnswer;
 use crate::metrics::Counter;
+use crate::quic::connection_id_table::{ConnectionIdTable, Route};
 use crate::quic::header::{MIN_INITIAL_DATAGRAM, encode_version_negotiation};
 use crate::quic::initial::{self, CONNECTION_REFUSED, INTERNAL_ERROR, Side};
-use crate::quic::placing::{QuicServerId, decode_server_id, server_id_for_name};
+use crate::quic::load_balancing::{QuicServerId, decode_server_id, server_id_for_name};
 use crate::quic::reset::ResetKey;
-use crate::quic::table::{ConnectionIdTable, Route};
 use crate::quic::{ConnectionId, Header, LongPacketType};
 
 /// Longest datagram passed on.
--- a/src/quic/table.rs
+++ b/src/quic/connection_id_table.rs
@@ -1,23 +1,23 @@
-//! Which connection an id belongs to.
+//! Table from connection ids to connections.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::header::ConnectionId;
 use crate::decision::interface::RequestId;
 
-/// Ids that one connection may have in the table; a client that shows more loses its oldest.
+/// Ids of one connection in the table; with more of them, the oldest is removed.
 const MAX_IDS_PER_CONNECTION: usize = 8;
 
-/// What is known of an id.
+/// Where datagrams with an id go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// It belongs to this connection.
+    /// To this connection.
     Connection(RequestId),
-    /// Its final answer has been given: nothing more is said.
+    /// Nowhere: the final answer has been given.
     Answered,
 }
 
-/// The table of ids, bounded on all sides.
+/// The connection ids in use and those that were answered last.
 pub struct ConnectionIdTable {
     routes: HashMap<ConnectionId, Route>,
     ids: HashMap<RequestId, VecDeque<ConnectionId>>,
@@ -26,29 +26,24 @@
 }
 
 impl ConnectionIdTable {
-    /// A table that remembers this many answered ids.
-    pub fn new(most_answered: usize) -> Self {
-        Self {
-            routes: HashMap::new(),
-            ids: HashMap::new(),
-            answered_ids: VecDeque::new(),
-            max_answered_ids: most_answered,
-        }
+    /// A table that remembers so many answered ids.
+    pub fn new(max_answered_ids: usize) -> Self {
+        Self { routes: HashMap::new(), ids: HashMap::new(), answered_ids: VecDeque::new(), max_answered_ids }
     }
 
-    /// What is known of an id.
+    /// The route of an id; `None` where it is unknown.
     pub fn route(&self, id: &ConnectionId) -> Option<Route> {
         self.routes.get(id).copied()
     }
 
-    /// The id belongs to this connection. An id that is taken stays with its first owner: nobody
-    /// gets hold of a connection by naming it.
-    pub fn insert(&mut self, id: ConnectionId, owner: RequestId) {
+    /// Adds an id of a connection. An id in use stays with its connection: nobody can take a connection over by naming
+    /// its id.
+    pub fn insert(&mut self, id: ConnectionId, connection: RequestId) {
         if id.is_empty() || self.routes.contains_key(&id) {
             return;
         }
-        self.routes.insert(id, Route::Connection(owner));
-        let ids = self.ids.entry(owner).or_default();
+        self.routes.insert(id, Route::Connection(connection));
+        let ids = self.ids.entry(connection).or_default();
         ids.push_back(id);
         if ids.len() > MAX_IDS_PER_CONNECTION {
             if let Some(oldest) = ids.pop_front() {
@@ -57,22 +52,22 @@
         }
     }
 
-    /// The connection is over, and its ids are unknown again.
-    pub fn remove_connection(&mut self, owner: RequestId) {
-        for id in self.ids.remove(&owner).unwrap_or_default() {
+    /// Removes a connection: its ids are unknown again.
+    pub fn remove_connection(&mut self, connection: RequestId) {
+        for id in self.ids.remove(&connection).unwrap_or_default() {
             self.routes.remove(&id);
         }
     }
 
-    /// The connection is over and has been told so: its ids get no further answer.
-    pub fn close_connection(&mut self, owner: RequestId) {
-        for id in self.ids.remove(&owner).unwrap_or_default() {
+    /// Closes a connection that has had its final answer: its ids get no further one.
+    pub fn close_connection(&mut self, connection: RequestId) {
+        for id in self.ids.remove(&connection).unwrap_or_default() {
             self.routes.remove(&id);
             self.mark_answered(id);
         }
     }
 
-    /// This id has been given its final answer.
+    /// Marks an id that has had its final answer.
     pub fn mark_answered(&mut self, id: ConnectionId) {
         if self.routes.insert(id, Route::Answered).is_none() {
             self.answered_ids.push_back(id);
@@ -84,7 +79,7 @@
         }
     }
 
-    /// How many ids the table holds.
+    /// Number of ids in the table.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
--- a/src/quic/header.rs
+++ b/src/quic/header.rs
@@ -2,12 +2,18 @@
 
 use bytes::{Buf, BufMut};
 
-/// Longest connection id of version 1.
+/// Longest connection id of version 1, in bytes.
 pub const MAX_CONNECTION_ID_LENGTH: usize = 20;
-/// The only version that this gateway places.
+/// The only version whose connections this gateway accepts.
 pub const VERSION_1: u32 = 1;
-/// A client's Initial fills at least this much of a datagram.
+/// Version in the header of a Version Negotiation packet.
+const VERSION_NEGOTIATION: u32 = 0;
+/// Least length of a datagram with a client's Initial, in bytes.
 pub const MIN_INITIAL_DATAGRAM: usize = 1200;
+/// Header Form bit: set on long headers.
+const LONG_HEADER_BIT: u8 = 0x80;
+/// Fixed Bit: set on all packets of version 1 but Version Negotiation.
+const FIXED_BIT: u8 = 0x40;
 
 /// A connection id.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -17,7 +23,7 @@
 }
 
 impl ConnectionId {
-    /// An id of these bytes, unless they are too many.
+    /// An id of these bytes; `None` where they are more than [`MAX_CONNECTION_ID_LENGTH`].
     pub fn new(id: &[u8]) -> Option<Self> {
         let mut bytes = [0; MAX_CONNECTION_ID_LENGTH];
         bytes.get_mut(..id.len())?.copy_from_slice(id);
@@ -33,53 +39,53 @@
 }
 
 impl std::fmt::Debug for ConnectionId {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
-/// What kind of long-header packet of version 1.
+/// Long Packet Type of version 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongPacketType {
-    /// Begins a connection.
+    /// Starts a connection.
     Initial,
     /// Early data.
     ZeroRtt,
     /// The rest of the handshake.
     Handshake,
-    /// Asks the client to prove its address.
+    /// Asks the client to validate its address.
     Retry,
 }
 
-/// The first packet's header of a datagram.
+/// Header of the first packet in a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Header {
-    /// A list of versions; ids as on any long header.
+    /// A list of versions.
     VersionNegotiation {
-        /// Whom it is for.
+        /// Destination Connection ID.
         destination_id: ConnectionId,
-        /// Whom it is from.
+        /// Source Connection ID.
         source_id: ConnectionId,
     },
-    /// A long header of a version that is not 1.
+    /// A long header of a version other than 1.
     OtherVersion {
-        /// Whom it is for.
+        /// Destination Connection ID.
         destination_id: ConnectionId,
-        /// Whom it is from.
+        /// Source Connection ID.
         source_id: ConnectionId,
     },
     /// A long header of version 1.
     Long {
-        /// Its kind.
+        /// Type of the packet.
         packet_type: LongPacketType,
-        /// Whom it is for.
+        /// Destination Connection ID.
         destination_id: ConnectionId,
-        /// Whom it is from.
+        /// Source Connection ID.
         source_id: ConnectionId,
     },
-    /// A short header, whose id is as long as its issuer has made it.
+    /// A short header. The length of its id is known to the issuer alone.
     Short {
-        /// Whom it is for.
+        /// Destination Connection ID.
         destination_id: ConnectionId,
     },
 }
@@ -90,91 +96,112 @@
     /// It ends within the header.
     #[error("the datagram ends within its header")]
     Truncated,
-    /// An id of over 20 bytes.
+    /// A connection id has over 20 bytes.
     #[error("a connection id of over {MAX_CONNECTION_ID_LENGTH} bytes")]
     ConnectionIdTooLong,
-    /// The bit that version 1 fixes is not set.
+    /// The Fixed Bit of version 1 is not set.
     #[error("the fixed bit is not set")]
     FixedBitUnset,
 }
 
 impl Header {
-    /// Reads the header of a datagram's first packet; ids on short headers have `id_length` bytes.
+    /// Parses the header of a datagram's first packet; connection ids on short headers have `short_id_length` bytes.
     ///
     /// # Errors
     ///
-    /// Fails on what cannot be a packet of version 1 nor of the invariants.
-    pub fn parse(datagram: &[u8], id_length: usize) -> Result<Self, HeaderError> {
-        let mut rest = datagram;
-        let first = rest.try_get_u8().map_err(|_| HeaderError::Truncated)?;
-        if first & 0x80 == 0 {
-            if first & 0x40 == 0 {
-                return Err(HeaderError::FixedBitUnset);
-            }
-            let id = rest.get(..id_length).ok_or(HeaderError::Truncated)?;
-            return Ok(Header::Short {
-                destination_id: ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)?,
-            });
+    /// Fails on what is neither a packet of version 1 nor of the invariants.
+    pub fn parse(datagram: &[u8], short_id_length: usize) -> Result<Self, HeaderError> {
+        let mut remaining = datagram;
+        let first_byte = remaining.try_get_u8().map_err(|_| HeaderError::Truncated)?;
+        if first_byte & LONG_HEADER_BIT == 0 {
+            Self::parse_short(first_byte, remaining, short_id_length)
+        } else {
+            Self::parse_long(first_byte, remaining)
         }
-        let version = rest.try_get_u32().map_err(|_| HeaderError::Truncated)?;
-        let (to, from) = (read_connection_id(&mut rest)?, read_connection_id(&mut rest)?);
+    }
+
+    fn parse_short(first_byte: u8, remaining: &[u8], id_length: usize) -> Result<Self, HeaderError> {
+        if first_byte & FIXED_BIT == 0 {
+            return Err(HeaderError::FixedBitUnset);
+        }
+        let id = remaining.get(..id_length).ok_or(HeaderError::Truncated)?;
+        let destination_id = ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)?;
+        Ok(Header::Short { destination_id })
+    }
+
+    fn parse_long(first_byte: u8, mut remaining: &[u8]) -> Result<Self, HeaderError> {
+        let version = remaining.try_get_u32().map_err(|_| HeaderError::Truncated)?;
+        let destination_id = read_connection_id(&mut remaining)?;
+        let source_id = read_connection_id(&mut remaining)?;
         match version {
-            0 => Ok(Header::VersionNegotiation { destination_id: to, source_id: from }),
-            VERSION_1 if first & 0x40 == 0 => Err(HeaderError::FixedBitUnset),
+            VERSION_NEGOTIATION => Ok(Header::VersionNegotiation { destination_id, source_id }),
+            VERSION_1 if first_byte & FIXED_BIT == 0 => Err(HeaderError::FixedBitUnset),
             VERSION_1 => {
-                let kind = match (first >> 4) & 3 {
-                    0 => LongPacketType::Initial,
-                    1 => LongPacketType::ZeroRtt,
-                    2 => LongPacketType::Handshake,
-                    _ => LongPacketType::Retry,
-                };
-                Ok(Header::Long { packet_type: kind, destination_id: to, source_id: from })
+                Ok(Header::Long { packet_type: long_packet_type(first_byte), destination_id, source_id })
             }
-            _ => Ok(Header::OtherVersion { destination_id: to, source_id: from }),
+            _ => Ok(Header::OtherVersion { destination_id, source_id }),
         }
     }
 }
 
-/// Takes an id with its length before it.
-pub(super) fn read_connection_id(rest: &mut &[u8]) -> Result<ConnectionId, HeaderError> {
-    let length = usize::from(rest.try_get_u8().map_err(|_| HeaderError::Truncated)?);
+fn long_packet_type(first_byte: u8) -> LongPacketType {
+    match (first_byte >> 4) & 3 {
+        0 => LongPacketType::Initial,
+        1 => LongPacketType::ZeroRtt,
+        2 => LongPacketType::Handshake,
+        _ => LongPacketType::Retry,
+    }
+}
+
+/// Reads a connection id with its length before it.
+pub(super) fn read_connection_id(remaining: &mut &[u8]) -> Result<ConnectionId, HeaderError> {
+    let length = usize::from(remaining.try_get_u8().map_err(|_| HeaderError::Truncated)?);
     if length > MAX_CONNECTION_ID_LENGTH {
         return Err(HeaderError::ConnectionIdTooLong);
     }
-    let id = rest.get(..length).ok_or(HeaderError::Truncated)?;
-    rest.advance(length);
+    let id = remaining.get(..length).ok_or(HeaderError::Truncated)?;
+    remaining.advance(length);
     ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)
 }
 
-/// Writes the part that all long headers share.
-pub fn write_long_header(out: &mut Vec<u8>, first: u8, version: u32, to: &[u8], from: &[u8]) {
-    out.put_u8(first);
-    out.put_u32(version);
-    for id in [to, from] {
-        out.put_u8(id.len() as u8);
-        out.put_slice(id);
+/// Writes the part that all long headers have in common.
+pub fn write_long_header(
+    packet: &mut Vec<u8>,
+    first_byte: u8,
+    version: u32,
+    destination_id: &[u8],
+    source_id: &[u8],
+) {
+    packet.put_u8(first_byte);
+    packet.put_u32(version);
+    for id in [destination_id, source_id] {
+        packet.put_u8(id.len() as u8);
+        packet.put_slice(id);
     }
 }
 
-/// The answer to a client of a version that is not spoken here.
-pub fn encode_version_negotiation(to: &[u8], from: &[u8], noise: u8) -> Vec<u8> {
-    let mut out = Vec::with_capacity(7 + to.len() + from.len() + 4);
-    write_long_header(&mut out, 0x80 | noise, 0, to, from);
-    out.put_u32(VERSION_1);
-    out
+/// Encodes a Version Negotiation packet, which answers a client of another version. `unused_bits` are the lower seven bits
+/// of the first byte, which may have any value.
+pub fn encode_version_negotiation(destination_id: &[u8], source_id: &[u8], unused_bits: u8) -> Vec<u8> {
+    let mut packet = Vec::with_capacity(7 + destination_id.len() + source_id.len() + 4);
+    let first_byte = LONG_HEADER_BIT | unused_bits;
+    write_long_header(&mut packet, first_byte, VERSION_NEGOTIATION, destination_id, source_id);
+    packet.put_u32(VERSION_1);
+    packet
 }
 
-/// Reads a variable-length integer.
-pub fn read_varint(rest: &mut &[u8]) -> Option<u64> {
-    let first = *rest.first()?;
-    let length = 1 << (first >> 6);
-    let bytes = rest.get(..length)?;
-    let value = bytes[1..].iter().fold(u64::from(first & 0x3f), |v, &b| (v << 8) | u64::from(b));
-    rest.advance(length);
+/// Reads a variable-length integer (RFC 9000, section 16).
+pub fn read_varint(remaining: &mut &[u8]) -> Option<u64> {
+    let first_byte = *remaining.first()?;
+    let length = 1 << (first_byte >> 6);
+    let bytes = remaining.get(..length)?;
+    let high_bits = u64::from(first_byte & 0x3f);
+    let value = bytes[1..].iter().fold(high_bits, |value, &byte| (value << 8) | u64::from(byte));
+    remaining.advance(length);
     Some(value)
 }
 
-/// Writes a variable-length integer below 2^14, in two bytes.
-pub fn write_two_byte_varint(out: &mut Vec<u8>, value: u16) {
-    out.put_u16(0x4000 | (value & 0x3fff));
+/// Writes a variable-length integer below 2^14 in two bytes.
+pub fn write_two_byte_varint(packet: &mut Vec<u8>, value: u16) {
+    packet.put_u16(0x4000 | (value & 0x3fff));
 }
--- a/src/quic/initial.rs
+++ b/src/quic/initial.rs
@@ -1,5 +1,5 @@
-//! Initial packets of RFC 9001: their keys follow from the client's first id, so a gateway can read
-//! a server's refusal in one and speak its own.
+//! Initial packets (RFC 9001): their keys follow from the connection id that the client first chose for the server, so a
+//! gateway can read a server's rejection and send its own.
 
 use aes_gcm::aead::{AeadInPlace, KeyInit};
 use aes_gcm::aes::Aes128;
@@ -13,21 +13,49 @@
     ConnectionId, VERSION_1, read_connection_id, read_varint, write_long_header, write_two_byte_varint,
 };
 
-/// The salt of version 1 (RFC 9001, section 5.2).
+/// Salt of version 1 (RFC 9001, section 5.2).
 const INITIAL_SALT: [u8; 20] = [
     0x38, 0x76, 0x2c, 0xf7, 0xf5, 0x59, 0x34, 0xb3, 0x4d, 0x17, 0x9a, 0xe6, 0xa4, 0xc8, 0x0c, 0xad, 0xcc,
     0xbb, 0x7f, 0x0a,
 ];
+/// Length of the AEAD's tag, in bytes.
 const TAG_LENGTH: usize = 16;
-/// Frames that may stand before the one looked for in a server's Initial.
+/// Length of a packet number as it is written here, in bytes.
+const PACKET_NUMBER_LENGTH: usize = 4;
+/// Where the sample for header protection begins, behind the begin of the packet number.
+const SAMPLE_OFFSET: usize = 4;
+/// Length of that sample, in bytes.
+const SAMPLE_LENGTH: usize = 16;
+/// First byte of an Initial with a packet number of four bytes, before header protection.
+const INITIAL_FIRST_BYTE: u8 = 0xc3;
+/// Bits of the first byte that tell an Initial, and their value.
+const INITIAL_TYPE_MASK: u8 = 0xf0;
+const INITIAL_TYPE: u8 = 0xc0;
+/// Bits of a long header's first byte under header protection.
+const PROTECTED_BITS: u8 = 0x0f;
+/// Frames that may stand before a CONNECTION_CLOSE.
 const MAX_FRAMES: usize = 64;
+/// ACK ranges and counts that are skipped in a frame at most.
+const MAX_ACK_FIELDS: u64 = 1 << 12;
+/// Longest reason in a CONNECTION_CLOSE that is sent, in bytes.
+const MAX_REASON_LENGTH: usize = 64;
 
-/// The error code of a server that turns a connection away.
+/// Error code with which a server rejects a connection.
 pub const CONNECTION_REFUSED: u64 = 0x02;
-/// The error code of a failure that promises nothing.
+/// Error code of a failure of which nothing is known.
 pub const INTERNAL_ERROR: u64 = 0x01;
 
-/// Which end protects a packet.
+/// Frame types (RFC 9000, section 19).
+mod frame_type {
+    pub(super) const PADDING: u8 = 0x00;
+    pub(super) const PING: u8 = 0x01;
+    pub(super) const ACK: u8 = 0x02;
+    pub(super) const ACK_ECN: u8 = 0x03;
+    pub(super) const CRYPTO: u8 = 0x06;
+    pub(super) const CONNECTION_CLOSE: u8 = 0x1c;
+}
+
+/// The endpoint that protects a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The client.
@@ -36,54 +64,57 @@
     Server,
 }
 
-/// The keys of one side's Initial packets. Public for the tests alone: the standard's example is about them.
+/// Keys of the Initial packets of one side. Public for the tests alone, which hold them against the standard's example.
 #[doc(hidden)]
 pub struct InitialKeys {
     aead: Aes128Gcm,
-    /// What a packet's number is mixed into.
+    /// The initialization vector, combined with the packet number to the nonce.
     pub iv: [u8; 12],
     header_protection: Aes128,
 }
 
-fn expand_label<const N: usize>(secret: &Hkdf<Sha256>, label: &str) -> [u8; N] {
+/// HKDF-Expand-Label of TLS 1.3.
+fn expand_label<const LENGTH: usize>(secret: &Hkdf<Sha256>, label: &str) -> [u8; LENGTH] {
+    const PREFIX: &[u8] = b"tls13 ";
     let mut info = Vec::with_capacity(10 + label.len());
-    info.put_u16(N as u16);
-    info.put_u8((6 + label.len()) as u8);
-    info.put_slice(b"tls13 ");
+    info.put_u16(LENGTH as u16);
+    info.put_u8((PREFIX.len() + label.len()) as u8);
+    info.put_slice(PREFIX);
     info.put_slice(label.as_bytes());
     info.put_u8(0);
-    let mut out = [0; N];
-    secret.expand(&info, &mut out).expect("lengths of keys are within HKDF's bounds");
-    out
+    let mut output = [0; LENGTH];
+    secret.expand(&info, &mut output).expect("lengths of keys are within HKDF's bounds");
+    output
 }
 
 impl InitialKeys {
-    /// From the id that the client first chose for the server.
+    /// Derives the keys from the connection id that the client first chose for the server.
     pub fn derive(client_destination_id: &[u8], side: Side) -> Self {
-        let initial = Hkdf::<Sha256>::new(Some(&INITIAL_SALT), client_destination_id);
+        let initial_secret = Hkdf::<Sha256>::new(Some(&INITIAL_SALT), client_destination_id);
         let label = match side {
             Side::Client => "client in",
             Side::Server => "server in",
         };
-        let secret: [u8; 32] = expand_label(&initial, label);
-        let secret = Hkdf::<Sha256>::from_prk(&secret).expect("a hash is long enough");
-        let (key, iv, mask): ([u8; 16], _, [u8; 16]) = (
-            expand_label(&secret, "quic key"),
-            expand_label(&secret, "quic iv"),
-            expand_label(&secret, "quic hp"),
-        );
-        Self { aead: Aes128Gcm::new(&key.into()), iv, header_protection: Aes128::new(&mask.into()) }
+        let side_secret: [u8; 32] = expand_label(&initial_secret, label);
+        let side_secret = Hkdf::<Sha256>::from_prk(&side_secret).expect("a hash is long enough");
+        let aead_key: [u8; 16] = expand_label(&side_secret, "quic key");
+        let header_protection_key: [u8; 16] = expand_label(&side_secret, "quic hp");
+        Self {
+            aead: Aes128Gcm::new(&aead_key.into()),
+            iv: expand_label(&side_secret, "quic iv"),
+            header_protection: Aes128::new(&header_protection_key.into()),
+        }
     }
 
     fn nonce(&self, packet_number: u32) -> Nonce<aes_gcm::aead::consts::U12> {
         let mut nonce = self.iv;
-        for (byte, number) in nonce[8..].iter_mut().zip(packet_number.to_be_bytes()) {
-            *byte ^= number;
+        for (byte, number_byte) in nonce[8..].iter_mut().zip(packet_number.to_be_bytes()) {
+            *byte ^= number_byte;
         }
         nonce.into()
     }
 
-    /// What hides a packet's first byte and number, from a sample of its seal.
+    /// The mask of the first byte and the packet number, from a sample of the protected payload.
     pub fn header_protection_mask(&self, sample: &[u8]) -> [u8; 5] {
         let mut block = GenericArray::clone_from_slice(sample);
         self.header_protection.encrypt_block(&mut block);
@@ -91,129 +122,185 @@
     }
 }
 
-/// An Initial packet, opened.
+/// A decrypted Initial packet.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InitialPacket {
-    /// Whom it is for.
+    /// Destination Connection ID.
     pub destination_id: ConnectionId,
-    /// Whom it is from.
+    /// Source Connection ID.
     pub source_id: ConnectionId,
-    /// Its frames.
+    /// The frames.
     pub frames: Vec<u8>,
 }
 
-/// Opens the Initial at the head of a datagram; `None` if it is none or its seal is not good.
-pub fn open(datagram: &[u8], client_destination_id: &[u8], side: Side) -> Option<InitialPacket> {
-    let mut rest = datagram;
-    let first = rest.try_get_u8().ok()?;
-    if first & 0xf0 != 0xc0 || rest.try_get_u32().ok()? != VERSION_1 {
-        return None;
+/// Unprotected header fields of an Initial, and where its packet number stands.
+struct InitialHeader {
+    destination_id: ConnectionId,
+    source_id: ConnectionId,
+    packet_number_offset: usize,
+    packet_end: usize,
+}
+
+impl InitialHeader {
+    fn parse(datagram: &[u8]) -> Option<Self> {
+        let mut remaining = datagram;
+        let first_byte = remaining.try_get_u8().ok()?;
+        if first_byte & INITIAL_TYPE_MASK != INITIAL_TYPE || remaining.try_get_u32().ok()? != VERSION_1 {
+            return None;
+        }
+        let destination_id = read_connection_id(&mut remaining).ok()?;
+        let source_id = read_connection_id(&mut remaining).ok()?;
+        let token_length = usize::try_from(read_varint(&mut remaining)?).ok()?;
+        remaining = remaining.get(token_length..)?;
+        let length = usize::try_from(read_varint(&mut remaining)?).ok()?;
+        let packet_number_offset = datagram.len() - remaining.len();
+        let packet_end = packet_number_offset.checked_add(length)?;
+        Some(Self { destination_id, source_id, packet_number_offset, packet_end })
     }
-    let (to, from) = (read_connection_id(&mut rest).ok()?, read_connection_id(&mut rest).ok()?);
-    let token = usize::try_from(read_varint(&mut rest)?).ok()?;
-    rest = rest.get(token..)?;
-    let length = usize::try_from(read_varint(&mut rest)?).ok()?;
-    let at = datagram.len() - rest.len();
-    let packet = datagram.get(..at.checked_add(length)?)?;
+}
+
+/// Decrypts the Initial at the begin of a datagram; `None` where it is none or is not authentic.
+pub fn open(datagram: &[u8], client_destination_id: &[u8], side: Side) -> Option<InitialPacket> {
+    let header = InitialHeader::parse(datagram)?;
+    let mut packet = datagram.get(..header.packet_end)?.to_vec();
     let keys = InitialKeys::derive(client_destination_id, side);
-    let mask = keys.header_protection_mask(packet.get(at + 4..at + 20)?);
-    let mut packet = packet.to_vec();
-    packet[0] ^= mask[0] & 0x0f;
-    let digits = usize::from(packet[0] & 3) + 1;
-    let mut number = 0;
-    for (byte, mask) in packet[at..at + digits].iter_mut().zip(&mask[1..]) {
-        *byte ^= mask;
-        number = (number << 8) | u32::from(*byte);
+    let sample_start = header.packet_number_offset + SAMPLE_OFFSET;
+    let mask = keys.header_protection_mask(packet.get(sample_start..sample_start + SAMPLE_LENGTH)?);
+    packet[0] ^= mask[0] & PROTECTED_BITS;
+    let packet_number_length = usize::from(packet[0] & 3) + 1;
+    let payload_start = header.packet_number_offset + packet_number_length;
+    let packet_number = unmask_packet_number(&mut packet[header.packet_number_offset..payload_start], &mask);
+    let tag_start = packet.len().checked_sub(TAG_LENGTH).filter(|&start| start >= payload_start)?;
+    let tag = Tag::clone_from_slice(&packet[tag_start..]);
+    packet.truncate(tag_start);
+    let (associated_data, payload) = packet.split_at_mut(payload_start);
+    let nonce = keys.nonce(packet_number);
+    keys.aead.decrypt_in_place_detached(&nonce, associated_data, payload, &tag).ok()?;
+    Some(InitialPacket {
+        destination_id: header.destination_id,
+        source_id: header.source_id,
+        frames: payload.to_vec(),
+    })
+}
+
+/// Removes the header protection of a packet number and returns the number.
+fn unmask_packet_number(bytes: &mut [u8], mask: &[u8; 5]) -> u32 {
+    let mut packet_number = 0;
+    for (byte, mask_byte) in bytes.iter_mut().zip(&mask[1..]) {
+        *byte ^= mask_byte;
+        packet_number = (packet_number << 8) | u32::from(*byte);
     }
-    let body = at + digits;
-    let seal = packet.len().checked_sub(TAG_LENGTH).filter(|&seal| seal >= body)?;
-    let tag = Tag::clone_from_slice(&packet[seal..]);
-    packet.truncate(seal);
-    let (head, frames) = packet.split_at_mut(body);
-    keys.aead.decrypt_in_place_detached(&keys.nonce(number), head, frames, &tag).ok()?;
-    Some(InitialPacket { destination_id: to, source_id: from, frames: frames.to_vec() })
+    packet_number
 }
 
-/// Seals an Initial of these frames, padded so that the packet has at least `at_least` bytes.
+/// Encrypts an Initial of these frames, padded so that the packet has at least `min_length` bytes.
 pub fn seal(
-    first_id: &[u8],
+    client_destination_id: &[u8],
     side: Side,
-    to: &[u8],
-    from: &[u8],
+    destination_id: &[u8],
+    source_id: &[u8],
     packet_number: u32,
     frames: &[u8],
     min_length: usize,
 ) -> Vec<u8> {
     let mut packet = Vec::with_capacity(min_length + 64);
-    write_long_header(&mut packet, 0xc3, VERSION_1, to, from);
-    packet.put_u8(0);
-    let mut frames = frames.to_vec();
-    // A header sample reaches 16 bytes past the number, which four bytes of frames and the seal fill.
-    let room = packet.len() + 2 + 4 + TAG_LENGTH;
-    frames.resize(frames.len().max(min_length.saturating_sub(room)).max(4), 0);
-    write_two_byte_varint(&mut packet, (4 + frames.len() + TAG_LENGTH) as u16);
-    let at = packet.len();
+    write_long_header(&mut packet, INITIAL_FIRST_BYTE, VERSION_1, destination_id, source_id);
+    let token_length = 0;
+    packet.put_u8(token_length);
+    let length_field = 2;
+    let overhead = packet.len() + length_field + PACKET_NUMBER_LENGTH + TAG_LENGTH;
+    let mut payload = pad_frames(frames, min_length.saturating_sub(overhead));
+    write_two_byte_varint(&mut packet, (PACKET_NUMBER_LENGTH + payload.len() + TAG_LENGTH) as u16);
+    let packet_number_offset = packet.len();
     packet.put_u32(packet_number);
-    let keys = InitialKeys::derive(first_id, side);
+    let keys = InitialKeys::derive(client_destination_id, side);
     let tag = keys
         .aead
-        .encrypt_in_place_detached(&keys.nonce(packet_number), &packet, &mut frames)
+        .encrypt_in_place_detached(&keys.nonce(packet_number), &packet, &mut payload)
         .expect("a packet is within the cipher's bounds");
-    packet.put_slice(&frames);
+    packet.put_slice(&payload);
     packet.put_slice(&tag);
-    let mask = keys.header_protection_mask(&packet[at + 4..at + 20]);
-    packet[0] ^= mask[0] & 0x0f;
-    for (byte, mask) in packet[at..at + 4].iter_mut().zip(&mask[1..]) {
-        *byte ^= mask;
-    }
+    protect_header(&mut packet, packet_number_offset, &keys);
     packet
 }
 
-/// A `CONNECTION_CLOSE` frame of the transport, with a short reason.
+/// Pads frames. The sample for header protection reaches 16 bytes behind the packet number, which four bytes of frames
+/// and the tag fill.
+fn pad_frames(frames: &[u8], min_length: usize) -> Vec<u8> {
+    let mut padded = frames.to_vec();
+    let length = frames.len().max(min_length).max(SAMPLE_OFFSET + SAMPLE_LENGTH - TAG_LENGTH);
+    padded.resize(length, frame_type::PADDING);
+    padded
+}
+
+fn protect_header(packet: &mut [u8], packet_number_offset: usize, keys: &InitialKeys) {
+    let sample_start = packet_number_offset + SAMPLE_OFFSET;
+    let mask = keys.header_protection_mask(&packet[sample_start..sample_start + SAMPLE_LENGTH]);
+    packet[0] ^= mask[0] & PROTECTED_BITS;
+    let packet_number = &mut packet[packet_number_offset..packet_number_offset + PACKET_NUMBER_LENGTH];
+    for (byte, mask_byte) in packet_number.iter_mut().zip(&mask[1..]) {
+        *byte ^= mask_byte;
+    }
+}
+
+/// Encodes a CONNECTION_CLOSE frame of the transport; a reason of over 64 bytes is cut.
 pub fn encode_connection_close(code: u64, reason: &str) -> Vec<u8> {
-    let reason = &reason.as_bytes()[..reason.len().min(64)];
-    let mut out = Vec::with_capacity(6 + reason.len());
-    out.put_u8(0x1c);
-    write_two_byte_varint(&mut out, code as u16);
-    out.put_u8(0);
-    write_two_byte_varint(&mut out, reason.len() as u16);
-    out.put_slice(reason);
-    out
+    let reason = &reason.as_bytes()[..reason.len().min(MAX_REASON_LENGTH)];
+    let causing_frame_type = 0;
+    let mut frame = Vec::with_capacity(6 + reason.len());
+    frame.put_u8(frame_type::CONNECTION_CLOSE);
+    write_two_byte_varint(&mut frame, code as u16);
+    frame.put_u8(causing_frame_type);
+    write_two_byte_varint(&mut frame, reason.len() as u16);
+    frame.put_slice(reason);
+    frame
 }
 
-/// The error code and the reason, if frames of an Initial close the connection.
+/// Finds a CONNECTION_CLOSE among the frames of an Initial; returns its error code and its reason.
 pub fn find_connection_close(frames: &[u8]) -> Option<(u64, String)> {
-    let mut rest = frames;
+    let mut remaining = frames;
     for _ in 0..MAX_FRAMES {
-        while rest.first() == Some(&0) {
-            rest.advance(1);
+        while remaining.first() == Some(&frame_type::PADDING) {
+            remaining.advance(1);
         }
-        match rest.try_get_u8().ok()? {
-            0x01 => {}
-            kind @ (0x02 | 0x03) => {
-                for _ in 0..2 {
-                    read_varint(&mut rest)?;
-                }
-                let ranges = read_varint(&mut rest)?;
-                read_varint(&mut rest)?;
-                let counts = if kind == 0x03 { 3 } else { 0 };
-                for _ in 0..ranges.checked_mul(2)?.checked_add(counts)?.min(1 << 12) {
-                    read_varint(&mut rest)?;
-                }
-            }
-            0x06 => {
-                read_varint(&mut rest)?;
-                let length = usize::try_from(read_varint(&mut rest)?).ok()?;
-                rest = rest.get(length..)?;
-            }
-            0x1c => {
-                let code = read_varint(&mut rest)?;
-                read_varint(&mut rest)?;
-                let length = usize::try_from(read_varint(&mut rest)?).ok()?;
-                return Some((code, String::from_utf8_lossy(rest.get(..length)?).into_owned()));
-            }
+        match remaining.try_get_u8().ok()? {
+            frame_type::PING => {}
+            frame_type::ACK => skip_ack(&mut remaining, 0)?,
+            frame_type::ACK_ECN => skip_ack(&mut remaining, 3)?,
+            frame_type::CRYPTO => skip_crypto(&mut remaining)?,
+            frame_type::CONNECTION_CLOSE => return read_connection_close(remaining),
             _ => return None,
         }
     }
     None
 }
+
+/// Skips the fields of an ACK frame, with so many ECN counts.
+fn skip_ack(remaining: &mut &[u8], ecn_counts: u64) -> Option<()> {
+    let _largest_acknowledged = read_varint(remaining)?;
+    let _delay = read_varint(remaining)?;
+    let range_count = read_varint(remaining)?;
+    let _first_range = read_varint(remaining)?;
+    let further_fields = range_count.checked_mul(2)?.checked_add(ecn_counts)?;
+    for _ in 0..further_fields.min(MAX_ACK_FIELDS) {
+        read_varint(remaining)?;
+    }
+    Some(())
+}
+
+/// Skips the fields of a CRYPTO frame.
+fn skip_crypto(remaining: &mut &[u8]) -> Option<()> {
+    let _offset = read_varint(remaining)?;
+    let length = usize::try_from(read_varint(remaining)?).ok()?;
+    *remaining = remaining.get(length..)?;
+    Some(())
+}
+
+/// Reads the error code and the reason of a CONNECTION_CLOSE frame.
+fn read_connection_close(mut remaining: &[u8]) -> Option<(u64, String)> {
+    let code = read_varint(&mut remaining)?;
+    let _causing_frame_type = read_varint(&mut remaining)?;
+    let length = usize::try_from(read_varint(&mut remaining)?).ok()?;
+    let reason = String::from_utf8_lossy(remaining.get(..length)?).into_owned();
+    Some((code, reason))
+}
--- a/src/quic/mod.rs
+++ b/src/quic/mod.rs
@@ -1,10 +1,10 @@
-//! QUIC as a gateway sees it that does not end connections: headers, ids, and the few packets that
-//! may be spoken without a connection's keys. Fed datagrams; knows no socket.
+//! QUIC for a gateway that does not terminate connections: headers, connection ids, and the packets that can be sent
+//! without the keys of a connection. Performs no I/O: [`crate::net::quic`] drives the sockets.
 
+pub mod connection_id_table;
 pub mod header;
 pub mod initial;
-pub mod placing;
+pub mod load_balancing;
 pub mod reset;
-pub mod table;
 
 pub use header::{ConnectionId, Header, HeaderError, LongPacketType};
--- a/src/quic/reset.rs
+++ b/src/quic/reset.rs
@@ -1,18 +1,21 @@
-//! Stateless resets of RFC 9000, section 10.3.
+//! Stateless resets (RFC 9000, section 10.3).
 //!
-//! Gateways and servers of a site share one key, and a token is the head of the HMAC-SHA-256 of the
-//! id under it; so a gateway can end a connection of any server in its name.
+//! Gateways and servers of a site share one key, and the token of a connection id is the head of its HMAC-SHA-256 under
+//! that key: a gateway can close a connection in the name of any server.
 
 use hmac::{Hmac, Mac};
 use rand::Rng;
 use sha2::Sha256;
 
-/// Bytes of a token.
+/// Length of a token, in bytes.
 pub const RESET_TOKEN_LENGTH: usize = 16;
-/// Shortest datagram that can be a reset.
+/// Length of the shortest datagram that can be a reset, in bytes.
 pub const MIN_RESET_LENGTH: usize = 5 + RESET_TOKEN_LENGTH;
-/// Usual size of a reset: like that of a small packet.
+/// Length of a reset unless it must be shorter, in bytes: that of a small packet.
 const TYPICAL_RESET_LENGTH: usize = 42;
+/// First bits of a short header, and the bits behind them.
+const SHORT_HEADER: u8 = 0x40;
+const SHORT_HEADER_UNPREDICTABLE_BITS: u8 = 0x3f;
 
 /// The site's shared key.
 #[derive(Clone)]
@@ -24,30 +27,31 @@
         Self(key)
     }
 
-    /// The token of an id.
+    /// The token of a connection id.
     pub fn token(&self, id: &[u8]) -> [u8; RESET_TOKEN_LENGTH] {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes keys of any length");
         mac.update(id);
-        let full = mac.finalize().into_bytes();
-        std::array::from_fn(|at| full[at])
+        let authentication_code = mac.finalize().into_bytes();
+        std::array::from_fn(|index| authentication_code[index])
     }
 
-    /// A reset for the connection of `id`, in answer to a datagram of `length` bytes. Always shorter
-    /// than that, so that two ends that reset each other come to an end; `None` where none can be.
-    pub fn encode_reset(&self, id: &[u8], length: usize, rng: &mut impl Rng) -> Option<Vec<u8>> {
-        let size = TYPICAL_RESET_LENGTH.min(length.checked_sub(1)?);
-        if size < MIN_RESET_LENGTH {
+    /// Encodes a reset for the connection of `id`, in response to a datagram of `trigger_length` bytes.
+    ///
+    /// It is shorter than that datagram, so that two endpoints that reset each other stop; `None` where that cannot be.
+    pub fn encode_reset(&self, id: &[u8], trigger_length: usize, rng: &mut impl Rng) -> Option<Vec<u8>> {
+        let length = TYPICAL_RESET_LENGTH.min(trigger_length.checked_sub(1)?);
+        if length < MIN_RESET_LENGTH {
             return None;
         }
-        let mut out = vec![0; size];
-        rng.fill(&mut out[..]);
-        out[0] = 0x40 | (out[0] & 0x3f);
-        out[size - RESET_TOKEN_LENGTH..].copy_from_slice(&self.token(id));
-        Some(out)
+        let mut datagram = vec![0; length];
+        rng.fill(&mut datagram[..]);
+        datagram[0] = SHORT_HEADER | (datagram[0] & SHORT_HEADER_UNPREDICTABLE_BITS);
+        datagram[length - RESET_TOKEN_LENGTH..].copy_from_slice(&self.token(id));
+        Some(datagram)
     }
 }
 
-/// Whether a datagram ends in this token, and so resets the connection that it was given with.
+/// Whether a datagram ends in this token, and so resets the connection that the token belongs to.
 pub fn is_reset(datagram: &[u8], token: &[u8; RESET_TOKEN_LENGTH]) -> bool {
     datagram.len() >= MIN_RESET_LENGTH && datagram.ends_with(token)
 }
--- a/tests/compatibility_quic_vrrp.rs
+++ b/tests/compatibility_quic_vrrp.rs
@@ -9,7 +9,7 @@
     HeaderError, encode_version_negotiation, read_varint, write_long_header, write_two_byte_varint,
 };
 use ashtide::quic::initial::{self, CONNECTION_REFUSED, INTERNAL_ERROR, Side};
-use ashtide::quic::placing::{
+use ashtide::quic::load_balancing::{
     MIN_ROUTABLE_ID_LENGTH, decode_server_id, encode_routable_id, server_id_for_name,
 };
 use ashtide::quic::reset::{ResetKey, is_reset};
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -8,7 +8,7 @@
 use ashtide::engine::open_ids::OpenIds;
 use ashtide::quic::header::MAX_CONNECTION_ID_LENGTH;
 use ashtide::quic::initial::{self, InitialKeys, Side};
-use ashtide::quic::placing::{
+use ashtide::quic::load_balancing::{
     MIN_ROUTABLE_ID_LENGTH, decode_server_id, encode_routable_id, server_id_for_name,
 };
 use ashtide::quic::{ConnectionId, Header};
