--- /dev/null
+++ b/src/net/quic/mod.rs
@@ -0,0 +1,250 @@
+//! The QUIC front end: forwards datagrams between clients and servers by connection id, on the same event loop as
+//! other connections.
+//!
+//! An Initial with a new connection id is a request, and the server's first response establishes it. From then on the ids
+//! that the server issues lead to the connection, whatever address they come from. Each address that a connection is seen
+//! under gets a socket of its own towards the server: the server sees a migration and validates the new path itself (RFC
+//! 9000, section 9), and a forged address gains nothing.
+//!
+//! A connection is migrated by a stateless reset with the token of the connection id that the client used last: the client
+//! takes the connection for closed and sends a new Initial. Rejections and failures are an Initial that closes the
+//! connection with `CONNECTION_REFUSED` or `INTERNAL_ERROR`.
+
+mod clients;
+mod commands;
+mod flow;
+mod flow_table;
+mod servers;
+
+use std::collections::{BTreeMap, HashMap};
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use rand::{RngCore, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
+use tracing::info;
+
+use super::messages::{CommandSender, DriverEvent, EventLoopHandle, SessionCommand};
+use crate::config::QuicConfig;
+use crate::decision::interface::{Outcome, RequestId};
+use crate::quic::ConnectionId;
+use crate::quic::connection_id_table::ConnectionIdTable;
+use crate::quic::initial::{self, Side};
+use crate::quic::load_balancing::{QuicServerId, server_id_for_name};
+use crate::quic::reset::ResetKey;
+use flow::ServerDatagram;
+use flow_table::FlowTable;
+
+/// Longest datagram that is forwarded, in bytes.
+const MAX_DATAGRAM_LENGTH: usize = 2048;
+/// Datagrams of servers that may wait for the front end; then those in their sockets' queues wait.
+const SERVER_DATAGRAM_QUEUE: usize = 512;
+/// Commands that may wait, for each path that may be open.
+const COMMANDS_PER_PATH: usize = 4;
+/// Connection ids whose final answer is remembered.
+const MAX_ANSWERED_IDS: usize = 8192;
+/// A datagram that its socket has not taken by then is dropped, as on any network.
+const SEND_TIMEOUT: Duration = Duration::from_millis(10);
+/// How often idle connections and paths are looked for.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Length in bytes of a random reset key.
+const RANDOM_RESET_KEY_LENGTH: usize = 32;
+
+/// Dropped datagrams since the start, by reason.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DropCounts {
+    /// Not a QUIC packet.
+    pub malformed: u64,
+    /// An Initial in too small a datagram, or an unknown id on a long header.
+    pub unexpected: u64,
+    /// An id that has had its final answer.
+    pub already_answered: u64,
+    /// New connections that this process does not accept, as a backup or at its limit.
+    pub rejected: u64,
+    /// The socket did not take it.
+    pub send_failed: u64,
+}
+
+/// A server of the endpoint list.
+#[derive(Clone)]
+struct QuicServer {
+    name: String,
+    address: SocketAddr,
+}
+
+/// The QUIC front end.
+pub struct QuicFrontend {
+    config: QuicConfig,
+    reset_key: ResetKey,
+    rng: ChaCha8Rng,
+    socket: UdpSocket,
+    event_loop: EventLoopHandle,
+    command_sender: CommandSender,
+    commands: mpsc::Receiver<(RequestId, SessionCommand)>,
+    server_datagrams: mpsc::Receiver<ServerDatagram>,
+    server_datagram_sender: mpsc::Sender<ServerDatagram>,
+    connection_ids: ConnectionIdTable,
+    flows: FlowTable,
+    endpoint_addresses: watch::Receiver<BTreeMap<String, SocketAddr>>,
+    servers_by_id: HashMap<QuicServerId, QuicServer>,
+    /// Whether this process accepts new connections.
+    accepts_connections: watch::Receiver<bool>,
+    drops: DropCounts,
+    reported_drops: DropCounts,
+}
+
+impl QuicFrontend {
+    /// Binds the front end's address.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the address cannot be bound.
+    pub async fn bind(
+        config: QuicConfig,
+        seed: u64,
+        event_loop: EventLoopHandle,
+        endpoint_addresses: watch::Receiver<BTreeMap<String, SocketAddr>>,
+        accepts_connections: watch::Receiver<bool>,
+    ) -> io::Result<Self> {
+        let socket = UdpSocket::bind(config.listen).await?;
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let reset_key = config.reset_key_bytes().unwrap_or_else(|| random_reset_key(&mut rng));
+        let (command_sender, commands) = mpsc::channel(config.paths * COMMANDS_PER_PATH);
+        let (server_datagram_sender, server_datagrams) = mpsc::channel(SERVER_DATAGRAM_QUEUE);
+        Ok(Self {
+            reset_key: ResetKey::new(reset_key),
+            rng,
+            socket,
+            event_loop,
+            command_sender,
+            commands,
+            server_datagrams,
+            server_datagram_sender,
+            connection_ids: ConnectionIdTable::new(MAX_ANSWERED_IDS),
+            flows: FlowTable::new(config.paths),
+            endpoint_addresses,
+            servers_by_id: HashMap::new(),
+            accepts_connections,
+            drops: DropCounts::default(),
+            reported_drops: DropCounts::default(),
+            config,
+        })
+    }
+
+    /// The address for clients.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system does not tell it.
+    pub fn address(&self) -> io::Result<SocketAddr> {
+        self.socket.local_addr()
+    }
+
+    /// Serves until the process ends.
+    pub async fn run(mut self) {
+        let mut sweep = interval(SWEEP_INTERVAL);
+        sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut buffer = [0; MAX_DATAGRAM_LENGTH];
+        self.update_endpoints();
+        loop {
+            tokio::select! {
+                received = self.socket.recv_from(&mut buffer) => if let Ok((length, client)) = received {
+                    self.handle_client_datagram(&buffer[..length], client).await;
+                },
+                Some(datagram) = self.server_datagrams.recv() => self.handle_server_datagram(datagram).await,
+                Some((id, command)) = self.commands.recv() => self.handle_command(id, command).await,
+                Ok(()) = self.endpoint_addresses.changed() => self.update_endpoints(),
+                _ = sweep.tick() => self.sweep().await,
+            }
+        }
+    }
+
+    fn update_endpoints(&mut self) {
+        let addresses = self.endpoint_addresses.borrow_and_update();
+        let server = |(name, &address): (&String, &SocketAddr)| {
+            (server_id_for_name(name), QuicServer { name: name.clone(), address })
+        };
+        self.servers_by_id = addresses.iter().map(server).collect();
+        if self.servers_by_id.len() < addresses.len() {
+            info!("quic: the names of two servers have the same id; rename one of them");
+        }
+    }
+
+    /// Closes idle connections and paths that their clients no longer use.
+    async fn sweep(&mut self) {
+        let idle_timeout = Duration::from_millis(u64::from(self.config.idle_ms));
+        for idle in self.flows.sweep(Instant::now(), idle_timeout) {
+            self.connection_ids.remove_connection(idle.id);
+            self.flows.remove(idle.id);
+            self.report_attempt_end(idle.id, idle.attempt, Outcome::Cancelled).await;
+        }
+        if self.drops != self.reported_drops {
+            self.reported_drops = self.drops;
+            self.log_drops();
+        }
+    }
+
+    fn log_drops(&self) {
+        let DropCounts { malformed, unexpected, already_answered, rejected, send_failed } = self.drops;
+        info!(
+            "quic: {} connections on {} paths; dropped datagrams: {malformed} malformed, {unexpected} unexpected, \
+             {already_answered} already answered, {rejected} rejected, {send_failed} not sent",
+            self.flows.len(),
+            self.flows.open_paths(),
+        );
+    }
+
+    async fn report_attempt_end(&self, id: RequestId, attempt: u32, outcome: Outcome) {
+        self.event_loop.send(DriverEvent::AttemptEnded(id, attempt, outcome)).await;
+    }
+
+    /// Sends the final answer to an Initial: an Initial that closes the connection.
+    async fn reject_initial(&mut self, ids: InitialIds, client: SocketAddr, code: u64, reason: &str) {
+        let frames = initial::encode_connection_close(code, reason);
+        let packet =
+            initial::seal(&ids.destination, Side::Server, &ids.source, &ids.destination, 0, &frames, 0);
+        self.send_to_client(&packet, client).await;
+    }
+
+    /// Closes a connection in the name of its server.
+    async fn reset_flow(&mut self, id: RequestId) {
+        if let Some(flow) = self.flows.remove(id) {
+            self.connection_ids.close_connection(id);
+            let length = flow.trigger_length();
+            self.send_reset(&flow.last_server_connection_id, length, flow.client).await;
+        }
+    }
+
+    /// Sends a stateless reset, in response to a datagram of `length` bytes.
+    async fn send_reset(&mut self, id: &ConnectionId, length: usize, client: SocketAddr) {
+        match self.reset_key.encode_reset(id, length, &mut self.rng) {
+            Some(reset) => self.send_to_client(&reset, client).await,
+            None => self.drops.unexpected += 1,
+        }
+    }
+
+    async fn send_to_client(&mut self, datagram: &[u8], client: SocketAddr) {
+        let sent = timeout(SEND_TIMEOUT, self.socket.send_to(datagram, client)).await;
+        self.drops.send_failed += u64::from(!matches!(sent, Ok(Ok(_))));
+    }
+}
+
+/// Connection ids of a client's first Initial.
+#[derive(Clone, Copy)]
+struct InitialIds {
+    /// The id that the client has chosen for the server; the keys follow from it.
+    destination: ConnectionId,
+    /// The client's own id.
+    source: ConnectionId,
+}
+
+fn random_reset_key(rng: &mut ChaCha8Rng) -> Vec<u8> {
+    info!("quic: no reset_key is configured; clients will not recognize stateless resets");
+    let mut key = vec![0; RANDOM_RESET_KEY_LENGTH];
+    rng.fill_bytes(&mut key);
+    key
+}
