--- a/src/bin/ashtide-adapter/protocol.rs
+++ b/src/bin/ashtide-adapter/protocol.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-use ashtide::quic::placing::server_id_for_name;
+use ashtide::quic::load_balancing::server_id_for_name;
 use ashtide::settings::{NameTables, group_id, span_from_seconds};
 use ashtide::{
     Action, CellId, ClassId, EndpointEntry, Event, KindId, ListUpdate, LoadReport, Outcome, Request,
--- a/src/engine/permits.rs
+++ b/src/engine/permits.rs
@@ -41,12 +41,12 @@
         let connections_when_full = self.balancer.fleet_connections_when_full(now);
         let hash_key = self.endpoints.hash_key(server);
         if let Some((permits, hash_key)) = self.permits.as_mut().zip(hash_key) {
-            permits.record_sibling_grants(now, hash_key, usage.granted, connections_when_full);
+            permits.record_sibling_grants(now, hash_key, usage.last_granted_permit, connections_when_full);
         }
         let state = SiblingState {
-            open_connections: usage.open,
-            recovery_tokens: usage.budget,
-            last_used_permit: usage.spent,
+            open_connections: usage.open_connections,
+            recovery_tokens: usage.recovery_tokens,
+            last_used_permit: usage.last_used_permit,
         };
         self.handle_event(now, Event::SiblingState { server, state }, commands);
     }
@@ -56,10 +56,11 @@
         let state = self.balancer.sibling_state(server);
         let permits = self.permits.as_ref().zip(self.endpoints.hash_key(server));
         ServerUsage {
-            open: state.open_connections,
-            budget: state.recovery_tokens,
-            spent: state.last_used_permit,
-            granted: permits.map_or(0, |(permits, hash_key)| permits.last_granted_permit(hash_key)),
+            open_connections: state.open_connections,
+            recovery_tokens: state.recovery_tokens,
+            last_used_permit: state.last_used_permit,
+            last_granted_permit: permits
+                .map_or(0, |(permits, hash_key)| permits.last_granted_permit(hash_key)),
         }
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -102,9 +102,12 @@
     fn read(files: &ConfigFiles) -> Result<Self, StartupError> {
         let mut config = Config::read(|name| std::env::var(name).ok())?;
         let descriptors = bind_retry::descriptor_limit();
-        if descriptors < config.limits.sockets {
-            info!("ashtide: limits.sockets is {}, the system allows {descriptors}", config.limits.sockets);
-            config.limits.sockets = descriptors;
+        if descriptors < config.limits.descriptors {
+            info!(
+                "ashtide: limits.sockets is {}, the system allows {descriptors}",
+                config.limits.descriptors
+            );
+            config.limits.descriptors = descriptors;
         }
         config.settings.warnings().iter().for_each(|warning| info!("ashtide: {warning}"));
         // The platform names no deploy file.
@@ -221,7 +224,7 @@
         };
         let restore_phase_over =
             discovered.as_ref().is_some_and(|siblings| siblings.summary(rank).restore_phase_over);
-        if persisted.begun || restore_phase_over {
+        if persisted.restore_phase_over || restore_phase_over {
             pending_clients.end_restore_phase();
         }
         Self { deployment, state_folder, rank, persisted, discovered }
@@ -237,9 +240,9 @@
     fn link(self, pending_clients: &PendingClients, reserved_descriptors: usize) -> LinkedSiblings {
         let receiver = self.state_folder.as_ref().and_then(|folder| folder.bind_handoff_receiver(self.rank));
         let process = ProcessState {
-            whose: Some(self.deployment),
-            started: self.rank,
-            adopts: receiver.is_some(),
+            deployment: Some(self.deployment),
+            rank: self.rank,
+            adopts_connections: receiver.is_some(),
             ..ProcessState::default()
         };
         let (successor_sender, successor) = watch::channel(None);
@@ -432,15 +435,15 @@
         let closing = self.event_loop.closing();
         tokio::spawn(listen::accept_clients(listener, frontend, self.accepting.subscribe(), closing));
         if let (Some(discovered), Some(state_folder)) = (handover.discovered, self.state_folder.clone()) {
-            tokio::spawn(handover::run(
-                discovered,
-                handover.published,
+            let context = handover::SiblingContext {
+                published: handover.published,
                 pending_clients,
-                self.accepting.clone(),
-                self.handle.clone(),
+                accepting: self.accepting.clone(),
+                event_loop: self.handle.clone(),
                 state_folder,
-                handover.successor_sender,
-            ));
+                successor: handover.successor_sender,
+            };
+            tokio::spawn(handover::run(discovered, context));
         }
     }
 
--- a/src/net/event_loop/cordons.rs
+++ b/src/net/event_loop/cordons.rs
@@ -8,7 +8,7 @@
 use super::EventLoop;
 use crate::decision::interface::*;
 use crate::discovery::{Endpoint, EndpointStatus};
-use crate::handover::{Cordons, ServerUsage};
+use crate::handover::{CordonTransition, Cordons, ServerUsage};
 use crate::net::admin::CordonRequest;
 use crate::net::messages::ServerObservations;
 
@@ -44,7 +44,7 @@
         usage: BTreeMap<String, ServerUsage>,
         cordons: &Cordons,
     ) {
-        for (server, cordoned) in self.sibling_link.merge_cordons(cordons) {
+        for CordonTransition { server, cordoned } in self.sibling_link.merge_cordons(cordons) {
             self.set_operator_cordon(now, &server, cordoned);
         }
         for (name, usage) in usage {
--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -10,7 +10,7 @@
 use crate::decision::interface::*;
 use crate::discovery::start_times::StartTimes;
 use crate::discovery::{Endpoint, EndpointList, EndpointStatus, WatchEnd};
-use crate::quic::placing::server_id_for_name;
+use crate::quic::load_balancing::server_id_for_name;
 use crate::settings::NameTables;
 
 /// Servers whose names are remembered; further new ones are ignored.
--- a/src/net/event_loop/observability.rs
+++ b/src/net/event_loop/observability.rs
@@ -53,8 +53,8 @@
         metrics.set_gauge(Gauge::KnownServers, self.endpoints.entries.len());
         metrics.set_gauge(Gauge::SkippedServers, self.engine.avoided_server_count(now));
         let HealthCheckCounts { sent, withheld } = self.engine.health_check_counts();
-        metrics.set_gauge(Gauge::Probes, sent);
-        metrics.set_gauge(Gauge::ProbesWithheld, withheld);
+        metrics.set_gauge(Gauge::HealthChecks, sent);
+        metrics.set_gauge(Gauge::HealthChecksWithheld, withheld);
         let usage = self.endpoints.entries.keys().filter_map(|name| {
             let server = self.names.servers.find(name).map(ServerId)?;
             Some((name.clone(), self.engine.sibling_share(server)))
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
-use super::connection_handoff::HandoffReceiver;
+use super::connection_handoff::{HandoffReceiver, ReceivedConnection};
 use super::pending_clients::AddedClient;
 use super::rate_limited_log::RateLimitedLog;
 use super::session::Frontend;
@@ -117,7 +117,7 @@
 pub async fn adopt_connections(receiver: HandoffReceiver, frontend: Frontend) {
     loop {
         match receiver.receive().await {
-            Ok((established, [client, server])) => {
+            Ok(ReceivedConnection { connection: established, client, server }) => {
                 tokio::spawn(frontend.clone().adopt_connection(established, client, server));
             }
             Err(error) => {
--- a/src/net/session/admission.rs
+++ b/src/net/session/admission.rs
@@ -52,10 +52,10 @@
             FirstLine::Invalid(error) => self.answer_client_error(&error),
             // It may ask at this very moment: what it reads then is an answer, and harmless.
             FirstLine::Idle => {
-                self.event_loop.count_closed(CloseReason::Unasked);
+                self.event_loop.count_closed(CloseReason::NoRequest);
                 busy(OVER_LIMIT_RETRY_AFTER)
             }
-            FirstLine::Closed => return self.event_loop.count_closed(CloseReason::Unasked),
+            FirstLine::Closed => return self.event_loop.count_closed(CloseReason::NoRequest),
         };
         tokio::select! {
             biased;
@@ -70,10 +70,10 @@
         let stopping = self.pending_clients.is_closed();
         let graceful_close = if stopping { None } else { self.pending_clients.try_acquire_graceful_close() };
         if graceful_close.is_none() && !stopping {
-            self.event_loop.count_closed(CloseReason::Hurried);
+            self.event_loop.count_closed(CloseReason::EvictedImmediately);
             return client.close_immediately(&busy(OVER_LIMIT_RETRY_AFTER));
         }
-        let reason = if stopping { CloseReason::Stopped } else { CloseReason::Displaced };
+        let reason = if stopping { CloseReason::ProcessStopped } else { CloseReason::Evicted };
         self.event_loop.count_closed(reason);
         self.finish_client(client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
         drop(graceful_close);
@@ -90,7 +90,7 @@
 
     fn check_admission(&self, open: Box<Open>) -> Result<Admission, Rejection> {
         let invalid =
-            |error| Rejection { counter: Counter::BadGateway, answer: self.answer_client_error(&error) };
+            |error| Rejection { counter: Counter::Failed, answer: self.answer_client_error(&error) };
         if open.at.is_some() && self.pending_clients.restore_phase_is_over() {
             return Err(invalid(ClientError::RestoreAfterStart));
         }
@@ -99,7 +99,7 @@
         };
         let Some(permit) = self.pending_clients.try_acquire_session() else {
             LIMIT_REJECTIONS.log("all sessions are in use; rejecting a client");
-            return Err(Rejection { counter: Counter::Dropped, answer: busy(OVER_LIMIT_RETRY_AFTER) });
+            return Err(Rejection { counter: Counter::Rejected, answer: busy(OVER_LIMIT_RETRY_AFTER) });
         };
         Ok(Admission { open, permit, id_claim })
     }
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -134,13 +134,13 @@
     }
 
     async fn client_left(self) {
-        self.frontend.event_loop.count_closed(CloseReason::Left);
+        self.frontend.event_loop.count_closed(CloseReason::ClientLeft);
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
     }
 
     /// Ends a session whose commands have ended without an answer. That should not happen, but the client is owed one.
     async fn abandon(self) {
-        self.frontend.event_loop.count_closed(CloseReason::Forgotten);
+        self.frontend.event_loop.count_closed(CloseReason::Unanswered);
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
         drop(self.id_claim);
         self.frontend.finish_client(self.client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
@@ -150,15 +150,15 @@
     async fn reject_client(self, error: &ClientError) {
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
         let answer = self.frontend.answer_client_error(error);
-        self.count(Counter::BadGateway);
+        self.count(Counter::Failed);
         drop(self.id_claim);
         self.frontend.finish_client(self.client, &answer).await;
     }
 
     async fn answer(self, answer: FinalAnswer) {
         let (counter, line) = match answer {
-            FinalAnswer::Rejected(wait) => (Counter::Dropped, busy(to_duration(wait))),
-            FinalAnswer::Failed => (Counter::BadGateway, Bytes::from_static(FAILED)),
+            FinalAnswer::Rejected(wait) => (Counter::Rejected, busy(to_duration(wait))),
+            FinalAnswer::Failed => (Counter::Failed, Bytes::from_static(FAILED)),
         };
         self.count(counter);
         drop(self.id_claim);
--- a/src/net/session/frontend.rs
+++ b/src/net/session/frontend.rs
@@ -54,7 +54,7 @@
     /// Ends a client with a last line, and counts a client that did not read it.
     pub(super) async fn finish_client(&self, client: LineConnection, last_line: &[u8]) {
         if !client.finish(last_line).await {
-            self.event_loop.count_closed(CloseReason::Unread);
+            self.event_loop.count_closed(CloseReason::AnswerUnread);
         }
     }
 
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -12,7 +12,7 @@
 use super::frontend::{Frontend, connection_request};
 use crate::decision::interface::RequestId;
 use crate::engine::open_ids::RequestIdClaim;
-use crate::handover::EstablishedConnection;
+use crate::handover::{EstablishedConnection, PendingBytes};
 use crate::net::messages::{RequestCommand, SESSION_COMMAND_QUEUE, SessionEvent};
 
 /// The number of an attempt that an older process has made.
@@ -34,11 +34,13 @@
     ) {
         let Ok(client) = into_stream(client) else { return };
         let Ok(server) = into_stream(server) else { return };
-        let client = LineConnection::resume(client, established.to_server.1);
-        let server = LineConnection::resume(server, established.to_client.1);
+        let client = LineConnection::resume(client, established.to_server.read_ahead);
+        let server = LineConnection::resume(server, established.to_client.read_ahead);
         let Some(ClaimedRequest { open, id_claim }) = self.claim(established.open_line) else {
             // Cannot come from a process that read the line and held the id; the client is owed an answer.
-            return self.finish_client(client, &complete_line(established.to_client.0, MOVE)).await;
+            return self
+                .finish_client(client, &complete_line(established.to_client.line_remainder, MOVE))
+                .await;
         };
         let permit = self.pending_clients.adopt_session();
         let id = self.event_loop.next_request_id();
@@ -48,7 +50,7 @@
             open,
             client,
             side: ClientSide::default(),
-            early_lines: BytesMut::from(&established.to_server.0[..]),
+            early_lines: BytesMut::from(&established.to_server.line_remainder[..]),
             commands,
             frontend: self,
             id_claim,
@@ -56,7 +58,7 @@
         let server = EstablishedServer {
             connection: server,
             side: ServerSide::standing(),
-            accept_line: established.to_client.0,
+            accept_line: established.to_client.line_remainder,
         };
         session.relay(ADOPTED_ATTEMPT, server, true).await;
         drop(permit);
@@ -100,8 +102,8 @@
         let established = EstablishedConnection {
             server: server_name,
             open_line: open.raw,
-            to_client: (to_client.clone(), server.unread),
-            to_server: (to_server, client.unread),
+            to_client: PendingBytes { line_remainder: to_client.clone(), read_ahead: server.unread },
+            to_server: PendingBytes { line_remainder: to_server, read_ahead: client.unread },
         };
         let successor = frontend.successor.borrow().clone();
         if let (Some(successor), Some(datagram)) = (successor, established.encode()) {
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -132,7 +132,7 @@
             state.to_client = Bytes::new();
         } else if !state.client_informed && state.to_client.is_empty() {
             state.client_informed = true;
-            self.count(Counter::Passed);
+            self.count(Counter::Established);
         }
     }
 
