--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -58,6 +58,11 @@
     }
 }
 
+/// Whether a connect that took this long counts as fast for a class of this latency objective.
+pub(super) fn is_fast_connect(objective: Span, elapsed: Span) -> bool {
+    elapsed < objective.scale(FAST_CONNECT_SHARE)
+}
+
 /// Requests that wait for a server, oldest first.
 #[derive(Default)]
 pub(super) struct RequestQueue {
@@ -176,11 +181,6 @@
         }
     }
 
-    /// Whether a connect of this class that took this long counts as fast.
-    pub(super) fn is_fast_connect(&self, objective: Span, elapsed: Span) -> bool {
-        elapsed < objective.scale(FAST_CONNECT_SHARE)
-    }
-
     /// Takes a connect out of the window. A slow one on a server that stands out says nothing of the others.
     pub(super) fn record_connect(&mut self, now: Time, server: ServerId, is_fast: bool) {
         self.connect_window.end();
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts and the connections that come of them, from the begin to the end, and their counts.
 
 use super::Balancer;
+use super::admission::is_fast_connect;
 use super::interface::{Action, GroupId, Outcome, RequestId, ServerId, Span, Time};
 
 impl Balancer {
@@ -17,11 +18,12 @@
         self.actions.push(Action::Attempt { id, server, timeout });
     }
 
+    /// Counts an attempt as established; the request is answered by it.
     pub(super) fn handle_established(&mut self, now: Time, id: RequestId, attempt: u32, elapsed: Span) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(server) = request.establish(attempt) else { return };
         let class = request.class;
-        let is_fast = self.is_fast_connect(self.class(class).latency_objective, elapsed);
+        let is_fast = is_fast_connect(self.class(class).latency_objective, elapsed);
         self.record_connect(now, server, is_fast);
         self.record_success(server);
         self.retry_queued(now);
@@ -33,6 +35,7 @@
         }
     }
 
+    /// Ends an attempt or connection: counts it out, judges its server, and retries the request if it is not done.
     pub(super) fn handle_attempt_ended(
         &mut self,
         now: Time,
--- a/src/decision/interface/ids.rs
+++ b/src/decision/interface/ids.rs
@@ -19,9 +19,9 @@
     KindId(u32);
     /// A small group of servers that share which idempotency keys they have seen.
     CellId(u32);
-    /// A request class: its index in [`Settings::classes`].
+    /// A request class: its index in [`Settings::classes`](super::Settings::classes).
     ClassId(u32);
-    /// A tenant: its index in [`Settings::tenants`].
+    /// A tenant: its index in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u32);
     /// A group of connections that share work on their server.
     GroupId(u32);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -140,12 +140,12 @@
         self.server_mut(server).record_sibling(state);
     }
 
-    /// How many connections of this gateway a server has, attempts included.
+    /// Returns how many connections of this gateway a server has, attempts included.
     pub fn open_connections(&self, server: ServerId) -> u32 {
         if self.is_listed(server) { self.server(server).open_connections() } else { 0 }
     }
 
-    /// What another process of this gateway has to know of a server.
+    /// Returns what another process of this gateway has to know of a server.
     pub fn sibling_state(&self, server: ServerId) -> SiblingState {
         if self.is_listed(server) { self.server(server).sibling_state() } else { SiblingState::default() }
     }
--- a/src/decision/typical_load.rs
+++ b/src/decision/typical_load.rs
@@ -77,7 +77,7 @@
 }
 
 impl Balancer {
-    /// About how many connections of all gateways fill a server.
+    /// Returns about how many connections of all gateways fill a server.
     pub fn fleet_connections_when_full(&mut self, now: Time) -> f64 {
         self.update_typical_load(now);
         self.last_fleet_connections_when_full()
