--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -52,13 +52,14 @@
 
     fn migration_candidates(&self, server: ServerId) -> Vec<MigrationCandidate> {
         let mean_load = self.mean_load();
-        let candidate = |(id, request): (RequestId, &PendingRequest)| {
+        let mut candidates = Vec::new();
+        for (id, request) in self.established_on(server) {
             let load = request.load().unwrap_or(mean_load);
             let weight = self.class(request.class).priority_weight;
             let value = if self.settings.priority_scales_with_load { weight } else { weight / load };
-            MigrationCandidate { id, value, load }
-        };
-        self.established_on(server).map(candidate).collect()
+            candidates.push(MigrationCandidate { id, value, load });
+        }
+        candidates
     }
 
     /// The mean of all connections whose load is known.
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -121,7 +121,7 @@
 
 /// A longer exchange of two gateways; `name` gives every server, zone and class its name.
 fn exchange(gateways: &[u32], name: &dyn Fn(&str) -> String) -> String {
-    let servers: Vec<String> = (0..6).map(|i| name(&format!("server{i}"))).collect();
+    let servers: Vec<String> = (0..6).map(|number| name(&format!("server{number}"))).collect();
     let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
     let mut input = String::new();
     let rename = |text: String| {
