--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -13,6 +13,7 @@
 use crate::decision::Balancer;
 use crate::decision::interface::{Action, Event, Outcome, ServerId, Settings, Span, Time};
 use crate::decision::slow_start::SlowStartConfig;
+use crate::discovery::MAX_LIST_STALENESS;
 use crate::fleet::permits::{Permits, ServerKey};
 use crate::fleet::shared_state::{OutcomeReport, OutcomeReporter};
 
@@ -41,8 +42,6 @@
 use response_times::SWEEP_INTERVAL;
 use timers::Timers;
 
-use crate::discovery::MAX_LIST_STALENESS;
-
 /// Finest granularity of timers.
 const MIN_TIMER_GRANULARITY: Span = Span::from_micros(1_000);
 
@@ -177,8 +176,6 @@
         }
     }
 
-    // ---- Health checks ----
-
     fn check_health(&mut self, now: Time, server: ServerId, commands: &mut Vec<Command>) {
         if self.health_check_budget.try_acquire(now, server) {
             commands.push(Command::CheckHealth { server });
@@ -204,8 +201,6 @@
         }
     }
 
-    // ---- Observation ----
-
     /// Connections that the decision module counts on a server, attempts in flight included.
     pub fn connections_on(&self, server: ServerId) -> u32 {
         self.balancer.open_connections(server)
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -40,14 +40,32 @@
     }
 }
 
+/// An attempt in flight, or the connection that came of it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct ObservedAttempt {
+    number: u32,
+    established: bool,
+}
+
 #[derive(Default)]
 struct ObservedRequest {
     attempts: u32,
-    in_flight: Option<(u32, bool)>,
+    in_flight: Option<ObservedAttempt>,
     answers: u32,
     is_over: bool,
 }
 
+impl ObservedRequest {
+    fn is_established(&self) -> bool {
+        self.in_flight.is_some_and(|attempt| attempt.established)
+    }
+
+    /// Takes the attempt in flight off; whether it was established.
+    fn take_established(&mut self) -> bool {
+        self.in_flight.take().is_some_and(|attempt| attempt.established)
+    }
+}
+
 /// A frontend that checks every command.
 struct EngineHarness {
     engine: Engine,
@@ -91,19 +109,19 @@
 
     /// Reports the outcome of the attempt in flight.
     fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let seen = self.requests.get_mut(&id).expect("a request of this harness");
-        let Some((attempt, established)) = seen.in_flight.take() else { return };
-        seen.is_over |= established;
-        self.engine.handle_attempt_end(self.now, id, attempt, outcome, &mut self.commands);
+        let observed = self.requests.get_mut(&id).expect("a request of this harness");
+        let Some(attempt) = observed.in_flight.take() else { return };
+        observed.is_over |= attempt.established;
+        self.engine.handle_attempt_end(self.now, id, attempt.number, outcome, &mut self.commands);
         self.check_commands();
     }
 
     /// Whether the attempt in flight may send its first byte, as its frontend asks once it is connected.
     fn may_send_first_byte(&mut self, id: RequestId) -> bool {
-        let Some((attempt, _)) = self.requests[&id].in_flight else { return false };
-        let may = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
+        let Some(attempt) = self.requests[&id].in_flight else { return false };
+        let may_send = self.engine.may_send_first_byte(self.now, id, attempt.number, &mut self.commands);
         self.check_commands();
-        may
+        may_send
     }
 
     /// Updates the state of a server on the list.
@@ -114,60 +132,54 @@
     }
 
     fn establish(&mut self, id: RequestId) {
-        let Some((attempt, established)) =
-            &mut self.requests.get_mut(&id).expect("of this harness").in_flight
-        else {
-            return;
-        };
-        *established = true;
-        let attempt = *attempt;
-        self.engine.handle_established(self.now, id, attempt, &mut self.commands);
+        let request = self.requests.get_mut(&id).expect("a request of this harness");
+        let Some(attempt) = &mut request.in_flight else { return };
+        attempt.established = true;
+        let number = attempt.number;
+        self.engine.handle_established(self.now, id, number, &mut self.commands);
         self.check_commands();
     }
 
     fn check_commands(&mut self) {
-        for effect in std::mem::take(&mut self.commands) {
-            match effect {
+        for command in std::mem::take(&mut self.commands) {
+            match command {
                 Command::Attempt { id, attempt, server, .. } => {
-                    let seen = self.requests.get_mut(&id).expect("a request of this harness");
-                    assert!(!seen.is_over && seen.answers == 0, "an attempt for a request that is over");
-                    assert_eq!(seen.in_flight, None, "two attempts in flight");
-                    assert_eq!(attempt, seen.attempts, "attempts are counted");
+                    let observed = self.requests.get_mut(&id).expect("a request of this harness");
+                    assert!(
+                        !observed.is_over && observed.answers == 0,
+                        "an attempt for a request that is over"
+                    );
+                    assert_eq!(observed.in_flight, None, "two attempts in flight");
+                    assert_eq!(attempt, observed.attempts, "attempts are counted");
                     assert!(server.0 < SERVERS);
-                    seen.attempts = attempt + 1;
-                    seen.in_flight = Some((attempt, false));
+                    observed.attempts = attempt + 1;
+                    observed.in_flight = Some(ObservedAttempt { number: attempt, established: false });
                 }
                 Command::Close { id, attempt } => {
-                    let seen = self.requests.get_mut(&id).expect("a request of this harness");
+                    let observed = self.requests.get_mut(&id).expect("a request of this harness");
                     assert_eq!(
-                        seen.in_flight.take(),
-                        Some((attempt, false)),
+                        observed.in_flight.take(),
+                        Some(ObservedAttempt { number: attempt, established: false }),
                         "only an attempt in flight is closed"
                     );
                 }
                 Command::Answer { id, .. } => {
-                    let seen = self.requests.get_mut(&id).expect("a request of this harness");
-                    assert_eq!(seen.in_flight, None, "an attempt outlives the answer");
-                    assert!(!seen.is_over, "an answer to a request that is over");
-                    seen.answers += 1;
-                    seen.is_over = true;
+                    let observed = self.requests.get_mut(&id).expect("a request of this harness");
+                    assert_eq!(observed.in_flight, None, "an attempt outlives the answer");
+                    assert!(!observed.is_over, "an answer to a request that is over");
+                    observed.answers += 1;
+                    observed.is_over = true;
                 }
                 Command::Migrate { id } => {
-                    let seen = self.requests.get_mut(&id).expect("a request of this harness");
-                    assert!(
-                        matches!(seen.in_flight.take(), Some((_, true))),
-                        "only an established connection is migrated"
-                    );
-                    seen.is_over = true;
+                    let observed = self.requests.get_mut(&id).expect("a request of this harness");
+                    assert!(observed.take_established(), "only an established connection is migrated");
+                    observed.is_over = true;
                     self.migrated.push(id);
                 }
                 Command::HandOff { id, .. } => {
-                    let seen = self.requests.get_mut(&id).expect("a request of this harness");
-                    assert!(
-                        matches!(seen.in_flight.take(), Some((_, true))),
-                        "only an established connection is handed over"
-                    );
-                    seen.is_over = true;
+                    let observed = self.requests.get_mut(&id).expect("a request of this harness");
+                    assert!(observed.take_established(), "only an established connection is handed over");
+                    observed.is_over = true;
                     self.passed_on.push(id);
                 }
                 Command::CheckHealth { .. } | Command::Subscribe | Command::SendDatagram(_) => {}
@@ -245,11 +257,11 @@
                         6 => harness.end(id, Outcome::ConnectError),
                         7 => harness.end(id, Outcome::Reset),
                         8 => {
-                            let seen = harness.requests.get_mut(&id).expect("of this harness");
-                            let waits = matches!(seen.in_flight, Some((_, true)));
-                            seen.is_over = true;
+                            let observed = harness.requests.get_mut(&id).expect("of this harness");
+                            let waits = observed.is_established();
+                            observed.is_over = true;
                             if waits {
-                                seen.in_flight = None;
+                                observed.in_flight = None;
                             }
                             harness.engine.handle_client_left(harness.now, id, &mut harness.commands);
                             harness.check_commands();
@@ -261,16 +273,16 @@
                 }
                 // By their deadline and the slack all have an answer, stand, or are over.
                 harness.advance(2020).await;
-                for (id, seen) in &harness.requests {
-                    let is_established = matches!(seen.in_flight, Some((_, true)));
+                for (id, observed) in &harness.requests {
+                    let is_established = observed.is_established();
                     assert!(
-                        seen.is_over || is_established,
+                        observed.is_over || is_established,
                         "{id:?} has no answer: {} attempts",
-                        seen.attempts
+                        observed.attempts
                     );
-                    assert!(seen.answers <= 1);
+                    assert!(observed.answers <= 1);
                 }
-                let stand = harness.requests.values().filter(|seen| seen.in_flight.is_some()).count();
+                let stand = harness.requests.values().filter(|observed| observed.in_flight.is_some()).count();
                 assert_eq!(harness.engine.open_request_count(), stand, "what is over is forgotten");
             });
             Ok(())
@@ -337,10 +349,10 @@
     with_time(async {
         let mut harness = EngineHarness::new();
         let id = harness.request();
-        let first = harness.requests[&id].in_flight.expect("an attempt is out").0;
+        let first = harness.requests[&id].in_flight.expect("an attempt is in flight").number;
         harness.advance(1100).await;
         assert_ne!(
-            harness.requests[&id].in_flight.map(|out| out.0),
+            harness.requests[&id].in_flight.map(|attempt| attempt.number),
             Some(first),
             "the first attempt has timed out"
         );
@@ -427,7 +439,11 @@
             let request = Request { id, class, tenant, group, time_left: micros(0), load: None };
             harness.requests.insert(
                 id,
-                ObservedRequest { in_flight: Some((0, true)), attempts: 1, ..ObservedRequest::default() },
+                ObservedRequest {
+                    in_flight: Some(ObservedAttempt { number: 0, established: true }),
+                    attempts: 1,
+                    ..ObservedRequest::default()
+                },
             );
             harness.engine.adopt_connection(
                 harness.now,
