--- a/crates/ashtide-fleet/tests/agreement.rs
+++ b/crates/ashtide-fleet/tests/agreement.rs
@@ -21,13 +21,13 @@
 struct Machine {
     exchange: Option<Exchange>,
     clock: Clock,
-    life: u64,
+    incarnation: u64,
     stalled: Duration,
     file: usize,
-    kept: Option<PersistedAllocation>,
+    persisted_allocation: Option<PersistedAllocation>,
 }
 
-struct Play {
+struct Run {
     chance: Chance<Vec<u8>>,
     machines: Vec<Machine>,
     splits: Vec<Allocation>,
@@ -37,17 +37,23 @@
     raises: u32,
 }
 
-impl Play {
+impl Run {
     fn new(seed: u64, broken: Option<Mutation>) -> Self {
         let mut chance = Chance::new(seed);
         let clocks: Vec<Clock> = (0..SIZE).map(|_| Clock::new(&mut chance)).collect();
-        let machine =
-            |clock| Machine { exchange: None, clock, life: 50, stalled: Duration::ZERO, file: 0, kept: None };
+        let machine = |clock| Machine {
+            exchange: None,
+            clock,
+            incarnation: 50,
+            stalled: Duration::ZERO,
+            file: 0,
+            persisted_allocation: None,
+        };
         let machines = clocks.into_iter().map(machine).collect();
-        let mut play = Self { chance, machines, splits: Vec::new(), agreed: 1, broken, raises: 0 };
-        play.publish();
-        (0..SIZE).for_each(|number| play.start(number));
-        play
+        let mut simulation = Self { chance, machines, splits: Vec::new(), agreed: 1, broken, raises: 0 };
+        simulation.publish();
+        (0..SIZE).for_each(|number| simulation.start(number));
+        simulation
     }
 
     /// A later generation: other totals, and now and then another list, other floors or other partners.
@@ -79,9 +85,10 @@
     fn start(&mut self, number: usize) {
         let seed = self.chance.rng.random();
         let machine = &mut self.machines[number];
-        machine.life += 1;
+        machine.incarnation += 1;
         let now = machine.clock.read(self.chance.now);
-        let (terms, rules) = (LeaseConfig::default(), OutlierLimits::default());
+        let terms = LeaseConfig::default();
+        let rules = OutlierLimits::default();
         let setup = ExchangeConfig {
             fleet_id: 7,
             slot_count: SIZE as u16,
@@ -89,11 +96,12 @@
             lease: terms,
             outlier_limits: rules,
         };
-        let mut exchange = Exchange::new(setup, Slot(number as u16), machine.life, seed, now);
+        let mut exchange = Exchange::new(setup, Slot(number as u16), machine.incarnation, seed, now);
         exchange.set_peers((0..SIZE as u16).map(Slot));
         let split = self.splits[machine.file].clone();
-        let mut agreement = AllocationAgreement::new(Slot(number as u16), split, machine.kept.clone())
-            .expect("files on a machine do not go back");
+        let mut agreement =
+            AllocationAgreement::new(Slot(number as u16), split, machine.persisted_allocation.clone())
+                .expect("files on a machine do not go back");
         if let Some(broken) = self.broken {
             agreement.set_mutation(broken);
         }
@@ -142,9 +150,9 @@
             };
             exchange.advance_to(machine.clock.read(self.chance.now));
             let agreement = exchange.agreement().expect("there");
-            let kept = agreement.persisted();
-            if machine.kept.as_ref() != Some(&kept) {
-                machine.kept = Some(kept);
+            let persisted_allocation = agreement.persisted();
+            if machine.persisted_allocation.as_ref() != Some(&persisted_allocation) {
+                machine.persisted_allocation = Some(persisted_allocation);
             }
             exchange.with_agreement(AllocationAgreement::mark_persisted);
             while let Some((to, datagram)) = exchange.next_datagram() {
@@ -154,7 +162,7 @@
         while let Some((from, to, datagram)) = self.chance.next() {
             let machine = &mut self.machines[to];
             if machine.stalled > self.chance.now {
-                self.chance.keep(from, to, datagram);
+                self.chance.delay(from, to, datagram);
             } else if let Some(exchange) = &mut machine.exchange {
                 exchange.handle_datagram(&datagram).expect("it is sound");
             }
@@ -164,7 +172,7 @@
     /// All together have at most what the last generation gives that anyone has agreed on: while it is being
     /// changed, and whoever has not heard of that.
     fn check(&mut self) -> Result<(), Violation> {
-        let mut rights: BTreeMap<u32, u64> = BTreeMap::new();
+        let mut usable: BTreeMap<u32, u64> = BTreeMap::new();
         for machine in &mut self.machines {
             let now = machine.clock.read(self.chance.now);
             let Some(exchange) = &mut machine.exchange else { continue };
@@ -180,71 +188,76 @@
             for id in 1..=2 {
                 if let Some(budget) = exchange.budget_mut(id) {
                     budget.advance_to(now);
-                    *rights.entry(id).or_default() += budget.escrow().usable_units();
+                    *usable.entry(id).or_default() += budget.escrow().usable_units();
                 }
             }
         }
         for (id, &(total, _)) in &self.splits[self.agreed as usize - 1].totals {
-            check_total(total, rights.get(id).copied())?;
+            check_total(total, usable.get(id).copied())?;
         }
         Ok(())
     }
 }
 
-fn play(seed: u64, broken: Option<Mutation>, steps: usize) -> Result<Play, Violation> {
-    let mut play = Play::new(seed, broken);
+fn simulation(seed: u64, broken: Option<Mutation>, steps: usize) -> Result<Run, Violation> {
+    let mut simulation = Run::new(seed, broken);
     for _ in 0..steps {
-        if play.chance.one_in(30) {
-            play.fault();
+        if simulation.chance.one_in(30) {
+            simulation.fault();
         }
-        if play.chance.one_in(150) && play.splits.len() < 9 {
-            play.publish();
+        if simulation.chance.one_in(150) && simulation.splits.len() < 9 {
+            simulation.publish();
         }
-        let number = play.chance.below(SIZE);
-        if play.chance.one_in(20) {
-            let hup = !play.chance.one_in(4);
-            play.bring(number, hup);
+        let number = simulation.chance.below(SIZE);
+        if simulation.chance.one_in(20) {
+            let hup = !simulation.chance.one_in(4);
+            simulation.bring(number, hup);
         }
-        if play.machines[number].exchange.is_none() && play.chance.one_in(15) {
-            play.start(number);
+        if simulation.machines[number].exchange.is_none() && simulation.chance.one_in(15) {
+            simulation.start(number);
         }
         // Nearly all is on loan, and moves between holders.
-        let wants = [0, 60_000][play.chance.below(2)];
-        if let Some(exchange) = play.machines[number].exchange.as_mut().filter(|_| play.chance.one_in(5)) {
+        let wants = [0, 60_000][simulation.chance.below(2)];
+        if let Some(exchange) =
+            simulation.machines[number].exchange.as_mut().filter(|_| simulation.chance.one_in(5))
+        {
             exchange.set_wanted_units(1, wants);
             exchange.set_wanted_units(2, wants);
         }
-        play.step();
-        play.check()?;
+        simulation.step();
+        simulation.check()?;
     }
-    Ok(play)
+    Ok(simulation)
 }
 
 #[test]
 fn no_change_lets_all_together_have_more_than_was_agreed_on_and_all_come_to_the_newest() {
-    let (mut raises, count) = (0, 250);
+    let mut raises = 0;
+    let count = 250;
     for seed in seeds(count) {
-        let mut play =
-            play(seed, None, 800).unwrap_or_else(|violation| panic!("ASHTIDE_SEED={seed}: {violation}"));
-        (play.chance.loss, play.chance.repeat, play.chance.slow) = (0.0, 0.0, (40, 0.0));
-        play.chance.cut.clear();
+        let mut simulation = simulation(seed, None, 800)
+            .unwrap_or_else(|violation| panic!("ASHTIDE_SEED={seed}: {violation}"));
+        simulation.chance.loss = 0.0;
+        simulation.chance.repeat = 0.0;
+        simulation.chance.slow = (40, 0.0);
+        simulation.chance.cut.clear();
         for number in 0..SIZE {
-            play.machines[number].stalled = Duration::ZERO;
-            play.bring(number, true);
-            if play.machines[number].exchange.is_none() {
-                play.start(number);
+            simulation.machines[number].stalled = Duration::ZERO;
+            simulation.bring(number, true);
+            if simulation.machines[number].exchange.is_none() {
+                simulation.start(number);
             }
         }
         for _ in 0..(12 * SECOND).as_millis() / STEP.as_millis() {
-            play.step();
-            assert_eq!(play.check(), Ok(()), "ASHTIDE_SEED={seed}");
+            simulation.step();
+            assert_eq!(simulation.check(), Ok(()), "ASHTIDE_SEED={seed}");
         }
-        for (number, machine) in play.machines.iter().enumerate() {
+        for (number, machine) in simulation.machines.iter().enumerate() {
             let agreement = machine.exchange.as_ref().and_then(Exchange::agreement).expect("there");
             let at = (agreement.allocation().generation as usize, agreement.is_agreed());
-            assert_eq!(at, (play.splits.len(), true), "ASHTIDE_SEED={seed}: {number}: {agreement:?}");
+            assert_eq!(at, (simulation.splits.len(), true), "ASHTIDE_SEED={seed}: {number}: {agreement:?}");
         }
-        raises += play.raises;
+        raises += simulation.raises;
     }
     assert!(
         std::env::var("ASHTIDE_SEED").is_ok() || raises > count as u32,
@@ -263,7 +276,7 @@
     for broken in variants {
         let mut found: BTreeMap<&str, u32> = BTreeMap::new();
         for seed in 0..200 {
-            if let Err(violation) = play(seed, Some(broken), 800) {
+            if let Err(violation) = simulation(seed, Some(broken), 800) {
                 *found.entry(violation.invariant_id()).or_default() += 1;
             }
         }
@@ -276,10 +289,14 @@
     Allocation { generation, slot_count: 2, floor_permille: 100, totals: [(1, (total, PACE))].into() }
 }
 
-fn started(own: u16, generation: u32, kept: Option<PersistedAllocation>) -> AllocationAgreement {
+fn started(
+    own: u16,
+    generation: u32,
+    persisted_allocation: Option<PersistedAllocation>,
+) -> AllocationAgreement {
     let total = 10_000 * u64::from(generation);
-    let mut agreement =
-        AllocationAgreement::new(Slot(own), split(generation, total), kept).expect("it is the newest");
+    let mut agreement = AllocationAgreement::new(Slot(own), split(generation, total), persisted_allocation)
+        .expect("it is the newest");
     agreement.mark_persisted();
     agreement.commit(true);
     agreement
@@ -287,7 +304,8 @@
 
 #[test]
 fn a_smaller_root_is_used_at_once_and_a_larger_one_when_both_have_promised() {
-    let (mut one, mut other) = (started(0, 1, None), started(1, 1, None));
+    let mut one = started(0, 1, None);
+    let mut other = started(1, 1, None);
     assert!(one.is_agreed() && other.is_agreed());
     let root = |it: &AllocationAgreement| it.active_shares()[&1].floor + it.active_shares()[&1].lendable;
     let at_first = root(&one);
@@ -319,8 +337,8 @@
     assert_eq!(one.update(split(2, 1)), Err(StaleAllocation::Older { found: 2, at: 3 }));
     assert_eq!(one.update(split(3, 1)), Err(StaleAllocation::Conflicting { generation: 3 }));
     assert_eq!(one.update(split(3, 30_000)), Ok(()));
-    let kept = Some(one.persisted());
-    assert!(AllocationAgreement::new(Slot(0), split(2, 1), kept).is_err());
+    let persisted_allocation = Some(one.persisted());
+    assert!(AllocationAgreement::new(Slot(0), split(2, 1), persisted_allocation).is_err());
     let other = AllocationAgreement::new(Slot(1), split(3, 1), None).expect("nothing is known of another");
     let mut other = other;
     one.handle_message(Slot(1), other.next_message());
@@ -328,8 +346,9 @@
 }
 
 #[test]
-fn a_life_that_knows_nothing_of_an_earlier_one_has_nothing_until_it_hears_that_all_are_there() {
-    let (mut one, mut other) = (started(0, 2, None), started(1, 2, None));
+fn a_process_without_persisted_allocation_has_nothing_until_all_have_committed() {
+    let mut one = started(0, 2, None);
+    let mut other = started(1, 2, None);
     assert_eq!(one.active_shares()[&1], Default::default());
     one.handle_message(Slot(1), other.next_message());
     assert!(one.is_agreed() && one.active_shares()[&1].floor > 0);
--- a/crates/ashtide-fleet/tests/budgets.rs
+++ b/crates/ashtide-fleet/tests/budgets.rs
@@ -17,7 +17,7 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask(LeaseRequest),
+    Request(LeaseRequest),
     Grant(LeaseGrant),
 }
 
@@ -30,7 +30,7 @@
     jumped: Duration,
 }
 
-struct Play {
+struct Run {
     chance: Chance<Message>,
     gateways: Vec<Gateway>,
     roots: Vec<InitialShare>,
@@ -42,7 +42,7 @@
     moved: u64,
 }
 
-impl Play {
+impl Run {
     fn new(seed: u64, broken: Option<Mutation>, usage: BudgetKind) -> Self {
         let mut chance = Chance::new(seed);
         let size = 3 + chance.below(4);
@@ -69,10 +69,11 @@
                 jumped,
             });
         }
-        let (spent, moved) = (Vec::new(), 0);
-        let mut play = Self { chance, gateways, roots, total, broken, usage, spent, moved };
-        (0..size).for_each(|number| play.start(number, true));
-        play
+        let spent = Vec::new();
+        let moved = 0;
+        let mut simulate = Self { chance, gateways, roots, total, broken, usage, spent, moved };
+        (0..size).for_each(|number| simulate.start(number, true));
+        simulate
     }
 
     fn start(&mut self, number: usize, first: bool) {
@@ -123,17 +124,17 @@
             let gateway = &mut self.gateways[to];
             // What comes for a stalled process waits in its socket.
             if gateway.stalled > self.chance.now {
-                let rest = gateway.stalled - self.chance.now;
-                if rest < Duration::from_millis(1_500) {
-                    self.chance.keep(from, to, message);
+                let remaining = gateway.stalled - self.chance.now;
+                if remaining < Duration::from_millis(1_500) {
+                    self.chance.delay(from, to, message);
                 }
                 continue;
             }
             let now = gateway.clock.read(self.chance.now);
             let Some(budget) = &mut gateway.budget else { continue };
             match message {
-                Message::Ask(ask) => {
-                    if let Ok(grant) = budget.grant_lease(now, Slot(from as u16), ask) {
+                Message::Request(request) => {
+                    if let Ok(grant) = budget.grant_lease(now, Slot(from as u16), request) {
                         self.chance.send(to, from, Message::Grant(grant));
                     }
                 }
@@ -164,8 +165,9 @@
         }
         if self.chance.one_in(12) {
             for other in (0..size).filter(|&other| other != number) {
-                let ask = budget.request_lease(now, Slot(other as u16), gateway.wants / (size as u64 - 1));
-                self.chance.send(number, other, Message::Ask(ask));
+                let request =
+                    budget.request_lease(now, Slot(other as u16), gateway.wants / (size as u64 - 1));
+                self.chance.send(number, other, Message::Request(request));
             }
         }
         if self.chance.one_in(80) {
@@ -174,7 +176,7 @@
     }
 
     fn check(&mut self) -> Result<(), Violation> {
-        let mut rights = Vec::new();
+        let mut usable = Vec::new();
         let mut moved = 0;
         for gateway in &mut self.gateways {
             if gateway.stalled > self.chance.now {
@@ -184,12 +186,12 @@
             if let Some(budget) = &mut gateway.budget {
                 budget.advance_to(now);
                 budget.check()?;
-                rights.push(budget.escrow().usable_units());
+                usable.push(budget.escrow().usable_units());
                 moved += budget.escrow().leased_units();
             }
         }
         self.moved = self.moved.max(moved);
-        check_total(self.total, rights)
+        check_total(self.total, usable)
     }
 
     /// B5 over every window of `window` that begins with a spend.
@@ -211,41 +213,42 @@
     }
 }
 
-fn play(seed: u64, broken: Option<Mutation>, usage: BudgetKind, steps: usize) -> Result<Play, Violation> {
-    let mut play = Play::new(seed, broken, usage);
+fn simulate(seed: u64, broken: Option<Mutation>, usage: BudgetKind, steps: usize) -> Result<Run, Violation> {
+    let mut simulate = Run::new(seed, broken, usage);
     let jumps = seed % 2 == 1;
     for _ in 0..steps {
-        play.chance.now += STEP;
-        if play.chance.one_in(20) {
-            play.fault(jumps);
+        simulate.chance.now += STEP;
+        if simulate.chance.one_in(20) {
+            simulate.fault(jumps);
         }
-        for number in 0..play.gateways.len() {
-            if play.gateways[number].budget.is_none() && play.chance.one_in(60) {
-                play.start(number, false);
+        for number in 0..simulate.gateways.len() {
+            if simulate.gateways[number].budget.is_none() && simulate.chance.one_in(60) {
+                simulate.start(number, false);
             }
-            play.act(number);
+            simulate.act(number);
         }
-        play.deliver();
-        play.check()?;
+        simulate.deliver();
+        simulate.check()?;
     }
     if !jumps && matches!(usage, BudgetKind::Rate { .. }) {
         for ms in [50, 500, 2_000] {
-            play.check_spent(Duration::from_millis(ms))?;
+            simulate.check_spent(Duration::from_millis(ms))?;
         }
     }
-    Ok(play)
+    Ok(simulate)
 }
 
 #[test]
-fn no_tier_uses_more_than_the_total_whatever_comes() {
-    let (mut moved, mut spent) = (0, 0);
+fn gateways_never_use_more_than_the_total() {
+    let mut moved = 0;
+    let mut spent = 0;
     let count = 2_000;
     for seed in seeds(count) {
         let usage = if seed % 5 == 4 { BudgetKind::Concurrency } else { BudgetKind::Rate { burst: BURST } };
-        match play(seed, None, usage, 400) {
-            Ok(play) => {
-                moved += u64::from(play.moved > play.total / 10);
-                spent += play.spent.len();
+        match simulate(seed, None, usage, 400) {
+            Ok(simulate) => {
+                moved += u64::from(simulate.moved > simulate.total / 10);
+                spent += simulate.spent.len();
             }
             Err(violation) => panic!("ASHTIDE_SEED={seed}: {violation}"),
         }
@@ -280,7 +283,7 @@
     for (broken, number) in variants {
         let mut found = BTreeMap::new();
         for seed in 0..100 {
-            if let Err(violation) = play(seed, Some(broken), BudgetKind::Rate { burst: BURST }, 400) {
+            if let Err(violation) = simulate(seed, Some(broken), BudgetKind::Rate { burst: BURST }, 400) {
                 *found.entry(violation.invariant_id()).or_insert(0) += 1;
             }
         }
--- a/crates/ashtide-fleet/tests/chance/mod.rs
+++ b/crates/ashtide-fleet/tests/chance/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// A message that waits at its receiver, unread.
-    pub fn keep(&mut self, from: usize, to: usize, message: M) {
+    pub fn delay(&mut self, from: usize, to: usize, message: M) {
         self.number += 1;
         self.wire.insert((self.now + STEP, self.number), (from, to, message));
     }
--- a/crates/ashtide-fleet/tests/tier/mod.rs
+++ b/crates/ashtide-fleet/tests/cluster/mod.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub const TIER: u32 = 0x7157_1de0;
+pub const FLEET_ID: u32 = 0x7157_1de0;
 
 pub fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7946))
@@ -19,7 +19,7 @@
     Duration::from_millis(ms)
 }
 
-pub struct Tier {
+pub struct Cluster {
     pub now: Duration,
     pub fleets: Vec<Option<Membership>>,
     /// Which directions lose everything.
@@ -35,9 +35,9 @@
     size: usize,
 }
 
-impl Tier {
+impl Cluster {
     pub fn new(size: usize, seed: u64) -> Self {
-        let mut tier = Self {
+        let mut cluster = Self {
             now: ms(0),
             fleets: Vec::new(),
             cut: BTreeSet::new(),
@@ -51,10 +51,10 @@
             size,
         };
         for number in 0..size {
-            tier.fleets.push(None);
-            tier.start(number, 1_000_000);
+            cluster.fleets.push(None);
+            cluster.start(number, 1_000_000);
         }
-        tier
+        cluster
     }
 
     /// A process starts at this number's address, knowing one seed.
@@ -63,7 +63,7 @@
             self.fleets.resize_with(number + 1, || None);
         }
         let seeds = vec![address(0), address(1)];
-        let options = ViewConfig::new(TIER, self.size as u32);
+        let options = ViewConfig::new(FLEET_ID, self.size as u32);
         let fleet = Membership::new(options, address(number), unix_ms, seeds, self.rng.random(), self.now);
         self.fleets[number] = Some(fleet);
     }
@@ -160,8 +160,8 @@
 
     /// Datagrams, and their bytes, that a member sends a second, over so many.
     pub fn sent_a_second(&mut self, seconds: u64) -> (f64, f64) {
-        let sent = |tier: &Self| {
-            let each = tier.fleets.iter().flatten().map(|it| it.metrics().sent);
+        let sent = |cluster: &Self| {
+            let each = cluster.fleets.iter().flatten().map(|it| it.metrics().sent);
             each.fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
         };
         let before = sent(self);
@@ -206,22 +206,23 @@
     /// How often a member held one dead that was there all the time, and the longest such time. What is still so
     /// lasts until now.
     pub fn false_deaths(&self) -> (usize, Duration) {
-        let mut held = BTreeMap::new();
-        let (mut count, mut longest) = (0, ms(0));
+        let mut dead_since = BTreeMap::new();
+        let mut count = 0;
+        let mut longest = ms(0);
         for &(at, by, change) in &self.changes {
             match change {
                 ViewChange::Dead(member) => {
                     count += 1;
-                    held.insert((by, member.address), at);
+                    dead_since.insert((by, member.address), at);
                 }
                 ViewChange::Up(member) => {
-                    if let Some(since) = held.remove(&(by, member.address)) {
+                    if let Some(since) = dead_since.remove(&(by, member.address)) {
                         longest = longest.max(at - since);
                     }
                 }
                 _ => {}
             }
         }
-        (count, held.values().map(|&since| self.now - since).fold(longest, Duration::max))
+        (count, dead_since.values().map(|&since| self.now - since).fold(longest, Duration::max))
     }
 }
--- a/crates/ashtide-fleet/tests/counts.rs
+++ b/crates/ashtide-fleet/tests/counts.rs
@@ -56,12 +56,13 @@
 /// last one. Then it has what the gateway has: C3.
 fn reorder(broken: Option<Mutation>, events: &[(bool, u32, u32)], order: &[u8]) -> Result<(), Violation> {
     let now = Duration::ZERO;
-    let (mut teller, mut listener) =
-        (ReplicatedCounts::new(Slot(1), 5, now), ReplicatedCounts::new(Slot(2), 9, now));
+    let mut teller = ReplicatedCounts::new(Slot(1), 5, now);
+    let mut listener = ReplicatedCounts::new(Slot(2), 9, now);
     if let Some(broken) = broken {
         listener.set_mutation(broken);
     }
-    let (mut generation, mut said) = (5, Vec::new());
+    let mut generation = 5;
+    let mut said = Vec::new();
     for &(restart, key, value) in events {
         if restart {
             generation += 1;
@@ -76,12 +77,13 @@
     listener.merge_remote(now, Slot(1), &said[said.len() - 1]);
     listener.check()?;
     let empty = BTreeMap::new();
-    let heard = listener.table().rows().get(&Slot(1)).map_or(&empty, |row| &row.cells);
+    let received = listener.table().rows().get(&Slot(1)).map_or(&empty, |row| &row.cells);
     for key in 0..3 {
         let value = |cells: &BTreeMap<CounterKey, VersionedCount>| {
             cells.get(&CounterKey::OpenOnServer(key)).map_or(0, |cell| cell.value)
         };
-        let (found, expected) = (value(heard), value(&teller.own_row().cells));
+        let found = value(received);
+        let expected = value(&teller.own_row().cells);
         if found != expected {
             return Err(Violation::MiscountedRow { slot: Slot(1), found, expected });
         }
@@ -90,17 +92,17 @@
 }
 
 #[test]
-fn what_is_heard_late_twice_or_of_an_earlier_life_is_not_counted() {
+fn late_repeated_and_earlier_rows_are_not_counted() {
     let events = vec((prop::bool::weighted(0.2), 0..3u32, 0..5u32), 1..12);
-    let plays = (events, vec(any::<u8>(), 0..20));
+    let cases = (events, vec(any::<u8>(), 0..20));
     runner()
-        .run(&plays, |(events, order)| {
+        .run(&cases, |(events, order)| {
             prop_assert_eq!(reorder(None, &events, &order), Ok(()));
             Ok(())
         })
         .unwrap();
     for broken in [Mutation::MergeBySum, Mutation::IgnoreIncarnation] {
-        let found = runner().run(&plays, |(events, order)| {
+        let found = runner().run(&cases, |(events, order)| {
             prop_assert_eq!(reorder(Some(broken), &events, &order), Ok(()));
             Ok(())
         });
@@ -110,10 +112,10 @@
 }
 
 #[test]
-fn a_dead_gateway_ages_out_and_no_late_word_brings_it_back() {
+fn the_row_of_a_dead_gateway_expires_and_no_late_datagram_restores_it() {
     let second = Duration::from_secs(1);
-    let (mut one, mut two) =
-        (ReplicatedCounts::new(Slot(1), 5, second), ReplicatedCounts::new(Slot(2), 9, second));
+    let mut one = ReplicatedCounts::new(Slot(1), 5, second);
+    let mut two = ReplicatedCounts::new(Slot(2), 9, second);
     one.set(CounterKey::OpenForPartner(7), 3);
     two.set(CounterKey::OpenForPartner(7), 4);
     assert!(two.merge_remote(second, Slot(1), one.own_row()));
--- a/crates/ashtide-fleet/tests/datagrams.rs
+++ b/crates/ashtide-fleet/tests/datagrams.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn no_bytes_panic_or_make_more_than_they_hold() {
+fn no_bytes_panic_or_create_more_members_than_they_list() {
     let cases = Cases { cases: 512, failure_persistence: None, ..Cases::default() };
     let mut runner = TestRunner::new_with_rng(cases, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let (_, good) = join(5);
--- a/crates/ashtide-fleet/tests/escrow_model.rs
+++ b/crates/ashtide-fleet/tests/escrow_model.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask(LeaseRequest),
+    Request(LeaseRequest),
     Grant(LeaseGrant),
 }
 
@@ -29,14 +29,14 @@
     /// What is on its way: a set of all ever sent that is not lost. Delivery keeps it there where repeats are left.
     wire: Vec<(usize, usize, Message)>,
     now: u64,
-    asks: u8,
+    requests: u8,
     repeats: u8,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Ask(usize, usize, u64),
+    Request(usize, usize, u64),
     Deliver(usize, bool),
     Lose(usize),
     Second,
@@ -44,15 +44,15 @@
     Start(usize),
 }
 
-struct Tier {
+struct Cluster {
     broken: Option<Mutation>,
-    asks: u8,
+    requests: u8,
     repeats: u8,
     crashes: u8,
     seconds: u64,
 }
 
-impl Tier {
+impl Cluster {
     fn start(&self, number: usize, generation: u64, now: u64) -> Escrow {
         let mut escrow = Escrow::new(
             Slot(number as u16),
@@ -69,23 +69,24 @@
     }
 }
 
-impl Model for Tier {
+impl Model for Cluster {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let gateways = [0, 1, 2].map(|number| Some(self.start(number, 1, 0)));
-        let (wire, generations) = (Vec::new(), [1; 3]);
-        vec![State { gateways, generations, wire, now: 0, asks: 0, repeats: 0, crashes: 0 }]
+        let wire = Vec::new();
+        let generations = [1; 3];
+        vec![State { gateways, generations, wire, now: 0, requests: 0, repeats: 0, crashes: 0 }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         // Gateways 1 and 2 ask gateway 0, the grantor, for its whole root, for some of it, or give all back; gateway 1
         // asks 2 as well, so that one is holder and grantor at once.
-        if state.asks < self.asks {
+        if state.requests < self.requests {
             for (from, to) in [(1, 0), (2, 0), (1, 2)] {
                 if state.gateways[from].is_some() {
-                    actions.extend([0, 2].map(|wants| Action::Ask(from, to, wants)));
+                    actions.extend([0, 2].map(|wants| Action::Request(from, to, wants)));
                 }
             }
         }
@@ -110,10 +111,10 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Ask(from, to, wants) => {
-                let ask = state.gateways[from].as_mut()?.request_lease(Slot(to as u16), wants);
-                state.asks += 1;
-                state.wire.push((from, to, Message::Ask(ask)));
+            Action::Request(from, to, wants) => {
+                let request = state.gateways[from].as_mut()?.request_lease(Slot(to as u16), wants);
+                state.requests += 1;
+                state.wire.push((from, to, Message::Request(request)));
             }
             Action::Deliver(at, again) => {
                 let (from, to, message) = state.wire[at].clone();
@@ -124,8 +125,8 @@
                 }
                 if let Some(escrow) = &mut state.gateways[to] {
                     match message {
-                        Message::Ask(ask) => {
-                            if let Ok(grant) = escrow.grant_lease(Slot(from as u16), ask, 0) {
+                        Message::Request(request) => {
+                            if let Ok(grant) = escrow.grant_lease(Slot(from as u16), request, 0) {
                                 state.wire.push((to, from, Message::Grant(grant)));
                             }
                         }
@@ -178,8 +179,8 @@
 #[test]
 fn three_gateways_never_use_more_than_the_total_to_the_stated_depth() {
     let depth = 9;
-    let tier = Tier { broken: None, asks: 3, repeats: 1, crashes: 1, seconds: 4 };
-    let checker = tier.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
+    let cluster = Cluster { broken: None, requests: 3, repeats: 1, crashes: 1, seconds: 4 };
+    let checker = cluster.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
     println!("{} states, {} unique, to depth {depth}", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
 }
@@ -195,8 +196,8 @@
         (Mutation::NoExpiry, "B1, B2"),
     ];
     for (broken, name) in found {
-        let tier = Tier { broken: Some(broken), asks: 3, repeats: 1, crashes: 1, seconds: 4 };
-        let checker = tier
+        let cluster = Cluster { broken: Some(broken), requests: 3, repeats: 1, crashes: 1, seconds: 4 };
+        let checker = cluster
             .checker()
             .threads(3)
             .finish_when(HasDiscoveries::AnyFailures)
@@ -211,14 +212,15 @@
 #[test]
 fn a_crashed_holders_right_comes_back_when_its_lease_ends_and_not_before() {
     let second = Duration::from_secs(1);
-    let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
-    let (mut grantor, mut holder) = (tier.start(0, 1, 0), tier.start(1, 1, 0));
+    let cluster = Cluster { broken: None, requests: 0, repeats: 0, crashes: 0, seconds: 0 };
+    let mut grantor = cluster.start(0, 1, 0);
+    let mut holder = cluster.start(1, 1, 0);
     let grant = grantor.grant_lease(Slot(1), holder.request_lease(Slot(0), 2), 0).expect("it lends");
     assert_eq!((grant.units, holder.accept_lease(Slot(0), grant)), (2, Ok(())));
     assert_eq!((grantor.usable_units(), holder.usable_units()), (1, 5));
     // It crashes; a new life asks for what the old one had, and so does another.
-    let mut holder = tier.start(1, 2, 0);
-    let mut other = tier.start(2, 1, 0);
+    let mut holder = cluster.start(1, 2, 0);
+    let mut other = cluster.start(2, 1, 0);
     for now in 1..3 {
         [&mut grantor, &mut holder, &mut other].into_iter().for_each(|it| it.advance_to(second * now));
         for (slot, asker) in [(1, &mut holder), (2, &mut other)] {
@@ -241,8 +243,9 @@
 
 #[test]
 fn of_two_processes_of_one_name_the_earlier_lends_and_uses_its_root_no_more() {
-    let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
-    let (mut earlier, mut other) = (tier.start(0, 1, 0), tier.start(2, 1, 0));
+    let cluster = Cluster { broken: None, requests: 0, repeats: 0, crashes: 0, seconds: 0 };
+    let mut earlier = cluster.start(0, 1, 0);
+    let mut other = cluster.start(2, 1, 0);
     let grant = other.grant_lease(Slot(0), earlier.request_lease(Slot(2), 1), 0).expect("it lends");
     earlier.accept_lease(Slot(2), grant).expect("it is the latest");
     earlier.relinquish();
@@ -251,16 +254,18 @@
 }
 
 #[test]
-fn a_smaller_root_holds_at_once_and_what_is_out_beyond_it_is_not_lent_again() {
+fn a_smaller_share_applies_at_once_and_leases_beyond_it_are_not_lent_again() {
     let second = Duration::from_secs(1);
-    let tier = Tier { broken: None, asks: 0, repeats: 0, crashes: 0, seconds: 0 };
-    let (mut grantor, mut holder) = (tier.start(0, 1, 0), tier.start(1, 1, 0));
+    let cluster = Cluster { broken: None, requests: 0, repeats: 0, crashes: 0, seconds: 0 };
+    let mut grantor = cluster.start(0, 1, 0);
+    let mut holder = cluster.start(1, 1, 0);
     let grant = grantor.grant_lease(Slot(1), holder.request_lease(Slot(0), 2), 0).expect("it lends");
     holder.accept_lease(Slot(0), grant).expect("it is the latest");
     grantor.set_share(InitialShare { floor: 1, lendable: 1 });
     assert_eq!((grantor.usable_units(), grantor.check()), (1, Ok(())), "two are out, of one");
-    let grant =
-        grantor.grant_lease(Slot(2), tier.start(2, 1, 0).request_lease(Slot(0), 1), 0).expect("it answers");
+    let grant = grantor
+        .grant_lease(Slot(2), cluster.start(2, 1, 0).request_lease(Slot(0), 1), 0)
+        .expect("it answers");
     assert_eq!((grant.units, grantor.is_within_share()), (0, false));
     for now in 1..=3 {
         grantor.advance_to(second * now);
--- a/crates/ashtide-fleet/tests/exchange.rs
+++ b/crates/ashtide-fleet/tests/exchange.rs
@@ -7,7 +7,7 @@
 
 use ashtide_fleet::state::{CounterKey, EvidenceKind};
 use chance::seeds;
-use exchanges::{READY, Tier};
+use exchanges::{Cluster, READY};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
@@ -15,19 +15,20 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_invariants_hold_under_faults_and_all_settles_after_them() {
+fn invariants_are_true_under_faults_and_state_converges_after_them() {
     for seed in seeds(120) {
         let size = 3 + seed as usize % 5;
-        let mut tier = Tier::new(seed, size, 3, 20_000);
+        let mut cluster = Cluster::new(seed, size, 3, 20_000);
         for step in 0..400 {
-            if tier.chance.one_in(25) {
-                tier.fault();
+            if cluster.chance.one_in(25) {
+                cluster.fault();
             }
-            if tier.chance.one_in(4) {
-                let (number, key) = (tier.chance.below(size), tier.chance.below(5) as u32);
-                let value = tier.chance.below(30);
-                let now = tier.gateways[number].clock.read(tier.chance.now);
-                if let Some(exchange) = &mut tier.gateways[number].exchange {
+            if cluster.chance.one_in(4) {
+                let number = cluster.chance.below(size);
+                let key = cluster.chance.below(5) as u32;
+                let value = cluster.chance.below(30);
+                let now = cluster.gateways[number].clock.read(cluster.chance.now);
+                if let Some(exchange) = &mut cluster.gateways[number].exchange {
                     exchange.set_count(CounterKey::OpenOnServer(key), value as u32);
                     exchange.set_wanted_units(key % 3, value as u64 * 1_000);
                     exchange.outlier_reports_mut().record_observation(
@@ -39,94 +40,96 @@
                     );
                 }
             }
-            tier.step();
-            if let Err(violation) = tier.check() {
+            cluster.step();
+            if let Err(violation) = cluster.check() {
                 panic!("ASHTIDE_SEED={seed} at step {step}: {violation}");
             }
         }
-        tier.heal();
+        cluster.heal();
         // A word of an earlier life may be 3 s late, and counts for 10 s.
-        tier.run(14 * SECOND);
+        cluster.run(14 * SECOND);
         // Each sum, as every gateway reads it, is what all have.
         for key in (0..5).map(CounterKey::OpenOnServer) {
-            let truth: u64 = tier.gateways.iter().flat_map(|it| &it.exchange).fold(0, |sum, it| {
+            let truth: u64 = cluster.gateways.iter().flat_map(|it| &it.exchange).fold(0, |sum, it| {
                 sum + u64::from(it.counts().own_row().cells.get(&key).map_or(0, |cell| cell.value))
             });
             for number in 0..size {
-                tier.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
+                cluster.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
             }
-            tier.run(SECOND / 2);
+            cluster.run(SECOND / 2);
             for number in 0..size {
-                let read = tier.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
+                let read = cluster.gateways[number].exchange.as_mut().expect("there").fleet_total(key);
                 assert_eq!(read.map(|it| it.sum), Some(truth), "ASHTIDE_SEED={seed}: {key:?} at {number}");
             }
         }
-        assert_eq!(tier.check(), Ok(()), "ASHTIDE_SEED={seed}");
+        assert_eq!(cluster.check(), Ok(()), "ASHTIDE_SEED={seed}");
     }
 }
 
 #[test]
-fn a_demand_that_moves_takes_the_rights_with_it() {
+fn units_follow_a_demand_that_moves() {
     for seed in seeds(20) {
-        let mut tier = Tier::new(seed, 9, 1, 90_000);
-        let want = |tier: &mut Tier, from: usize, units: u64| {
+        let mut cluster = Cluster::new(seed, 9, 1, 90_000);
+        let want = |cluster: &mut Cluster, from: usize, units: u64| {
             for number in from..from + 3 {
-                tier.gateways[number].exchange.as_mut().expect("there").set_wanted_units(0, units);
+                cluster.gateways[number].exchange.as_mut().expect("there").set_wanted_units(0, units);
             }
         };
-        want(&mut tier, 0, 30_000);
-        tier.run(4 * SECOND);
-        want(&mut tier, 0, 0);
-        want(&mut tier, 6, 30_000);
-        tier.run(3 * SECOND);
-        let rights: u64 = tier.gateways[6..].iter_mut().fold(0, |sum, it| {
+        want(&mut cluster, 0, 30_000);
+        cluster.run(4 * SECOND);
+        want(&mut cluster, 0, 0);
+        want(&mut cluster, 6, 30_000);
+        cluster.run(3 * SECOND);
+        let usable: u64 = cluster.gateways[6..].iter_mut().fold(0, |sum, it| {
             let budget = it.exchange.as_mut().and_then(|it| it.budget_mut(0)).expect("there");
             sum + budget.escrow().usable_units()
         });
         // All but the floors of the other six, which are theirs for certain.
-        assert!((81_000..=84_000).contains(&rights), "ASHTIDE_SEED={seed}: {rights} of 90000");
+        assert!((81_000..=84_000).contains(&usable), "ASHTIDE_SEED={seed}: {usable} of 90000");
     }
 }
 
 #[test]
 fn a_failing_server_is_out_everywhere_within_seconds_and_one_liar_takes_none_out() {
-    let mut tier = Tier::new(5, 30, 1, 1_000);
-    tier.run(SECOND);
-    let out = |tier: &mut Tier| {
-        let all = tier.gateways.iter_mut().flat_map(|it| &mut it.exchange);
+    let mut cluster = Cluster::new(5, 30, 1, 1_000);
+    cluster.run(SECOND);
+    let out = |cluster: &mut Cluster| {
+        let all = cluster.gateways.iter_mut().flat_map(|it| &mut it.exchange);
         all.map(|it| usize::from(!it.outlier_reports_mut().outliers(&READY).is_empty())).sum::<usize>()
     };
     for server in 0..10 {
-        let now = tier.gateways[3].clock.read(tier.chance.now);
-        let liar = tier.gateways[3].exchange.as_mut().expect("there");
+        let now = cluster.gateways[3].clock.read(cluster.chance.now);
+        let liar = cluster.gateways[3].exchange.as_mut().expect("there");
         liar.outlier_reports_mut().record_observation(now, server, EvidenceKind::Failing, 60_000, 60_000);
     }
-    tier.run(4 * SECOND);
-    assert_eq!(out(&mut tier), 0);
+    cluster.run(4 * SECOND);
+    assert_eq!(out(&mut cluster), 0);
     for _ in 0..4 {
         for number in 4..30 {
-            let now = tier.gateways[number].clock.read(tier.chance.now);
-            let exchange = tier.gateways[number].exchange.as_mut().expect("there");
+            let now = cluster.gateways[number].clock.read(cluster.chance.now);
+            let exchange = cluster.gateways[number].exchange.as_mut().expect("there");
             exchange.outlier_reports_mut().record_observation(now, 2, EvidenceKind::Failing, 8, 8);
         }
-        tier.run(SECOND);
+        cluster.run(SECOND);
     }
-    assert_eq!(out(&mut tier), 30);
+    assert_eq!(out(&mut cluster), 30);
 }
 
 #[test]
-fn what_a_gateway_sends_does_not_grow_with_the_tier() {
+fn traffic_of_a_gateway_does_not_grow_with_the_fleet() {
     let price = |size: usize| {
-        let mut tier = Tier::new(3, size, 4, 1_000_000);
+        let mut cluster = Cluster::new(3, size, 4, 1_000_000);
         for number in 0..size {
-            let exchange = tier.gateways[number].exchange.as_mut().expect("there");
+            let exchange = cluster.gateways[number].exchange.as_mut().expect("there");
             (0..20).for_each(|key| exchange.set_count(CounterKey::OpenOnServer(key), number as u32));
             exchange.set_wanted_units(number as u32 % 4, 10_000);
         }
-        tier.run(5 * SECOND);
-        tier.price(5)
+        cluster.run(5 * SECOND);
+        cluster.price(5)
     };
-    let (small, middle, large) = (price(10), price(60), price(240));
+    let small = price(10);
+    let middle = price(60);
+    let large = price(240);
     let all = format!("datagrams and bytes a second: {small:?}, {middle:?}, {large:?}");
     assert!(small.0 < 16.0 && large.0 < 16.0 && large.0 < 1.25 * middle.0, "{all}");
     assert!(large.1 < 512.0, "{all}");
@@ -136,17 +139,17 @@
 fn no_bytes_panic_or_change_a_right() {
     let cases = Cases { cases: 512, failure_persistence: None, ..Cases::default() };
     let mut runner = TestRunner::new_with_rng(cases, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    let mut tier = Tier::new(1, 3, 1, 3_000);
-    let gateway = &mut tier.gateways[0];
+    let mut cluster = Cluster::new(1, 3, 1, 3_000);
+    let gateway = &mut cluster.gateways[0];
     let asker = gateway.exchange.as_mut().expect("there");
     asker.set_wanted_units(0, 3_000);
-    let later = gateway.clock.read(tier.chance.now + SECOND);
+    let later = gateway.clock.read(cluster.chance.now + SECOND);
     asker.advance_to(later);
     let (_, good) = asker.next_datagram().expect("it asks");
     runner
         .run(&(vec(any::<u8>(), 0..280), vec((0..good.len(), any::<u8>()), 0..4)), |(tail, flips)| {
-            let mut tier = Tier::new(1, 3, 1, 3_000);
-            let exchange = tier.gateways[2].exchange.as_mut().expect("there");
+            let mut cluster = Cluster::new(1, 3, 1, 3_000);
+            let exchange = cluster.gateways[2].exchange.as_mut().expect("there");
             let mut flipped = good.clone();
             for (at, byte) in flips {
                 flipped[at] = byte;
@@ -155,8 +158,8 @@
             let _ = exchange.handle_datagram(&tail);
             let _ = exchange.handle_datagram(&[&good[..15], &tail[..]].concat());
             prop_assert_eq!(exchange.check(&READY), Ok(()));
-            let rights = exchange.budget_mut(0).expect("there").escrow().usable_units();
-            prop_assert!(rights <= 1_000, "{} by a grant that was not asked for", rights);
+            let usable = exchange.budget_mut(0).expect("there").escrow().usable_units();
+            prop_assert!(usable <= 1_000, "{} by a grant that was not asked for", usable);
             Ok(())
         })
         .unwrap();
--- a/crates/ashtide-fleet/tests/exchanges/mod.rs
+++ b/crates/ashtide-fleet/tests/exchanges/mod.rs
@@ -22,26 +22,26 @@
     stalled: Duration,
 }
 
-pub struct Tier {
+pub struct Cluster {
     pub chance: Chance<Vec<u8>>,
     pub gateways: Vec<Gateway>,
     pub totals: Vec<u64>,
     roots: Vec<BTreeMap<Slot, InitialShare>>,
 }
 
-impl Tier {
+impl Cluster {
     pub fn new(seed: u64, size: usize, budgets: usize, total: u64) -> Self {
         let chance = Chance::new(seed);
         let totals = vec![total; budgets];
         let roots = (0..budgets).map(|id| initial_shares(id as u32, total, size as u16, 100)).collect();
-        let mut tier = Self { chance, gateways: Vec::new(), totals, roots };
+        let mut cluster = Self { chance, gateways: Vec::new(), totals, roots };
         for number in 0..size {
-            let clock = Clock::new(&mut tier.chance);
-            let stalled = tier.chance.now;
-            tier.gateways.push(Gateway { exchange: None, clock, generation: 50, stalled });
-            tier.start(number, true);
+            let clock = Clock::new(&mut cluster.chance);
+            let stalled = cluster.chance.now;
+            cluster.gateways.push(Gateway { exchange: None, clock, generation: 50, stalled });
+            cluster.start(number, true);
         }
-        tier
+        cluster
     }
 
     pub fn start(&mut self, number: usize, first: bool) {
@@ -95,7 +95,9 @@
     }
 
     pub fn heal(&mut self) {
-        (self.chance.loss, self.chance.repeat, self.chance.slow) = (0.0, 0.0, (40, 0.0));
+        self.chance.loss = 0.0;
+        self.chance.repeat = 0.0;
+        self.chance.slow = (40, 0.0);
         self.chance.cut.clear();
         for number in 0..self.gateways.len() {
             self.gateways[number].stalled = self.chance.now;
@@ -122,7 +124,7 @@
         while let Some((from, to, datagram)) = self.chance.next() {
             let gateway = &mut self.gateways[to];
             if gateway.stalled > self.chance.now {
-                self.chance.keep(from, to, datagram);
+                self.chance.delay(from, to, datagram);
             } else if let Some(exchange) = &mut gateway.exchange {
                 exchange.handle_datagram(&datagram).expect("it is sound");
             }
@@ -137,25 +139,25 @@
     }
 
     pub fn check(&mut self) -> Result<(), Violation> {
-        let mut rights = vec![0; self.totals.len()];
+        let mut usable = vec![0; self.totals.len()];
         for gateway in self.gateways.iter_mut().filter(|it| it.stalled <= self.chance.now) {
             let now = gateway.clock.read(self.chance.now);
             let Some(exchange) = &mut gateway.exchange else { continue };
             exchange.check(&READY)?;
-            for (id, sum) in rights.iter_mut().enumerate() {
+            for (id, sum) in usable.iter_mut().enumerate() {
                 let Some(budget) = exchange.budget_mut(id as u32) else { continue };
                 budget.advance_to(now);
                 *sum += budget.escrow().usable_units();
             }
         }
-        let all = self.totals.iter().zip(rights);
-        all.into_iter().try_for_each(|(&total, rights)| check_total(total, [rights]))
+        let all = self.totals.iter().zip(usable);
+        all.into_iter().try_for_each(|(&total, usable)| check_total(total, [usable]))
     }
 
     /// Datagrams and bytes a gateway a second, over so many.
     pub fn price(&mut self, seconds: u64) -> (f64, f64) {
-        let sent = |tier: &Self| {
-            let all = tier.gateways.iter().filter_map(|it| it.exchange.as_ref());
+        let sent = |cluster: &Self| {
+            let all = cluster.gateways.iter().filter_map(|it| it.exchange.as_ref());
             all.fold((0, 0), |sum, it| (sum.0 + it.traffic().sent.0, sum.1 + it.traffic().sent.1))
         };
         let before = sent(self);
--- a/crates/ashtide-fleet/tests/settles.rs
+++ b/crates/ashtide-fleet/tests/settles.rs
@@ -1,22 +1,22 @@
 //! After any fault has ended, every view is the truth again within a bound; and nobody is held dead for ever.
 
-mod tier;
+mod cluster;
 
 use std::time::Duration;
 
 use ashtide_fleet::{MemberState, Membership, ViewChange, ViewConfig};
-use tier::{Tier, address, ms};
+use cluster::{Cluster, address, ms};
 
-fn settled(size: usize, seed: u64) -> Tier {
-    let mut tier = Tier::new(size, seed);
-    tier.settle(ms(30_000));
-    tier.run(ms(2_000));
-    tier.changes.clear();
-    tier
+fn settled(size: usize, seed: u64) -> Cluster {
+    let mut cluster = Cluster::new(size, seed);
+    cluster.settle(ms(30_000));
+    cluster.run(ms(2_000));
+    cluster.changes.clear();
+    cluster
 }
 
-fn deaths(tier: &Tier) -> Vec<(usize, std::net::SocketAddr)> {
-    let dead = tier.changes.iter().filter_map(|&(_, by, change)| match change {
+fn deaths(cluster: &Cluster) -> Vec<(usize, std::net::SocketAddr)> {
+    let dead = cluster.changes.iter().filter_map(|&(_, by, change)| match change {
         ViewChange::Dead(member) => Some((by, member.address)),
         _ => None,
     });
@@ -24,17 +24,17 @@
 }
 
 /// How one member holds another.
-fn held(tier: &Tier, by: usize, other: usize) -> Option<MemberState> {
-    let mut rows = tier.fleets[by].as_ref()?.members();
+fn state_seen_by(cluster: &Cluster, by: usize, other: usize) -> Option<MemberState> {
+    let mut rows = cluster.fleets[by].as_ref()?.members();
     rows.find(|row| row.member.address == address(other)).map(|row| row.state)
 }
 
 #[test]
-fn a_tier_finds_itself_by_a_seed_also_where_a_third_is_lost() {
+fn members_find_each_other_by_a_seed_with_a_third_of_datagrams_lost() {
     for (size, loss) in [(2, 0.0), (9, 0.0), (30, 0.0), (9, 0.3)] {
-        let mut tier = Tier::new(size, 11);
-        tier.loss = loss;
-        let took = tier.settle(ms(30_000));
+        let mut cluster = Cluster::new(size, 11);
+        cluster.loss = loss;
+        let took = cluster.settle(ms(30_000));
         assert!(loss > 0.0 || took < ms(20_000), "{size} members took {took:?}");
     }
 }
@@ -42,144 +42,155 @@
 #[test]
 fn a_killed_member_is_dead_to_all_and_alive_again_after_its_restart() {
     for seed in 0..4 {
-        let mut tier = settled(9, seed);
-        tier.kill(4);
-        tier.settle(ms(20_000));
-        assert_eq!(deaths(&tier).len(), 8, "each sees one death");
-        tier.start(4, 1_030_000);
-        tier.settle(ms(20_000));
-        let false_deaths: u64 = tier.fleets.iter().flatten().map(|it| it.metrics().false_deaths).sum();
+        let mut cluster = settled(9, seed);
+        cluster.kill(4);
+        cluster.settle(ms(20_000));
+        assert_eq!(deaths(&cluster).len(), 8, "each sees one death");
+        cluster.start(4, 1_030_000);
+        cluster.settle(ms(20_000));
+        let false_deaths: u64 = cluster.fleets.iter().flatten().map(|it| it.metrics().false_deaths).sum();
         assert_eq!(false_deaths, 0, "a restart is no false death");
     }
 }
 
 #[test]
 fn a_member_that_restarts_before_it_is_missed_is_its_new_self() {
-    let mut tier = settled(7, 3);
-    tier.start(2, 1_010_000);
-    tier.settle(ms(20_000));
-    assert!(deaths(&tier).is_empty(), "{:?}", deaths(&tier));
+    let mut cluster = settled(7, 3);
+    cluster.start(2, 1_010_000);
+    cluster.settle(ms(20_000));
+    assert!(deaths(&cluster).is_empty(), "{:?}", deaths(&cluster));
 }
 
 #[test]
-fn a_member_whose_clock_was_put_back_is_heard_again() {
+fn a_member_whose_clock_was_set_back_rejoins() {
     for seed in 0..3 {
-        let mut tier = settled(7, seed);
-        tier.kill(2);
-        tier.run(ms(700));
-        tier.start(2, 400_000);
-        tier.settle(ms(40_000));
+        let mut cluster = settled(7, seed);
+        cluster.kill(2);
+        cluster.run(ms(700));
+        cluster.start(2, 400_000);
+        cluster.settle(ms(40_000));
     }
 }
 
 #[test]
 fn two_parts_merge_when_a_partition_heals() {
     for seed in 0..4 {
-        let mut tier = settled(5, seed);
-        tier.part(&[0, 1, 2], &[3, 4]);
-        tier.run(ms(20_000));
+        let mut cluster = settled(5, seed);
+        cluster.part(&[0, 1, 2], &[3, 4]);
+        cluster.run(ms(20_000));
         assert_eq!(
-            (held(&tier, 0, 3), held(&tier, 4, 1)),
+            (state_seen_by(&cluster, 0, 3), state_seen_by(&cluster, 4, 1)),
             (Some(MemberState::Dead), Some(MemberState::Dead))
         );
-        assert_eq!(held(&tier, 3, 4), Some(MemberState::Alive), "each part goes on");
-        tier.cut.clear();
-        tier.settle(ms(20_000));
+        assert_eq!(state_seen_by(&cluster, 3, 4), Some(MemberState::Alive), "each part goes on");
+        cluster.cut.clear();
+        cluster.settle(ms(20_000));
     }
 }
 
 fn seedless(number: usize, generation: u64, now: Duration) -> Membership {
-    Membership::new(ViewConfig::new(tier::TIER, 2), address(number), generation, vec![], number as u64, now)
+    Membership::new(
+        ViewConfig::new(cluster::FLEET_ID, 2),
+        address(number),
+        generation,
+        vec![],
+        number as u64,
+        now,
+    )
 }
 
 #[test]
-fn a_later_life_that_knows_nobody_is_found_by_who_knew_the_earlier() {
-    let mut tier = settled(2, 1);
+fn a_restarted_member_without_seeds_is_found_by_those_that_knew_it() {
+    let mut cluster = settled(2, 1);
     // It knows nobody and asks nobody; the other goes on probing the life it knew.
-    tier.fleets[1] = Some(seedless(1, 1_050_000, tier.now));
-    tier.settle(ms(2_000));
-    assert!(deaths(&tier).is_empty());
+    cluster.fleets[1] = Some(seedless(1, 1_050_000, cluster.now));
+    cluster.settle(ms(2_000));
+    assert!(deaths(&cluster).is_empty());
 }
 
 #[test]
-fn two_without_seeds_that_lost_each_other_ask_for_the_dead() {
-    let mut tier = Tier::new(2, 1);
-    tier.settle(ms(10_000));
+fn two_members_without_seeds_probe_each_other_when_dead() {
+    let mut cluster = Cluster::new(2, 1);
+    cluster.settle(ms(10_000));
     for number in [0, 1] {
-        tier.fleets[number] = Some(seedless(number, 1_050_000, tier.now));
-        tier.settle(ms(10_000));
+        cluster.fleets[number] = Some(seedless(number, 1_050_000, cluster.now));
+        cluster.settle(ms(10_000));
     }
-    tier.part(&[0], &[1]);
-    tier.run(ms(30_000));
-    assert_eq!(deaths(&tier).len(), 2);
-    tier.cut.clear();
-    tier.settle(ms(5_000));
+    cluster.part(&[0], &[1]);
+    cluster.run(ms(30_000));
+    assert_eq!(deaths(&cluster).len(), 2);
+    cluster.cut.clear();
+    cluster.settle(ms(5_000));
 }
 
 #[test]
 fn a_link_that_is_cut_kills_nobody_one_way_or_both() {
     for seed in 0..4 {
-        let mut tier = settled(7, seed);
-        tier.cut.insert((1, 5));
+        let mut cluster = settled(7, seed);
+        cluster.cut.insert((1, 5));
         if seed % 2 == 0 {
-            tier.cut.insert((5, 1));
+            cluster.cut.insert((5, 1));
         }
-        tier.run(ms(40_000));
-        assert!(deaths(&tier).is_empty(), "others reach both: {:?}", deaths(&tier));
-        tier.settle(ms(3_000));
+        cluster.run(ms(40_000));
+        assert!(deaths(&cluster).is_empty(), "others reach both: {:?}", deaths(&cluster));
+        cluster.settle(ms(3_000));
     }
 }
 
 #[test]
 fn a_member_that_stalls_accuses_nobody_and_is_back_soon() {
     for seed in 0..4 {
-        let mut tier = settled(7, seed);
-        tier.stalled.insert(3, Vec::new());
-        tier.run(ms(3_000));
-        tier.wake(3);
-        tier.settle(ms(12_000));
-        let by_it: Vec<_> = deaths(&tier).into_iter().filter(|&(by, _)| by == 3).collect();
+        let mut cluster = settled(7, seed);
+        cluster.stalled.insert(3, Vec::new());
+        cluster.run(ms(3_000));
+        cluster.wake(3);
+        cluster.settle(ms(12_000));
+        let by_it: Vec<_> = deaths(&cluster).into_iter().filter(|&(by, _)| by == 3).collect();
         assert!(by_it.is_empty(), "{by_it:?}");
-        let stalls = tier.fleets[3].as_ref().map(|it| it.metrics().stalls);
+        let stalls = cluster.fleets[3].as_ref().map(|it| it.metrics().stalls);
         assert_eq!(stalls, Some(1));
     }
 }
 
 #[test]
 fn a_long_stall_ends_in_the_same_view_for_all() {
-    let mut tier = settled(7, 1);
-    tier.stalled.insert(3, Vec::new());
-    tier.run(ms(30_000));
-    assert_eq!(deaths(&tier).iter().filter(|it| it.1 == address(3)).count(), 6, "it is missed");
-    tier.wake(3);
-    tier.settle(ms(20_000));
-    assert!(deaths(&tier).iter().all(|&(by, _)| by != 3), "it accuses nobody");
+    let mut cluster = settled(7, 1);
+    cluster.stalled.insert(3, Vec::new());
+    cluster.run(ms(30_000));
+    assert_eq!(deaths(&cluster).iter().filter(|it| it.1 == address(3)).count(), 6, "it is missed");
+    cluster.wake(3);
+    cluster.settle(ms(20_000));
+    assert!(deaths(&cluster).iter().all(|&(by, _)| by != 3), "it accuses nobody");
 }
 
 #[test]
 fn one_that_leaves_is_not_missed() {
-    let mut tier = settled(7, 5);
-    tier.leave(2);
-    tier.settle(ms(10_000));
-    tier.run(ms(5_000));
-    assert!(deaths(&tier).is_empty(), "{:?}", deaths(&tier));
+    let mut cluster = settled(7, 5);
+    cluster.leave(2);
+    cluster.settle(ms(10_000));
+    cluster.run(ms(5_000));
+    assert!(deaths(&cluster).is_empty(), "{:?}", deaths(&cluster));
     for number in [0, 1, 3, 4, 5, 6] {
-        assert_eq!(held(&tier, number, 2), Some(MemberState::Left), "by {number}");
+        assert_eq!(state_seen_by(&cluster, number, 2), Some(MemberState::Left), "by {number}");
     }
 }
 
 #[test]
-fn one_that_leaves_just_after_a_stall_has_datagrams_left_to_say_so() {
+fn a_member_that_leaves_after_a_stall_still_announces_it() {
     for seed in 0..3 {
-        let mut tier = settled(3, seed);
-        tier.stalled.insert(2, Vec::new());
-        tier.run(ms(15_000));
-        tier.wake(2);
-        tier.run(ms(150));
-        tier.leave(2);
-        tier.run(ms(10_000));
+        let mut cluster = settled(3, seed);
+        cluster.stalled.insert(2, Vec::new());
+        cluster.run(ms(15_000));
+        cluster.wake(2);
+        cluster.run(ms(150));
+        cluster.leave(2);
+        cluster.run(ms(10_000));
         for number in [0, 1] {
-            assert_eq!(held(&tier, number, 2), Some(MemberState::Left), "by {number}, seed {seed}");
+            assert_eq!(
+                state_seen_by(&cluster, number, 2),
+                Some(MemberState::Left),
+                "by {number}, seed {seed}"
+            );
         }
     }
 }
@@ -187,68 +198,70 @@
 #[test]
 fn a_join_during_loss_settles_and_no_false_death_stays() {
     for seed in 0..3 {
-        let mut tier = settled(7, seed);
-        (tier.loss, tier.repeat) = (0.3, 0.1);
-        tier.start(7, 1_050_000);
-        tier.run(ms(30_000));
-        tier.loss = 0.0;
-        tier.settle(ms(15_000));
+        let mut cluster = settled(7, seed);
+        cluster.loss = 0.3;
+        cluster.repeat = 0.1;
+        cluster.start(7, 1_050_000);
+        cluster.run(ms(30_000));
+        cluster.loss = 0.0;
+        cluster.settle(ms(15_000));
     }
 }
 
 #[test]
-fn what_a_member_sends_does_not_grow_with_the_tier() {
+fn traffic_of_a_member_does_not_grow_with_the_fleet() {
     let rate = |size: usize| {
-        let mut tier = settled(size, 2);
-        tier.sent_a_second(10)
+        let mut cluster = settled(size, 2);
+        cluster.sent_a_second(10)
     };
-    let (small, large) = (rate(10), rate(60));
+    let small = rate(10);
+    let large = rate(60);
     assert!(large.0 < 16.0 && large.0 < 1.5 * small.0, "datagrams a second: {small:?}, {large:?}");
     assert!(large.1 < 4096.0, "bytes a second: {large:?}");
 }
 
 #[test]
 fn sixty_agree_within_eight_seconds_after_any_fault() {
-    let mut tier = settled(60, 1);
+    let mut cluster = settled(60, 1);
     let bound = ms(8_000);
     let tenth = [5, 15, 25, 35, 45, 55];
-    tenth.iter().for_each(|&number| tier.kill(number));
-    assert!(tier.until(0.99, bound).is_some(), "a tenth killed: {:.2} agree", tier.agree());
-    tenth.iter().for_each(|&number| tier.start(number, 1_200_000));
-    assert!(tier.until(0.99, bound).is_some(), "a tenth restarted: {:.2} agree", tier.agree());
+    tenth.iter().for_each(|&number| cluster.kill(number));
+    assert!(cluster.until(0.99, bound).is_some(), "a tenth killed: {:.2} agree", cluster.agree());
+    tenth.iter().for_each(|&number| cluster.start(number, 1_200_000));
+    assert!(cluster.until(0.99, bound).is_some(), "a tenth restarted: {:.2} agree", cluster.agree());
     let (one, other): (Vec<usize>, Vec<usize>) = (0..60).partition(|number| number % 2 == 0);
-    tier.part(&one, &other);
-    tier.run(ms(15_000));
-    tier.cut.clear();
-    assert!(tier.until(0.99, bound).is_some(), "halves healed: {:.2} agree", tier.agree());
+    cluster.part(&one, &other);
+    cluster.run(ms(15_000));
+    cluster.cut.clear();
+    assert!(cluster.until(0.99, bound).is_some(), "halves healed: {:.2} agree", cluster.agree());
 }
 
 #[test]
-fn no_false_death_stands_where_a_third_is_lost() {
+fn no_false_death_remains_with_a_third_of_datagrams_lost() {
     for size in [9, 30] {
-        let mut tier = settled(size, 4);
-        tier.loss = 0.3;
-        tier.run(ms(30_000));
-        let (count, longest) = tier.false_deaths();
+        let mut cluster = settled(size, 4);
+        cluster.loss = 0.3;
+        cluster.run(ms(30_000));
+        let (count, longest) = cluster.false_deaths();
         assert!(longest <= ms(5_000), "{count} of {size} members, {longest:?}");
         // A suspicion that was contradicted ends no life either.
-        let lives = tier.fleets.iter().flatten().map(|it| it.metrics().own_deaths).sum::<u64>();
-        assert!(lives <= count as u64, "{lives} new lives for {count} deaths");
+        let rejoins = cluster.fleets.iter().flatten().map(|it| it.metrics().own_deaths).sum::<u64>();
+        assert!(rejoins <= count as u64, "{rejoins} new lives for {count} deaths");
         // One that is killed is missed all the same.
-        tier.kill(3);
-        tier.run(ms(20_000));
-        let held = deaths(&tier).iter().filter(|it| it.1 == address(3)).count();
-        assert_eq!(held, size - 1, "of {size}");
+        cluster.kill(3);
+        cluster.run(ms(20_000));
+        let state_seen_by = deaths(&cluster).iter().filter(|it| it.1 == address(3)).count();
+        assert_eq!(state_seen_by, size - 1, "of {size}");
     }
 }
 
 #[test]
-fn parts_that_never_met_find_each_other() {
-    let mut tier = Tier::new(8, 6);
+fn partitions_that_never_knew_each_other_join() {
+    let mut cluster = Cluster::new(8, 6);
     // One seed in each part.
-    tier.part(&[0, 2, 4, 6], &[1, 3, 5, 7]);
-    tier.run(ms(10_000));
-    assert_eq!(tier.agree(), 0.0);
-    tier.cut.clear();
-    tier.settle(ms(20_000));
+    cluster.part(&[0, 2, 4, 6], &[1, 3, 5, 7]);
+    cluster.run(ms(10_000));
+    assert_eq!(cluster.agree(), 0.0);
+    cluster.cut.clear();
+    cluster.settle(ms(20_000));
 }
--- a/crates/ashtide-maintenance/tests/model.rs
+++ b/crates/ashtide-maintenance/tests/model.rs
@@ -41,7 +41,7 @@
 struct Gateway {
     voter: Option<Acceptor>,
     disk: AcceptorState,
-    life: u64,
+    incarnation: u64,
     round: Option<(Proposal, Vec<Change>)>,
     knowledge: LeasedState,
     /// Since when it knows the phase of `a`: that phase's version.
@@ -57,7 +57,7 @@
     wire: Vec<(usize, usize, Message)>,
     now: u64,
     proposals: u8,
-    asks: u8,
+    reads: u8,
     repeats: u8,
     crashes: u8,
 }
@@ -68,17 +68,17 @@
     /// To a voter, whose answer comes back at once, or is lost; the message may come again.
     Deliver(usize, bool, bool),
     /// A gateway asks two voters; the answer comes when it comes.
-    Ask(usize, usize),
-    Hear(usize),
+    Read(usize, usize),
+    Receive(usize),
     Second,
     Crash(usize),
     Start(usize),
 }
 
-struct Tier {
+struct Cluster {
     broken: Option<Mutation>,
     proposals: u8,
-    asks: u8,
+    reads: u8,
     /// Messages that come twice, and answers that are lost.
     repeats: u8,
     crashes: u8,
@@ -95,15 +95,16 @@
 }
 
 fn request(call: u64, name: &str) -> Change {
-    let (name, reason) = (name.to_owned(), String::new());
+    let name = name.to_owned();
+    let reason = String::new();
     Change::Request { request_id: call, kind: MachineKind::Server, name, reason, requested_at_ms: call }
 }
 
-fn named<T>(make: impl Fn(String) -> T, name: &str) -> T {
+fn found_names<T>(make: impl Fn(String) -> T, name: &str) -> T {
     make(name.to_owned())
 }
 
-impl Tier {
+impl Cluster {
     fn apply(&self, table: &mut MaintenanceQueue, changes: &[Change]) {
         for change in changes {
             let _ = table.apply_with_mutation(change, &RULES, &BTreeSet::new(), self.broken);
@@ -119,7 +120,7 @@
     }
 
     /// A tier in which this has been chosen, known everywhere since a second ago, `a` as it is for so long.
-    fn tier(&self, changes: &[Change], now: u64, age: u64) -> State {
+    fn cluster(&self, changes: &[Change], now: u64, age: u64) -> State {
         let mut table = MaintenanceQueue::default();
         self.apply(&mut table, changes);
         let ballot = Ballot { round: 1, slot: 0, incarnation: 1 };
@@ -131,7 +132,7 @@
             Gateway {
                 voter: Some(Acceptor::new(vote.clone())),
                 disk: vote.clone(),
-                life: 1,
+                incarnation: 1,
                 round: None,
                 knowledge,
                 watched: (since, now - age),
@@ -139,7 +140,7 @@
             }
         };
         let gateways = (0..3).map(|_| gateway()).collect();
-        State { gateways, wire: Vec::new(), now, proposals: 0, asks: 0, repeats: 0, crashes: 0 }
+        State { gateways, wire: Vec::new(), now, proposals: 0, reads: 0, repeats: 0, crashes: 0 }
     }
 
     fn changes(&self, state: &State, at: usize, plan: Plan) -> Option<Vec<Change>> {
@@ -159,13 +160,13 @@
                 gateway.watched.0 == row.phase_version && state.now >= gateway.watched.1 + LEASE + MARGIN;
             let token = row.phase.token()?;
             (known || state.gateways.iter().all(acts))
-                .then(|| named(|name| Change::Removed { name, token }, "a"))
+                .then(|| found_names(|name| Change::Removed { name, token }, "a"))
         };
         Some(match plan {
             Plan::Grant => vec![grant(&table.next_queued(MachineKind::Server)?.name)],
             Plan::Done => {
                 row.filter(|row| row.phase.holder().is_some())?;
-                vec![named(|name| Change::Done { request_id: 9, name }, "a")]
+                vec![found_names(|name| Change::Done { request_id: 9, name }, "a")]
             }
             Plan::Next => vec![cooled()?, grant("b")],
             Plan::Again => vec![cooled()?, request(3, "a"), grant("a")],
@@ -225,16 +226,17 @@
     fn accepted(&self, state: &mut State, from: usize, to: usize, ballot: Ballot) {
         let Some((round, _)) = &mut state.gateways[to].round else { return };
         if round.handle_accepted(Slot(from as u16), ballot) {
-            let (began, table) = (round.started_at, round.proposed().cloned().unwrap_or_default());
+            let began = round.started_at;
+            let table = round.proposed().cloned().unwrap_or_default();
             state.gateways[to].round = None;
             Self::learn(state, to, began, &table);
         }
     }
 
-    fn learn(state: &mut State, at: usize, asked: Duration, table: &MaintenanceQueue) {
+    fn learn(state: &mut State, at: usize, requested_at: Duration, table: &MaintenanceQueue) {
         let now = state.now;
         let gateway = &mut state.gateways[at];
-        gateway.knowledge.learn(asked, seconds(now), table);
+        gateway.knowledge.learn(requested_at, seconds(now), table);
         let row = gateway.knowledge.queue().entries.iter().find(|row| row.name == "a");
         let since = row.map_or(0, |row| row.phase_version);
         if since != gateway.watched.0 {
@@ -249,22 +251,23 @@
     }
 }
 
-impl Model for Tier {
+impl Model for Cluster {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let queue = [request(1, "a"), request(2, "b")];
-        let granted = named(|name| Change::Grant { name, holder: Slot(0) }, "a");
-        let done = named(|name| Change::Done { request_id: 8, name }, "a");
+        let granted = found_names(|name| Change::Grant { name, holder: Slot(0) }, "a");
+        let done = found_names(|name| Change::Done { request_id: 8, name }, "a");
         let out = [queue.to_vec(), vec![granted.clone()]].concat();
         let cooling = [queue.to_vec(), vec![granted, done]].concat();
         // The third has stood still since before the release, and an answer from then waits for it.
-        let mut stalled = self.tier(&cooling, 4, 3);
-        let mut before = self.tier(&out, 1, 0).gateways.remove(2);
+        let mut stalled = self.cluster(&cooling, 4, 3);
+        let mut before = self.cluster(&out, 1, 0).gateways.remove(2);
         before.answer = Some((1, before.knowledge.queue().clone()));
         stalled.gateways[2] = before;
-        let all = [self.tier(&queue, 1, 0), self.tier(&out, 1, 0), self.tier(&cooling, 4, 3), stalled];
+        let all =
+            [self.cluster(&queue, 1, 0), self.cluster(&out, 1, 0), self.cluster(&cooling, 4, 3), stalled];
         match self.from {
             Some(at) => vec![all[at].clone()],
             None => all.to_vec(),
@@ -280,11 +283,11 @@
                         let can = |plan: &Plan| self.changes(state, at, *plan).is_some();
                         actions.extend(plans.into_iter().filter(can).map(|plan| Action::Propose(at, plan)));
                     }
-                    if state.asks < self.asks && gateway.answer.is_none() {
-                        actions.extend((0..3).map(|without| Action::Ask(at, without)));
+                    if state.reads < self.reads && gateway.answer.is_none() {
+                        actions.extend((0..3).map(|without| Action::Read(at, without)));
                     }
                     if gateway.answer.is_some() {
-                        actions.push(Action::Hear(at));
+                        actions.push(Action::Receive(at));
                     }
                     if state.crashes < self.crashes {
                         actions.push(Action::Crash(at));
@@ -311,9 +314,10 @@
                 let changes = self.changes(&state, at, plan)?;
                 state.proposals += 1;
                 let gateway = &mut state.gateways[at];
-                let (slot, life) = (at as u16, gateway.life);
+                let slot = at as u16;
+                let incarnation = gateway.incarnation;
                 let round = gateway.voter.as_ref()?.state().promised.round + 1;
-                let ballot = Ballot { round, slot, incarnation: life };
+                let ballot = Ballot { round, slot, incarnation: incarnation };
                 let voters = match self.broken {
                     Some(Mutation::MajorityOfResponders) => vec![Slot(slot)],
                     _ => (0..3).map(Slot).collect(),
@@ -339,21 +343,21 @@
                     state.gateways[from].round = round;
                 }
             }
-            Action::Ask(at, without) => {
-                let asked = state.gateways.iter().enumerate().filter(|&(other, _)| other != without);
+            Action::Read(at, without) => {
+                let requested_at = state.gateways.iter().enumerate().filter(|&(other, _)| other != without);
                 let votes: Vec<&AcceptorState> =
-                    asked.filter_map(|(_, it)| Some(it.voter.as_ref()?.state())).collect();
+                    requested_at.filter_map(|(_, it)| Some(it.voter.as_ref()?.state())).collect();
                 let [one, other] = votes[..] else { return None };
                 if one.accepted != other.accepted {
                     return None;
                 }
                 let table = one.queue.clone();
-                state.asks += 1;
+                state.reads += 1;
                 state.gateways[at].answer = Some((state.now, table));
             }
-            Action::Hear(at) => {
-                let (asked, table) = state.gateways[at].answer.take()?;
-                Self::learn(&mut state, at, seconds(asked), &table);
+            Action::Receive(at) => {
+                let (requested_at, table) = state.gateways[at].answer.take()?;
+                Self::learn(&mut state, at, seconds(requested_at), &table);
             }
             Action::Second => {
                 state.now += 1;
@@ -376,8 +380,11 @@
                 state.crashes += 1;
                 let knowledge = self.knowledge();
                 let gateway = &mut state.gateways[at];
-                (gateway.voter, gateway.round, gateway.answer) = (None, None, None);
-                (gateway.knowledge, gateway.watched) = (knowledge, (0, 0));
+                gateway.voter = None;
+                gateway.round = None;
+                gateway.answer = None;
+                gateway.knowledge = knowledge;
+                gateway.watched = (0, 0);
                 if self.broken == Some(Mutation::VoteWithoutCatchUp) {
                     gateway.disk = AcceptorState::default();
                 }
@@ -385,7 +392,7 @@
             Action::Start(at) => {
                 let now = seconds(state.now);
                 let gateway = &mut state.gateways[at];
-                gateway.life += 1;
+                gateway.incarnation += 1;
                 gateway.voter = Some(Acceptor::new(gateway.disk.clone()));
                 if self.broken == Some(Mutation::ActOnPersistedGrant) {
                     gateway.knowledge.learn(now, now, &gateway.disk.queue);
@@ -408,7 +415,8 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("M1", |_, state: &State| {
-                check_machines_out(RULES.max_servers_out, Tier::out(state).iter().map(String::as_str)).is_ok()
+                check_machines_out(RULES.max_servers_out, Cluster::out(state).iter().map(String::as_str))
+                    .is_ok()
             }),
             Property::always("M2 to M5", |_, state: &State| {
                 state.gateways.iter().all(|it| it.knowledge.queue().check(&RULES).is_ok())
@@ -420,7 +428,7 @@
                 same(0, 1) && same(1, 2) && same(0, 2)
             }),
             Property::sometimes("b is out after a", |_, state: &State| {
-                let out = Tier::out(state);
+                let out = Cluster::out(state);
                 out.contains(&"b".to_owned())
                     && state.gateways.iter().any(|it| it.knowledge.queue().last_token == 2)
             }),
@@ -431,10 +439,11 @@
 #[test]
 fn one_server_is_out_in_every_state_to_the_stated_depth() {
     // Each with other faults, as deep as a minute's work allows.
-    for (depth, proposals, asks, repeats, crashes) in DEPTHS {
-        let tier = Tier { broken: None, proposals, asks, repeats, crashes, seconds: 8, from: None };
-        let checker = tier.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
-        let (states, unique) = (checker.state_count(), checker.unique_state_count());
+    for (depth, proposals, reads, repeats, crashes) in DEPTHS {
+        let cluster = Cluster { broken: None, proposals, reads, repeats, crashes, seconds: 8, from: None };
+        let checker = cluster.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
+        let states = checker.state_count();
+        let unique = checker.unique_state_count();
         println!("{states} states, {unique} unique, to depth {depth}");
         checker.assert_properties();
     }
@@ -453,11 +462,18 @@
         (Mutation::ActOnPersistedGrant, "M1", 3, (1, 0, 1)),
         (Mutation::VoteWithoutCatchUp, "M7", 0, (2, 0, 1)),
     ];
-    for (broken, name, from, (proposals, asks, crashes)) in found {
+    for (broken, name, from, (proposals, reads, crashes)) in found {
         let seconds = 6;
-        let tier =
-            Tier { broken: Some(broken), proposals, asks, repeats: 0, crashes, seconds, from: Some(from) };
-        let checker = tier
+        let cluster = Cluster {
+            broken: Some(broken),
+            proposals,
+            reads,
+            repeats: 0,
+            crashes,
+            seconds,
+            from: Some(from),
+        };
+        let checker = cluster
             .checker()
             .threads(3)
             .finish_when(HasDiscoveries::AnyFailures)
--- a/crates/ashtide-maintenance/tests/store.rs
+++ b/crates/ashtide-maintenance/tests/store.rs
@@ -32,7 +32,8 @@
     let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 0 };
     let mut table = MaintenanceQueue::default();
     for call in 1..=u64::from(round.min(3)) {
-        let (name, reason) = (format!("s-{call}"), "disk".to_owned());
+        let name = format!("s-{call}");
+        let reason = "disk".to_owned();
         let change =
             Change::Request { request_id: call, kind: MachineKind::Server, name, reason, requested_at_ms: 5 };
         table.apply(&change, &rules, &Default::default()).expect("there is room");
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn what_was_kept_is_read_back_over_many_snapshots() {
+fn persisted_votes_are_read_back_over_many_snapshots() {
     let folder = Folder::new("kept");
     assert_eq!(read(&folder.0).0, PersistedVote::Lost);
     let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
@@ -77,7 +78,8 @@
         ends.push(fs::metadata(folder.file("log")).expect("a log").len() as usize);
     }
     drop(store);
-    let (snapshot, log) = (fs::read(folder.file("snapshot")).unwrap(), fs::read(folder.file("log")).unwrap());
+    let snapshot = fs::read(folder.file("snapshot")).unwrap();
+    let log = fs::read(folder.file("log")).unwrap();
     for length in 0..log.len() {
         fs::write(folder.file("snapshot"), &snapshot).unwrap();
         fs::write(folder.file("log"), &log[..length]).unwrap();
@@ -95,12 +97,13 @@
 }
 
 #[test]
-fn a_flipped_bit_anywhere_loses_the_memory_and_is_named() {
+fn a_flipped_bit_anywhere_loses_the_state_and_is_reported() {
     let folder = Folder::new("flipped");
     let (mut store, ..) = Store::open(&folder.0, "n0").expect("it opens");
     (1..=3).for_each(|round| store.persist(&vote(round)).expect("it is kept"));
     drop(store);
-    let (snapshot, log) = (fs::read(folder.file("snapshot")).unwrap(), fs::read(folder.file("log")).unwrap());
+    let snapshot = fs::read(folder.file("snapshot")).unwrap();
+    let log = fs::read(folder.file("log")).unwrap();
     for (what, whole) in [("snapshot", &snapshot), ("log", &log)] {
         for at in 0..whole.len() {
             fs::write(folder.file("snapshot"), &snapshot).unwrap();
--- a/crates/ashtide-maintenance/tests/tiers.rs
+++ b/crates/ashtide-maintenance/tests/tiers.rs
@@ -30,7 +30,7 @@
 struct Gateway {
     node: Option<Replica>,
     disk: Option<AcceptorState>,
-    life: u64,
+    incarnation: u64,
     stalled: bool,
     /// Its clock, and how fast that runs.
     clock: Duration,
@@ -40,7 +40,7 @@
     open: BTreeMap<String, u32>,
 }
 
-struct Tier {
+struct Cluster {
     rng: ChaCha8Rng,
     now: Duration,
     rules: Limits,
@@ -56,14 +56,14 @@
     broken: Option<Mutation>,
     /// Calls that were said to be done, and what they were.
     wanted: BTreeMap<(usize, u64), String>,
-    asked: BTreeSet<String>,
+    requested: BTreeSet<String>,
     /// What an operator took back: whoever looks seldom may never see it in a table.
     cancelled: BTreeSet<String>,
     chosen: BTreeMap<u64, MaintenanceQueue>,
     longest: usize,
 }
 
-impl Tier {
+impl Cluster {
     fn new(seed: u64, broken: Option<Mutation>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let members = rng.random_range(3..=6);
@@ -87,14 +87,14 @@
         let gateway = |_| Gateway {
             node: None,
             disk: None,
-            life: 0,
+            incarnation: 0,
             stalled: false,
             clock: Duration::from_secs(50),
             rate: 1.0,
             inbox: Vec::new(),
             open: BTreeMap::new(),
         };
-        let mut tier = Self {
+        let mut cluster = Self {
             rng,
             now: Duration::ZERO,
             rules,
@@ -109,16 +109,16 @@
             ready: (0..SERVERS).map(|server| format!("s-{server}")).collect(),
             broken,
             wanted: BTreeMap::new(),
-            asked: BTreeSet::new(),
+            requested: BTreeSet::new(),
             cancelled: BTreeSet::new(),
             chosen: BTreeMap::new(),
             longest: 0,
         };
         for at in 0..members {
-            tier.gateways[at].rate = tier.rng.random_range(0.98..1.02);
-            tier.start(at);
+            cluster.gateways[at].rate = cluster.rng.random_range(0.98..1.02);
+            cluster.start(at);
         }
-        tier
+        cluster
     }
 
     fn one_in(&mut self, times: u32) -> bool {
@@ -127,9 +127,9 @@
 
     fn start(&mut self, at: usize) {
         let gateway = &mut self.gateways[at];
-        gateway.life += 1;
+        gateway.incarnation += 1;
         let memory = gateway.disk.clone().map_or(PersistedVote::Lost, PersistedVote::Stored);
-        let mut node = Replica::new(self.setups[at].clone(), gateway.life, memory, gateway.clock);
+        let mut node = Replica::new(self.setups[at].clone(), gateway.incarnation, memory, gateway.clock);
         if let Some(broken) = self.broken {
             node.set_mutation(broken);
         }
@@ -156,12 +156,12 @@
     }
 
     fn operate(&mut self, at: usize, name: &str, how: usize) {
-        let asked_ms = self.now.as_millis() as u64;
+        let requested_at_ms = self.now.as_millis() as u64;
         let Some(node) = &mut self.gateways[at].node else { return };
         let kind = if name.starts_with('g') { MachineKind::Gateway } else { MachineKind::Server };
         match how {
             0 => {
-                if let Some(call) = node.request(kind, name, "work", asked_ms) {
+                if let Some(call) = node.request(kind, name, "work", requested_at_ms) {
                     self.wanted.insert((at, call), name.to_owned());
                 }
             }
@@ -195,7 +195,7 @@
                     if let Some(name) = self.wanted.remove(&(at, call))
                         && outcome == RequestOutcome::Committed
                     {
-                        self.asked.insert(name);
+                        self.requested.insert(name);
                     }
                 }
                 Action::Drain { .. } | Action::Return { .. } | Action::Log(_) => {}
@@ -216,8 +216,9 @@
                 continue;
             }
             let Some(node) = &mut gateway.node else { continue };
-            let kept: Vec<String> = node.cordoned_machines(MachineKind::Server).map(str::to_owned).collect();
-            for name in &kept {
+            let cordoned: Vec<String> =
+                node.cordoned_machines(MachineKind::Server).map(str::to_owned).collect();
+            for name in &cordoned {
                 let open = gateway.open.entry(name.clone()).or_default();
                 if *open > 0 && self.rng.random_bool(0.05) {
                     *open -= 1;
@@ -316,7 +317,7 @@
     }
 
     /// Half a minute of faults, then all is well; the queue is worked off.
-    fn play(&mut self) -> Result<(), Violation> {
+    fn simulate(&mut self) -> Result<(), Violation> {
         // The first start has no memory to lose.
         let voters = self.setups[0].acceptors.clone();
         for _ in 0..200 {
@@ -328,21 +329,24 @@
             self.operate(at, &format!("s-{server}"), 0);
         }
         self.operate(0, "g-1", 0);
-        (self.loss, self.repeat) = (0.0001, 0.05);
+        self.loss = 0.0001;
+        self.repeat = 0.05;
         for step in 0..600 {
             if step % 5 == 0 && self.one_in(3) {
                 self.fault();
             }
             if self.one_in(20) {
-                let (at, how) =
-                    (self.rng.random_range(0..self.gateways.len()), self.rng.random_range(0..4_usize));
+                let at = self.rng.random_range(0..self.gateways.len());
+                let how = self.rng.random_range(0..4_usize);
                 let name = format!("s-{}", self.rng.random_range(0..6));
                 // Requests come again and again, cancels and ends now and then.
                 self.operate(at, &name, how.saturating_sub(1));
             }
             self.step()?;
         }
-        (self.loss, self.repeat, self.slow) = (0.0, 0.0, 0.0);
+        self.loss = 0.0;
+        self.repeat = 0.0;
+        self.slow = 0.0;
         self.cut.clear();
         for at in 0..self.gateways.len() {
             self.gateways[at].stalled = false;
@@ -363,7 +367,7 @@
     }
 
     /// What was promised to operators: nothing is lost, nothing stays, and nothing goes back in its course.
-    fn kept(&self, seed: u64) {
+    fn cordoned(&self, seed: u64) {
         for gateway in &self.gateways {
             let (table, fresh) = gateway.node.as_ref().expect("it runs").queue();
             assert!(fresh, "seed {seed}: a gateway knows nothing of the others");
@@ -387,7 +391,7 @@
                 assert!(gap.is_none(), "seed {seed}: {} was gone and is back", row.name);
             }
         }
-        for name in self.asked.difference(&self.cancelled) {
+        for name in self.requested.difference(&self.cancelled) {
             assert!(seen.contains(name), "seed {seed}: {name} was taken on and lost");
         }
     }
@@ -402,13 +406,15 @@
 }
 
 /// What comes of these seeds, in their order.
-fn side_by_side<T: Send>(first: u64, count: u64, play: impl Fn(u64) -> Option<T> + Sync) -> Vec<T> {
+fn side_by_side<T: Send>(first: u64, count: u64, simulate: impl Fn(u64) -> Option<T> + Sync) -> Vec<T> {
     const THREADS: u64 = 4;
     let part = |thread| (first..first + count).filter(move |seed| seed % THREADS == thread);
     let all = std::thread::scope(|scope| {
         let each = |thread| {
-            let play = &play;
-            scope.spawn(move || part(thread).filter_map(|seed| Some((seed, play(seed)?))).collect::<Vec<_>>())
+            let simulate = &simulate;
+            scope.spawn(move || {
+                part(thread).filter_map(|seed| Some((seed, simulate(seed)?))).collect::<Vec<_>>()
+            })
         };
         let threads: Vec<_> = (0..THREADS).map(each).collect();
         threads
@@ -421,22 +427,22 @@
 }
 
 #[test]
-fn tiers_of_all_seeds_keep_the_bound_and_work_the_queue_off() {
+fn clusters_of_all_seeds_stay_within_the_bound_and_finish_the_queue() {
     let (first, count) = seeds();
-    let played = side_by_side(first, count, |seed| {
-        let mut tier = Tier::new(seed, None);
-        if let Err(violation) = tier.play() {
+    let simulated = side_by_side(first, count, |seed| {
+        let mut cluster = Cluster::new(seed, None);
+        if let Err(violation) = cluster.simulate() {
             panic!("ASHTIDE_SEED={seed}: {violation}; {}", violation.help());
         }
-        tier.kept(seed);
-        let nodes = tier.gateways.iter().filter_map(|it| it.node.as_ref());
+        cluster.cordoned(seed);
+        let nodes = cluster.gateways.iter().filter_map(|it| it.node.as_ref());
         let counts = nodes.map(|it| [it.metrics().chosen, it.metrics().fenced, it.metrics().lease_lapses]);
         let sum = counts.fold([0; 3], |one, other| std::array::from_fn(|at| one[at] + other[at]));
-        Some((tier.longest == tier.rules.max_servers_out, sum))
+        Some((cluster.longest == cluster.rules.max_servers_out, sum))
     });
-    let full = played.iter().filter(|it| it.0).count();
+    let full = simulated.iter().filter(|it| it.0).count();
     let [chosen, fenced, lapses] =
-        played.iter().fold([0; 3], |one, (_, other)| std::array::from_fn(|at| one[at] + other[at]));
+        simulated.iter().fold([0; 3], |one, (_, other)| std::array::from_fn(|at| one[at] + other[at]));
     println!("{count} seeds: {full} filled the bound, {chosen} rounds, {fenced} fenced, {lapses} lapses");
     assert!(full as u64 * 10 >= count * 9, "the bound was reached in {full} of {count} only");
 }
@@ -453,8 +459,8 @@
     ];
     for (broken, name) in found {
         let violations: Vec<String> = side_by_side(1, 300, |seed| {
-            let mut tier = Tier::new(seed, Some(broken));
-            tier.play().err().map(|it| it.to_string())
+            let mut cluster = Cluster::new(seed, Some(broken));
+            cluster.simulate().err().map(|it| it.to_string())
         });
         let first = violations.first().map(String::as_str).unwrap_or("nothing");
         println!("{broken:?}: {} of 300, first {first}", violations.len());
@@ -463,11 +469,11 @@
 }
 
 /// Settled, with six requests in the queue and three gateways.
-fn queued(seed: u64, broken: Option<Mutation>) -> Tier {
-    let mut tier = Tier::new(seed, broken);
-    (0..200).for_each(|_| tier.step().expect("nothing has happened yet"));
-    (0..6).for_each(|server| tier.operate(0, &format!("s-{server}"), 0));
-    tier
+fn queued(seed: u64, broken: Option<Mutation>) -> Cluster {
+    let mut cluster = Cluster::new(seed, broken);
+    (0..200).for_each(|_| cluster.step().expect("nothing has happened yet"));
+    (0..6).for_each(|server| cluster.operate(0, &format!("s-{server}"), 0));
+    cluster
 }
 
 /// The way a gateway that was asleep comes to act on an old grant: answers to what it asked before lie in its socket.
@@ -477,19 +483,19 @@
     for (broken, found) in [(None, false), (Some(Mutation::LeaseFromAnswerTime), true)] {
         let mut violations = 0;
         for seed in 1..=60 {
-            let mut tier = queued(seed, broken);
-            let last = tier.gateways.len() - 1;
-            let keeps = |tier: &Tier| {
-                tier.gateways[last].node.as_ref().unwrap().cordoned_machines(MachineKind::Server).count()
+            let mut cluster = queued(seed, broken);
+            let last = cluster.gateways.len() - 1;
+            let cordons = |cluster: &Cluster| {
+                cluster.gateways[last].node.as_ref().unwrap().cordoned_machines(MachineKind::Server).count()
             };
-            while keeps(&tier) == 0 || tier.rng.random_range(0..5) > 0 {
-                tier.step().expect("all is well");
+            while cordons(&cluster) == 0 || cluster.rng.random_range(0..5) > 0 {
+                cluster.step().expect("all is well");
             }
-            tier.gateways[last].stalled = true;
-            (0..160).for_each(|_| tier.step().expect("the others go on"));
-            tier.gateways[last].stalled = false;
-            woken += usize::from(!tier.gateways[last].inbox.is_empty());
-            violations += usize::from((0..20).any(|_| tier.step().is_err()));
+            cluster.gateways[last].stalled = true;
+            (0..160).for_each(|_| cluster.step().expect("the others go on"));
+            cluster.gateways[last].stalled = false;
+            woken += usize::from(!cluster.gateways[last].inbox.is_empty());
+            violations += usize::from((0..20).any(|_| cluster.step().is_err()));
         }
         println!("{broken:?}: {violations} of 60");
         assert_eq!(violations > 0, found, "{broken:?}: {violations} of 60");
--- a/crates/ashtide-quota/examples/compare.rs
+++ b/crates/ashtide-quota/examples/compare.rs
@@ -17,7 +17,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for way in [Way::Split, Way::Own, Way::Central, Way::Shared] {
-        let plays = |load: Load| {
+        let runs = |load: Load| {
             let all: Vec<_> = (0..6).map(|seed| measure(way, load, seed)).collect();
             let worst = all.iter().map(|it| it.overshoot).fold(0.0, f64::max);
             let use_ = all.iter().map(|it| it.used).fold(f64::MAX, f64::min);
@@ -25,7 +25,9 @@
             let bytes = all.iter().map(|it| it.bytes).fold(0.0, f64::max);
             (worst, use_, small, bytes)
         };
-        let (whole, parted, moved) = (plays(Load::Heavy), plays(Load::Parted), plays(Load::Moved));
+        let whole = runs(Load::Heavy);
+        let parted = runs(Load::Parted);
+        let moved = runs(Load::Moved);
         println!(
             "| {way:?} | {:.1}% | {:.1}% | {:.1}% | {:.1}% | {:.0} |",
             100.0 * whole.0,
--- a/crates/ashtide-quota/tests/load/mod.rs
+++ b/crates/ashtide-quota/tests/load/mod.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::chance::STEP;
-use super::exchanges::Tier;
+use super::exchanges::Cluster;
 
 /// Partners, each with this quota: connections a second over all gateways.
 const PARTNERS: usize = 4;
@@ -61,15 +61,15 @@
 
 /// Plays 12 s and measures them.
 pub fn measure(way: Way, load: Load, seed: u64) -> Measured {
-    let mut tier = Tier::new(seed, 9, PARTNERS, PACE * 1_000);
+    let mut cluster = Cluster::new(seed, 9, PARTNERS, PACE * 1_000);
     let partner = |id| PartnerBudgets { rate_budget: id as u32, burst: BURST, connections_budget: None };
     let mut quotas: Vec<Quota> = (0..9)
         .map(|number| {
-            let now = tier.gateways[number].clock.read(tier.chance.now);
+            let now = cluster.gateways[number].clock.read(cluster.chance.now);
             Quota::new((0..PARTNERS).map(partner), DEFAULT_MAX_WAIT, now)
         })
         .collect();
-    let begin = tier.chance.now;
+    let begin = cluster.chance.now;
     let mut buckets = vec![vec![(0.0, begin); PARTNERS]; 9];
     let mut spent: Vec<Vec<Duration>> = vec![Vec::new(); PARTNERS];
     let mut offered = [0usize; PARTNERS];
@@ -78,16 +78,16 @@
     for step in 0..(12_000 / STEP.as_millis()) {
         let time = STEP * step as u32;
         let parted = load == Load::Parted && time >= Duration::from_secs(4);
-        if parted && tier.chance.cut.is_empty() {
+        if parted && cluster.chance.cut.is_empty() {
             for (one, other) in (0..6).flat_map(|one| (6..9).map(move |other| (one, other))) {
-                tier.chance.cut.extend([(one, other), (other, one)]);
+                cluster.chance.cut.extend([(one, other), (other, one)]);
             }
         }
-        tier.step();
-        let now = tier.chance.now;
+        cluster.step();
+        let now = cluster.chance.now;
         for number in 0..9 {
-            let own = tier.gateways[number].clock.read(now);
-            let exchange = tier.gateways[number].exchange.as_mut().expect("there");
+            let own = cluster.gateways[number].clock.read(now);
+            let exchange = cluster.gateways[number].exchange.as_mut().expect("there");
             quotas[number].advance_to(own, exchange);
             for partner in 0..PARTNERS {
                 let times = match load {
@@ -111,7 +111,7 @@
                 let mean = times * PACE as f64 / 9.0 * STEP.as_secs_f64();
                 let mut asking = Vec::new();
                 for _ in 0..4 {
-                    if tier.chance.rng.random_bool((mean / 4.0).min(1.0)) {
+                    if cluster.chance.rng.random_bool((mean / 4.0).min(1.0)) {
                         offered[partner] += usize::from(time >= Duration::from_secs(4));
                         asking.push(0);
                     }
@@ -120,7 +120,7 @@
                     |it: &(Duration, usize, usize, u8)| it.0 <= now && (it.1, it.2) == (number, partner);
                 asking.extend(again.extract_if(.., |it| due(it)).map(|it| it.3));
                 for tries in asking {
-                    let mut wait = Duration::from_millis(tier.chance.rng.random_range(500..1_500));
+                    let mut wait = Duration::from_millis(cluster.chance.rng.random_range(500..1_500));
                     let may = match way {
                         Way::Split => take(&mut buckets[number][partner], now, PACE as f64 / 9.0),
                         Way::Own => take(&mut buckets[number][partner], now, PACE as f64),
@@ -144,7 +144,7 @@
             }
             quotas[number].check().expect("waits are bounded");
         }
-        tier.check().expect("the invariants hold");
+        cluster.check().expect("the invariants hold");
     }
     let window = Duration::from_secs(2);
     let most = PACE as f64 * (window + BURST).as_secs_f64();
@@ -160,7 +160,7 @@
         .map(|it| between(4, &spent[it]) / (offered[it] as f64).min(PACE as f64 * 8.0))
         .fold(f64::MAX, f64::min);
     let sent: u64 =
-        tier.gateways.iter().filter_map(|it| it.exchange.as_ref()).map(|it| it.traffic().sent.1).sum();
+        cluster.gateways.iter().filter_map(|it| it.exchange.as_ref()).map(|it| it.traffic().sent.1).sum();
     let bytes = if way == Way::Shared { sent as f64 / 9.0 / 12.0 } else { 0.0 };
     Measured { overshoot, used, smallest, bytes }
 }
--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -18,7 +18,7 @@
 use load::{Load, Way, measure};
 
 #[test]
-fn a_quota_is_kept_whole_and_parted_and_follows_its_partners_to_another_zone() {
+fn a_quota_is_enforced_during_a_partition_and_follows_its_partners_to_another_zone() {
     for seed in 0..3 {
         let (heavy, parted) =
             (measure(Way::Shared, Load::Heavy, seed), measure(Way::Shared, Load::Parted, seed));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_refused_is_told_when_a_right_is_there_each_another_time() {
+fn rejected_clients_are_given_different_retry_times() {
     let mut alone = Alone::new();
     assert_eq!(alone.within(0, 12), 10, "the burst");
     let waits: Vec<Duration> = (0..10)
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn open_connections_are_held_until_they_end_and_a_refusal_costs_nothing() {
+fn open_connections_count_until_they_end_and_a_rejection_costs_nothing() {
     let mut alone = Alone::new();
     assert_eq!(alone.within(0, 10), 10);
     alone.pass(1_000);
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -18,7 +18,7 @@
                     \"/tmp\"\nmax_out = 2\n";
 
 #[test]
-fn the_schema_the_file_and_what_is_read_hold_the_same_keys_and_bounds() {
+fn schema_deploy_file_and_parser_have_the_same_keys_and_bounds() {
     let schema = schema();
     let stored: serde_json::Value =
         serde_json::from_str(include_str!("../deploy/maintenance.schema.json")).expect("the schema is JSON");
@@ -27,14 +27,15 @@
     Settings::parse(file).expect("deploy/maintenance.toml is good");
     let table: toml::Table = file.parse().expect("TOML");
     let keys = schema["properties"].as_object().expect("properties");
-    let stands: BTreeSet<&String> = table.keys().collect();
-    assert_eq!(keys.keys().collect::<BTreeSet<_>>(), stands, "each key stands in the deploy file");
+    let present: BTreeSet<&String> = table.keys().collect();
+    assert_eq!(keys.keys().collect::<BTreeSet<_>>(), present, "each key stands in the deploy file");
     for (key, about) in keys.iter().filter(|it| it.1["type"] == "integer") {
         for beyond in [about["minimum"].as_i64().unwrap() - 1, about["maximum"].as_i64().unwrap() + 1] {
             let mut table: toml::Table = GOOD.parse().expect("TOML");
             table.insert(key.clone(), beyond.into());
-            let told = Settings::parse(&table.to_string()).err().map(|it| it.to_string()).unwrap_or_default();
-            assert!(told.contains(&format!("{key}: found {beyond}; expected")), "{key}: {told}");
+            let expected =
+                Settings::parse(&table.to_string()).err().map(|it| it.to_string()).unwrap_or_default();
+            assert!(expected.contains(&format!("{key}: found {beyond}; expected")), "{key}: {expected}");
         }
     }
 }
@@ -43,7 +44,7 @@
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
     let settings = Settings::parse(GOOD).expect("good");
     assert_eq!(settings.listen, "127.0.0.1:2".parse::<SocketAddr>().expect("its own in the list"));
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("slot = 1", "slot = 3", "slot: found 3; expected one of 3 gateways"),
         ("127.0.0.1:3", "127.0.0.1:1", "gateways: found 127.0.0.1:1 twice; expected"),
         ("max_out = 2", "max_out = 2\nvoters = 5", "voters: found 5; expected at most the 3"),
@@ -53,14 +54,14 @@
         ("tier = 1", "tier = 1\nquorum = 1", "quorum: found an unknown key; expected listen"),
         ("slot = 1", "slot =", "expected TOML"),
     ] {
-        let told_by = |it: MaintenanceError| it.with_help();
-        let problem = Settings::parse(&GOOD.replace(from, to)).err().map(told_by).unwrap_or_default();
-        assert!(problem.contains(told), "{to}: {problem}");
+        let with_help = |it: MaintenanceError| it.with_help();
+        let problem = Settings::parse(&GOOD.replace(from, to)).err().map(with_help).unwrap_or_default();
+        assert!(problem.contains(expected), "{to}: {problem}");
     }
 }
 
 #[test]
-fn calls_at_the_door_are_read_or_refused() {
+fn admin_requests_are_parsed_or_rejected() {
     let s = || "s-1".to_owned();
     for (line, order) in [
         ("maintenance list", MaintenanceCommand::List),
@@ -75,11 +76,11 @@
             "{line}"
         );
     }
-    let told = |line: &str| AdminRequest::parse(line.as_bytes()).err().map(|it| it.to_string());
+    let expected = |line: &str| AdminRequest::parse(line.as_bytes()).err().map(|it| it.to_string());
     for line in ["maintenance list s-1", "maintenance request", "maintenance done s-1 now"] {
-        assert_eq!(told(line).as_deref(), Some("wrong number of words"), "{line}");
+        assert_eq!(expected(line).as_deref(), Some("wrong number of words"), "{line}");
     }
-    assert_eq!(told("maintenance take s-1").as_deref(), Some("no such call"));
+    assert_eq!(expected("maintenance take s-1").as_deref(), Some("no such call"));
 }
 
 const GATEWAYS: usize = 5;
@@ -88,19 +89,19 @@
 /// What a gateway's door said: when it was asked and had answered, what it keeps out by name and token, and how far
 /// each machine is; nothing where it did not answer.
 #[derive(Clone, Debug)]
-struct Said {
-    asked: Instant,
-    heard: Instant,
+struct Snapshot {
+    requested_at: Instant,
+    answered_at: Instant,
     agreed: bool,
     out: BTreeSet<(String, u64)>,
     states: BTreeMap<String, String>,
 }
 
 #[derive(Default)]
-struct Seen(Mutex<[Vec<Option<Said>>; GATEWAYS]>);
+struct Seen(Mutex<[Vec<Option<Snapshot>>; GATEWAYS]>);
 
 impl Seen {
-    fn last(&self, gateway: usize) -> Option<Said> {
+    fn last(&self, gateway: usize) -> Option<Snapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)[gateway].last().cloned().flatten()
     }
 
@@ -110,13 +111,16 @@
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut edges = Vec::new();
         let mut tokens = BTreeSet::new();
-        for said in all.iter() {
-            for two in said.windows(2) {
+        for snapshot in all.iter() {
+            for two in snapshot.windows(2) {
                 let [Some(one), Some(other)] = two else { continue };
                 for (name, token) in one.out.intersection(&other.out) {
                     tokens.insert(*token);
-                    if one.heard < other.asked {
-                        edges.extend([(one.heard, true, name.clone()), (other.asked, false, name.clone())]);
+                    if one.answered_at < other.requested_at {
+                        edges.extend([
+                            (one.answered_at, true, name.clone()),
+                            (other.requested_at, false, name.clone()),
+                        ]);
                     }
                 }
             }
@@ -136,10 +140,10 @@
     fn went_back(&self) -> Option<String> {
         let course = ["queued", "draining", "out", "released"];
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        for said in all.iter() {
+        for snapshot in all.iter() {
             let mut last: BTreeMap<&str, usize> = BTreeMap::new();
-            for said in said.iter().flatten().filter(|it| it.agreed) {
-                for (name, state) in &said.states {
+            for snapshot in snapshot.iter().flatten().filter(|it| it.agreed) {
+                for (name, state) in &snapshot.states {
                     let now = course.iter().position(|it| it == state)?;
                     let before = last.insert(name, now).unwrap_or(now);
                     if before > now {
@@ -148,7 +152,7 @@
                 }
                 // What is gone from the table was released.
                 for (name, course) in &mut last {
-                    if !said.states.contains_key(*name) {
+                    if !snapshot.states.contains_key(*name) {
                         *course = 3;
                     }
                 }
@@ -158,25 +162,31 @@
     }
 }
 
-fn read(text: &str, asked: Instant) -> Option<Said> {
+fn read(text: &str, requested_at: Instant) -> Option<Snapshot> {
     let mut lines = text.strip_suffix("EOF\n")?.lines();
     let agreed = lines.next()?.contains(" agreed,");
     let token = |line: &str| line.split("token=").nth(1)?.split(' ').next()?.parse().ok();
-    let mut said =
-        Said { asked, heard: Instant::now(), agreed, out: BTreeSet::new(), states: BTreeMap::new() };
+    let mut snapshot = Snapshot {
+        requested_at,
+        answered_at: Instant::now(),
+        agreed,
+        out: BTreeSet::new(),
+        states: BTreeMap::new(),
+    };
     for line in lines {
-        let mut words = line.split(' ');
-        let (first, second) = (words.next()?, words.next()?);
+        let mut fields = line.split(' ');
+        let first = fields.next()?;
+        let second = fields.next()?;
         if first == "kept-out" {
-            said.out.insert((second.to_owned(), token(line)?));
+            snapshot.out.insert((second.to_owned(), token(line)?));
         } else {
-            said.states.insert(first.to_owned(), second.to_owned());
+            snapshot.states.insert(first.to_owned(), second.to_owned());
         }
     }
-    Some(said)
+    Some(snapshot)
 }
 
-struct Tier {
+struct Cluster {
     fleet: Fleet,
     mesh: Mesh,
     own: Vec<SocketAddr>,
@@ -188,13 +198,13 @@
     _watchers: tokio::task::JoinSet<()>,
 }
 
-impl Drop for Tier {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Tier {
+impl Cluster {
     async fn start(what: &str, max_out: usize) -> Self {
         let fleet = Fleet::start(SERVERS).await.expect("stand-ins");
         let free: Vec<_> = (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
@@ -203,7 +213,7 @@
         let mesh = Mesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &own, 1).await.expect("relays");
         let folder = std::env::temp_dir().join(format!("ashtide-work-{}-{what}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut tier = Self {
+        let mut cluster = Self {
             fleet,
             mesh,
             own,
@@ -215,28 +225,32 @@
             _watchers: tokio::task::JoinSet::new(),
         };
         for number in 0..GATEWAYS {
-            let daemon = tier.daemon(number).await;
-            tier.doors.lock().unwrap_or_else(PoisonError::into_inner).push(daemon.door.expect("a door"));
-            tier.daemons.push(daemon);
+            let daemon = cluster.daemon(number).await;
+            cluster.doors.lock().unwrap_or_else(PoisonError::into_inner).push(daemon.door.expect("a door"));
+            cluster.daemons.push(daemon);
         }
         for number in 0..GATEWAYS {
-            let (doors, seen) = (tier.doors.clone(), tier.seen.clone());
-            tier._watchers.spawn(async move {
+            let doors = cluster.doors.clone();
+            let seen = cluster.seen.clone();
+            cluster._watchers.spawn(async move {
                 loop {
-                    let door = doors.lock().unwrap_or_else(PoisonError::into_inner)[number];
-                    let asked = Instant::now();
-                    let said = timeout(Duration::from_millis(400), ask(door, "maintenance list")).await;
-                    let said = said.ok().and_then(Result::ok).and_then(|text| read(&text, asked));
-                    seen.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(said);
+                    let admin_address = doors.lock().unwrap_or_else(PoisonError::into_inner)[number];
+                    let requested_at = Instant::now();
+                    let snapshot =
+                        timeout(Duration::from_millis(400), ask(admin_address, "maintenance list")).await;
+                    let snapshot =
+                        snapshot.ok().and_then(Result::ok).and_then(|text| read(&text, requested_at));
+                    seen.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(snapshot);
                     sleep(Duration::from_millis(40)).await;
                 }
             });
         }
-        tier.until("a tier that agrees", 30, |tier| {
-            (0..GATEWAYS).all(|it| tier.seen.last(it).is_some_and(|said| said.agreed))
-        })
-        .await;
-        tier
+        cluster
+            .until("a tier that agrees", 30, |cluster| {
+                (0..GATEWAYS).all(|it| cluster.seen.last(it).is_some_and(|snapshot| snapshot.agreed))
+            })
+            .await;
+        cluster
     }
 
     async fn daemon(&self, number: usize) -> Daemon {
@@ -291,15 +305,15 @@
     }
 
     /// The one that sees a running grant through, as this gateway knows it.
-    async fn holder(&self, asked: usize) -> Option<usize> {
-        let text = self.daemons[asked].call("maintenance list").await.ok()?;
+    async fn holder(&self, requested_at: usize) -> Option<usize> {
+        let text = self.daemons[requested_at].call("maintenance list").await.ok()?;
         text.split("holder=").nth(1)?.split(' ').next()?.parse().ok()
     }
 
     /// All has been worked off, whoever is asked.
     async fn worked_off(&self) {
-        self.until("an empty queue", 60, |tier| {
-            (0..GATEWAYS).all(|it| tier.seen.last(it).is_some_and(|it| it.agreed && it.states.is_empty()))
+        self.until("an empty queue", 60, |cluster| {
+            (0..GATEWAYS).all(|it| cluster.seen.last(it).is_some_and(|it| it.agreed && it.states.is_empty()))
         })
         .await;
         let (most, tokens) = self.seen.most_out();
@@ -312,46 +326,49 @@
 
 #[tokio::test]
 async fn the_granting_gateway_dies_in_mid_drain_and_a_stalled_one_wakes_with_an_old_grant() {
-    let mut tier = Tier::start("killed", 2).await;
-    tier.request_six().await;
-    let out = |it: usize| move |tier: &Tier| tier.seen.last(it).is_some_and(|said| !said.out.is_empty());
-    tier.until("a first grant", 10, out(0)).await;
-    let holder = tier.holder(0).await.expect("it has a holder");
-    tier.daemons[holder].kill().await.expect("killed");
+    let mut cluster = Cluster::start("killed", 2).await;
+    cluster.request_six().await;
+    let out = |it: usize| {
+        move |cluster: &Cluster| cluster.seen.last(it).is_some_and(|snapshot| !snapshot.out.is_empty())
+    };
+    cluster.until("a first grant", 10, out(0)).await;
+    let holder = cluster.holder(0).await.expect("it has a holder");
+    cluster.daemons[holder].kill().await.expect("killed");
     let asleep = (holder + 1) % GATEWAYS;
-    tier.until("a grant that is known to the one that falls asleep", 20, out(asleep)).await;
-    tier.daemons[asleep].stall(true).expect("stopped");
+    cluster.until("a grant that is known to the one that falls asleep", 20, out(asleep)).await;
+    cluster.daemons[asleep].stall(true).expect("stopped");
     sleep(Duration::from_secs(6)).await;
-    tier.daemons[asleep].stall(false).expect("on again");
-    tier.again(holder).await;
-    tier.worked_off().await;
+    cluster.daemons[asleep].stall(false).expect("on again");
+    cluster.again(holder).await;
+    cluster.worked_off().await;
 }
 
 #[tokio::test]
 async fn halves_never_grant_past_the_bound_and_all_restart_while_the_queue_goes_on() {
-    let mut tier = Tier::start("halves", 3).await;
-    tier.request_six().await;
+    let mut cluster = Cluster::start("halves", 3).await;
+    cluster.request_six().await;
     for (one, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice())] {
-        tier.mesh.set(one, other, Link::CUT);
-        tier.mesh.set(other, one, Link::CUT);
+        cluster.mesh.set(one, other, Link::CUT);
+        cluster.mesh.set(other, one, Link::CUT);
         sleep(Duration::from_secs(4)).await;
         // The smaller part has no majority: it keeps nothing out any more, and settles nothing.
-        let last = tier.seen.last(4).expect("it answers");
+        let last = cluster.seen.last(4).expect("it answers");
         assert!(!last.agreed && last.out.is_empty(), "{last:?}");
-        let answer = tier.daemons[4].call("maintenance request s-9").await.expect("an answer");
+        let answer = cluster.daemons[4].call("maintenance request s-9").await.expect("an answer");
         assert!(answer.starts_with("400"), "{answer}");
-        tier.mesh.set(one, other, Link::WHOLE);
-        tier.mesh.set(other, one, Link::WHOLE);
+        cluster.mesh.set(one, other, Link::WHOLE);
+        cluster.mesh.set(other, one, Link::WHOLE);
     }
     for number in 0..GATEWAYS {
-        tier.daemons[number].kill().await.expect("killed");
-        tier.again(number).await;
-        tier.until("a restarted gateway that agrees", 20, |tier| {
-            tier.seen.last(number).is_some_and(|said| said.agreed)
-        })
-        .await;
+        cluster.daemons[number].kill().await.expect("killed");
+        cluster.again(number).await;
+        cluster
+            .until("a restarted gateway that agrees", 20, |cluster| {
+                cluster.seen.last(number).is_some_and(|snapshot| snapshot.agreed)
+            })
+            .await;
     }
-    tier.worked_off().await;
+    cluster.worked_off().await;
 }
 
 #[tokio::test]
@@ -363,9 +380,9 @@
     let answer = daemon.call("maintenance list").await.expect("an answer");
     assert!(answer.starts_with("400 no maintenance"), "{answer}");
     assert!(!daemon.call("counters").await.expect("an answer").contains("maintenance"));
-    let door = daemon.door.expect("a door").to_string();
+    let admin_address = daemon.door.expect("a door").to_string();
     let program = env!("CARGO_BIN_EXE_ashtide");
-    let call = ["maintenance", "--door", &door, "request", "s-0", "--reason", "a new disk"];
+    let call = ["maintenance", "--door", &admin_address, "request", "s-0", "--reason", "a new disk"];
     let output = tokio::process::Command::new(program).args(call).output().await.expect("it runs");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stdout).starts_with("400 no maintenance"));
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_schema_the_file_and_what_is_read_hold_the_same_keys_and_bounds() {
+fn schema_deploy_file_and_parser_have_the_same_keys_and_bounds() {
     let schema = schema();
     let stored: serde_json::Value =
         serde_json::from_str(include_str!("../deploy/quota.schema.json")).expect("the schema is JSON");
@@ -34,15 +34,15 @@
         let bound = |name: &str| about[name].as_i64().expect("a bound");
         assert!(with(bound("minimum")).is_ok() && with(bound("maximum")).is_ok(), "{key}");
         for beyond in [bound("minimum") - 1, bound("maximum") + 1] {
-            let told = with(beyond).err().map(|it| it.to_string()).unwrap_or_default();
-            assert!(told.contains(&format!("{key}: found {beyond}; expected")), "{key}: {told}");
+            let expected = with(beyond).err().map(|it| it.to_string()).unwrap_or_default();
+            assert!(expected.contains(&format!("{key}: found {beyond}; expected")), "{key}: {expected}");
         }
     }
 }
 
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
-    for (text, told) in [
+    for (text, expected) in [
         ("vouched = true", "generation: found nothing; expected a whole number"),
         ("generation = 1\nquota = 3", "quota: found an unknown key; expected generation"),
         ("generation = 1", "partners: found 0 partners; expected 1 to"),
@@ -59,8 +59,8 @@
         ),
         ("generation =", "expected TOML"),
     ] {
-        let said = problem(text);
-        assert!(said.contains(told) && said.contains("; "), "{text}: {said}");
+        let problem_text = problem(text);
+        assert!(problem_text.contains(expected) && problem_text.contains("; "), "{text}: {problem_text}");
     }
     let customers =
         [TenantQuota { name: "a".to_owned(), connections_per_second: 3.0, max_open_connections: Some(4) }];
@@ -104,8 +104,8 @@
             self.now += Duration::from_millis(50);
             self.exchange.advance_to(self.now);
             lines.extend(self.admission.advance_to(self.now, &mut self.exchange));
-            if let Some(kept) = self.admission.allocation_to_persist(&self.exchange) {
-                self.admission.mark_persisted(&mut self.exchange, kept);
+            if let Some(persisted) = self.admission.allocation_to_persist(&self.exchange) {
+                self.admission.mark_persisted(&mut self.exchange, persisted);
             }
             assert_eq!((self.admission.check(), self.exchange.check(&[])), (Ok(()), Ok(())));
         }
@@ -115,8 +115,8 @@
     fn offer(&mut self, tenant: &str, offer: ConnectionKind) -> Result<RequestId, Duration> {
         self.next += 1;
         let id = RequestId(self.next);
-        let rights = (self.now, &mut self.exchange);
-        self.admission.admit(rights, id, tenant, offer, true).map(|()| id)
+        let at_exchange = (self.now, &mut self.exchange);
+        self.admission.admit(at_exchange, id, tenant, offer, true).map(|()| id)
     }
 
     fn admitted(&mut self, times: usize) -> Vec<RequestId> {
@@ -144,8 +144,8 @@
     gateway.pass(1_000);
     assert_eq!(gateway.admitted(4).len(), 4, "others have ended");
     let text = gateway.admission.status_text(&mut gateway.exchange);
-    let told = "within=19 moved=0 borrowed=0 refused=13";
-    assert!(text.contains(told) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
+    let expected = "within=19 moved=0 borrowed=0 refused=13";
+    assert!(text.contains(expected) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
     let lines = gateway.pass(6_000);
     assert!(
         lines.iter().any(|it| it == "quota: partner a is within its quota again (13 connections rejected)"),
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_stands_when_a_limit_comes_or_is_taken_over_is_counted_once() {
+fn connections_open_before_a_limit_are_counted_once() {
     let mut gateway = Gateway::new();
     let mut alone = gateway.admission.standalone_exchange(gateway.now);
     for id in 100..106 {
@@ -191,10 +191,10 @@
     assert!(gateway.admitted(40).len() <= 5);
     gateway.pass(1_500);
     assert_eq!(gateway.admitted(40).len(), 5, "less is less at once");
-    let kept = gateway.exchange.agreement().map(AllocationAgreement::persisted);
+    let persisted = gateway.exchange.agreement().map(AllocationAgreement::persisted);
     let mut next = Gateway::new();
     assert!(
-        next.admission.start_sharing(&mut next.exchange, kept).is_err(),
+        next.admission.start_sharing(&mut next.exchange, persisted).is_err(),
         "its file is older than its life before"
     );
 }
@@ -210,9 +210,9 @@
     }
     let mut admitted = 0;
     for id in 0..50 {
-        let rights = (gateway.now, &mut alone);
+        let at_exchange = (gateway.now, &mut alone);
         admitted += usize::from(
-            gateway.admission.admit(rights, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
+            gateway.admission.admit(at_exchange, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
         );
     }
     assert_eq!(admitted, 1, "a tenth of ten");
--- a/tests/shared_state.rs
+++ b/tests/shared_state.rs
@@ -14,7 +14,7 @@
 
 const HEAD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n[state]\n";
 
-fn told(rest: &str) -> String {
+fn parse_problem(rest: &str) -> String {
     let settings = Settings::parse(&format!("{HEAD}{rest}"));
     settings.and_then(|it| it.gateway_slots(None)).err().map(|it| it.to_string()).unwrap_or_default()
 }
@@ -39,7 +39,7 @@
         ),
         ("", "state.gateways: found no 127.0.0.1:7946"),
     ] {
-        assert!(told(text).contains(problem), "{text}: {}", told(text));
+        assert!(parse_problem(text).contains(problem), "{text}: {}", parse_problem(text));
     }
     let settings = Settings::parse(HEAD).expect("good");
     let peers = ["127.0.0.2:1", "127.0.0.1:1"].map(|it| it.parse().expect("an address"));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_schema_tells_the_bounds_and_the_words() {
+fn the_schema_has_the_bounds_and_the_choices() {
     let schema = schema();
     for word in schema["properties"]["judgements"]["enum"].as_array().expect("words") {
         let parsed = Settings::parse(&format!("{HEAD}judgements = {word}"));
@@ -64,33 +64,34 @@
 
 #[test]
 fn what_fails_counts_since_it_last_went_well() {
-    let (mut witness, server) = (OutcomeReporter::default(), ServerId(3));
+    let mut witness = OutcomeReporter::default();
+    let server = ServerId(3);
     let at = |ms: i64| Time::from_micros(ms * 1_000);
-    let sight = |of, failing, silent| OutcomeReport { attempts: of, observations: [failing, silent, 0] };
+    let report = |of, failing, silent| OutcomeReport { attempts: of, observations: [failing, silent, 0] };
     for _ in 0..20 {
         witness.record(server, None);
     }
     assert_eq!(witness.take_reports(at(0)).len(), 1);
     witness.record_end(server, false, Outcome::ConnectError);
-    assert_eq!(witness.take_reports(at(250)), [(server, sight(1, 1, 0))]);
+    assert_eq!(witness.take_reports(at(250)), [(server, report(1, 1, 0))]);
     assert_eq!(witness.take_reports(at(500)), [], "nothing new");
     witness.record_end(server, false, Outcome::TimedOut);
     // A client that left, or a connection that ended as they do, says nothing of the server.
     witness.record_end(server, true, Outcome::Ok);
     witness.record_end(server, false, Outcome::Cancelled);
-    assert_eq!(witness.take_reports(at(750)), [(server, sight(2, 1, 1))]);
+    assert_eq!(witness.take_reports(at(750)), [(server, report(2, 1, 1))]);
     witness.record(server, None);
     assert_eq!(
         witness.take_reports(at(1_000)),
-        [(server, sight(1, 0, 0))],
+        [(server, report(1, 0, 0))],
         "well again at the first attempt"
     );
     witness.record_end(server, false, Outcome::Failed);
-    assert_eq!(witness.take_reports(at(12_000)), [(server, sight(1, 1, 0))], "and what is old is forgotten");
+    assert_eq!(witness.take_reports(at(12_000)), [(server, report(1, 1, 0))], "and what is old is forgotten");
 }
 
 /// Hubs whose datagrams reach each other at once.
-struct Tier {
+struct Cluster {
     hubs: Vec<GatewayState>,
     gateways: Vec<SocketAddr>,
     now: Duration,
@@ -98,7 +99,7 @@
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-impl Tier {
+impl Cluster {
     fn new(size: u16) -> Self {
         let gateways: Vec<SocketAddr> =
             (0..size).map(|it| SocketAddr::from(([127, 0, 0, 1], 9_000 + it))).collect();
@@ -116,7 +117,7 @@
 
     /// Lets time pass; these see a server fail, all others see nothing of it.
     fn pass(&mut self, ms: u64, see: &[usize], open: &[(&str, u32)]) -> Vec<OutlierDecision> {
-        let mut judged = Vec::new();
+        let mut decisions = Vec::new();
         for step in 1..=ms / 50 {
             self.now += Duration::from_millis(50);
             for hub in &mut self.hubs {
@@ -129,17 +130,17 @@
                 }
             }
             if step % 5 == 0 {
-                judged = (0..self.hubs.len()).map(|number| self.look(number, see, open)).collect();
+                decisions = (0..self.hubs.len()).map(|number| self.observation(number, see, open)).collect();
             }
         }
-        judged
+        decisions
     }
 
-    fn look(&mut self, number: usize, see: &[usize], open: &[(&str, u32)]) -> OutlierDecision {
+    fn observation(&mut self, number: usize, see: &[usize], open: &[(&str, u32)]) -> OutlierDecision {
         let open_at = |name: &str| open.iter().find(|it| it.0 == name).map_or(0, |it| it.1);
         let servers =
             NAMES.iter().copied().chain(open.iter().map(|it| it.0).filter(|it| !NAMES.contains(it)));
-        let look = LocalObservation {
+        let observation = LocalObservation {
             servers: servers
                 .map(|name| ServerObservation {
                     key: name_hash(name),
@@ -155,57 +156,58 @@
                 false => Vec::new(),
             },
         };
-        let judged = self.hubs[number].observe(self.now, &look);
-        assert_eq!(judged.violation, None);
-        judged
+        let decisions = self.hubs[number].observe(self.now, &observation);
+        assert_eq!(decisions.violation, None);
+        decisions
     }
 }
 
 #[test]
 fn three_that_see_a_server_fail_take_it_from_all_and_one_from_nobody() {
     for (see, out) in [(&[0, 1, 2][..], true), (&[0], false), (&[0, 4], false)] {
-        let mut tier = Tier::new(5);
-        let judged = tier.pass(6_000, see, &[]);
-        for judged in judged {
-            assert_eq!(judged.ejected.contains(&name_hash("a")), out, "seen by {see:?}");
+        let mut cluster = Cluster::new(5);
+        let decisions = cluster.pass(6_000, see, &[]);
+        for decisions in decisions {
+            assert_eq!(decisions.ejected.contains(&name_hash("a")), out, "seen by {see:?}");
         }
         // Nobody tries it any more: it is back once what was seen is old.
-        let judged = tier.pass(12_000, &[], &[]);
-        assert!(judged.iter().all(|it| it.ejected.is_empty()), "{judged:?}");
+        let decisions = cluster.pass(12_000, &[], &[]);
+        assert!(decisions.iter().all(|it| it.ejected.is_empty()), "{decisions:?}");
     }
 }
 
 #[test]
 fn evidence_of_an_overrun_server_takes_it_from_nobody() {
     assert_eq!(OBSERVED_KINDS[2], EvidenceKind::Overrun);
-    let mut tier = Tier::new(4);
-    tier.pass(3_000, &[], &[]);
-    for hub in &mut tier.hubs {
+    let mut cluster = Cluster::new(4);
+    cluster.pass(3_000, &[], &[]);
+    for hub in &mut cluster.hubs {
         hub.exchange().outlier_reports_mut().record_observation(
-            tier.now,
+            cluster.now,
             name_hash("a"),
             EvidenceKind::Overrun,
             9,
             9,
         );
     }
-    assert!(tier.pass(1_000, &[], &[]).iter().all(|it| it.ejected.is_empty()));
+    assert!(cluster.pass(1_000, &[], &[]).iter().all(|it| it.ejected.is_empty()));
 }
 
 #[test]
-fn who_speaks_from_another_address_than_its_own_is_not_heard() {
-    let mut tier = Tier::new(3);
-    for hub in &mut tier.hubs {
+fn datagrams_from_another_address_than_the_senders_are_rejected() {
+    let mut cluster = Cluster::new(3);
+    for hub in &mut cluster.hubs {
         hub.advance_to(Duration::from_secs(1));
     }
-    let (_, datagram) = tier.hubs[0].next_datagram().expect("a word");
-    let (own, another) = (tier.gateways[0], tier.gateways[2]);
+    let (_, datagram) = cluster.hubs[0].next_datagram().expect("a word");
+    let own = cluster.gateways[0];
+    let another = cluster.gateways[2];
     let stranger = "127.0.0.9:9000".parse().expect("an address");
-    assert_eq!(tier.hubs[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
-    assert_eq!(tier.hubs[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
-    assert_eq!(tier.hubs[1].handle_datagram(own, &datagram), Ok(()));
+    assert_eq!(cluster.hubs[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(cluster.hubs[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(cluster.hubs[1].handle_datagram(own, &datagram), Ok(()));
     assert!(
-        tier.hubs[1].metrics_text().contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2")
+        cluster.hubs[1].metrics_text().contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2")
     );
 }
 
@@ -217,35 +219,35 @@
 }
 
 #[test]
-fn a_life_that_others_outdo_goes_on_as_a_later_one_and_is_heard() {
-    let mut tier = Tier::new(3);
-    tier.pass(4_000, &[], &[("a", 4)]);
-    assert_eq!(tier.hubs[1].handle_new_incarnation(101), None, "held dead by mistake: the same life");
-    let line = tier.hubs[1].handle_new_incarnation(500).expect("others know a later life");
+fn a_superseded_process_goes_on_as_a_later_incarnation() {
+    let mut cluster = Cluster::new(3);
+    cluster.pass(4_000, &[], &[("a", 4)]);
+    assert_eq!(cluster.hubs[1].handle_new_incarnation(101), None, "held dead by mistake: the same life");
+    let line = cluster.hubs[1].handle_new_incarnation(500).expect("others know a later life");
     assert_eq!(
         line,
         "state: another process of this gateway was known; restarted as generation 500, lending nothing for one lease"
     );
-    tier.pass(4_000, &[], &[("a", 7), ("b", 1)]);
-    tier.hubs.iter_mut().for_each(GatewayState::request_totals);
-    tier.pass(1_000, &[], &[("a", 7), ("b", 1)]);
-    for hub in &mut tier.hubs {
+    cluster.pass(4_000, &[], &[("a", 7), ("b", 1)]);
+    cluster.hubs.iter_mut().for_each(GatewayState::request_totals);
+    cluster.pass(1_000, &[], &[("a", 7), ("b", 1)]);
+    for hub in &mut cluster.hubs {
         assert_eq!((open(hub, "a"), open(hub, "b")), (Some(21), Some(3)));
     }
 }
 
 #[test]
 fn servers_that_came_and_went_make_room_for_others() {
-    let mut tier = Tier::new(3);
-    tier.pass(3_000, &[], &[]);
+    let mut cluster = Cluster::new(3);
+    cluster.pass(3_000, &[], &[]);
     for number in 0..1_200 {
         let name = format!("s-{number}");
-        tier.pass(250, &[], &[(&name, 2)]);
+        cluster.pass(250, &[], &[(&name, 2)]);
     }
-    tier.pass(4_000, &[], &[("a", 5)]);
-    tier.hubs.iter_mut().for_each(GatewayState::request_totals);
-    tier.pass(1_000, &[], &[("a", 5)]);
-    for hub in &mut tier.hubs {
+    cluster.pass(4_000, &[], &[("a", 5)]);
+    cluster.hubs.iter_mut().for_each(GatewayState::request_totals);
+    cluster.pass(1_000, &[], &[("a", 5)]);
+    for hub in &mut cluster.hubs {
         assert_eq!(open(hub, "a"), Some(15));
     }
 }
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_schema_the_file_and_what_is_read_hold_the_same_keys_and_bounds() {
+fn schema_deploy_file_and_parser_have_the_same_keys_and_bounds() {
     let schema = schema();
     let stored: serde_json::Value =
         serde_json::from_str(include_str!("../deploy/view.schema.json")).expect("the schema is JSON");
@@ -35,8 +35,8 @@
         let bound = |name: &str| about[name].as_i64().expect("a bound");
         assert!(with(bound("minimum")).is_ok() && with(bound("maximum")).is_ok(), "{key}");
         for beyond in [bound("minimum") - 1, bound("maximum") + 1] {
-            let told = with(beyond).err().map(|it| it.to_string()).unwrap_or_default();
-            assert!(told.contains(&format!("{key}: found {beyond}; expected")), "{key}: {told}");
+            let expected = with(beyond).err().map(|it| it.to_string()).unwrap_or_default();
+            assert!(expected.contains(&format!("{key}: found {beyond}; expected")), "{key}: {expected}");
         }
         let required =
             schema["required"].as_array().is_some_and(|all| all.iter().any(|it| it == key.as_str()));
@@ -46,7 +46,7 @@
 
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
-    for (text, told) in [
+    for (text, expected) in [
         ("tier = 1", "listen: found \"\"; expected an address"),
         ("listen = \"127.0.0.1:7946\"", "tier: found nothing; expected a whole number"),
         ("listen = \"0.0.0.0:7946\"\ntier = 1", "listen: found 0.0.0.0:7946; expected"),
@@ -59,7 +59,7 @@
         ("listen =", "expected TOML"),
     ] {
         let problem = problem(text);
-        assert!(problem.contains(told), "{text}: {problem}");
+        assert!(problem.contains(expected), "{text}: {problem}");
     }
     let settings = Settings::parse(GOOD).expect("good");
     let none = settings.seeds_or_peers(None).err().map(|it| it.to_string()).unwrap_or_default();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_life_is_later_than_the_one_before_whatever_the_clock_says() {
+fn an_incarnation_is_later_than_the_one_before_whatever_the_clock_shows() {
     assert_eq!(
         [next_incarnation(50, None), next_incarnation(50, Some(20)), next_incarnation(50, Some(70))],
         [50, 50, 71]
@@ -110,31 +110,36 @@
     }
 
     /// How the daemon of this number holds the other: its state, and its generation.
-    async fn held(&self, by: usize, other: usize) -> Option<(String, u64)> {
+    async fn state_seen_by(&self, by: usize, other: usize) -> Option<(String, u64)> {
         let text = self.daemons[by].call("members").await.expect("an answer");
         assert!(text.ends_with("EOF\n"), "{text}");
         let row = text.lines().find(|line| line.starts_with(&format!("{} ", self.at[other])))?;
-        let mut words = row.split(' ').skip(1);
-        let state = words.next()?.to_owned();
-        Some((state, words.next()?.strip_prefix("generation=")?.parse().ok()?))
+        let mut fields = row.split(' ').skip(1);
+        let state = fields.next()?.to_owned();
+        Some((state, fields.next()?.strip_prefix("generation=")?.parse().ok()?))
     }
 
     /// Waits until each of these holds the other so, in a life after that generation; the life.
     async fn until(&self, by: &[usize], other: usize, state: &str, after: u64, within: u64) -> u64 {
         let end = Instant::now() + Duration::from_secs(within);
-        let mut life = 0;
+        let mut incarnation = 0;
         for &by in by {
             loop {
-                let held = self.held(by, other).await;
-                if let Some((_, generation)) = held.as_ref().filter(|it| it.0 == state && it.1 > after) {
-                    life = *generation;
+                let state_seen_by = self.state_seen_by(by, other).await;
+                if let Some((_, generation)) =
+                    state_seen_by.as_ref().filter(|it| it.0 == state && it.1 > after)
+                {
+                    incarnation = *generation;
                     break;
                 }
-                assert!(Instant::now() < end, "{by} holds {other} {held:?}, should be {state} after {after}");
+                assert!(
+                    Instant::now() < end,
+                    "{by} holds {other} {state_seen_by:?}, should be {state} after {after}"
+                );
                 sleep(Duration::from_millis(50)).await;
             }
         }
-        life
+        incarnation
     }
 
     async fn figure(&self, by: usize, name: &str) -> u64 {
@@ -145,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn three_daemons_miss_the_killed_know_its_next_life_and_forgive_a_stall() {
+async fn three_daemons_notice_a_kill_a_restart_and_a_stall() {
     let mut three = Three::start().await;
     let first = three.until(&[0, 1], 2, "alive", 0, 20).await;
     three.until(&[2], 0, "alive", 0, 20).await;
@@ -186,7 +191,8 @@
     let options = Options { shared: Some(shared), ..Options::default() };
     let daemon =
         Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options).await.expect("one");
-    let (members, figures) = (daemon.call("members").await, daemon.call("counters").await);
+    let members = daemon.call("members").await;
+    let figures = daemon.call("counters").await;
     let _ = std::fs::remove_dir_all(&folder);
     assert!(members.expect("an answer").starts_with("400 no view"));
     assert!(!figures.expect("an answer").contains("view"));
