--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -89,7 +89,8 @@
 ) -> Result<T, ConfigError> {
     serde_path_to_error::deserialize(json).map_err(|error| {
         let key = error.path().to_string();
-        let is_overridden = |it: &&Override| it.key == key && variable(it.variable).is_some();
+        let is_overridden =
+            |candidate: &&Override| candidate.key == key && variable(candidate.variable).is_some();
         match ENVIRONMENT_OVERRIDES.iter().find(is_overridden) {
             Some(overridden) => invalid_value(overridden.variable, error.inner()),
             None => invalid_value(key, error.inner()),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_inline_default::serde_inline_default;
 use tokio_util::codec::Decoder;
 
@@ -83,9 +83,12 @@
     }
 }
 
+/// Name of [`EndpointList`] in the texts of errors, which operators know.
+type News = EndpointList;
+
 /// The whole list or changes to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct News")]
+#[serde(remote = "News")]
 pub struct EndpointList {
     /// The list's version.
     #[serde(default)]
@@ -97,6 +100,19 @@
     pub endpoints: Vec<Endpoint>,
 }
 
+impl<'de> Deserialize<'de> for EndpointList {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        // The derived function.
+        Self::deserialize(deserializer)
+    }
+}
+
+impl Serialize for EndpointList {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        Self::serialize(self, serializer)
+    }
+}
+
 impl EndpointList {
     /// Whether it can be laid over a list of this version: a whole list always, changes unless they are older.
     /// A service that begins anew counts its versions anew, and what it changed before these changes is unknown.
--- a/src/net/quic/flow_table.rs
+++ b/src/net/quic/flow_table.rs
@@ -102,9 +102,8 @@
     pub(super) fn admit_path(&mut self, id: RequestId, client: SocketAddr) -> PathAdmission {
         let is_full = !self.has_free_path();
         let Some(flow) = self.flows.get_mut(&id) else { return PathAdmission::NoServer };
-        let (Some(server), Some(attempt)) = (flow.server, flow.attempt()) else {
-            return PathAdmission::NoServer;
-        };
+        let Some(server) = flow.server else { return PathAdmission::NoServer };
+        let Some(attempt) = flow.attempt() else { return PathAdmission::NoServer };
         if flow.paths.iter().any(|path| path.client == client) {
             return PathAdmission::AlreadyOpen;
         }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -93,7 +93,8 @@
     /// length. A missing entry means no limit, and a superfluous one is ignored.
     pub fn warnings(&self) -> Vec<String> {
         let info = &self.family_info;
-        let (classes, customers) = (self.classes.len(), self.customers.len());
+        let classes = self.classes.len();
+        let customers = self.customers.len();
         let objectives =
             length_warning("messageAim", info.message_latency_objectives.len(), "classes", classes);
         let quotas =
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -57,13 +57,13 @@
 
 /// The Internet checksum (RFC 1071).
 fn checksum(packet: &[u8]) -> u16 {
-    let sum: u32 = packet.chunks(2).map(big_endian_word).sum();
+    let sum: u32 = packet.chunks(2).map(big_endian_u16).sum();
     let folded = (sum & 0xffff) + (sum >> 16);
     !((folded & 0xffff) + (folded >> 16)) as u16
 }
 
 /// Two bytes as a number; a single one counts as followed by zero.
-fn big_endian_word(pair: &[u8]) -> u32 {
+fn big_endian_u16(pair: &[u8]) -> u32 {
     let low = pair.get(1).copied().unwrap_or(0);
     u32::from(pair[0]) << 8 | u32::from(low)
 }
