--- a/crates/ashtide-endpoints/src/store.rs
+++ b/crates/ashtide-endpoints/src/store.rs
@@ -14,8 +14,8 @@
 
 /// Generations that are kept; the oldest go.
 pub const KEPT: usize = 16;
-/// The first word of a file, and the form that follows.
-const HEAD: &str = "ashtide-endpoints 1";
+/// The first words of a file: the crate's name when the format was made, which files keep, and the format's version.
+const HEAD: &str = "ashtide-servers 1";
 /// A head is shorter.
 const MAX_HEAD: usize = 160;
 
--- a/crates/ashtide-endpoints/tests/compatibility.rs
+++ b/crates/ashtide-endpoints/tests/compatibility.rs
@@ -351,7 +351,7 @@
         ("only a head", whole[..=head].to_vec()),
         ("half a body", whole[..whole.len() - 10].to_vec()),
         ("a longer body", [&whole[..], b" "].concat()),
-        ("another form", [b"ashtide-endpoints 2", &whole[17..]].concat()),
+        ("another form", [b"ashtide-servers 2", &whole[17..]].concat()),
         ("another program", b"something else\n{}".to_vec()),
         ("no text", vec![0xff; 200]),
         ("another number", std::fs::read(folder.0.join("servers.00000000000000000001")).expect("a file")),
