--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -44,7 +44,8 @@
 
 #[test]
 fn the_page_lists_every_error_with_what_to_do() {
-    let (mut sections, mut variants) = (0, 0);
+    let mut sections = 0;
+    let mut variants = 0;
     for (name, all) in SOURCES.into_iter().flat_map(enums) {
         let tables: Vec<&str> = PAGE
             .split("## ")
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -19,8 +19,10 @@
 use common::{check, cuts, feed, garbage};
 
 fn answer(lines: &[String], sizes: &[usize]) -> Vec<u8> {
-    let (body, mut out) = (lines.concat(), b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec());
-    let (mut rest, mut sizes) = (body.as_bytes(), sizes.iter().copied().chain(std::iter::repeat(7)));
+    let body = lines.concat();
+    let mut out = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
+    let mut rest = body.as_bytes();
+    let mut sizes = sizes.iter().copied().chain(std::iter::repeat(7));
     while !rest.is_empty() {
         let size = sizes.next().unwrap_or(1).min(rest.len());
         out.extend_from_slice(format!("{size:x}\r\n").as_bytes());
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -50,7 +50,8 @@
 
 /// How many of so many clients come up, one after the other.
 async fn come_up(daemon: SocketAddr, clients: u64) -> (Vec<LineClient>, Vec<String>) {
-    let (mut up, mut others) = (Vec::new(), Vec::new());
+    let mut up = Vec::new();
+    let mut others = Vec::new();
     for number in 0..clients {
         match LineClient::open(daemon, number).await {
             Ok((client, answer)) if answer.starts_with("UP ") => up.push(client),
