--- a/crates/ashtide-fleet/src/lib.rs
+++ b/crates/ashtide-fleet/src/lib.rs
@@ -30,6 +30,14 @@
 //! assert_eq!(one.members().next().map(|status| status.state), Some(MemberState::Alive));
 //! ```
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 mod frame;
 mod member;
 #[doc(hidden)] // Public for tests/pages.rs alone.
--- a/crates/ashtide-maintenance/src/lib.rs
+++ b/crates/ashtide-maintenance/src/lib.rs
@@ -10,6 +10,14 @@
 //! - [`Replica`]: all of it for one gateway, without a socket, a file or a clock.
 //! - [`Store`]: an acceptor's state on disk.
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 mod assembler;
 mod leased_state;
 mod message;
--- a/crates/ashtide-maintenance/src/replica/learner.rs
+++ b/crates/ashtide-maintenance/src/replica/learner.rs
@@ -81,10 +81,10 @@
 
     /// Begins a read; the oldest is given up where too many are outstanding.
     fn begin(&mut self, now: Duration, acceptors: usize) -> u64 {
-        if self.outstanding.len() >= MAX_OUTSTANDING_READS {
-            if let Some(read) = self.outstanding.pop_front() {
-                self.split_reads += u32::from(read.answers.len() >= majority(acceptors));
-            }
+        if self.outstanding.len() >= MAX_OUTSTANDING_READS
+            && let Some(read) = self.outstanding.pop_front()
+        {
+            self.split_reads += u32::from(read.answers.len() >= majority(acceptors));
         }
         self.last_sequence += 1;
         let sequence = self.last_sequence;
@@ -132,7 +132,7 @@
             return;
         }
         self.reader.next_read_at = self.now + self.config.timing.read_interval;
-        let persists_late = self.reader.last_sequence % UNSYNCED_VOTE_READS == 0;
+        let persists_late = self.reader.last_sequence.is_multiple_of(UNSYNCED_VOTE_READS);
         if persists_late && std::mem::take(&mut self.has_unsynced_vote) {
             self.persist_vote();
         }
--- a/crates/ashtide-quota/src/lib.rs
+++ b/crates/ashtide-quota/src/lib.rs
@@ -5,6 +5,14 @@
 //! and when a client that is rejected should come again; and it tells the shared state what each partner wants here.
 //! No socket, no clock.
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 mod decision;
 mod demand;
 mod quota;
--- a/crates/ashtide-stream/src/lib.rs
+++ b/crates/ashtide-stream/src/lib.rs
@@ -4,6 +4,14 @@
 //! moved, and wait for the next event. Linux allows a short count at any time, and reports readiness once: the rest of
 //! the bytes would then wait for an event that never comes. Only `EWOULDBLOCK` says that there is none (epoll(7)).
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
--- a/src/bin/ashtide-adapter/fields.rs
+++ b/src/bin/ashtide-adapter/fields.rs
@@ -97,7 +97,7 @@
 pub fn check_hex(text: &str) -> Result<(), LineError> {
     let is_hex =
         |pair: &[u8]| std::str::from_utf8(pair).is_ok_and(|digits| u8::from_str_radix(digits, 16).is_ok());
-    let is_valid = text.is_ascii() && text.len() % 2 == 0 && text.as_bytes().chunks(2).all(is_hex);
+    let is_valid = text.is_ascii() && text.len().is_multiple_of(2) && text.as_bytes().chunks(2).all(is_hex);
     if text == "-" || is_valid { Ok(()) } else { Err(LineError::NotHex(text.to_owned())) }
 }
 
--- a/src/bin/ashtide-adapter/main.rs
+++ b/src/bin/ashtide-adapter/main.rs
@@ -1,5 +1,13 @@
 //! Speaks the simulator's protocol on standard input and output, with one decision module for each gateway.
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 mod error;
 mod fields;
 mod protocol;
--- a/src/config/frontends.rs
+++ b/src/config/frontends.rs
@@ -174,7 +174,7 @@
 
     fn validate(&self) -> Result<(), ConfigError> {
         let is_valid_interval =
-            self.interval_ms % 10 == 0 && (10..=MAX_INTERVAL_MS).contains(&self.interval_ms);
+            self.interval_ms.is_multiple_of(10) && (10..=MAX_INTERVAL_MS).contains(&self.interval_ms);
         require(self.virtual_router_id > 0, "vrrp.router", "must be 1 to 255")?;
         require(self.priority > 0, "vrrp.priority", "must be 1 to 255")?;
         require(is_valid_interval, "vrrp.interval_ms", "must be a multiple of 10 up to 40950")?;
@@ -188,7 +188,7 @@
 
 /// Decodes hex digits; `None` where they are none or an odd number.
 pub fn decode_hex(digits: &str) -> Option<Vec<u8>> {
-    if digits.len() % 2 != 0 || !digits.is_ascii() {
+    if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
         return None;
     }
     let decode_byte = |start| u8::from_str_radix(&digits[start..start + 2], 16).ok();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,6 +44,14 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { id: RequestId(7), .. })));
 //! ```
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 pub mod admin;
 pub mod config;
 pub mod decision;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,13 @@
 //! The daemon: one gateway on sockets.
 
+#![deny(
+    clippy::enum_glob_use,
+    clippy::many_single_char_names,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    rustdoc::broken_intra_doc_links
+)]
+
 mod cli;
 
 use std::io;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -59,7 +59,7 @@
         match AcceptFailure::classify(error) {
             AcceptFailure::Transient => {
                 self.transient_failures += 1;
-                if self.transient_failures % MAX_IMMEDIATE_RETRIES == 0 {
+                if self.transient_failures.is_multiple_of(MAX_IMMEDIATE_RETRIES) {
                     AcceptRecovery::RetryLater
                 } else {
                     AcceptRecovery::Retry
--- a/src/net/quic/flow_table.rs
+++ b/src/net/quic/flow_table.rs
@@ -147,10 +147,10 @@
     pub(super) fn sweep(&mut self, now: Instant, idle_timeout: Duration) -> Vec<IdleFlow> {
         let mut idle_flows = Vec::new();
         for (&id, flow) in &mut self.flows {
-            if let FlowState::Established(attempt) = flow.state {
-                if now.duration_since(flow.last_activity_at) >= idle_timeout {
-                    idle_flows.push(IdleFlow { id, attempt });
-                }
+            if let FlowState::Established(attempt) = flow.state
+                && now.duration_since(flow.last_activity_at) >= idle_timeout
+            {
+                idle_flows.push(IdleFlow { id, attempt });
             }
             let Some(server) = flow.server else { continue };
             for client in close_unused_paths(flow, now) {
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -106,10 +106,10 @@
             to_server: PendingBytes { line_remainder: to_server, read_ahead: client.unread },
         };
         let successor = frontend.successor.borrow().clone();
-        if let (Some(successor), Some(datagram)) = (successor, established.encode()) {
-            if successor.hand_off(&datagram, [client.stream.as_fd(), server.stream.as_fd()]).await.is_ok() {
-                return;
-            }
+        if let (Some(successor), Some(datagram)) = (successor, established.encode())
+            && successor.hand_off(&datagram, [client.stream.as_fd(), server.stream.as_fd()]).await.is_ok()
+        {
+            return;
         }
         drop(server.stream);
         if let Ok(client) = TcpStream::from_std(client.stream) {
--- a/src/quic/connection_id_table.rs
+++ b/src/quic/connection_id_table.rs
@@ -45,10 +45,10 @@
         self.routes.insert(id, Route::Connection(connection));
         let ids = self.ids.entry(connection).or_default();
         ids.push_back(id);
-        if ids.len() > MAX_IDS_PER_CONNECTION {
-            if let Some(oldest) = ids.pop_front() {
-                self.routes.remove(&oldest);
-            }
+        if ids.len() > MAX_IDS_PER_CONNECTION
+            && let Some(oldest) = ids.pop_front()
+        {
+            self.routes.remove(&oldest);
         }
     }
 
@@ -72,10 +72,10 @@
         if self.routes.insert(id, Route::Answered).is_none() {
             self.answered_ids.push_back(id);
         }
-        if self.answered_ids.len() > self.max_answered_ids {
-            if let Some(oldest) = self.answered_ids.pop_front() {
-                self.routes.remove(&oldest);
-            }
+        if self.answered_ids.len() > self.max_answered_ids
+            && let Some(oldest) = self.answered_ids.pop_front()
+        {
+            self.routes.remove(&oldest);
         }
     }
 
--- a/tests/compatibility_decision.rs
+++ b/tests/compatibility_decision.rs
@@ -74,7 +74,11 @@
         gateways: [3, 30, 1, 100][(seed / 2 % 4) as usize],
         gateway_id: GatewayId((seed % 2) as u32 * u32::from(seed / 2 % 4 != 2)),
         zone: ZoneId((seed % 3) as u32),
-        discovery: if seed / 3 % 2 == 0 { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest },
+        discovery: if (seed / 3).is_multiple_of(2) {
+            DiscoveryMode::Pushed
+        } else {
+            DiscoveryMode::OnRequest
+        },
         weights: [WeightMode::Off, WeightMode::Nominal, WeightMode::Live][(seed % 3) as usize],
         classes: vec![
             class(500_000, 100_000, 1.0, Idempotency::Idempotent),
@@ -87,13 +91,13 @@
         priority_scales_with_load: seed % 4 == 1,
         batch_interval: span(5_000),
         prices: Prices {
-            cross_zone: if seed % 4 == 0 { 0.0 } else { 0.1 },
+            cross_zone: if seed.is_multiple_of(4) { 0.0 } else { 0.1 },
             health_check: 0.001,
             migration: 0.01,
         },
         max_attempts: [3, 1, 4, 2, 6][(seed % 5) as usize],
         max_retry_after: span(if seed % 6 == 5 { 0 } else { 4_000_000 }),
-        health_checks: seed % 2 == 0,
+        health_checks: seed.is_multiple_of(2),
         fleet_permits: seed / 2 % 2 == 1,
         cancellation: seed % 3 != 2,
         answer_slack: span(20_000),
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -130,7 +130,7 @@
             tenant: None,
             group: Some(GroupId(self.next_id % 3)),
             time_left: Span::from_micros(ttl),
-            load: (self.next_id % 2 == 0).then_some(0.01),
+            load: self.next_id.is_multiple_of(2).then_some(0.01),
         }
     }
 
@@ -312,7 +312,7 @@
     fn change_server(&mut self, server: ServerId, pick: u32) {
         let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
         self.state[server.0 as usize] = states[(pick / 7) as usize % 3];
-        let started_at = (pick % 2 == 0).then(|| Time::from_micros(self.now));
+        let started_at = pick.is_multiple_of(2).then(|| Time::from_micros(self.now));
         let entries = vec![self.endpoint(server, started_at)];
         self.send(Event::EndpointList { update: ListUpdate::Delta, entries });
     }
@@ -330,8 +330,8 @@
         let report = Some(LoadReport { load_ratio: Some(value), utilisation: None });
         self.send(Event::HealthChecked {
             server,
-            healthy: pick % 3 > 0,
-            report: report.filter(|_| pick % 4 > 0),
+            healthy: !pick.is_multiple_of(3),
+            report: report.filter(|_| !pick.is_multiple_of(4)),
         });
         self.send(Event::LoadChanged { id: RequestId(pick % 50), load: value });
     }
@@ -348,7 +348,7 @@
 
     fn reply_to_permit_request(&mut self, pick: u32) {
         let expires_at = Time::from_micros(self.now + 250_000);
-        let below_fair_share = pick % 3 == 0;
+        let below_fair_share = pick.is_multiple_of(3);
         let reply = match pick % 4 {
             0 => PermitReply::NoReply,
             1 => PermitReply::Denied { retry_after: Span::from_micros(90_000), below_fair_share },
