--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,11 +1,11 @@
 //! The task that owns the engine: drivers send it events, and it sends sessions commands.
 //!
-//! - [`sessions`]: requests, their attempts and their connections.
-//! - [`endpoint_list`]: the list of servers, and the names and addresses that follow from it.
-//! - [`cordons`]: servers that operators or the gateways together have taken out.
-//! - [`shared_state`]: what the gateways share, and quotas; off unless configured.
-//! - [`observability`]: metrics, and the log of faults and broken invariants.
-//! - [`shutdown`]: the end of the process.
+//! - `sessions`: requests, their attempts and their connections.
+//! - `endpoint_list`: the list of servers, and the names and addresses that follow from it.
+//! - `cordons`: servers that operators or the gateways together have taken out.
+//! - `shared_state`: what the gateways share, and quotas; off unless configured.
+//! - `observability`: metrics, and the log of faults and broken invariants.
+//! - `shutdown`: the end of the process.
 
 mod cordons;
 mod endpoint_list;
