--- a/crates/ashtide-fleet/src/frame.rs
+++ b/crates/ashtide-fleet/src/frame.rs
@@ -61,6 +61,23 @@
     }
 }
 
+/// Counts datagrams and their bytes.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DatagramCount {
+    /// Datagrams.
+    pub datagrams: u64,
+    /// Their bytes.
+    pub bytes: u64,
+}
+
+impl DatagramCount {
+    /// Counts one datagram of `length` bytes.
+    pub fn record(&mut self, length: usize) {
+        self.datagrams += 1;
+        self.bytes += length as u64;
+    }
+}
+
 /// Puts a frame round a payload.
 pub(crate) fn encode_frame(fleet_id: u32, kind: PayloadKind, payload: &[u8]) -> Bytes {
     let mut datagram = BytesMut::with_capacity(HEADER_LEN + payload.len());
--- a/crates/ashtide-fleet/src/lib.rs
+++ b/crates/ashtide-fleet/src/lib.rs
@@ -37,7 +37,7 @@
 pub mod state;
 mod view;
 
-pub use frame::{DecodeError, MAX_DATAGRAM};
+pub use frame::{DatagramCount, DecodeError, MAX_DATAGRAM};
 pub use member::Member;
 pub use view::{
     MAX_MEMBERS, MemberState, MemberStatus, Membership, ViewChange, ViewConfig, ViewMetrics, digest,
--- a/crates/ashtide-fleet/src/state/exchange/mod.rs
+++ b/crates/ashtide-fleet/src/state/exchange/mod.rs
@@ -19,7 +19,7 @@
 
 use super::message::{StateMessage, encode_header};
 use super::{AllocationAgreement, Escrow, LeaseConfig, OutlierLimits, OutlierReports, Slot, Violation, mix};
-use crate::{DecodeError, MAX_DATAGRAM};
+use crate::{DatagramCount, DecodeError, MAX_DATAGRAM};
 pub use budgets::GRANTORS_PER_BUDGET;
 use budgets::SharedBudget;
 use counting::CountSync;
@@ -53,8 +53,8 @@
 /// Counts since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
+    /// Datagrams sent.
+    pub sent: DatagramCount,
     /// Messages that there was no room for: later ones replace them.
     pub dropped_messages: u64,
     /// Datagrams rejected, by reason.
@@ -276,8 +276,7 @@
         let sent = self.outbox.fill_datagram(destination, &mut bytes, MAX_DATAGRAM);
         debug_assert!(sent > 0, "a message is shorter than a datagram");
         self.outbox.take_token();
-        self.traffic.sent.0 += 1;
-        self.traffic.sent.1 += bytes.len() as u64;
+        self.traffic.sent.record(bytes.len());
         Some((destination, bytes))
     }
 
--- a/crates/ashtide-fleet/src/view/runtime.rs
+++ b/crates/ashtide-fleet/src/view/runtime.rs
@@ -143,8 +143,7 @@
             return;
         }
         let datagram = encode_frame(self.fleet_id, kind, payload);
-        self.metrics.sent.0 += 1;
-        self.metrics.sent.1 += datagram.len() as u64;
+        self.metrics.sent.record(datagram.len());
         self.outgoing.push_back((to, datagram));
     }
 
@@ -185,8 +184,7 @@
         if let Some(record) = record.filter(|record| record.member == member) {
             record.received_at = self.now;
         }
-        self.metrics.received.0 += 1;
-        self.metrics.received.1 += bytes as u64;
+        self.metrics.received.record(bytes);
     }
 
     fn new_record(&self, member: Member, is_up: bool) -> MemberRecord {
--- a/crates/ashtide-fleet/src/view/types.rs
+++ b/crates/ashtide-fleet/src/view/types.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::frame::DecodeError;
+use crate::frame::{DatagramCount, DecodeError};
 use crate::member::Member;
 
 /// The configuration of a view.
@@ -70,10 +70,10 @@
 /// Counts since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ViewMetrics {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Datagrams received, and their bytes.
-    pub received: (u64, u64),
+    /// Datagrams sent.
+    pub sent: DatagramCount,
+    /// Datagrams received.
+    pub received: DatagramCount,
     /// Datagrams that the budget or the queue had no room for.
     pub dropped: u64,
     /// Datagrams rejected, by reason.
--- a/crates/ashtide-fleet/tests/cluster/mod.rs
+++ b/crates/ashtide-fleet/tests/cluster/mod.rs
@@ -162,7 +162,7 @@
     pub fn sent_a_second(&mut self, seconds: u64) -> (f64, f64) {
         let sent = |cluster: &Self| {
             let each = cluster.fleets.iter().flatten().map(|it| it.metrics().sent);
-            each.fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
+            each.fold((0, 0), |sum, sent| (sum.0 + sent.datagrams, sum.1 + sent.bytes))
         };
         let before = sent(self);
         self.run(ms(1_000 * seconds));
--- a/crates/ashtide-fleet/tests/compatibility.rs
+++ b/crates/ashtide-fleet/tests/compatibility.rs
@@ -123,10 +123,10 @@
         let _ = writeln!(
             text,
             "{at} sent {} {} heard {} {} unsent {} deaths {} false {} own {} stalls {}",
-            it.sent.0,
-            it.sent.1,
-            it.received.0,
-            it.received.1,
+            it.sent.datagrams,
+            it.sent.bytes,
+            it.received.datagrams,
+            it.received.bytes,
             it.dropped,
             it.deaths,
             it.false_deaths,
@@ -396,8 +396,11 @@
             let _ = writeln!(text, "{at} budget {id} {rights} {lent} {held} {}", it.in_use());
         }
         let traffic = exchange.traffic();
-        let _ =
-            writeln!(text, "{at} sent {} {} {}", traffic.sent.0, traffic.sent.1, traffic.dropped_messages);
+        let _ = writeln!(
+            text,
+            "{at} sent {} {} {}",
+            traffic.sent.datagrams, traffic.sent.bytes, traffic.dropped_messages
+        );
     }
 }
 
--- a/crates/ashtide-fleet/tests/datagrams.rs
+++ b/crates/ashtide-fleet/tests/datagrams.rs
@@ -39,7 +39,7 @@
     let mut one = fleet(1, 5, vec![]);
     assert_eq!(one.handle_datagram(Duration::ZERO, &good), Err(DecodeError::Own));
     assert_eq!(two.handle_datagram(Duration::ZERO, &good), Ok(()));
-    assert_eq!((two.members().count(), two.metrics().received.0), (1, 1));
+    assert_eq!((two.members().count(), two.metrics().received.datagrams), (1, 1));
 }
 
 #[test]
--- a/crates/ashtide-fleet/tests/exchanges/mod.rs
+++ b/crates/ashtide-fleet/tests/exchanges/mod.rs
@@ -158,7 +158,7 @@
     pub fn price(&mut self, seconds: u64) -> (f64, f64) {
         let sent = |cluster: &Self| {
             let all = cluster.gateways.iter().filter_map(|it| it.exchange.as_ref());
-            all.fold((0, 0), |sum, it| (sum.0 + it.traffic().sent.0, sum.1 + it.traffic().sent.1))
+            all.fold((0, 0), |sum, it| (sum.0 + it.traffic().sent.datagrams, sum.1 + it.traffic().sent.bytes))
         };
         let before = sent(self);
         self.run(Duration::from_secs(seconds));
--- a/crates/ashtide-maintenance/src/replica/config.rs
+++ b/crates/ashtide-maintenance/src/replica/config.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use ashtide_fleet::DatagramCount;
 use ashtide_fleet::state::Slot;
 use bytes::Bytes;
 
@@ -155,8 +156,8 @@
     pub chosen: u64,
     /// Changes under an old token that were rejected.
     pub fenced: u64,
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
+    /// Datagrams sent.
+    pub sent: DatagramCount,
     /// Datagrams that were rejected.
     pub rejected_datagrams: u64,
     /// How often this gateway returned machines because its lease ended.
--- a/crates/ashtide-maintenance/src/replica/mod.rs
+++ b/crates/ashtide-maintenance/src/replica/mod.rs
@@ -299,8 +299,7 @@
             return;
         }
         for datagram in encode_message(self.config.fleet_id, self.config.own_slot, &message) {
-            self.metrics.sent.0 += 1;
-            self.metrics.sent.1 += datagram.len() as u64;
+            self.metrics.sent.record(datagram.len());
             self.actions.push_back(Action::Send(to, datagram));
         }
     }
--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -457,8 +457,8 @@
                     it.proposals,
                     it.chosen,
                     it.fenced,
-                    it.sent.0,
-                    it.sent.1,
+                    it.sent.datagrams,
+                    it.sent.bytes,
                     it.rejected_datagrams,
                     it.lease_lapses
                 );
--- a/crates/ashtide-maintenance/tests/model.rs
+++ b/crates/ashtide-maintenance/tests/model.rs
@@ -317,7 +317,7 @@
                 let slot = at as u16;
                 let incarnation = gateway.incarnation;
                 let round = gateway.voter.as_ref()?.state().promised.round + 1;
-                let ballot = Ballot { round, slot, incarnation: incarnation };
+                let ballot = Ballot { round, slot, incarnation };
                 let voters = match self.broken {
                     Some(Mutation::MajorityOfResponders) => vec![Slot(slot)],
                     _ => (0..3).map(Slot).collect(),
--- a/crates/ashtide-quota/tests/load/mod.rs
+++ b/crates/ashtide-quota/tests/load/mod.rs
@@ -160,7 +160,7 @@
         .map(|it| between(4, &spent[it]) / (offered[it] as f64).min(PACE as f64 * 8.0))
         .fold(f64::MAX, f64::min);
     let sent: u64 =
-        cluster.gateways.iter().filter_map(|it| it.exchange.as_ref()).map(|it| it.traffic().sent.1).sum();
+        cluster.gateways.iter().filter_map(|it| it.exchange.as_ref()).map(|it| it.traffic().sent.bytes).sum();
     let bytes = if way == Way::Shared { sent as f64 / 9.0 / 12.0 } else { 0.0 };
     Measured { overshoot, used, smallest, bytes }
 }
--- a/src/fleet/maintenance/text.rs
+++ b/src/fleet/maintenance/text.rs
@@ -67,8 +67,8 @@
         ("rounds_chosen_total", metrics.chosen),
         ("fenced_total", metrics.fenced),
         ("lapses_total", metrics.lease_lapses),
-        ("sent_datagrams_total", metrics.sent.0),
-        ("sent_bytes_total", metrics.sent.1),
+        ("sent_datagrams_total", metrics.sent.datagrams),
+        ("sent_bytes_total", metrics.sent.bytes),
         ("unheard_datagrams_total", metrics.rejected_datagrams),
     ] {
         let _ = writeln!(text, "{METRIC_PREFIX}_maintenance_{name} {value}");
--- a/src/fleet/view/text.rs
+++ b/src/fleet/view/text.rs
@@ -64,10 +64,10 @@
         write_metric(&format!("members{{state=\"{}\"}}", state_name(state)), count as u64);
     }
     let metrics: &ViewMetrics = membership.metrics();
-    write_metric("sent_datagrams_total", metrics.sent.0);
-    write_metric("sent_bytes_total", metrics.sent.1);
-    write_metric("heard_datagrams_total", metrics.received.0);
-    write_metric("heard_bytes_total", metrics.received.1);
+    write_metric("sent_datagrams_total", metrics.sent.datagrams);
+    write_metric("sent_bytes_total", metrics.sent.bytes);
+    write_metric("heard_datagrams_total", metrics.received.datagrams);
+    write_metric("heard_bytes_total", metrics.received.bytes);
     write_metric("unsent_datagrams_total", metrics.dropped);
     write_metric("unheard_datagrams_total", metrics.rejected.values().sum());
     write_metric("deaths_total", metrics.deaths);
