--- a/src/fleet/shared_state/mod.rs
+++ b/src/fleet/shared_state/mod.rs
@@ -15,7 +15,7 @@
 pub use slots::{GatewaySlots, MAX_GATEWAYS};
 pub use text::MAX_DISPLAYED_COUNTERS;
 
-use crate::quic::placing::server_id_for_name;
+use crate::quic::load_balancing::server_id_for_name;
 
 /// How often [`GatewayState::advance_to`] is to be called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/net/fleet/incarnation_store.rs
+++ b/src/net/fleet/incarnation_store.rs
@@ -17,7 +17,7 @@
 impl IncarnationStore {
     /// The store of the gateway `name` in `folder`; without a folder, the clock alone tells incarnations apart.
     pub fn new(folder: Option<&Path>, name: &str) -> Self {
-        Self { path: folder.map(|folder| StateFolder::for_balancer(folder, name).file_path("generation")) }
+        Self { path: folder.map(|folder| StateFolder::for_gateway(folder, name).file_path("generation")) }
     }
 
     /// The incarnation of this process, which is stored.
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,23 +1,25 @@
 //! The page of errors names every variant of the types it stands for.
 
 /// Sources whose errors the page lists.
-const SOURCES: [&str; 19] = [
+const SOURCES: [&str; 21] = [
     include_str!("../src/net/connect.rs"),
     include_str!("../src/engine/invariants.rs"),
-    include_str!("../src/fleet/permits.rs"),
-    include_str!("../src/discovery/mod.rs"),
-    include_str!("../src/fleet/view.rs"),
-    include_str!("../src/fleet/maintenance.rs"),
-    include_str!("../src/fleet/quota.rs"),
+    include_str!("../src/fleet/permits/mod.rs"),
+    include_str!("../src/fleet/permits/datagram.rs"),
+    include_str!("../src/discovery/http.rs"),
+    include_str!("../src/discovery/watch.rs"),
+    include_str!("../src/fleet/view/settings.rs"),
+    include_str!("../src/fleet/maintenance/settings.rs"),
+    include_str!("../src/fleet/quota/settings.rs"),
     include_str!("../crates/ashtide-fleet/src/frame.rs"),
-    include_str!("../crates/ashtide-fleet/src/state/agreement.rs"),
-    include_str!("../crates/ashtide-fleet/src/state/budgets.rs"),
+    include_str!("../crates/ashtide-fleet/src/state/allocation.rs"),
+    include_str!("../crates/ashtide-fleet/src/state/escrow.rs"),
     include_str!("../crates/ashtide-fleet/src/state/violation.rs"),
     include_str!("../crates/ashtide-throughput/src/register.rs"),
     include_str!("../crates/ashtide-throughput/src/violation.rs"),
     include_str!("../crates/ashtide-maintenance/src/message.rs"),
-    include_str!("../crates/ashtide-maintenance/src/store.rs"),
-    include_str!("../crates/ashtide-maintenance/src/table.rs"),
+    include_str!("../crates/ashtide-maintenance/src/store/mod.rs"),
+    include_str!("../crates/ashtide-maintenance/src/queue/change.rs"),
     include_str!("../crates/ashtide-maintenance/src/violation.rs"),
     include_str!("../crates/ashtide-fault-injection/src/checks.rs"),
     include_str!("../crates/ashtide-fault-injection/src/lib.rs"),
@@ -44,7 +46,8 @@
 
 #[test]
 fn the_page_lists_every_error_with_what_to_do() {
-    let (mut sections, mut variants) = (0, 0);
+    let mut sections = 0;
+    let mut variants = 0;
     for (name, all) in SOURCES.into_iter().flat_map(enums) {
         let tables: Vec<&str> = PAGE
             .split("## ")
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,267 +1,27 @@
-//! What processes of one balancer tell each other: random cuts, garbage, and the file that outlives them; and
-//! upgrades of the daemon's binary in every order, with a stand-in for the process that must fail in time.
+//! Upgrades of the daemon's binary in every order, with a stand-in for the process that must fail in time.
 
 mod site;
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::os::unix::net::UnixDatagram;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use ashtide::handover::{
-    CordonChange, Cordons, Deployment, EstablishedConnection, MAX_HANDOFF_LENGTH, MAX_MESSAGE_LENGTH,
-    PersistedState, ProcessState, ServerUsage, SiblingMessage, SiblingMessageCodec, SiblingSummary,
-    rank_after,
-};
-use ashtide::net::connection_handoff::HandoffReceiver;
-use ashtide::net::handover::StateFolder;
+use ashtide::handover::{PendingBytes, ProcessState, SiblingMessage};
+use ashtide::net::connection_handoff::{HandoffReceiver, ReceivedConnection};
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::within;
-use bytes::BytesMut;
 use futures_util::future::select_all;
-use proptest::collection::vec;
-use proptest::prelude::*;
-use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
 use site::{Attempt, Site, list};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::time::Instant;
-use tokio_util::codec::Decoder;
 
 /// SIGKILL comes no earlier after SIGTERM, with the deadline of 3 s that the daemon is told.
 const KILLED: Duration = Duration::from_millis(3700);
 
-fn runner() -> TestRunner {
-    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[12; 32]);
-    TestRunner::new_with_rng(Cases { cases: 256, failure_persistence: None, ..Cases::default() }, rng)
-}
-
-fn state(started: u64, ready: bool, open: u32) -> ProcessState {
-    let shares = BTreeMap::from([(
-        "s-0".to_owned(),
-        ServerUsage { open, budget: 0.5, spent: started, granted: 20 - started },
-    )]);
-    let mut cordons = Cordons::default();
-    cordons.record("s-0", CordonChange { at: started, out: ready });
-    ProcessState {
-        started,
-        ready,
-        adopts: started % 2 == 1,
-        begun: true,
-        sockets: 40,
-        shares,
-        cordons,
-        whose: None,
-    }
-}
-
-#[test]
-fn words_read_the_same_however_they_are_cut() {
-    let words = [SiblingMessage::State(state(7, true, 3)), SiblingMessage::State(ProcessState::default())];
-    let bytes: Vec<u8> = words.iter().flat_map(|word| word.encode_line().to_vec()).collect();
-    runner()
-        .run(&vec(1..bytes.len(), 0..5), |mut cuts| {
-            cuts.extend([0, bytes.len()]);
-            cuts.sort_unstable();
-            let (mut codec, mut buffer, mut read) =
-                (SiblingMessageCodec::default(), BytesMut::new(), Vec::new());
-            for cut in cuts.windows(2) {
-                buffer.extend_from_slice(&bytes[cut[0]..cut[1]]);
-                while let Some(word) = codec.decode(&mut buffer).expect("a word") {
-                    read.push(word);
-                }
-            }
-            prop_assert_eq!(&read[..], &words[..]);
-            Ok(())
-        })
-        .unwrap();
-}
-
-#[test]
-fn garbage_is_an_error_and_never_a_word() {
-    runner()
-        .run(&vec(any::<u8>(), 1..64), |mut bytes| {
-            bytes.push(b'\n');
-            prop_assert!(SiblingMessageCodec::default().decode(&mut BytesMut::from(&bytes[..])).is_err());
-            Ok(())
-        })
-        .unwrap();
-    let endless = vec![b'x'; MAX_MESSAGE_LENGTH];
-    assert!(SiblingMessageCodec::default().decode(&mut BytesMut::from(&endless[..])).is_err());
-}
-
-#[test]
-fn only_a_ready_younger_process_succeeds_and_limits_are_joint() {
-    let others = |states: &[ProcessState]| SiblingSummary::aggregate(10, states.iter());
-    assert!(!others(&[state(9, true, 3), state(11, false, 1)]).has_ready_successor);
-    let both = others(&[state(9, true, 3), state(11, true, 1)]);
-    assert!(both.has_ready_successor && both.restore_phase_over);
-    // The youngest that is ready and can: 12 cannot, 13 is not ready.
-    let all = [state(9, true, 0), state(11, true, 0), state(12, true, 0), state(13, false, 0)];
-    assert_eq!(
-        (both.successor_rank, others(&all).successor_rank, others(&all[2..]).successor_rank),
-        (Some(11), Some(11), None)
-    );
-    // What may still be sent adds up; a turn that any has spent is spent for all.
-    let share = ServerUsage { open: 4, budget: 1.0, spent: 11, granted: 11 };
-    assert_eq!((both.descriptors, both.server_usage["s-0"]), (80, share));
-}
-
-#[test]
-fn a_later_process_ranks_higher_and_a_later_call_counts_whatever_the_clock_says() {
-    // The wall clock was put back by an hour between the starts.
-    let (hour, first) = (3_600_000_000, 1_800_000_000_000_000);
-    let second = rank_after(first - hour, [first].into_iter(), 4321);
-    let third = rank_after(first - hour, [first, second].into_iter(), 4322);
-    assert!(first < second && second < third, "{first}, {second}, {third}");
-    // Two that start beside each other, and see the same.
-    assert_ne!(second, rank_after(first - hour, [first].into_iter(), 4322));
-    assert_eq!(rank_after(first, std::iter::empty(), 4321), first, "alone, or with older ones: the time");
-    assert_eq!(rank_after(first, [u64::MAX].into_iter(), 4321), u64::MAX, "a name that no process has");
-
-    let mut cordons = Cordons::default();
-    cordons.record_now("s-0", first, true);
-    cordons.record_now("s-0", first - hour, false);
-    assert!(!cordons.is_cordoned("s-0"), "the later call");
-    let mut older = Cordons::default();
-    older.record_now("s-0", first, true);
-    older.merge(&cordons);
-    assert!(!older.is_cordoned("s-0"), "also where it is heard of");
-}
-
-#[test]
-fn a_word_of_a_version_without_turns_is_read() {
-    let old: ServerUsage = serde_json::from_str(r#"{"open":3,"budget":0.5}"#).expect("read");
-    assert_eq!(old, ServerUsage { open: 3, budget: 0.5, spent: 0, granted: 0 });
-}
-
-#[test]
-fn what_goes_with_a_connection_is_read_whole_or_not_at_all() {
-    let bytes = || vec(any::<u8>(), 0..40).prop_map(bytes::Bytes::from);
-    let pairs = || (bytes(), bytes());
-    runner()
-        .run(
-            &(bytes(), pairs(), pairs(), any::<prop::sample::Index>()),
-            |(open, to_client, to_server, cut)| {
-                let standing = EstablishedConnection {
-                    server: "s-\n0".to_owned(),
-                    open_line: open,
-                    to_client,
-                    to_server,
-                };
-                let datagram = bytes::Bytes::from(standing.encode().expect("short"));
-                prop_assert_eq!(&EstablishedConnection::decode(datagram.clone()).expect("whole"), &standing);
-                let part = datagram.slice(..cut.index(datagram.len()));
-                prop_assert!(EstablishedConnection::decode(part).is_err());
-                Ok(())
-            },
-        )
-        .unwrap();
-    runner()
-        .run(&vec(any::<u8>(), 0..80), |bytes| {
-            prop_assert!(EstablishedConnection::decode(bytes.into()).is_err());
-            Ok(())
-        })
-        .unwrap();
-    let lengths = format!("{{\"server\":\"s\",\"lengths\":[{},1,0,0,0]}}\nx", usize::MAX);
-    assert!(EstablishedConnection::decode(lengths.into()).is_err(), "lengths that overflow");
-    let long = EstablishedConnection {
-        open_line: vec![0; MAX_HANDOFF_LENGTH].into(),
-        ..EstablishedConnection::default()
-    };
-    assert_eq!(long.encode(), None);
-}
-
-#[test]
-fn cordons_merge_to_the_same_in_any_order() {
-    let calls = vec((0..3_usize, 0..6_u64, any::<bool>()), 0..12);
-    runner()
-        .run(&(calls, any::<prop::sample::Index>()), |(calls, cut)| {
-            let cordons = |calls: &[(usize, u64, bool)]| {
-                let mut cordons = Cordons::default();
-                for &(server, at, out) in calls {
-                    cordons.record(["a", "b", "c"][server], CordonChange { at, out });
-                }
-                cordons
-            };
-            let whole = cordons(&calls);
-            let (one, two) = calls.split_at(cut.index(calls.len() + 1));
-            let (mut left, mut right) = (cordons(one), cordons(two));
-            let (first, second) = (left.clone(), right.clone());
-            left.merge(&second);
-            let changed = right.merge(&first);
-            prop_assert_eq!((&left, &right), (&whole, &whole));
-            for (server, out) in changed {
-                prop_assert_eq!(right.is_cordoned(&server), out);
-            }
-            prop_assert!(left.merge(&whole).is_empty());
-            Ok(())
-        })
-        .unwrap();
-}
-
-#[test]
-fn what_is_kept_is_read_again_and_a_torn_file_is_none() {
-    let folder = std::env::temp_dir().join(format!("ashtide-kept-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let (place, other) =
-        (StateFolder::for_balancer(&folder, "n0/../x"), StateFolder::for_balancer(&folder, "n1"));
-    assert_eq!(place.load(), PersistedState::default());
-    let whose = Some(place.deployment().clone());
-    let kept = PersistedState { whose, begun: true, cordons: state(7, true, 0).cordons };
-    place.store(&kept).expect("kept");
-    assert!(place.load().cordons.is_cordoned("s-0"));
-    assert_eq!((place.load(), other.load()), (kept, PersistedState::default()));
-    for entry in std::fs::read_dir(&folder).expect("the folder") {
-        std::fs::write(entry.expect("an entry").path(), b"{\"begun\":").expect("torn");
-    }
-    assert_eq!(place.load(), PersistedState::default());
-    std::fs::remove_dir_all(folder).expect("no folder");
-}
-
-fn whose(name: &str, listen: &str, classes: &[&str], tenants: &[&str]) -> Deployment {
-    let all = |names: &[&str]| names.iter().map(|&name| name.to_owned()).collect::<BTreeSet<_>>();
-    let listen = listen.parse().ok();
-    Deployment { name: name.to_owned(), listen, socket: None, classes: all(classes), tenants: all(tenants) }
-}
-
-#[test]
-fn a_deployment_is_told_by_its_name_its_place_and_whom_it_serves() {
-    let here = "10.0.0.1:80";
-    let ours = whose("n0", here, &["read", "pay"], &["acme"]);
-    for (what, same, other) in [
-        ("itself", true, ours.clone()),
-        ("another name that comes to one file name", false, whose("n.0", here, &["read", "pay"], &["acme"])),
-        ("another address", false, whose("n0", "10.0.0.1:81", &["read", "pay"], &["acme"])),
-        ("an address that is not known", true, whose("n0", "", &["read"], &["acme"])),
-        ("all classes renamed", true, whose("n0", here, &["reads", "pays"], &["acme"])),
-        ("a class and a customer added", true, whose("n0", here, &["new", "read"], &["acme", "bolt"])),
-        ("another customer", false, whose("n0", here, &["read", "pay"], &["bolt"])),
-        ("customers no longer named", true, whose("n0", here, &["read"], &[])),
-        ("neither customers nor classes in common", false, whose("n0", here, &["feed"], &[])),
-        ("no more than the name", true, whose("n0", "", &[], &[])),
-    ] {
-        assert_eq!(
-            (ours.is_same_deployment(&other), other.is_same_deployment(&ours)),
-            (same, same),
-            "{what}"
-        );
-    }
-    // One listener that both inherit is one balancer's, whatever is renamed.
-    let inherited = |socket, listen| Deployment { socket, ..whose("n0", listen, &["a"], &["x"]) };
-    let renamed = |socket| Deployment { socket, ..whose("n0", here, &["b"], &["y"]) };
-    assert!(inherited(Some(7), here).is_same_deployment(&renamed(Some(7))));
-    assert!(!inherited(Some(7), here).is_same_deployment(&renamed(Some(8))));
-    assert!(
-        !inherited(Some(7), "10.0.0.1:81").is_same_deployment(&renamed(Some(7))),
-        "a number that is used again"
-    );
-    assert!(!inherited(None, here).is_same_deployment(&renamed(None)));
-}
-
 /// When a stand-in says that it started: after everyone.
 const LATER: u64 = u64::MAX / 2;
 
@@ -282,9 +42,10 @@
         let path = site.folder.join(format!("ashtide.shared.{LATER}.inbox"));
         let inbox = HandoffReceiver::bind(&path).expect("bound");
         let mut link = UnixStream::connect(&sockets(site)[0]).await.expect("it listens");
-        let state = ProcessState { started: LATER, ready: true, adopts: true, ..ProcessState::default() };
+        let state =
+            ProcessState { rank: LATER, ready: true, adopts_connections: true, ..ProcessState::default() };
         link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("told");
-        daemon.says("handover: its successor takes the clients").await.expect("met");
+        daemon.says("handover: the successor accepts clients").await.expect("met");
         Self { _link: link, inbox, path }
     }
 }
@@ -375,7 +136,7 @@
     assert_eq!(&seen, b"early\r\n");
     let successor = Successor::of(&site, &daemon).await;
     daemon.terminate().expect("it runs");
-    let (standing, [to_client, to_server]) =
+    let ReceivedConnection { connection: standing, client: to_client, server: to_server } =
         within("the connection", successor.inbox.receive()).await.expect("in time").expect("whole");
     let (status, _) = daemon.end().await.expect("it ends");
     assert!(status.success(), "{status}");
@@ -389,7 +150,7 @@
         (stream(to_client), &standing.to_client, &mut client, &b"sec"[..]),
         (stream(to_server), &standing.to_server, &mut server.stream, &b"hal"[..]),
     ];
-    for (mut ours, (begun, behind), theirs, half) in ends {
+    for (mut ours, PendingBytes { line_remainder: begun, read_ahead: behind }, theirs, half) in ends {
         for part in [&begun[..], &behind[..], b"ond\r\n"] {
             ours.write_all(part).await.expect("it stands");
         }
@@ -413,8 +174,7 @@
     };
     let older = UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound");
     let state = || {
-        SiblingMessage::State(ProcessState { started: 1, ready: true, ..ProcessState::default() })
-            .encode_line()
+        SiblingMessage::State(ProcessState { rank: 1, ready: true, ..ProcessState::default() }).encode_line()
     };
     let first = [news(5, "SERVING", "DRAINING"), state()].concat();
     let met = tokio::spawn(async move {
@@ -446,7 +206,7 @@
     let site = Site::new(3).await;
     let (first, options, _clients) = standing(&site, 1).await;
     let second = site.start(&options).await;
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     assert!(first.call("cordon s-0").await.expect("an answer").starts_with("200"));
     second.says("operator: s-0 is out").await.expect("known");
     assert!(second.call("cordon s-1").await.expect("an answer").starts_with("200"));
@@ -460,7 +220,7 @@
     let site = Site::new(2).await;
     let (first, options, mut clients) = standing(&site, 8).await;
     let second = site.start(&options).await;
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     let at = options.shared.as_ref().expect("shared").listener.local_addr().expect("bound");
     for _ in 0..4 {
         clients.push(site.standing(at).await);
@@ -489,10 +249,17 @@
     let second = site.start(&options).await;
     let took = started.elapsed();
     assert!(took < Duration::from_millis(1900), "{took:?}: one after the other");
-    assert_eq!(second.said().iter().filter(|it| it.ends_with("an older process tells nothing")).count(), 4);
+    assert_eq!(
+        second
+            .said()
+            .iter()
+            .filter(|it| it.ends_with("handover: the previous process has sent no state in time"))
+            .count(),
+        4
+    );
     let _new = site.standing(at).await;
     first.stall(false).expect("it runs");
-    first.says("handover: its successor takes the clients").await.expect("met");
+    first.says("handover: the successor accepts clients").await.expect("met");
     first.terminate().expect("it runs");
     let (status, _) = first.end().await.expect("it ends");
     assert!(status.success(), "{status}");
