--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -8,7 +8,8 @@
 
 /// Failures in a row that eject a server.
 const OUTLIER_CONSECUTIVE_FAILURES: u32 = 2;
-/// First ejection, as a share of the warm-up time; doubles each time, up to all of it.
+/// First ejection, as a share of the warm-up time; doubles with each [`OUTLIER_CONSECUTIVE_FAILURES`] further failures
+/// in a row, up to all of it.
 const INITIAL_EJECTION_SHARE: f64 = 0.1;
 /// Most doublings of an ejection, plus one.
 const MAX_EJECTION_STEPS: u32 = 8;
@@ -25,14 +26,15 @@
 /// Connections that a server must drop within [`DROP_WINDOW`] to count as shedding load.
 const SHEDDING_DROPS: f64 = 3.0;
 const DROP_WINDOW: Span = Span::from_micros(2_000_000);
-/// First time for which a shedding server is avoided, as a share of the warm-up time; doubles each time...
+/// First time for which a shedding server is avoided, as a share of the warm-up time. It doubles each time that the
+/// server sheds again within a warm-up time.
 const INITIAL_SHEDDING_SHARE: f64 = 0.1;
-/// ...up to this share, and starts over when it has not shed for the warm-up time.
+/// Longest time for which a shedding server is avoided, as a share of the warm-up time.
 const MAX_SHEDDING_SHARE: f64 = 0.5;
 const MAX_SHEDDING_DOUBLINGS: u32 = 8;
-/// Share of the connections it held before it shed them that a server is taken to have capacity for...
+/// Estimated capacity of a server that has shed connections, as a share of those that it held before.
 const CAPACITY_ESTIMATE_SHARE: f64 = 0.75;
-/// ...and time after which the estimate has doubled.
+/// Time after which the estimated capacity has doubled.
 const CAPACITY_RECOVERY_TIME: Span = Span::from_micros(40_000_000);
 
 /// A factor between 0.75 and 1.25, so that gateways do not come back to a server together.
--- a/src/decision/permits.rs
+++ b/src/decision/permits.rs
@@ -3,7 +3,8 @@
 //! Such a server holds nothing, so it wins every comparison at every gateway. It gets what one of two kinds of permits
 //! admits. Where gateways answer each other, one permit a connection is requested from those that grant them for the
 //! whole fleet: a part of them for each gateway would be less than one connection, and unused where clients stay.
-//! Otherwise, and while nobody answers, each gateway uses its own numbered permits (see `slow_start`).
+//! Otherwise, and while nobody answers, each gateway uses its own numbered permits: all of them where there are no
+//! peers, and what `GRANTED_SHARE` of `slow_start` leaves where there are, which is the first permit of a server alone.
 
 use super::Balancer;
 use super::interface::{Action, PermitReply, RequestId, ServerId, Span, Time};
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -11,7 +11,7 @@
 /// First wait before a retry, as a share of the class's latency objective; doubles each time.
 const RETRY_BACKOFF_BASE: f64 = 0.2;
 const MAX_RETRY_BACKOFF_DOUBLINGS: u32 = 6;
-/// The part of the time in which a late answer counts that passes before the request is answered.
+/// Share of `answer_slack`, after the deadline, at which the final answer is given at the latest.
 const ANSWER_MARGIN_SHARE: f64 = 0.5;
 
 impl Balancer {
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -29,6 +29,7 @@
     Loaded,
     /// The request has been attempted there.
     AlreadyTried,
+    /// Used where nothing better is there.
     Ejected,
     /// Never used: the request is queued, and rejected in the end, so that those placed there are served.
     Saturated,
