--- a/crates/ashtide-testkit/src/fleet.rs
+++ b/crates/ashtide-testkit/src/fleet.rs
@@ -332,7 +332,7 @@
             address: server.address,
             zone: zone.to_owned(),
             kind: "one".to_owned(),
-            group: 0,
+            cell: 0,
             status: EndpointStatus::Serving,
             weight: 1.0,
             since_ms: since_ms as f64,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -155,18 +155,18 @@
             let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
             let shortest = objectives.min().unwrap_or_default();
             let wait = shortest.scale(QUEUE_RETRY_SHARE).max(self.settings.batch_interval);
-            self.set_timer(Timer::RetryQueue, now + wait);
+            self.set_timer(Timer::PlaceQueued, now + wait);
         }
     }
 
     pub(super) fn handle_queue_timer(&mut self, now: Time) {
         self.queue.disarm_timer();
-        self.retry_queued(now);
+        self.place_queued(now);
     }
 
     /// Tries queued requests again. Those that have waited for long are answered while the client still has time to go
     /// elsewhere. Once one is blocked, the others are not tried: there may be many.
-    pub(super) fn retry_queued(&mut self, now: Time) {
+    pub(super) fn place_queued(&mut self, now: Time) {
         let mut is_blocked = false;
         for id in self.queue.take_all() {
             let waiting = self.requests.get(&id).filter(|request| request.awaits_attempt());
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -26,7 +26,7 @@
         let is_fast = is_fast_connect(self.class(class).latency_objective, elapsed);
         self.record_connect(now, server, is_fast);
         self.record_success(server);
-        self.retry_queued(now);
+        self.place_queued(now);
     }
 
     pub(super) fn handle_load_changed(&mut self, id: RequestId, load: f64) {
@@ -59,7 +59,7 @@
         if !is_done {
             self.retry_or_answer(now, id, outcome);
         }
-        self.retry_queued(now);
+        self.place_queued(now);
     }
 
     /// Takes a connect that failed out of the window. Only errors and timeouts are signs of congestion.
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -20,7 +20,7 @@
 
 /// All servers that a list has ever named, and which of them may be used.
 #[derive(Default)]
-pub(super) struct EndpointList {
+pub(super) struct ServerRecords {
     /// By the number of their ids.
     servers: Vec<Option<Server>>,
     /// Those listed as ready, in the order of their ids.
@@ -31,7 +31,7 @@
     consecutive_failures: u32,
 }
 
-impl EndpointList {
+impl ServerRecords {
     pub(super) fn contains(&self, id: ServerId) -> bool {
         self.servers.get(id.0 as usize).is_some_and(Option::is_some)
     }
@@ -123,7 +123,7 @@
             self.endpoints.update(now, entry);
         }
         self.refresh_ready(now);
-        self.retry_queued(now);
+        self.place_queued(now);
     }
 
     /// Looks up which servers are ready, and which of them are warming up.
@@ -161,6 +161,6 @@
         let issued = self.permits_issued(now, started_at);
         self.server_mut(id).uncordon(now, started_at, issued);
         self.refresh_ready(now);
-        self.retry_queued(now);
+        self.place_queued(now);
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -43,7 +43,7 @@
 use affinity::GroupConnections;
 pub use endpoint_list::MAX_POLL_WAIT;
 
-use endpoint_list::EndpointList;
+use endpoint_list::ServerRecords;
 use interface::{
     Action, ClassId, Event, RequestClass, RequestId, ServerId, Settings, SiblingState, Time, TimerToken,
 };
@@ -60,7 +60,7 @@
     started_at: Option<Time>,
     /// What is to be done about the event at hand.
     actions: Vec<Action>,
-    endpoints: EndpointList,
+    endpoints: ServerRecords,
     requests: BTreeMap<RequestId, PendingRequest>,
     queue: RequestQueue,
     connect_window: ConnectWindow,
@@ -76,7 +76,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             started_at: None,
             actions: Vec::new(),
-            endpoints: EndpointList::default(),
+            endpoints: ServerRecords::default(),
             requests: BTreeMap::new(),
             queue: RequestQueue::default(),
             connect_window: ConnectWindow::new(),
@@ -128,7 +128,7 @@
 
     fn handle_timer(&mut self, now: Time, token: TimerToken) {
         match Timer::from_token(token) {
-            Timer::RetryQueue => self.handle_queue_timer(now),
+            Timer::PlaceQueued => self.handle_queue_timer(now),
             Timer::Subscribe => self.actions.push(Action::Subscribe),
             Timer::Deadline(id) => self.handle_deadline(id),
         }
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -154,7 +154,7 @@
 
 impl Shedding {
     /// Whether the server is avoided, given how many connections it has.
-    pub(super) fn is_avoided(&self, now: Time, connections: u32) -> bool {
+    pub(super) fn is_shedding_or_full(&self, now: Time, connections: u32) -> bool {
         self.is_shedding(now) || self.is_at_capacity(now, connections)
     }
 
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -184,9 +184,9 @@
                 continue;
             }
             let is_admitted = self.admits_connection(now, id);
-            let reach = if is_admitted { rank } else { rank.max(CandidateRank::AlreadyTried) };
-            if reach < best {
-                best = reach;
+            let effective_rank = if is_admitted { rank } else { rank.max(CandidateRank::AlreadyTried) };
+            if effective_rank < best {
+                best = effective_rank;
                 eligible.clear();
             }
             if is_admitted {
@@ -209,7 +209,7 @@
         } else if request.was_attempted_on(server.endpoint.server) {
             CandidateRank::AlreadyTried
         } else if server.response_level.is_slow(now)
-            || server.shedding.is_avoided(now, server.total_connections())
+            || server.shedding.is_shedding_or_full(now, server.total_connections())
         {
             CandidateRank::Loaded
         } else {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -20,13 +20,13 @@
     /// Multiple of N.
     requests: f64,
     /// Multiple of the 2 x root of N + 1 that the threshold adds for chance.
-    chance: f64,
+    variance_allowance: f64,
 }
 
 /// Slow, as gateways that see a client every few seconds use their permits late.
-const UNGRANTED_PACES: Paces = Paces { requests: 0.8, chance: 0.0 };
+const OWN_PERMIT_PACES: Paces = Paces { requests: 0.8, variance_allowance: 0.0 };
 /// Fast, as those who grant permits are asked for all of them.
-const GRANTED_PACES: Paces = Paces { requests: 0.72, chance: 0.72 };
+const GRANTED_PERMIT_PACES: Paces = Paces { requests: 0.72, variance_allowance: 0.72 };
 /// Permits by which the clocks of two processes of one holder may differ.
 const CLOCK_SKEW_PERMITS: f64 = 1.0;
 /// More than any settings allow; keeps what follows finite where servers need no warm-up.
@@ -50,7 +50,7 @@
     /// The sum of N.
     requests: f64,
     /// The sum of 2 x root of N + 1.
-    chance: f64,
+    variance_allowance: f64,
 }
 
 impl SlowStartConfig {
@@ -90,14 +90,14 @@
         let requests = (first + last) / 2.0 * ramp_secs + last * flat_secs;
         let last_root = last.sqrt();
         let mean_root = mean_root_of_linear(first.sqrt(), last_root);
-        let chance = (2.0 * mean_root + 1.0) * ramp_secs + (2.0 * last_root + 1.0) * flat_secs;
+        let variance_allowance = (2.0 * mean_root + 1.0) * ramp_secs + (2.0 * last_root + 1.0) * flat_secs;
         let window = self.overload_window.as_secs().max(f64::MIN_POSITIVE);
-        Allowance { requests: requests / window, chance: chance / window }
+        Allowance { requests: requests / window, variance_allowance: variance_allowance / window }
     }
 
     /// The permits that are granted for the whole fleet, each used within `lease`.
     pub const fn granted_permits(self, lease: Span) -> PermitSchedule {
-        PermitSchedule { config: self, share: GRANTED_SHARE, paces: GRANTED_PACES, lease }
+        PermitSchedule { config: self, share: GRANTED_SHARE, paces: GRANTED_PERMIT_PACES, lease }
     }
 }
 
@@ -161,13 +161,13 @@
     pub const fn ungranted_permits(settings: &Settings) -> Self {
         let share = if settings.fleet_permits { 1.0 - GRANTED_SHARE } else { 1.0 };
         let config = SlowStartConfig::new(settings);
-        Self { config, share, paces: UNGRANTED_PACES, lease: Span::ZERO }
+        Self { config, share, paces: OWN_PERMIT_PACES, lease: Span::ZERO }
     }
 
     /// How many permits have been issued at this age. The first is issued at the start.
     pub fn permits_issued(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowance = self.config.integrals(age, connections_when_full);
-        let paced = self.paces.requests * allowance.requests + self.paces.chance * allowance.chance;
+        let paced = self.paces.requests * allowance.requests + self.paces.variance_allowance * allowance.variance_allowance;
         1.0 + self.share * paced
     }
 
@@ -246,7 +246,7 @@
     fn pace(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowed = self.config.allowed_requests(age, connections_when_full);
         let chance = 2.0 * allowed.sqrt() + 1.0;
-        let pace = self.share * (self.paces.requests * allowed + self.paces.chance * chance);
+        let pace = self.share * (self.paces.requests * allowed + self.paces.variance_allowance * chance);
         pace.max(f64::MIN_POSITIVE)
     }
 }
--- a/src/decision/timer.rs
+++ b/src/decision/timer.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// Queued requests are tried again.
-    RetryQueue,
+    PlaceQueued,
     /// The endpoint list is subscribed to.
     Subscribe,
     /// The time to answer this request has passed.
@@ -20,7 +20,7 @@
 impl Timer {
     pub(super) fn token(self) -> TimerToken {
         match self {
-            Timer::RetryQueue => TimerToken(QUEUE_TOKEN),
+            Timer::PlaceQueued => TimerToken(QUEUE_TOKEN),
             Timer::Subscribe => TimerToken(SUBSCRIBE_TOKEN),
             Timer::Deadline(id) => TimerToken(FIRST_DEADLINE_TOKEN + u64::from(id.0)),
         }
@@ -28,7 +28,7 @@
 
     pub(super) fn from_token(token: TimerToken) -> Self {
         match token.0 {
-            QUEUE_TOKEN => Timer::RetryQueue,
+            QUEUE_TOKEN => Timer::PlaceQueued,
             SUBSCRIBE_TOKEN => Timer::Subscribe,
             token => Timer::Deadline(RequestId((token - FIRST_DEADLINE_TOKEN) as u32)),
         }
--- a/src/discovery/endpoints.rs
+++ b/src/discovery/endpoints.rs
@@ -24,8 +24,8 @@
     #[serde(default, rename = "type")]
     pub kind: String,
     /// Its cell.
-    #[serde(default)]
-    pub group: u32,
+    #[serde(default, rename = "group")]
+    pub cell: u32,
     /// Its state.
     pub status: EndpointStatus,
     /// Its size.
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -267,7 +267,7 @@
             reporter.record(server, None);
         }
         self.handle_event(now, Event::Established { id, attempt, elapsed }, commands);
-        self.drain_established(now, id, commands);
+        self.apply_shutdown_phase(now, id, commands);
         true
     }
 
--- a/src/engine/drain.rs
+++ b/src/engine/drain.rs
@@ -30,12 +30,12 @@
 
 /// How far the process has shut down.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Shutdown {
+pub(super) struct ShutdownPhase {
     phase: Phase,
     deadline_passed: bool,
 }
 
-impl Shutdown {
+impl ShutdownPhase {
     /// Whether requests are rejected as they come.
     pub(super) fn rejects_requests(&self) -> bool {
         self.deadline_passed
@@ -125,7 +125,7 @@
     }
 
     /// Does what the shutdown asks of a connection that has just been established.
-    pub(super) fn drain_established(&mut self, now: Time, id: RequestId, commands: &mut Vec<Command>) {
+    pub(super) fn apply_shutdown_phase(&mut self, now: Time, id: RequestId, commands: &mut Vec<Command>) {
         match self.shutdown.phase {
             Phase::Serving => {}
             Phase::Migrating(until) => {
--- a/src/engine/endpoint_list.rs
+++ b/src/engine/endpoint_list.rs
@@ -21,7 +21,7 @@
 
 /// The endpoint list, and what overrides it.
 #[derive(Default)]
-pub(super) struct EndpointTable {
+pub(super) struct ListOverrides {
     entries: BTreeMap<ServerId, EndpointEntry>,
     cordoned: BTreeSet<ServerId>,
     ejected_by_quorum: BTreeSet<ServerId>,
@@ -29,13 +29,13 @@
 }
 
 /// An entry that is drained if it is ready and `drains` holds.
-fn drain_if(drains: bool, entry: EndpointEntry) -> EndpointEntry {
+fn with_drain_if(drains: bool, entry: EndpointEntry) -> EndpointEntry {
     let drains = drains && entry.state == ServerState::Ready;
     let state = if drains { ServerState::Draining } else { entry.state };
     EndpointEntry { state, ..entry }
 }
 
-impl EndpointTable {
+impl ListOverrides {
     pub(super) fn hash_key(&self, server: ServerId) -> Option<u32> {
         self.entries.get(&server).map(|entry| entry.hash_key)
     }
@@ -51,13 +51,13 @@
 
     /// An entry of the list with cordons applied.
     fn effective_entry(&self, entry: &EndpointEntry) -> EndpointEntry {
-        drain_if(self.cordoned.contains(&entry.server), entry.clone())
+        with_drain_if(self.cordoned.contains(&entry.server), entry.clone())
     }
 
     /// An effective entry as the decision module sees it: for it alone, all servers drain while the list is expired, and
     /// ejected ones drain always.
     fn as_decision_sees_it(&self, entry: EndpointEntry) -> EndpointEntry {
-        drain_if(self.is_expired || self.ejected_by_quorum.contains(&entry.server), entry)
+        with_drain_if(self.is_expired || self.ejected_by_quorum.contains(&entry.server), entry)
     }
 
     /// All entries as the decision module sees them.
@@ -172,7 +172,7 @@
         if self.endpoints.is_expired && !is_cordoned {
             return;
         }
-        let entry = drain_if(is_cordoned, entry);
+        let entry = with_drain_if(is_cordoned, entry);
         self.apply_list_update(now, ListUpdate::Delta, vec![entry], commands);
         if !is_cordoned {
             self.handle_event(now, Event::Uncordoned { server }, commands);
@@ -230,12 +230,12 @@
 
     /// Migrates connections from servers that have begun to drain or are gone: a server that stops would cut them off.
     fn migrate_from_unready_servers(&mut self, now: Time, states_before: &BTreeMap<ServerId, ServerState>) {
-        self.migrate_from_servers_now(now, ServerState::Draining, DRAINING_MIGRATION_SPAN, states_before);
-        self.migrate_from_servers_now(now, ServerState::Removed, REMOVED_MIGRATION_SPAN, states_before);
+        self.migrate_from_servers_entering(now, ServerState::Draining, DRAINING_MIGRATION_SPAN, states_before);
+        self.migrate_from_servers_entering(now, ServerState::Removed, REMOVED_MIGRATION_SPAN, states_before);
     }
 
     /// Migrates connections, over this span, from servers that are in this state now and were not before.
-    fn migrate_from_servers_now(
+    fn migrate_from_servers_entering(
         &mut self,
         now: Time,
         state: ServerState,
--- a/src/engine/list_lease.rs
+++ b/src/engine/list_lease.rs
@@ -54,7 +54,7 @@
 impl Engine {
     /// Records that a call or watch has ended, and when the list was last in sync: any server may have begun to drain
     /// unnoticed since.
-    pub fn watch_lost(&mut self, now: Time, last_synced_at: Time, end: WatchEnd) {
+    pub fn handle_watch_end(&mut self, now: Time, last_synced_at: Time, end: WatchEnd) {
         if let Some(valid_until) = self.list_lease.handle_watch_end(now, last_synced_at, end) {
             self.timers.schedule(valid_until.max(now), TimerEvent::ListExpired);
         }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -35,8 +35,8 @@
 pub use timers::{MonotonicEpoch, TimerEvent};
 
 use attempts::RequestTable;
-use drain::Shutdown;
-use endpoint_list::{EndpointTable, ServerRecord};
+use drain::ShutdownPhase;
+use endpoint_list::{ListOverrides, ServerRecord};
 use health_check_budget::HealthCheckBudget;
 use invariants::{RequestInvariants, Violation};
 use response_times::SWEEP_INTERVAL;
@@ -68,7 +68,7 @@
     balancer: Balancer,
     requests: RequestTable,
     servers: BTreeMap<ServerId, ServerRecord>,
-    endpoints: EndpointTable,
+    endpoints: ListOverrides,
     list_lease: ListLease,
     timers: Timers,
     /// Response time from which a server is slow; zero if none is.
@@ -81,7 +81,7 @@
     /// Outcomes of attempts, if other gateways are told of them.
     outcome_reporter: Option<OutcomeReporter>,
     next_sweep_at: Time,
-    shutdown: Shutdown,
+    shutdown: ShutdownPhase,
     /// Events that the decision module has not handled yet.
     pending_events: VecDeque<Event>,
 }
@@ -105,14 +105,14 @@
             balancer: Balancer::new(settings, seed),
             requests: RequestTable::default(),
             servers: BTreeMap::new(),
-            endpoints: EndpointTable::default(),
+            endpoints: ListOverrides::default(),
             list_lease: ListLease::new(started_at),
             timers: Timers::new(epoch, granularity),
             permits,
             servers_by_key: BTreeMap::new(),
             outcome_reporter: None,
             next_sweep_at: started_at + SWEEP_INTERVAL,
-            shutdown: Shutdown::default(),
+            shutdown: ShutdownPhase::default(),
             pending_events: VecDeque::new(),
         };
         engine.timers.schedule(started_at + SWEEP_INTERVAL, TimerEvent::Sweep);
--- a/src/engine/permits.rs
+++ b/src/engine/permits.rs
@@ -52,7 +52,7 @@
     }
 
     /// What other processes of this gateway need to know of this one's use of a server.
-    pub fn sibling_share(&self, server: ServerId) -> ServerUsage {
+    pub fn sibling_usage(&self, server: ServerId) -> ServerUsage {
         let state = self.balancer.sibling_state(server);
         let permits = self.permits.as_ref().zip(self.endpoints.hash_key(server));
         ServerUsage {
--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -18,7 +18,7 @@
 
 /// The servers on the list, by name.
 #[derive(Default)]
-pub(super) struct EndpointTable {
+pub(super) struct ServerDirectory {
     pub(super) entries: BTreeMap<String, Endpoint>,
     /// The list's version.
     pub(super) index: u64,
@@ -30,7 +30,7 @@
     published_addresses: watch::Sender<BTreeMap<String, SocketAddr>>,
 }
 
-impl EndpointTable {
+impl ServerDirectory {
     /// The address of a server that was listed before.
     pub(super) fn address(&self, server: ServerId) -> SocketAddr {
         self.addresses[&server]
@@ -97,7 +97,7 @@
             hash_key: u32::from_be_bytes(server_id_for_name(&endpoint.name)),
             zone: ZoneId(names.zones.intern(&endpoint.zone)),
             machine_kind: KindId(names.kinds.intern(&endpoint.kind)),
-            cell: CellId(endpoint.group),
+            cell: CellId(endpoint.cell),
             state: endpoint.status.into(),
             weight: endpoint.weight,
             started_at: self.start_times.start_time(now, server, endpoint.since_ms, unlisted_until),
@@ -163,7 +163,7 @@
         resubscribe: bool,
     ) {
         self.endpoints.start_times.record_watch_end(last_synced_at);
-        self.engine.watch_lost(now, last_synced_at, end);
+        self.engine.handle_watch_end(now, last_synced_at, end);
         if resubscribe {
             self.engine.handle_list_update(now, ListUpdate::WatchFailed, Vec::new(), &mut self.commands);
         }
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-use self::endpoint_list::EndpointTable;
+use self::endpoint_list::ServerDirectory;
 use self::sessions::SessionTable;
 use self::shared_state::QuotaGate;
 use self::shutdown::Shutdown;
@@ -56,7 +56,7 @@
     cordon_requests: mpsc::Receiver<CordonRequest>,
     handle: EventLoopHandle,
     sessions: SessionTable,
-    endpoints: EndpointTable,
+    endpoints: ServerDirectory,
     /// Servers that the gateways together have taken out.
     under_maintenance: BTreeSet<String>,
     quota: QuotaGate,
@@ -114,7 +114,7 @@
             cordon_requests,
             handle: handle.clone(),
             sessions: SessionTable::default(),
-            endpoints: EndpointTable::default(),
+            endpoints: ServerDirectory::default(),
             under_maintenance: BTreeSet::new(),
             quota: QuotaGate::default(),
             shared_state: None,
--- a/src/net/event_loop/observability.rs
+++ b/src/net/event_loop/observability.rs
@@ -57,7 +57,7 @@
         metrics.set_gauge(Gauge::HealthChecksWithheld, withheld);
         let usage = self.endpoints.entries.keys().filter_map(|name| {
             let server = self.names.servers.find(name).map(ServerId)?;
-            Some((name.clone(), self.engine.sibling_share(server)))
+            Some((name.clone(), self.engine.sibling_usage(server)))
         });
         let usage = usage.collect();
         self.sibling_link.publish(self.health.is_ready(), usage);
--- a/src/net/session/admission.rs
+++ b/src/net/session/admission.rs
@@ -8,7 +8,7 @@
 use super::attempt::{RESTORE_TIMEOUT, Session};
 use super::connection::LineConnection;
 use super::first_line::{ClientError, FirstLine, read_first_line};
-use super::frontend::{Frontend, OVER_LIMIT_RETRY_AFTER, connection_request};
+use super::frontend::{Frontend, DEFAULT_RETRY_AFTER, connection_request};
 use crate::engine::open_ids::RequestIdClaim;
 use crate::metrics::{CloseReason, Counter};
 use crate::net::messages::{ConnectionRequest, SESSION_COMMAND_QUEUE, SessionEvent, to_span};
@@ -51,9 +51,9 @@
             },
             FirstLine::Invalid(error) => self.answer_client_error(&error),
             // It may ask at this very moment: what it reads then is an answer, and harmless.
-            FirstLine::Idle => {
+            FirstLine::OnlyPinged => {
                 self.event_loop.count_closed(CloseReason::NoRequest);
-                busy(OVER_LIMIT_RETRY_AFTER)
+                busy(DEFAULT_RETRY_AFTER)
             }
             FirstLine::Closed => return self.event_loop.count_closed(CloseReason::NoRequest),
         };
@@ -71,11 +71,11 @@
         let graceful_close = if stopping { None } else { self.pending_clients.try_acquire_graceful_close() };
         if graceful_close.is_none() && !stopping {
             self.event_loop.count_closed(CloseReason::EvictedImmediately);
-            return client.close_immediately(&busy(OVER_LIMIT_RETRY_AFTER));
+            return client.close_immediately(&busy(DEFAULT_RETRY_AFTER));
         }
         let reason = if stopping { CloseReason::ProcessStopped } else { CloseReason::Evicted };
         self.event_loop.count_closed(reason);
-        self.finish_client(client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
+        self.finish_client(client, &busy(DEFAULT_RETRY_AFTER)).await;
         drop(graceful_close);
     }
 
@@ -99,7 +99,7 @@
         };
         let Some(permit) = self.pending_clients.try_acquire_session() else {
             LIMIT_REJECTIONS.log("all sessions are in use; rejecting a client");
-            return Err(Rejection { counter: Counter::Rejected, answer: busy(OVER_LIMIT_RETRY_AFTER) });
+            return Err(Rejection { counter: Counter::Rejected, answer: busy(DEFAULT_RETRY_AFTER) });
         };
         Ok(Admission { open, permit, id_claim })
     }
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -15,7 +15,7 @@
 
 use super::connection::{LineConnection, Lines};
 use super::first_line::ClientError;
-use super::frontend::{Frontend, OVER_LIMIT_RETRY_AFTER};
+use super::frontend::{Frontend, DEFAULT_RETRY_AFTER};
 use crate::decision::interface::{Outcome, RequestId};
 use crate::engine::FinalAnswer;
 use crate::engine::open_ids::RequestIdClaim;
@@ -143,7 +143,7 @@
         self.frontend.event_loop.count_closed(CloseReason::Unanswered);
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
         drop(self.id_claim);
-        self.frontend.finish_client(self.client, &busy(OVER_LIMIT_RETRY_AFTER)).await;
+        self.frontend.finish_client(self.client, &busy(DEFAULT_RETRY_AFTER)).await;
     }
 
     /// Ends the request of a client that did not wait for its answer: the answer is an error.
--- a/src/net/session/connection.rs
+++ b/src/net/session/connection.rs
@@ -85,13 +85,13 @@
             return false;
         }
         let _ = self.writer.shutdown().await;
-        self.drain().await;
+        self.discard_input().await;
         true
     }
 
     /// Reads on, within bounds, after the sending side has been shut down: a close over unread bytes would be a reset,
     /// and discard what has been written and not been read by the peer.
-    pub(super) async fn drain(self) {
+    pub(super) async fn discard_input(self) {
         let mut reader = self.lines.into_inner();
         let mut discarded = BytesMut::with_capacity(DRAIN_BUFFER_SIZE);
         let drain = async {
--- a/src/net/session/first_line.rs
+++ b/src/net/session/first_line.rs
@@ -21,7 +21,7 @@
     /// It is answered with an error.
     Invalid(ClientError),
     /// It has sent `PING` and nothing after that.
-    Idle,
+    OnlyPinged,
     /// It has gone, and is owed no answer.
     Closed,
 }
@@ -69,7 +69,7 @@
             Ok(Some(Err(LineError::Io(_))) | None) => return FirstLine::Closed,
             Ok(Some(Err(error))) => return FirstLine::Invalid(error.into()),
             // A client that only sends `PING` is owed no error.
-            Err(_) if answered_ping && !partial => return FirstLine::Idle,
+            Err(_) if answered_ping && !partial => return FirstLine::OnlyPinged,
             Err(_) => return FirstLine::Invalid(ClientError::TimedOut),
         };
         match side.line(line) {
--- a/src/net/session/frontend.rs
+++ b/src/net/session/frontend.rs
@@ -17,7 +17,7 @@
 use crate::net::rate_limited_log::RateLimitedLog;
 
 /// Wait that a client over a limit is told.
-pub(super) const OVER_LIMIT_RETRY_AFTER: Duration = Duration::from_secs(1);
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) static CLIENT_ERRORS: RateLimitedLog = RateLimitedLog::new("client");
 
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -195,7 +195,7 @@
         }
         let drain_server = async {
             if let Some(server) = draining {
-                server.drain().await;
+                server.discard_input().await;
             }
         };
         let last_line: &[u8] = match end {
--- a/tests/compatibility_discovery.rs
+++ b/tests/compatibility_discovery.rs
@@ -221,7 +221,7 @@
         entry.address,
         entry.zone.escape_default(),
         entry.kind,
-        entry.group,
+        entry.cell,
         status(entry.status),
         entry.weight.to_bits(),
         entry.since_ms.to_bits()
--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -400,7 +400,7 @@
         let end =
             [WatchEnd::Closed, WatchEnd::ConnectionRefused, WatchEnd::Failed][self.rng.random_range(0..3)];
         let since = self.now - ms(self.rng.random_range(0..2_500));
-        self.engine.watch_lost(self.now, since, end);
+        self.engine.handle_watch_end(self.now, since, end);
     }
 
     fn share_sibling_state(&mut self) {
@@ -596,7 +596,7 @@
                 recovery_tokens: budget,
                 last_used_permit: spent,
                 last_granted_permit: granted,
-            } = self.engine.sibling_share(server);
+            } = self.engine.sibling_usage(server);
             let ready = u64::from(self.engine.is_ready(server));
             let connections = u64::from(self.engine.connections_on(server));
             self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -110,7 +110,7 @@
             let mut text = format!("list index {} snapshot {}", list.index, list.snapshot);
             for it in &list.endpoints {
                 let _ = write!(text, "\n{} {} {} {}", it.name, it.address, it.zone, it.kind);
-                let _ = write!(text, " {} {} {} {}", it.group, json(&it.status), it.weight, it.since_ms);
+                let _ = write!(text, " {} {} {} {}", it.cell, json(&it.status), it.weight, it.since_ms);
             }
             text
         }
--- a/tests/compatibility_settings.rs
+++ b/tests/compatibility_settings.rs
@@ -149,7 +149,7 @@
                     EndpointStatus::Draining => "draining",
                     EndpointStatus::Deleted => "deleted",
                 };
-                let _ = write!(text, "{} {} [{}] [{}] {}", it.name, it.address, it.zone, it.kind, it.group);
+                let _ = write!(text, "{} {} [{}] [{}] {}", it.name, it.address, it.zone, it.kind, it.cell);
                 let _ = writeln!(text, " {status} {} {}", it.weight, it.since_ms);
             }
         }
--- a/tests/crossings/world/processes.rs
+++ b/tests/crossings/world/processes.rs
@@ -104,7 +104,7 @@
             return;
         }
         for server in (0..SERVERS).map(ServerId) {
-            let usage = self.processes[from].engine.sibling_share(server);
+            let usage = self.processes[from].engine.sibling_usage(server);
             self.report_to(to, DriverReport::SiblingState(server, usage));
         }
         self.schedule_after(500, SimulationEvent::ShareSiblingState(from, to));
@@ -154,7 +154,7 @@
                 self.record(Occurrence::WatchLost { process, since });
                 self.processes[process].watch_lost = true;
                 if self.fault != Some(Fault::LosesWatchSilence) {
-                    self.processes[process].engine.watch_lost(now, since, end);
+                    self.processes[process].engine.handle_watch_end(now, since, end);
                 }
                 let engine = &mut self.processes[process].engine;
                 engine.handle_list_update(now, ListUpdate::WatchFailed, Vec::new(), &mut self.commands);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -504,7 +504,7 @@
         harness.engine.handle_list_update(harness.now, ListUpdate::Delta, entries, &mut harness.commands);
         assert_eq!(placed_on_ejected(&mut harness), 0);
         // Nor does discovery that is back, after a silence in which all drain.
-        harness.engine.watch_lost(harness.now, harness.now, WatchEnd::Failed);
+        harness.engine.handle_watch_end(harness.now, harness.now, WatchEnd::Failed);
         harness.advance(6_100).await;
         assert!(harness.engine.list_expired());
         harness.engine.renew_list_lease(harness.now, &mut harness.commands);
@@ -565,7 +565,7 @@
 fn no_attempt_sends_its_first_byte_once_the_list_has_expired() {
     with_time(async {
         let mut harness = EngineHarness::new();
-        harness.engine.watch_lost(harness.now, harness.now, WatchEnd::Failed);
+        harness.engine.handle_watch_end(harness.now, harness.now, WatchEnd::Failed);
         harness.advance(5_990).await;
         let id = harness.request();
         assert_eq!(harness.requests[&id].attempts, 1, "chosen in time");
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -322,7 +322,7 @@
 
     async fn called_after_a_failure(&mut self, in_step: Time) -> Duration {
         let now = self.now();
-        self.engine.watch_lost(now, in_step, WatchEnd::Failed);
+        self.engine.handle_watch_end(now, in_step, WatchEnd::Failed);
         self.engine.handle_list_update(now, ListUpdate::WatchFailed, Vec::new(), &mut Vec::new());
         self.called().await
     }
