--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -167,7 +167,8 @@
     /// How many permits have been issued at this age. The first is issued at the start.
     pub fn permits_issued(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowance = self.config.integrals(age, connections_when_full);
-        let paced = self.paces.requests * allowance.requests + self.paces.variance_allowance * allowance.variance_allowance;
+        let paced = self.paces.requests * allowance.requests
+            + self.paces.variance_allowance * allowance.variance_allowance;
         1.0 + self.share * paced
     }
 
--- a/src/engine/endpoint_list.rs
+++ b/src/engine/endpoint_list.rs
@@ -230,7 +230,12 @@
 
     /// Migrates connections from servers that have begun to drain or are gone: a server that stops would cut them off.
     fn migrate_from_unready_servers(&mut self, now: Time, states_before: &BTreeMap<ServerId, ServerState>) {
-        self.migrate_from_servers_entering(now, ServerState::Draining, DRAINING_MIGRATION_SPAN, states_before);
+        self.migrate_from_servers_entering(
+            now,
+            ServerState::Draining,
+            DRAINING_MIGRATION_SPAN,
+            states_before,
+        );
         self.migrate_from_servers_entering(now, ServerState::Removed, REMOVED_MIGRATION_SPAN, states_before);
     }
 
--- a/src/net/session/admission.rs
+++ b/src/net/session/admission.rs
@@ -8,7 +8,7 @@
 use super::attempt::{RESTORE_TIMEOUT, Session};
 use super::connection::LineConnection;
 use super::first_line::{ClientError, FirstLine, read_first_line};
-use super::frontend::{Frontend, DEFAULT_RETRY_AFTER, connection_request};
+use super::frontend::{DEFAULT_RETRY_AFTER, Frontend, connection_request};
 use crate::engine::open_ids::RequestIdClaim;
 use crate::metrics::{CloseReason, Counter};
 use crate::net::messages::{ConnectionRequest, SESSION_COMMAND_QUEUE, SessionEvent, to_span};
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -15,7 +15,7 @@
 
 use super::connection::{LineConnection, Lines};
 use super::first_line::ClientError;
-use super::frontend::{Frontend, DEFAULT_RETRY_AFTER};
+use super::frontend::{DEFAULT_RETRY_AFTER, Frontend};
 use crate::decision::interface::{Outcome, RequestId};
 use crate::engine::FinalAnswer;
 use crate::engine::open_ids::RequestIdClaim;
