--- a/crates/ashtide-bench/src/cost.rs
+++ b/crates/ashtide-bench/src/cost.rs
@@ -1,9 +1,9 @@
 //! What a session costs in the core: memory and time, and how both grow. Each size is measured in a process
 //! of its own, as a heap that has grown once says little afterwards.
 
-use std::time::{Duration, Instant};
+use std::time::{Duration, Instant as StdInstant};
 
-use ashtide_client::{Address, Effect, Event, Moment, Pool, Settings, Wish};
+use ashtide_client::{Address, Instant, PoolCommand, PoolEvent, SessionPool, SessionRequest, Settings};
 use ashtide_protocol::GatewayEvent;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -40,12 +40,16 @@
 }
 
 /// Brings up whoever dials.
-fn answer(pool: &mut Pool, now: Moment, out: &mut Vec<Effect>) {
+fn answer(pool: &mut SessionPool, now: Instant, out: &mut Vec<PoolCommand>) {
     while !out.is_empty() {
         for effect in std::mem::take(out) {
-            if let Effect::Dial { session, attempt, .. } = effect {
-                pool.handle(now, Event::Connected(session, attempt), out);
-                pool.handle(now, Event::Heard(session, attempt, Ok(GatewayEvent::Up(Bytes::new()))), out);
+            if let PoolCommand::Connect { session, attempt, .. } = effect {
+                pool.handle(now, PoolEvent::Connected(session, attempt), out);
+                pool.handle(
+                    now,
+                    PoolEvent::Received(session, attempt, Ok(GatewayEvent::Up(Bytes::new()))),
+                    out,
+                );
             }
         }
     }
@@ -58,30 +62,34 @@
 /// Fails where the system does not tell the process's memory.
 pub fn measure(sessions: usize) -> Result<Cost, CostError> {
     let settings = Settings { sessions, ..Settings::default() };
-    let mut pool = Pool::new(settings, 1).unwrap_or_else(|error| unreachable!("{error}"));
-    let mut now = Moment::from_micros(1_000_000);
+    let mut pool = SessionPool::new(settings, 1).unwrap_or_else(|error| unreachable!("{error}"));
+    let mut now = Instant::from_micros(1_000_000);
     let mut out = Vec::new();
     let addresses = (0..3).map(|number| Address::new(([127, 0, 0, 1], 8000 + number).into())).collect();
-    pool.handle(now, Event::Addresses(addresses), &mut out);
+    pool.handle(now, PoolEvent::AddressesChanged(addresses), &mut out);
     let before = resident()?;
-    let begun = Instant::now();
+    let begun = StdInstant::now();
     let mut ids = Vec::with_capacity(sessions);
     for number in 0..sessions {
-        let wish = Wish::new("resident-reading", format!("meter-{number:010}"), Duration::from_millis(3200));
+        let wish = SessionRequest::new(
+            "resident-reading",
+            format!("meter-{number:010}"),
+            Duration::from_millis(3200),
+        );
         ids.push(pool.open(now, wish, &mut out));
         answer(&mut pool, now, &mut out);
     }
     let opened = begun.elapsed();
     let bytes = (resident()? - before) / sessions as f64;
-    let begun = Instant::now();
+    let begun = StdInstant::now();
     for id in &ids {
-        let attempt = pool.attempt(*id).unwrap_or_default();
-        pool.handle(now, Event::Ended(*id, attempt, None), &mut out);
+        let attempt = pool.current_attempt(*id).unwrap_or_default();
+        pool.handle(now, PoolEvent::ConnectionEnded(*id, attempt, None), &mut out);
         out.clear();
     }
     while let Some(wake) = pool.next_wake() {
         now = wake;
-        pool.handle(now, Event::Time, &mut out);
+        pool.handle(now, PoolEvent::TimerFired, &mut out);
         answer(&mut pool, now, &mut out);
     }
     let each = |time: Duration| time.as_secs_f64() * 1e6 / sessions as f64;
--- a/crates/ashtide-bench/src/main.rs
+++ b/crates/ashtide-bench/src/main.rs
@@ -165,7 +165,7 @@
 
 fn address(text: &str) -> Result<Address, std::net::AddrParseError> {
     let (at, zone) = text.split_once('@').unwrap_or((text, ""));
-    Ok(Address { at: at.parse()?, zone: zone.to_owned(), site: String::new() })
+    Ok(Address { socket_addr: at.parse()?, zone: zone.to_owned(), site: String::new() })
 }
 
 fn told(wave: &Wave, picture: bool) -> Done {
--- a/crates/ashtide-bench/src/naive.rs
+++ b/crates/ashtide-bench/src/naive.rs
@@ -3,7 +3,9 @@
 
 use std::time::Duration;
 
-use ashtide_client::{Attempt, Effect, Event, Loss, Moment, Notice, SessionId, Wish};
+use ashtide_client::{
+    Attempt, ConnectionLoss, Instant, PoolCommand, PoolEvent, SessionId, SessionNotification, SessionRequest,
+};
 use ashtide_protocol::GatewayEvent;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -12,7 +14,7 @@
 /// drive either.
 #[derive(Debug)]
 pub struct Naive {
-    wish: Wish,
+    wish: SessionRequest,
     wait: (Duration, Duration),
     address: std::net::SocketAddr,
     attempt: Attempt,
@@ -24,8 +26,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Idle,
-    Waiting(Moment),
-    Out(Moment),
+    Waiting(Instant),
+    Out(Instant),
     Standing,
 }
 
@@ -33,16 +35,21 @@
 
 impl Naive {
     /// A client that waits between these bounds before it tries again.
-    pub fn new(wait: (Duration, Duration), address: std::net::SocketAddr, wish: Wish, seed: u64) -> Self {
+    pub fn new(
+        wait: (Duration, Duration),
+        address: std::net::SocketAddr,
+        wish: SessionRequest,
+        seed: u64,
+    ) -> Self {
         let rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         Self { wish, wait, address, attempt: Attempt(0), state: State::Idle, stood: false, rng }
     }
 
     /// Begins to try.
-    pub fn open(&mut self, now: Moment, out: &mut Vec<Effect>) {
+    pub fn open(&mut self, now: Instant, out: &mut Vec<PoolCommand>) {
         self.attempt.0 += 1;
-        self.state = State::Out(now + self.wish.wait);
-        out.push(Effect::Dial { session: ID, attempt: self.attempt, at: self.address });
+        self.state = State::Out(now + self.wish.timeout);
+        out.push(PoolCommand::Connect { session: ID, attempt: self.attempt, gateway: self.address });
     }
 
     /// The number of its latest attempt.
@@ -51,7 +58,7 @@
     }
 
     /// When it wants to be told the time.
-    pub fn next_wake(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Instant> {
         match self.state {
             State::Waiting(at) | State::Out(at) => Some(at),
             State::Idle | State::Standing => None,
@@ -59,47 +66,57 @@
     }
 
     /// Takes one event in.
-    pub fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Instant, event: PoolEvent, out: &mut Vec<PoolCommand>) {
         let ours = match &event {
-            Event::Connected(_, attempt)
-            | Event::ConnectFailed(_, attempt)
-            | Event::Heard(_, attempt, _)
-            | Event::Ended(_, attempt, _) => *attempt == self.attempt,
+            PoolEvent::Connected(_, attempt)
+            | PoolEvent::ConnectFailed(_, attempt)
+            | PoolEvent::Received(_, attempt, _)
+            | PoolEvent::ConnectionEnded(_, attempt, _) => *attempt == self.attempt,
             _ => true,
         };
         if !ours {
             return;
         }
         match (event, self.state) {
-            (Event::Time, State::Waiting(at)) if at <= now => self.open(now, out),
-            (Event::Time, State::Out(at)) if at <= now => self.again(now, true, out),
-            (Event::Connected(..), State::Out(_)) => {
+            (PoolEvent::TimerFired, State::Waiting(at)) if at <= now => self.open(now, out),
+            (PoolEvent::TimerFired, State::Out(at)) if at <= now => self.again(now, true, out),
+            (PoolEvent::Connected(..), State::Out(_)) => {
                 let name = format!("{:016x}", self.rng.random::<u64>());
-                let line = self.wish.asking.line(&name, self.wish.wait).unwrap_or_default();
-                out.push(Effect::Write { session: ID, attempt: self.attempt, line });
+                let line = self.wish.parameters.line(&name, self.wish.timeout).unwrap_or_default();
+                out.push(PoolCommand::SendRequest { session: ID, attempt: self.attempt, line });
             }
-            (Event::Heard(_, _, Ok(GatewayEvent::Up(receipt))), State::Out(_)) => {
-                let up = Notice::Up { at: self.address, receipt, tries: 1, again: self.stood };
+            (PoolEvent::Received(_, _, Ok(GatewayEvent::Up(receipt))), State::Out(_)) => {
+                let up = SessionNotification::Connected {
+                    gateway: self.address,
+                    receipt,
+                    attempts: 1,
+                    reconnected: self.stood,
+                };
                 (self.state, self.stood) = (State::Standing, true);
-                out.push(Effect::Tell(ID, up));
+                out.push(PoolCommand::Notify(ID, up));
             }
-            (Event::Heard(..), State::Out(_)) => self.again(now, true, out),
-            (Event::ConnectFailed(..) | Event::Ended(..), State::Out(_)) => self.again(now, false, out),
-            (Event::Ended(..), State::Standing) => {
-                out.push(Effect::Tell(ID, Notice::Dropped(Loss::Broke(None))));
+            (PoolEvent::Received(..), State::Out(_)) => self.again(now, true, out),
+            (PoolEvent::ConnectFailed(..) | PoolEvent::ConnectionEnded(..), State::Out(_)) => {
+                self.again(now, false, out)
+            }
+            (PoolEvent::ConnectionEnded(..), State::Standing) => {
+                out.push(PoolCommand::Notify(
+                    ID,
+                    SessionNotification::Disconnected(ConnectionLoss::Broken(None)),
+                ));
                 self.again(now, false, out);
             }
-            (Event::Leave(_), _) => {
-                out.push(Effect::Close { session: ID, attempt: self.attempt });
+            (PoolEvent::CloseSession(_), _) => {
+                out.push(PoolCommand::Close { session: ID, attempt: self.attempt });
                 self.state = State::Idle;
             }
             _ => {}
         }
     }
 
-    fn again(&mut self, now: Moment, close: bool, out: &mut Vec<Effect>) {
+    fn again(&mut self, now: Instant, close: bool, out: &mut Vec<PoolCommand>) {
         if close {
-            out.push(Effect::Close { session: ID, attempt: self.attempt });
+            out.push(PoolCommand::Close { session: ID, attempt: self.attempt });
         }
         let (from, to) = self.wait;
         let wait = from + (to - from).mul_f64(self.rng.random::<f64>());
--- a/crates/ashtide-bench/src/real.rs
+++ b/crates/ashtide-bench/src/real.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use ashtide_client::{Address, Client, Session, SessionEvent, Settings, Wish};
+use ashtide_client::{Address, Client, Session, SessionEvent, SessionRequest, Settings};
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::fleet::Fleet;
 use ashtide_testkit::{RehearsalError, within};
@@ -133,7 +133,9 @@
             let settings = Settings { zone: Some("near".to_owned()), ..Settings::default() };
             let client = Client::builder().addresses(addresses).settings(settings).build()?;
             let key = format!("device-{process}-{number}");
-            Ok::<_, Box<dyn std::error::Error>>(client.connect(Wish::new("meter", key, PATIENT)).await?)
+            Ok::<_, Box<dyn std::error::Error>>(
+                client.connect(SessionRequest::new("meter", key, PATIENT)).await?,
+            )
         }
     };
     let mut sessions: Vec<Session> = Vec::with_capacity(count);
@@ -159,10 +161,10 @@
             let mut dropped = None;
             while let Some(event) = session.next_event().await {
                 match (event, dropped) {
-                    (SessionEvent::Broken { .. } | SessionEvent::Moved, None) => {
+                    (SessionEvent::Disconnected { .. } | SessionEvent::Migrated, None) => {
                         dropped = Some(Instant::now())
                     }
-                    (SessionEvent::Up { .. }, Some(since)) => return Ok((session, since.elapsed())),
+                    (SessionEvent::Connected { .. }, Some(since)) => return Ok((session, since.elapsed())),
                     (SessionEvent::Ended(why), _) => return Err(why.to_string()),
                     _ => {}
                 }
--- a/crates/ashtide-bench/src/wave.rs
+++ b/crates/ashtide-bench/src/wave.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashtide_client::{Address, Effect, Event, Moment, Pool, Settings, Wish};
+use ashtide_client::{Address, Instant, PoolCommand, PoolEvent, SessionPool, SessionRequest, Settings};
 use ashtide_protocol::GatewayEvent;
 use bytes::Bytes;
 use serde::Serialize;
@@ -110,39 +110,44 @@
 /// So many sessions of one process, say a relay's; every attempt is answered at once.
 pub fn process(sessions: usize, settings: Settings, seed: u64) -> Wave {
     let settings = Settings { sessions: sessions.max(1), ..settings };
-    let at = |micros: u64| Moment::from_micros(ORIGIN + micros);
+    let at = |micros: u64| Instant::from_micros(ORIGIN + micros);
     // The settings have been checked by whoever made them.
-    let mut pool = Pool::new(settings, seed).unwrap_or_else(|error| unreachable!("{error}"));
+    let mut pool = SessionPool::new(settings, seed).unwrap_or_else(|error| unreachable!("{error}"));
     let (mut out, mut ids) = (Vec::new(), Vec::new());
-    pool.handle(at(0), Event::Addresses(vec![Address::new(([127, 0, 0, 1], 8443).into())]), &mut out);
+    pool.handle(
+        at(0),
+        PoolEvent::AddressesChanged(vec![Address::new(([127, 0, 0, 1], 8443).into())]),
+        &mut out,
+    );
     for number in 0..sessions {
-        let wish = Wish::new("resident-reading", format!("meter-{number}"), Duration::from_millis(3200));
+        let wish =
+            SessionRequest::new("resident-reading", format!("meter-{number}"), Duration::from_millis(3200));
         ids.push(pool.open(at(0), wish, &mut out));
     }
     let mut now = 0;
     let (mut arrivals, mut waits) = (Vec::new(), Vec::new());
     loop {
         for effect in std::mem::take(&mut out) {
-            if let Effect::Dial { session, attempt, .. } = effect {
+            if let PoolCommand::Connect { session, attempt, .. } = effect {
                 if now >= CUT {
                     arrivals.push(now - CUT);
                     waits.push(now - CUT);
                 }
-                pool.handle(at(now), Event::Connected(session, attempt), &mut out);
+                pool.handle(at(now), PoolEvent::Connected(session, attempt), &mut out);
                 let up = Ok(GatewayEvent::Up(Bytes::new()));
-                pool.handle(at(now), Event::Heard(session, attempt, up), &mut out);
+                pool.handle(at(now), PoolEvent::Received(session, attempt, up), &mut out);
             }
         }
         if now < CUT {
             now = CUT;
             for id in &ids {
-                let attempt = pool.attempt(*id).unwrap_or_default();
-                pool.handle(at(now), Event::Ended(*id, attempt, None), &mut out);
+                let attempt = pool.current_attempt(*id).unwrap_or_default();
+                pool.handle(at(now), PoolEvent::ConnectionEnded(*id, attempt, None), &mut out);
             }
         }
         let Some(wake) = pool.next_wake() else { break };
         now = wake.as_micros() - ORIGIN;
-        pool.handle(wake, Event::Time, &mut out);
+        pool.handle(wake, PoolEvent::TimerFired, &mut out);
     }
     Wave::of(sessions, arrivals, waits, 0)
 }
--- a/crates/ashtide-bench/src/world.rs
+++ b/crates/ashtide-bench/src/world.rs
@@ -13,7 +13,8 @@
 use std::time::Duration;
 
 use ashtide_client::{
-    Address, Attempt, Effect, Event, GaveUp, Moment, Notice, Pool, SessionId, Settings, Wish,
+    Address, Attempt, GiveUpReason, Instant, PoolCommand, PoolEvent, SessionId, SessionNotification,
+    SessionPool, SessionRequest, Settings,
 };
 use ashtide_protocol::{GatewayEvent, Open};
 use bytes::Bytes;
@@ -82,14 +83,14 @@
 
 #[derive(Debug)]
 enum Client {
-    Library(Box<Pool>),
+    Library(Box<SessionPool>),
     Naive(Box<Naive>),
 }
 
 #[derive(Debug)]
 struct Device {
     client: Client,
-    wish: Wish,
+    wish: SessionRequest,
     session: SessionId,
     /// The wake that is in the heap.
     wake: Option<u64>,
@@ -188,7 +189,7 @@
     pub from: u64,
     /// What was seen.
     pub tally: Tally,
-    effects: Vec<Effect>,
+    effects: Vec<PoolCommand>,
     /// Users are being placed that stood before: nothing reaches the site.
     placing: bool,
 }
@@ -222,8 +223,8 @@
     ([127, 0, 0, 1], 8443).into()
 }
 
-fn moment(now: u64) -> Moment {
-    Moment::from_micros(ORIGIN + now)
+fn moment(now: u64) -> Instant {
+    Instant::from_micros(ORIGIN + now)
 }
 
 impl World {
@@ -277,7 +278,7 @@
             self.placing = true;
             self.open(device);
             let attempt = Attempt(1);
-            self.tell(device, Event::Connected(self.devices[device].session, attempt));
+            self.tell(device, PoolEvent::Connected(self.devices[device].session, attempt));
             self.stands(device, attempt, number % self.servers.len());
         }
         self.placing = false;
@@ -330,17 +331,17 @@
 
     fn device(&mut self, wants: u64) -> usize {
         let number = self.devices.len();
-        let mut wish = Wish::new("resident-reading", format!("meter-{number}"), TRY);
+        let mut wish = SessionRequest::new("resident-reading", format!("meter-{number}"), TRY);
         let seed = self.rng.random();
         let client = match &self.behaviour {
             Behaviour::Library(settings, wait) => {
-                (wish.wait, wish.try_wait) = (*wait, Some(TRY));
+                (wish.timeout, wish.attempt_timeout) = (*wait, Some(TRY));
                 // The settings have been checked by whoever made them.
-                let mut pool = Pool::new(Settings::clone(settings), seed)
+                let mut pool = SessionPool::new(Settings::clone(settings), seed)
                     .unwrap_or_else(|error| unreachable!("settings that cannot be: {error}"));
                 pool.handle(
                     moment(self.now),
-                    Event::Addresses(vec![Address::new(address())]),
+                    PoolEvent::AddressesChanged(vec![Address::new(address())]),
                     &mut Vec::new(),
                 );
                 Client::Library(Box::new(pool))
@@ -398,7 +399,7 @@
         self.carry_out(at);
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
+    fn tell(&mut self, at: usize, event: PoolEvent) {
         let now = moment(self.now);
         match &mut self.devices[at].client {
             Client::Library(pool) => pool.handle(now, event, &mut self.effects),
@@ -411,28 +412,28 @@
         let mut effects = VecDeque::from(std::mem::take(&mut self.effects));
         while let Some(effect) = effects.pop_front() {
             match effect {
-                Effect::Dial { .. } | Effect::Write { .. } if self.placing => {}
+                PoolCommand::Connect { .. } | PoolCommand::SendRequest { .. } if self.placing => {}
                 // There and back, as a connection's first packets go.
-                Effect::Dial { attempt, .. } => {
+                PoolCommand::Connect { attempt, .. } => {
                     let when = self.now + 2 * micros(self.site.way);
                     self.at(when, Happens::Connected(at, attempt));
                 }
-                Effect::Write { attempt, line, .. } => {
+                PoolCommand::SendRequest { attempt, line, .. } => {
                     let wait = Open::parse(line).ok().and_then(|open| open.wait).unwrap_or_default();
                     self.at(self.now + micros(self.site.way), Happens::Arrives(at, attempt, wait));
                 }
-                Effect::Close { session, attempt } => {
+                PoolCommand::Close { session, attempt } => {
                     self.at(self.now + micros(self.site.way), Happens::Closes(at, attempt));
                     let now = moment(self.now);
                     if let Client::Library(pool) = &mut self.devices[at].client {
-                        pool.handle(now, Event::Closed(session, attempt), &mut self.effects);
+                        pool.handle(now, PoolEvent::SocketClosed(session, attempt), &mut self.effects);
                     }
                     effects.extend(std::mem::take(&mut self.effects));
                 }
-                Effect::Tell(_, Notice::Dropped(_)) => self.dropped(at),
-                Effect::Tell(..) => {}
-                Effect::End(_, GaveUp::Closed) => {}
-                Effect::End(..) => {
+                PoolCommand::Notify(_, SessionNotification::Disconnected(_)) => self.dropped(at),
+                PoolCommand::Notify(..) => {}
+                PoolCommand::EndSession(_, GiveUpReason::Closed) => {}
+                PoolCommand::EndSession(..) => {
                     let (from, to) = self.people.press;
                     let wait = from + (to - from).mul_f64(self.rng.random::<f64>());
                     self.at(self.now + micros(wait), Happens::Press(at));
@@ -464,10 +465,10 @@
 
     fn stands(&mut self, at: usize, attempt: Attempt, server: usize) {
         let session = self.devices[at].session;
-        self.tell(at, Event::Heard(session, attempt, Ok(GatewayEvent::Up(Bytes::new()))));
+        self.tell(at, PoolEvent::Received(session, attempt, Ok(GatewayEvent::Up(Bytes::new()))));
         // The client may have given up meanwhile.
         let stands = match &self.devices[at].client {
-            Client::Library(pool) => pool.stands(session),
+            Client::Library(pool) => pool.is_established(session),
             Client::Naive(naive) => naive.next_wake().is_none(),
         };
         if stands && self.devices[at].standing.is_none() && !self.devices[at].gone {
@@ -494,12 +495,12 @@
             Happens::Wake(at, wake) => {
                 if self.devices[at].wake == Some(wake) {
                     self.devices[at].wake = None;
-                    self.tell(at, Event::Time);
+                    self.tell(at, PoolEvent::TimerFired);
                 }
             }
             Happens::Connected(at, attempt) => {
                 let session = self.devices[at].session;
-                self.tell(at, Event::Connected(session, attempt));
+                self.tell(at, PoolEvent::Connected(session, attempt));
             }
             Happens::Arrives(at, attempt, wait) => self.arrives(at, attempt, wait),
             Happens::Closes(at, attempt) => self.devices[at].out.retain(|out| *out != attempt),
@@ -507,7 +508,7 @@
             Happens::Answer(at, attempt, Answer::Up(server)) => self.stands(at, attempt, server),
             Happens::Answer(at, attempt, Answer::Busy) => {
                 let (session, wait) = (self.devices[at].session, self.site.busy);
-                self.tell(at, Event::Heard(session, attempt, Ok(GatewayEvent::Busy(Some(wait)))));
+                self.tell(at, PoolEvent::Received(session, attempt, Ok(GatewayEvent::Busy(Some(wait)))));
             }
             Happens::Overdue(at, attempt) => {
                 if self.devices[at].out.contains(&attempt) {
@@ -542,7 +543,7 @@
             self.standing -= 1;
         }
         let session = self.devices[at].session;
-        self.tell(at, Event::Leave(session));
+        self.tell(at, PoolEvent::CloseSession(session));
     }
 
     fn trouble(&mut self, trouble: Trouble) {
@@ -559,7 +560,7 @@
                     if self.devices[at].standing.is_some() && self.rng.random::<f64>() < part {
                         let attempt = self.attempt_of(at);
                         let session = self.devices[at].session;
-                        self.tell(at, Event::Ended(session, attempt, None));
+                        self.tell(at, PoolEvent::ConnectionEnded(session, attempt, None));
                     }
                 }
             }
@@ -569,7 +570,7 @@
     /// The attempt of a standing connection: both kinds of clients number them one after the other.
     fn attempt_of(&self, at: usize) -> Attempt {
         match &self.devices[at].client {
-            Client::Library(pool) => pool.attempt(self.devices[at].session).unwrap_or_default(),
+            Client::Library(pool) => pool.current_attempt(self.devices[at].session).unwrap_or_default(),
             Client::Naive(naive) => naive.attempt(),
         }
     }
--- a/crates/ashtide-client-cli/src/main.rs
+++ b/crates/ashtide-client-cli/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ashtide_client::{Address, Client, Session, SessionEvent, Settings, Wish};
+use ashtide_client::{Address, Client, Session, SessionEvent, SessionRequest, Settings};
 use clap::Parser;
 use report::{Report, Seen};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -94,7 +94,7 @@
     let at: SocketAddr = at
         .parse()
         .map_err(|_| format!("'{at}' is no IP:PORT (names are not looked up), such as 127.0.0.1:8443"))?;
-    Ok(Address { at, zone: zone.to_owned(), site: site.to_owned() })
+    Ok(Address { socket_addr: at, zone: zone.to_owned(), site: site.to_owned() })
 }
 
 fn positive(text: &str) -> Result<f64, String> {
@@ -141,7 +141,7 @@
     };
     let mut builder = Client::builder().addresses(arguments.addresses.clone()).settings(settings);
     if let Some(file) = &arguments.state {
-        builder = builder.state(file);
+        builder = builder.cache_file(file);
     }
     let client = match builder.build() {
         Ok(client) => client,
@@ -176,7 +176,7 @@
             }
         }
     }
-    report.summary(begun.elapsed(), &client.figures().await.0);
+    report.summary(begun.elapsed(), &client.metrics().await.0);
     if report.all_up() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -204,11 +204,11 @@
             1 => arguments.key.clone(),
             _ => format!("{}-{number}", arguments.key),
         };
-        let mut wish = Wish::new(&arguments.class, key, arguments.wait);
-        wish.asking.tenant.clone_from(&arguments.tenant);
-        wish.asking.group.clone_from(&arguments.group);
-        wish.try_wait = arguments.try_wait;
-        wish.returns = !arguments.once;
+        let mut wish = SessionRequest::new(&arguments.class, key, arguments.wait);
+        wish.parameters.tenant.clone_from(&arguments.tenant);
+        wish.parameters.group.clone_from(&arguments.group);
+        wish.attempt_timeout = arguments.try_wait;
+        wish.reconnects = !arguments.once;
         let lines = Lines {
             every: arguments.rate.map(|rate| Duration::from_secs_f64(1.0 / rate)),
             line: arguments.line.clone(),
@@ -250,11 +250,11 @@
             event = session.next_event() => {
                 let Some(event) = event else { return };
                 up = match event {
-                    SessionEvent::Up { .. } => {
+                    SessionEvent::Connected { .. } => {
                         next = Instant::now();
                         true
                     }
-                    SessionEvent::Moved | SessionEvent::Broken { .. } => false,
+                    SessionEvent::Migrated | SessionEvent::Disconnected { .. } => false,
                     _ => up,
                 };
                 if report.send((number, Seen::Event(event))).await.is_err() {
--- a/crates/ashtide-client-cli/src/report.rs
+++ b/crates/ashtide-client-cli/src/report.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use ashtide_client::{Figures, SessionEvent};
+use ashtide_client::{ConnectionLoss, Metrics, SessionEvent};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -65,7 +65,7 @@
 
     pub fn take(&mut self, at: Duration, (session, seen): (u32, Seen)) {
         match &seen {
-            Seen::Event(SessionEvent::Up { again, .. }) => {
+            Seen::Event(SessionEvent::Connected { reconnected: again, .. }) => {
                 let waited = micros(at.saturating_sub(self.waiting.remove(&session).unwrap_or_default()));
                 if *again {
                     self.again.saturating_record(waited);
@@ -74,7 +74,7 @@
                     self.first.saturating_record(waited);
                 }
             }
-            Seen::Event(SessionEvent::Moved | SessionEvent::Broken { .. }) => {
+            Seen::Event(SessionEvent::Migrated | SessionEvent::Disconnected { .. }) => {
                 self.waiting.insert(session, at);
             }
             Seen::Event(SessionEvent::Line(_)) => self.lines.1 += 1,
@@ -104,7 +104,7 @@
         }
     }
 
-    pub fn summary(&self, took: Duration, figures: &Figures) {
+    pub fn summary(&self, took: Duration, figures: &Metrics) {
         let spread = |times: &Histogram<u64>| {
             let ms = |micros: u64| micros as f64 / 1e3;
             json!({"count": times.len(), "p50": ms(times.value_at_quantile(0.5)),
@@ -116,10 +116,10 @@
                 "event": "summary", "took_ms": took.as_millis() as u64, "sessions": self.sessions, "up": self.up,
                 "time_to_up_ms": spread(&self.first), "time_to_return_ms": spread(&self.again),
                 "lines": {"sent": self.lines.0, "received": self.lines.1},
-                "tries": {"first": figures.first_tries, "returns": figures.returns, "retries": figures.retries},
-                "outcomes": {"up": figures.up, "refused": figures.refused, "failed": figures.failed,
-                             "unreached": figures.unreached, "silent": figures.silent, "cut": figures.cut},
-                "moved": figures.moved, "broken": figures.broken, "faults": figures.faults, "ended": self.ends,
+                "tries": {"first": figures.first_attempts, "returns": figures.reconnects, "retries": figures.retries},
+                "outcomes": {"up": figures.established, "refused": figures.rejected, "failed": figures.failed,
+                             "unreached": figures.connect_failures, "silent": figures.timeouts, "cut": figures.lost_before_answer},
+                "moved": figures.moved, "broken": figures.broken, "faults": figures.protocol_violations, "ended": self.ends,
             });
             say(&summary.to_string());
             return;
@@ -138,7 +138,17 @@
                 ));
             }
         }
-        let Figures { first_tries, returns, retries, refused, failed, unreached, silent, cut, .. } = figures;
+        let Metrics {
+            first_attempts: first_tries,
+            reconnects: returns,
+            retries,
+            rejected: refused,
+            failed,
+            connect_failures: unreached,
+            timeouts: silent,
+            lost_before_answer: cut,
+            ..
+        } = figures;
         say(&format!("tries: {first_tries} first, {returns} returns, {retries} retries"));
         say(&format!(
             "came to nothing: {refused} refused, {failed} failed, {unreached} unreached, {silent} silent, {cut} cut"
@@ -156,20 +166,20 @@
 fn words(seen: &Seen) -> (&'static str, Value) {
     let ms = |time: &Duration| time.as_millis() as u64;
     match seen {
-        Seen::Event(SessionEvent::Up { at, tries, again, .. }) => {
+        Seen::Event(SessionEvent::Connected { gateway: at, attempts: tries, reconnected: again, .. }) => {
             ("up", json!({"balancer": at.to_string(), "tries": tries, "again": again}))
         }
         Seen::Event(SessionEvent::Line(line)) => ("line", json!({"text": String::from_utf8_lossy(line)})),
-        Seen::Event(SessionEvent::Moved) => ("moved", json!({})),
-        Seen::Event(SessionEvent::Broken { why, cut }) => (
+        Seen::Event(SessionEvent::Migrated) => ("moved", json!({})),
+        Seen::Event(SessionEvent::Disconnected { reason: why, interrupted_line: cut }) => (
             "broken",
-            json!({"why": format!("{why:?}"), "cut": cut.as_ref().map(|line| String::from_utf8_lossy(line))}),
+            json!({"why": loss_text(*why), "cut": cut.as_ref().map(|line| String::from_utf8_lossy(line))}),
         ),
-        Seen::Event(SessionEvent::Returning(after)) => ("returning", json!({"after_ms": ms(after)})),
-        Seen::Event(SessionEvent::Retrying { last, after }) => {
+        Seen::Event(SessionEvent::Reconnecting(after)) => ("returning", json!({"after_ms": ms(after)})),
+        Seen::Event(SessionEvent::Retrying { last, delay: after }) => {
             ("retrying", json!({"last": last.to_string(), "after_ms": ms(after)}))
         }
-        Seen::Event(SessionEvent::Missed(count)) => ("missed", json!({"notices": count})),
+        Seen::Event(SessionEvent::MissedNotifications(count)) => ("missed", json!({"notices": count})),
         Seen::Event(SessionEvent::Ended(why)) => ("ended", json!({"why": why.to_string()})),
         Seen::Sent(line) => ("sent", json!({"text": line})),
         Seen::Unsent(why) => ("unsent", json!({"why": why})),
@@ -177,6 +187,15 @@
     }
 }
 
+/// The text of a loss in the JSON output, which keeps its form whatever the library names its variants.
+fn loss_text(loss: ConnectionLoss) -> String {
+    match loss {
+        ConnectionLoss::Migrated => "Moved".to_owned(),
+        ConnectionLoss::Broken(fault) => format!("Broke({fault:?})"),
+        ConnectionLoss::Offline => "Offline".to_owned(),
+    }
+}
+
 /// Standard output may have been closed by whoever read it; there is nobody to tell then.
 fn say(line: &str) {
     let _ = writeln!(std::io::stdout().lock(), "{line}");
--- a/crates/ashtide-client/src/budget.rs
+++ b/crates/ashtide-client/src/budget.rs
@@ -2,47 +2,47 @@
 
 use std::time::Duration;
 
-use crate::{Moment, Settings};
+use crate::{Instant, Settings};
 
 /// Tokens, one a retry. First tries add a share of one each, so that a site that answers nobody sees first
 /// tries and little else; time adds a trickle, so that a device with one session is not cut off for ever.
 #[derive(Debug, Clone)]
-pub(crate) struct Budget {
+pub(crate) struct RetryBudget {
     tokens: f64,
-    since: Moment,
-    ratio: f64,
-    most: f64,
-    minute: f64,
+    refilled_at: Instant,
+    tokens_per_attempt: f64,
+    capacity: f64,
+    tokens_per_minute: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             tokens: settings.budget_first.min(settings.budget_most),
-            since: Moment::default(),
-            ratio: settings.budget_ratio,
-            most: settings.budget_most,
-            minute: settings.budget_minute,
+            refilled_at: Instant::default(),
+            tokens_per_attempt: settings.budget_ratio,
+            capacity: settings.budget_most,
+            tokens_per_minute: settings.budget_minute,
         }
     }
 
-    fn refill(&mut self, now: Moment) {
+    fn refill(&mut self, now: Instant) {
         // At the very first call the clock's origin is not a time that has passed.
-        if self.since > Moment::default() {
-            let minutes = now.since(self.since).as_secs_f64() / 60.0;
-            self.tokens = (self.tokens + minutes * self.minute).min(self.most);
+        if self.refilled_at > Instant::default() {
+            let minutes = now.duration_since(self.refilled_at).as_secs_f64() / 60.0;
+            self.tokens = (self.tokens + minutes * self.tokens_per_minute).min(self.capacity);
         }
-        self.since = now;
+        self.refilled_at = now;
     }
 
     /// A first try is made.
-    pub(crate) fn deposit(&mut self, now: Moment) {
+    pub(crate) fn deposit(&mut self, now: Instant) {
         self.refill(now);
-        self.tokens = (self.tokens + self.ratio).min(self.most);
+        self.tokens = (self.tokens + self.tokens_per_attempt).min(self.capacity);
     }
 
     /// Takes a token for a retry, if there is one.
-    pub(crate) fn withdraw(&mut self, now: Moment) -> bool {
+    pub(crate) fn withdraw(&mut self, now: Instant) -> bool {
         self.refill(now);
         let enough = self.tokens >= 1.0;
         self.tokens -= if enough { 1.0 } else { 0.0 };
@@ -54,7 +54,7 @@
     }
 
     /// What an earlier process had left: never more than one that has just begun.
-    pub(crate) fn recall(&mut self, tokens: f64) {
+    pub(crate) fn restore(&mut self, tokens: f64) {
         if tokens.is_finite() {
             self.tokens = tokens.clamp(0.0, self.tokens);
         }
@@ -63,31 +63,31 @@
 
 /// Counts drops over about a second, to tell a mass drop from one of its own.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Drops {
-    second: u64,
-    now: u32,
-    before: u32,
+pub(crate) struct DisconnectCounter {
+    window: u64,
+    in_window: u32,
+    in_previous_window: u32,
 }
 
-impl Drops {
-    const SPAN: Duration = Duration::from_secs(1);
+impl DisconnectCounter {
+    const WINDOW: Duration = Duration::from_secs(1);
 
-    fn turn(&mut self, now: Moment) {
-        let second = now.as_micros() / Self::SPAN.as_micros() as u64;
-        if second != self.second {
-            self.before = if second == self.second + 1 { self.now } else { 0 };
-            (self.second, self.now) = (second, 0);
+    fn advance_to(&mut self, now: Instant) {
+        let second = now.as_micros() / Self::WINDOW.as_micros() as u64;
+        if second != self.window {
+            self.in_previous_window = if second == self.window + 1 { self.in_window } else { 0 };
+            (self.window, self.in_window) = (second, 0);
         }
     }
 
-    pub(crate) fn note(&mut self, now: Moment) {
-        self.turn(now);
-        self.now = self.now.saturating_add(1);
+    pub(crate) fn record(&mut self, now: Instant) {
+        self.advance_to(now);
+        self.in_window = self.in_window.saturating_add(1);
     }
 
     /// Drops in this second and the one before.
-    pub(crate) fn lately(&mut self, now: Moment) -> u32 {
-        self.turn(now);
-        self.now.saturating_add(self.before)
+    pub(crate) fn recent(&mut self, now: Instant) -> u32 {
+        self.advance_to(now);
+        self.in_window.saturating_add(self.in_previous_window)
     }
 }
--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -17,9 +17,9 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::sync::CancellationToken;
 
-use crate::driver::Event;
-use crate::pool::Event as Input;
-use crate::{Attempt, GaveUp, SessionId};
+use crate::driver::SessionEvent;
+use crate::pool::PoolEvent;
+use crate::{Attempt, GiveUpReason, SessionId};
 
 /// Notices that wait for an application that does not read; then the oldest go, and are counted.
 const NOTICES: usize = 16;
@@ -32,16 +32,16 @@
     Dial(Attempt, SocketAddr),
     Write(Attempt, Bytes),
     Close(Attempt),
-    Tell(Event),
-    End(GaveUp),
+    Tell(SessionEvent),
+    End(GiveUpReason),
 }
 
 /// What a session's task has to do with others.
 pub(crate) struct Link {
     id: SessionId,
-    reports: mpsc::Sender<Input>,
+    reports: mpsc::Sender<PoolEvent>,
     commands: mpsc::Receiver<Command>,
-    to_app: mpsc::Sender<Event>,
+    to_app: mpsc::Sender<SessionEvent>,
     from_app: mpsc::Receiver<Bytes>,
     gone: CancellationToken,
     stall: Duration,
@@ -51,15 +51,15 @@
 /// Events that the application has not taken yet.
 #[derive(Default)]
 struct Waiting {
-    events: VecDeque<Event>,
+    events: VecDeque<SessionEvent>,
     missed: u64,
 }
 
 impl Waiting {
-    fn push(&mut self, event: Event) {
+    fn push(&mut self, event: SessionEvent) {
         if self.events.len() >= NOTICES {
             // Lines are the server's word and stay; what happened to the connection is told in short.
-            if let Some(at) = self.events.iter().position(|event| !matches!(event, Event::Line(_))) {
+            if let Some(at) = self.events.iter().position(|event| !matches!(event, SessionEvent::Line(_))) {
                 self.events.remove(at);
                 self.missed += 1;
             }
@@ -71,10 +71,10 @@
         self.events.is_empty() && self.missed == 0
     }
 
-    fn pop(&mut self) -> Option<Event> {
+    fn pop(&mut self) -> Option<SessionEvent> {
         match std::mem::take(&mut self.missed) {
             0 => self.events.pop_front(),
-            missed => Some(Event::Missed(missed)),
+            missed => Some(SessionEvent::MissedNotifications(missed)),
         }
     }
 }
@@ -120,9 +120,9 @@
 impl Link {
     pub(crate) fn new(
         id: SessionId,
-        reports: mpsc::Sender<Input>,
+        reports: mpsc::Sender<PoolEvent>,
         commands: mpsc::Receiver<Command>,
-        to_app: mpsc::Sender<Event>,
+        to_app: mpsc::Sender<SessionEvent>,
         from_app: mpsc::Receiver<Bytes>,
         gone: CancellationToken,
         stall: Duration,
@@ -130,9 +130,9 @@
         Self { id, reports, commands, to_app, from_app, gone, stall, waiting: Waiting::default() }
     }
 
-    async fn report(&self, input: Input) {
+    async fn report(&self, event: PoolEvent) {
         // The pool's task outlives its sessions, unless the runtime is torn down with both.
-        let _ = self.reports.send(input).await;
+        let _ = self.reports.send(event).await;
     }
 
     /// Hands what is left to the application, unless it goes first.
@@ -196,21 +196,21 @@
         match woken {
             Woken::Gone => {
                 left = true;
-                link.report(Input::Leave(link.id)).await;
+                link.report(PoolEvent::CloseSession(link.id)).await;
             }
             Woken::Deliver(delivered) => {
                 if !delivered && !left {
                     left = true;
-                    link.report(Input::Leave(link.id)).await;
+                    link.report(PoolEvent::CloseSession(link.id)).await;
                 }
             }
             Woken::Command(None) => {
-                link.waiting.push(Event::Ended(GaveUp::Closed));
+                link.waiting.push(SessionEvent::Ended(GiveUpReason::Closed));
                 drop(socket);
                 return link.last_words().await;
             }
             Woken::Command(Some(Command::End(why))) => {
-                link.waiting.push(Event::Ended(why));
+                link.waiting.push(SessionEvent::Ended(why));
                 drop(socket);
                 return link.last_words().await;
             }
@@ -236,19 +236,22 @@
                     // Dropped, and so closed, before anyone is told that it is.
                     socket = Socket::None;
                 }
-                link.report(Input::Closed(link.id, attempt)).await;
+                link.report(PoolEvent::SocketClosed(link.id, attempt)).await;
             }
             Woken::Command(Some(Command::Tell(event))) => {
                 let event = match event {
-                    Event::Up { .. } => {
+                    SessionEvent::Connected { .. } => {
                         if let Socket::Open(connection) = &mut socket {
                             (connection.standing, connection.paused) = (true, false);
                         }
                         event
                     }
-                    Event::Broken { why, .. } => {
+                    SessionEvent::Disconnected { reason: why, .. } => {
                         // Told before the close is, where the pool closes it.
-                        Event::Broken { why, cut: cut_of(&socket).or(cut.take()) }
+                        SessionEvent::Disconnected {
+                            reason: why,
+                            interrupted_line: cut_of(&socket).or(cut.take()),
+                        }
                     }
                     other => other,
                 };
@@ -260,12 +263,12 @@
                 match dialled {
                     Ok(stream) => {
                         socket = Socket::Open(Box::new(Connection::new(attempt, stream)));
-                        link.report(Input::Connected(link.id, attempt)).await;
+                        link.report(PoolEvent::Connected(link.id, attempt)).await;
                     }
                     Err(error) => {
                         tracing::debug!(session = link.id.0, %error, "connection: not reached");
                         socket = Socket::None;
-                        link.report(Input::ConnectFailed(link.id, attempt)).await;
+                        link.report(PoolEvent::ConnectFailed(link.id, attempt)).await;
                     }
                 }
             }
@@ -274,13 +277,13 @@
                 match connection.side.line(line) {
                     Ok(GatewayEvent::Line(line)) => {
                         let text = line.slice(..line.len().saturating_sub(2));
-                        link.waiting.push(Event::Line(text));
+                        link.waiting.push(SessionEvent::Line(text));
                     }
                     heard => {
                         // Its answer decides what becomes of the connection: nothing more is read before.
                         connection.paused = true;
                         let attempt = connection.attempt;
-                        link.report(Input::Heard(link.id, attempt, heard)).await;
+                        link.report(PoolEvent::Received(link.id, attempt, heard)).await;
                     }
                 }
             }
@@ -294,7 +297,7 @@
                 };
                 cut = cut_of(&socket).or(cut);
                 socket = Socket::None;
-                link.report(Input::Ended(link.id, attempt, fault)).await;
+                link.report(PoolEvent::ConnectionEnded(link.id, attempt, fault)).await;
             }
             Woken::Wrote(wrote) => {
                 let Socket::Open(connection) = &mut socket else { continue };
@@ -311,7 +314,7 @@
                 let attempt = connection.attempt;
                 cut = cut_of(&socket).or(cut);
                 socket = Socket::None;
-                link.report(Input::Ended(link.id, attempt, Some(PeerFault::Stalled))).await;
+                link.report(PoolEvent::ConnectionEnded(link.id, attempt, Some(PeerFault::Stalled))).await;
             }
             Woken::Line(Some(line)) => {
                 if let Socket::Open(connection) = &mut socket {
@@ -325,7 +328,7 @@
 
 /// Hands the next event over; whether there was somebody to take it.
 fn deliver(
-    permit: Result<mpsc::Permit<'_, Event>, mpsc::error::SendError<()>>,
+    permit: Result<mpsc::Permit<'_, SessionEvent>, mpsc::error::SendError<()>>,
     waiting: &mut Waiting,
 ) -> bool {
     match (permit, waiting.pop()) {
--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -1,6 +1,6 @@
 //! The tokio driver: sockets round the core, and decides nothing.
 //!
-//! One task owns the [`Pool`] and carries out its effects; one task a session owns the session's socket, so
+//! One task owns the [`SessionPool`] and carries out its effects; one task a session owns the session's socket, so
 //! there is never more than one, and passes lines. The pool's task never waits for a session's, and a
 //! session's task goes on hearing the pool while its application does not read.
 
@@ -19,59 +19,62 @@
 use tokio_util::sync::{CancellationToken, PollSender};
 
 use crate::connection::{self, Command, Link};
-use crate::pool::{Effect, Event as Input, Figures, Pool};
-use crate::{Address, GaveUp, Learnt, Loss, Notice, SessionId, Settings, SettingsError, Wish, clock};
+use crate::pool::{Metrics, PoolCommand, PoolEvent, SessionPool};
+use crate::{
+    Address, ConnectionLoss, GiveUpReason, ServerCache, SessionId, SessionNotification, SessionRequest,
+    Settings, SettingsError, clock,
+};
 
 /// Lines each way that may wait between an application and its session.
-pub const LINES: usize = 64;
+pub const MAX_QUEUED_LINES: usize = 64;
 /// Reports that may wait for the pool's task before sessions have to.
-const REPORTS: usize = 1024;
+const EVENT_QUEUE_LENGTH: usize = 1024;
 /// Commands that may wait for a session's task: it takes them at once, whatever else it does.
-const COMMANDS: usize = 16;
+const COMMAND_QUEUE_LENGTH: usize = 16;
 /// The pool looks at the clock at least so often while it waits for something: timers of the runtime do not
 /// count the time that a device sleeps.
-const LOOK: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 /// What was learnt is written at most so often.
-const SAVE: Duration = Duration::from_secs(1);
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What an application hears of its session, in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Event {
+pub enum SessionEvent {
     /// A line of the server's, without its CRLF.
     Line(Bytes),
     /// The connection stands, or stands again.
-    Up {
+    Connected {
         /// By which balancer.
-        at: std::net::SocketAddr,
+        gateway: std::net::SocketAddr,
         /// The server's receipt.
         receipt: Bytes,
         /// Attempts that it took.
-        tries: u32,
+        attempts: u32,
         /// Whether the session had stood before.
-        again: bool,
+        reconnected: bool,
     },
     /// The balancer sent the client away; the session returns.
-    Moved,
+    Migrated,
     /// The connection broke, or the network went; the session returns.
-    Broken {
+    Disconnected {
         /// What happened.
-        why: Loss,
+        reason: ConnectionLoss,
         /// A line that was being written; the server may have it or not.
-        cut: Option<Bytes>,
+        interrupted_line: Option<Bytes>,
     },
     /// It tries to come back after this time.
-    Returning(Duration),
+    Reconnecting(Duration),
     /// An attempt came to nothing, and another follows.
     Retrying {
         /// What became of it.
-        last: crate::Setback,
+        last: crate::AttemptFailure,
         /// The wait until the next.
-        after: Duration,
+        delay: Duration,
     },
     /// The application did not read for so long that so many notices were left out here.
-    Missed(u64),
+    MissedNotifications(u64),
     /// The session is over. Nothing follows.
-    Ended(GaveUp),
+    Ended(GiveUpReason),
 }
 
 /// Why no client could be built.
@@ -93,10 +96,10 @@
 pub enum SendError {
     /// The session is over.
     #[error("the session is over")]
-    Over,
+    SessionEnded,
     /// The line holds a line end, or is empty.
     #[error("a line has no line end in it, and something else")]
-    Form,
+    InvalidLine,
     /// The line is longer than a line may be.
     #[error("a line of {0} bytes, {most} at most", most = ashtide_protocol::MAX_LINE - 2)]
     TooLong(usize),
@@ -105,11 +108,11 @@
 /// Why a session did not come up.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(transparent)]
-pub struct ConnectError(#[from] pub GaveUp);
+pub struct ConnectError(#[from] pub GiveUpReason);
 
 impl From<AskingError> for ConnectError {
     fn from(error: AskingError) -> Self {
-        Self(GaveUp::Wish(error))
+        Self(GiveUpReason::InvalidRequest(error))
     }
 }
 
@@ -118,7 +121,7 @@
 pub struct Builder {
     settings: Settings,
     addresses: Vec<Address>,
-    state: Option<PathBuf>,
+    cache_file: Option<PathBuf>,
     seed: Option<u64>,
 }
 
@@ -140,8 +143,8 @@
     /// Keeps in this file what was learnt, for the next process. A file that cannot be used is left out
     /// with a warning.
     #[must_use]
-    pub fn state(mut self, file: impl Into<PathBuf>) -> Self {
-        self.state = Some(file.into());
+    pub fn cache_file(mut self, file: impl Into<PathBuf>) -> Self {
+        self.cache_file = Some(file.into());
         self
     }
 
@@ -168,51 +171,51 @@
         let entropy =
             rand::rngs::OsRng.try_next_u64().map_err(|error| BuildError::Random(error.to_string()))?;
         let stall = self.settings.stall_within;
-        let mut pool = Pool::new(self.settings, entropy ^ self.seed.unwrap_or_default())?;
+        let mut pool = SessionPool::new(self.settings, entropy ^ self.seed.unwrap_or_default())?;
         let now = clock::now();
-        pool.handle(now, Input::Addresses(self.addresses), &mut Vec::new());
-        if let Some(path) = &self.state {
-            match Learnt::read(path, clock::unix_ms()) {
-                Ok(Some((learnt, ago))) => pool.recall(now, &learnt, ago),
+        pool.handle(now, PoolEvent::AddressesChanged(self.addresses), &mut Vec::new());
+        if let Some(path) = &self.cache_file {
+            match ServerCache::read(path, clock::unix_ms()) {
+                Ok(Some((learnt, ago))) => pool.restore_cache(now, &learnt, ago),
                 Ok(None) => {}
                 Err(error) => tracing::warn!(path = %path.display(), %error, "state: not used, begun anew"),
             }
         }
-        let (reports, heard) = mpsc::channel(REPORTS);
-        let (asks, asked) = mpsc::channel(REPORTS);
-        let task = Task {
+        let (reports, heard) = mpsc::channel(EVENT_QUEUE_LENGTH);
+        let (asks, asked) = mpsc::channel(EVENT_QUEUE_LENGTH);
+        let task = PoolTask {
             pool,
             sessions: HashMap::new(),
             reports: reports.clone(),
-            state: self.state,
-            saved: (Instant::now(), Learnt::default()),
+            cache_file: self.cache_file,
+            saved: (Instant::now(), ServerCache::default()),
             effects: Vec::new(),
-            stall,
+            stall_timeout: stall,
         };
         tokio::spawn(task.run(heard, asked));
-        Ok(Client { asks })
+        Ok(Client { requests: asks })
     }
 }
 
 /// What handles ask of the pool's task.
-enum Ask {
-    Open(Box<Wish>, oneshot::Sender<Handles>),
-    Input(Input),
-    Figures(oneshot::Sender<(Figures, usize)>),
+enum ClientRequest {
+    Open(Box<SessionRequest>, oneshot::Sender<SessionChannels>),
+    Event(PoolEvent),
+    Metrics(oneshot::Sender<(Metrics, usize)>),
 }
 
-struct Handles {
-    events: mpsc::Receiver<Event>,
+struct SessionChannels {
+    events: mpsc::Receiver<SessionEvent>,
     lines: mpsc::Sender<Bytes>,
     /// Cancelled when the application's handle is dropped.
-    gone: CancellationToken,
+    cancelled: CancellationToken,
 }
 
 /// All sessions of a process to one site or several. Clones are handles to the same one; it ends with the
 /// last of them and of its sessions.
 #[derive(Debug, Clone)]
 pub struct Client {
-    asks: mpsc::Sender<Ask>,
+    requests: mpsc::Sender<ClientRequest>,
 }
 
 impl Client {
@@ -222,21 +225,21 @@
     }
 
     /// Asks for a session, and returns at once: its first event says whether it stands or is over.
-    pub async fn open(&self, wish: Wish) -> Session {
+    pub async fn open(&self, request: SessionRequest) -> Session {
         let (answer, handles) = oneshot::channel();
-        let _ = self.asks.send(Ask::Open(Box::new(wish), answer)).await;
+        let _ = self.requests.send(ClientRequest::Open(Box::new(request), answer)).await;
         // The task only ends with its last handle, and this is one; if it was torn down with its runtime,
         // the session is over before it begins.
-        let handles = handles.await.unwrap_or_else(|_| Handles {
+        let handles = handles.await.unwrap_or_else(|_| SessionChannels {
             events: mpsc::channel(1).1,
             lines: mpsc::channel(1).0,
-            gone: CancellationToken::new(),
+            cancelled: CancellationToken::new(),
         });
         Session {
             events: handles.events,
             lines: PollSender::new(handles.lines),
-            gone: handles.gone.drop_guard(),
-            over: false,
+            cancel_on_drop: handles.cancelled.drop_guard(),
+            ended: false,
             _client: self.clone(),
         }
     }
@@ -246,37 +249,37 @@
     /// # Errors
     ///
     /// Fails with the reason for which the session ended before it stood.
-    pub async fn connect(&self, wish: Wish) -> Result<Session, ConnectError> {
-        let mut session = self.open(wish).await;
+    pub async fn connect(&self, request: SessionRequest) -> Result<Session, ConnectError> {
+        let mut session = self.open(request).await;
         loop {
             match session.next_event().await {
-                Some(Event::Up { .. }) => return Ok(session),
-                Some(Event::Ended(why)) => return Err(ConnectError(why)),
+                Some(SessionEvent::Connected { .. }) => return Ok(session),
+                Some(SessionEvent::Ended(why)) => return Err(ConnectError(why)),
                 Some(_) => {}
-                None => return Err(ConnectError(GaveUp::Closed)),
+                None => return Err(ConnectError(GiveUpReason::Closed)),
             }
         }
     }
 
     /// Takes a new list of addresses. Standing connections stay.
-    pub async fn addresses(&self, addresses: Vec<Address>) {
-        let _ = self.asks.send(Ask::Input(Input::Addresses(addresses))).await;
+    pub async fn set_addresses(&self, addresses: Vec<Address>) {
+        let _ = self.requests.send(ClientRequest::Event(PoolEvent::AddressesChanged(addresses))).await;
     }
 
     /// The device has no network: all connections are closed, and nothing is tried.
     pub async fn network_lost(&self) {
-        let _ = self.asks.send(Ask::Input(Input::NetworkLost)).await;
+        let _ = self.requests.send(ClientRequest::Event(PoolEvent::NetworkLost)).await;
     }
 
     /// The device has a network, perhaps another.
-    pub async fn network_back(&self) {
-        let _ = self.asks.send(Ask::Input(Input::NetworkBack)).await;
+    pub async fn network_restored(&self) {
+        let _ = self.requests.send(ClientRequest::Event(PoolEvent::NetworkRestored)).await;
     }
 
     /// Counts since the client was built, and the sessions that are not over.
-    pub async fn figures(&self) -> (Figures, usize) {
+    pub async fn metrics(&self) -> (Metrics, usize) {
         let (answer, figures) = oneshot::channel();
-        let _ = self.asks.send(Ask::Figures(answer)).await;
+        let _ = self.requests.send(ClientRequest::Metrics(answer)).await;
         figures.await.unwrap_or_default()
     }
 }
@@ -284,22 +287,22 @@
 /// One session: a stream of [`Event`]s and a sink of lines. Dropping it closes it.
 #[derive(Debug)]
 pub struct Session {
-    events: mpsc::Receiver<Event>,
+    events: mpsc::Receiver<SessionEvent>,
     lines: PollSender<Bytes>,
     #[expect(dead_code, reason = "its drop tells the session's task that nobody wants it any more")]
-    gone: tokio_util::sync::DropGuard,
-    over: bool,
+    cancel_on_drop: tokio_util::sync::DropGuard,
+    ended: bool,
     /// The pool's task lives for as long as a session does.
     _client: Client,
 }
 
 impl Session {
     /// The next event; none once [`Event::Ended`] has been read. Cancel-safe.
-    pub async fn next_event(&mut self) -> Option<Event> {
+    pub async fn next_event(&mut self) -> Option<SessionEvent> {
         std::future::poll_fn(|cx| Pin::new(&mut *self).poll_next(cx)).await
     }
 
-    /// Sends one line, without a line end. Waits while [`LINES`] lines are waiting; lines that have not been
+    /// Sends one line, without a line end. Waits while [`MAX_QUEUED_LINES`] lines are waiting; lines that have not been
     /// begun when a connection ends go out on the next one. Cancel-safe: the line is taken whole or not.
     ///
     /// # Errors
@@ -307,15 +310,15 @@
     /// Fails where the session is over or the line cannot be one.
     pub async fn send(&mut self, line: &[u8]) -> Result<(), SendError> {
         let line = encode(line)?;
-        std::future::poll_fn(|cx| self.lines.poll_reserve(cx)).await.map_err(|_| SendError::Over)?;
-        self.lines.send_item(line).map_err(|_| SendError::Over)
+        std::future::poll_fn(|cx| self.lines.poll_reserve(cx)).await.map_err(|_| SendError::SessionEnded)?;
+        self.lines.send_item(line).map_err(|_| SendError::SessionEnded)
     }
 }
 
 /// A line with its CRLF, if it can be one.
 fn encode(line: &[u8]) -> Result<Bytes, SendError> {
     if line.is_empty() || line.iter().any(|byte| matches!(byte, b'\r' | b'\n')) {
-        return Err(SendError::Form);
+        return Err(SendError::InvalidLine);
     }
     if line.len() + 2 > ashtide_protocol::MAX_LINE {
         return Err(SendError::TooLong(line.len()));
@@ -324,14 +327,14 @@
 }
 
 impl Stream for Session {
-    type Item = Event;
+    type Item = SessionEvent;
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Event>> {
-        if self.over {
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<SessionEvent>> {
+        if self.ended {
             return Poll::Ready(None);
         }
         let event = ready!(self.events.poll_recv(cx));
-        self.over = matches!(event, None | Some(Event::Ended(_)));
+        self.ended = matches!(event, None | Some(SessionEvent::Ended(_)));
         Poll::Ready(event)
     }
 }
@@ -340,12 +343,12 @@
     type Error = SendError;
 
     fn poll_ready(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<(), SendError>> {
-        self.lines.poll_reserve(cx).map_err(|_| SendError::Over)
+        self.lines.poll_reserve(cx).map_err(|_| SendError::SessionEnded)
     }
 
     fn start_send(mut self: Pin<&mut Self>, line: Bytes) -> Result<(), SendError> {
         let line = encode(&line)?;
-        self.lines.send_item(line).map_err(|_| SendError::Over)
+        self.lines.send_item(line).map_err(|_| SendError::SessionEnded)
     }
 
     /// A line that was taken is the session's; what becomes of it is told by events.
@@ -360,85 +363,100 @@
 }
 
 /// The task that owns the pool.
-struct Task {
-    pool: Pool,
+struct PoolTask {
+    pool: SessionPool,
     sessions: HashMap<SessionId, mpsc::Sender<Command>>,
-    reports: mpsc::Sender<Input>,
-    state: Option<PathBuf>,
+    reports: mpsc::Sender<PoolEvent>,
+    cache_file: Option<PathBuf>,
     /// When what was learnt was last looked at, and what it was then.
-    saved: (Instant, Learnt),
-    effects: Vec<Effect>,
-    stall: Duration,
+    saved: (Instant, ServerCache),
+    effects: Vec<PoolCommand>,
+    stall_timeout: Duration,
 }
 
-impl Task {
-    async fn run(mut self, mut reports: mpsc::Receiver<Input>, mut asks: mpsc::Receiver<Ask>) {
+impl PoolTask {
+    async fn run(mut self, mut reports: mpsc::Receiver<PoolEvent>, mut asks: mpsc::Receiver<ClientRequest>) {
         let mut asking = true;
         while asking || !self.sessions.is_empty() {
-            let wake = self.pool.next_wake().map(|at| Instant::now() + at.since(clock::now()).min(LOOK));
+            let wake = self
+                .pool
+                .next_wake()
+                .map(|at| Instant::now() + at.duration_since(clock::now()).min(MAX_SLEEP));
             tokio::select! {
                 // Time goes first, as it does in the core.
                 biased;
-                () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => self.input(Input::Time),
+                () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => self.handle_event(PoolEvent::TimerFired),
                 report = reports.recv() => if let Some(report) = report {
-                    self.input(report);
+                    self.handle_event(report);
                 },
                 ask = asks.recv(), if asking => match ask {
-                    Some(ask) => self.ask(ask),
+                    Some(ask) => self.handle_request(ask),
                     None => asking = false,
                 },
             }
-            self.save(false);
+            self.save_cache(false);
         }
-        self.save(true);
+        self.save_cache(true);
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn handle_request(&mut self, ask: ClientRequest) {
         match ask {
-            Ask::Open(wish, answer) => self.open(*wish, answer),
-            Ask::Input(input) => self.input(input),
-            Ask::Figures(answer) => {
+            ClientRequest::Open(request, answer) => self.open(*request, answer),
+            ClientRequest::Event(event) => self.handle_event(event),
+            ClientRequest::Metrics(answer) => {
                 // Who asked may have gone.
-                let _ = answer.send((self.pool.figures().clone(), self.pool.len()));
+                let _ = answer.send((self.pool.metrics().clone(), self.pool.len()));
             }
         }
     }
 
-    fn open(&mut self, wish: Wish, answer: oneshot::Sender<Handles>) {
-        let (to_app, events) = mpsc::channel(LINES);
-        let (lines, from_app) = mpsc::channel(LINES);
-        let (commands, commanded) = mpsc::channel(COMMANDS);
+    fn open(&mut self, request: SessionRequest, answer: oneshot::Sender<SessionChannels>) {
+        let (to_app, events) = mpsc::channel(MAX_QUEUED_LINES);
+        let (lines, from_app) = mpsc::channel(MAX_QUEUED_LINES);
+        let (commands, commanded) = mpsc::channel(COMMAND_QUEUE_LENGTH);
         let gone = CancellationToken::new();
         let mut effects = std::mem::take(&mut self.effects);
-        let id = self.pool.open(clock::now(), wish, &mut effects);
+        let id = self.pool.open(clock::now(), request, &mut effects);
         self.effects = effects;
-        let link = Link::new(id, self.reports.clone(), commanded, to_app, from_app, gone.clone(), self.stall);
+        let link = Link::new(
+            id,
+            self.reports.clone(),
+            commanded,
+            to_app,
+            from_app,
+            gone.clone(),
+            self.stall_timeout,
+        );
         tokio::spawn(connection::run(link));
         self.sessions.insert(id, commands);
-        if let Err(handles) = answer.send(Handles { events, lines, gone: gone.clone() }) {
+        if let Err(handles) = answer.send(SessionChannels { events, lines, cancelled: gone.clone() }) {
             // Whoever asked has gone: the session's task sees it and leaves.
             drop(handles);
             gone.cancel();
         }
-        self.carry_out();
+        self.run_commands();
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_event(&mut self, event: PoolEvent) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.pool.handle(clock::now(), input, &mut effects);
+        self.pool.handle(clock::now(), event, &mut effects);
         self.effects = effects;
-        self.carry_out();
+        self.run_commands();
     }
 
-    fn carry_out(&mut self) {
+    fn run_commands(&mut self) {
         let mut behind = VecDeque::new();
         for effect in self.effects.drain(..) {
             let (id, command) = match effect {
-                Effect::Dial { session, attempt, at } => (session, Command::Dial(attempt, at)),
-                Effect::Write { session, attempt, line } => (session, Command::Write(attempt, line)),
-                Effect::Close { session, attempt } => (session, Command::Close(attempt)),
-                Effect::Tell(session, notice) => (session, Command::Tell(told(notice))),
-                Effect::End(session, why) => (session, Command::End(why)),
+                PoolCommand::Connect { session, attempt, gateway: at } => {
+                    (session, Command::Dial(attempt, at))
+                }
+                PoolCommand::SendRequest { session, attempt, line } => {
+                    (session, Command::Write(attempt, line))
+                }
+                PoolCommand::Close { session, attempt } => (session, Command::Close(attempt)),
+                PoolCommand::Notify(session, notice) => (session, Command::Tell(session_event(notice))),
+                PoolCommand::EndSession(session, why) => (session, Command::End(why)),
             };
             let over = matches!(command, Command::End(_));
             let Some(commands) = self.sessions.get(&id) else { continue };
@@ -453,22 +471,24 @@
         while let Some(id) = behind.pop_front() {
             if self.sessions.remove(&id).is_some() {
                 tracing::error!(session = id.0, "driver: a session's task does not keep up, closed");
-                self.pool.handle(clock::now(), Input::Leave(id), &mut Vec::new());
+                self.pool.handle(clock::now(), PoolEvent::CloseSession(id), &mut Vec::new());
             }
         }
     }
 
     /// Writes what was learnt, if it has changed and was not written just now.
-    fn save(&mut self, last: bool) {
-        let Some(path) = &self.state else { return };
-        if !last && self.saved.0.elapsed() < SAVE {
+    fn save_cache(&mut self, last: bool) {
+        let Some(path) = &self.cache_file else { return };
+        if !last && self.saved.0.elapsed() < SAVE_INTERVAL {
             return;
         }
         self.saved.0 = Instant::now();
-        let learnt = self.pool.learnt(clock::now());
+        let learnt = self.pool.server_cache(clock::now());
         // Times shrink by themselves; that is no news.
-        let same = |a: &Learnt, b: &Learnt| {
-            a.tokens == b.tokens && a.holds.len() == b.holds.len() && a.failing.len() == b.failing.len()
+        let same = |a: &ServerCache, b: &ServerCache| {
+            a.tokens == b.tokens
+                && a.rejections.len() == b.rejections.len()
+                && a.failures.len() == b.failures.len()
         };
         if same(&learnt, &self.saved.1) {
             return;
@@ -480,12 +500,16 @@
     }
 }
 
-fn told(notice: Notice) -> Event {
+fn session_event(notice: SessionNotification) -> SessionEvent {
     match notice {
-        Notice::Up { at, receipt, tries, again } => Event::Up { at, receipt, tries, again },
-        Notice::Dropped(Loss::Moved) => Event::Moved,
-        Notice::Dropped(why) => Event::Broken { why, cut: None },
-        Notice::Returning { after } => Event::Returning(after),
-        Notice::Retrying { last, after } => Event::Retrying { last, after },
+        SessionNotification::Connected { gateway: at, receipt, attempts: tries, reconnected: again } => {
+            SessionEvent::Connected { gateway: at, receipt, attempts: tries, reconnected: again }
+        }
+        SessionNotification::Disconnected(ConnectionLoss::Migrated) => SessionEvent::Migrated,
+        SessionNotification::Disconnected(why) => {
+            SessionEvent::Disconnected { reason: why, interrupted_line: None }
+        }
+        SessionNotification::Reconnecting { delay: after } => SessionEvent::Reconnecting(after),
+        SessionNotification::Retrying { last, delay: after } => SessionEvent::Retrying { last, delay: after },
     }
 }
--- a/crates/ashtide-client/src/lib.rs
+++ b/crates/ashtide-client/src/lib.rs
@@ -3,17 +3,17 @@
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use ashtide_client::{Address, Client, SessionEvent, Wish};
+//! use ashtide_client::{Address, Client, SessionEvent, SessionRequest};
 //!
 //! # async fn app() -> Result<(), Box<dyn std::error::Error>> {
 //! let client = Client::builder().addresses([Address::new("127.0.0.1:8443".parse()?)]).build()?;
-//! let wish = Wish::new("resident-reading", "meter-77", Duration::from_millis(3200));
-//! let mut session = client.connect(wish).await?;
+//! let request = SessionRequest::new("resident-reading", "meter-77", Duration::from_millis(3200));
+//! let mut session = client.connect(request).await?;
 //! session.send(b"READ 4711").await?;
 //! while let Some(event) = session.next_event().await {
 //!     match event {
 //!         SessionEvent::Line(line) => println!("{}", String::from_utf8_lossy(&line)),
-//!         SessionEvent::Moved | SessionEvent::Broken { .. } => println!("one moment, please"),
+//!         SessionEvent::Migrated | SessionEvent::Disconnected { .. } => println!("one moment, please"),
 //!         SessionEvent::Ended(why) => println!("over: {why}"),
 //!         _ => {}
 //!     }
@@ -22,7 +22,7 @@
 //! # }
 //! ```
 //!
-//! Two layers. [`Pool`] is the core: all sessions of a process as one state machine that is handed events
+//! Two layers. [`SessionPool`] is the core: all sessions of a process as one state machine that is handed events
 //! and the time and returns effects; it knows no socket and reads no clock, so that a hundred thousand
 //! sessions run in virtual time as they would in theirs. [`Client`] and [`Session`] are the thin tokio
 //! driver round it.
@@ -30,7 +30,7 @@
 //! What holds, whatever happens:
 //!
 //! - A session has one attempt out at most. An attempt's socket is closed before the next one is dialled.
-//! - A session ends exactly once, with a [`GaveUp`] that says why.
+//! - A session ends exactly once, with a [`GiveUpReason`] that says why.
 //! - `d` never tells more than is left of the deadline; nothing comes up after it. It may be overrun by one
 //!   [`TICK`] where nothing happens, and by as long as the driver is late.
 //! - After `BUSY MS` neither this session nor another of the pool and class comes back to the site before
@@ -48,14 +48,16 @@
 mod session;
 mod settings;
 
-pub use address::{Address, MAX_ADDRESSES, MAX_HOLDS};
+pub use address::{Address, MAX_ADDRESSES, MAX_REJECTIONS};
 pub use driver::{
-    BuildError, Builder, Client, ConnectError, Event as SessionEvent, LINES, SendError, Session,
+    BuildError, Builder, Client, ConnectError, MAX_QUEUED_LINES, SendError, Session, SessionEvent,
+};
+pub use learnt::{CachedFailure, CachedRejection, ServerCache, ServerCacheError};
+pub use moment::{Instant, TICK};
+pub use pool::{DISCONNECT_COLLECTION_WINDOW, Metrics, PoolCommand, PoolEvent, SessionPool};
+pub use session::{
+    Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, SessionId, SessionNotification, SessionRequest,
 };
-pub use learnt::{Failing, Held, Learnt, LearntError};
-pub use moment::{Moment, TICK};
-pub use pool::{Effect, Event, Figures, GATHER, Pool};
-pub use session::{Attempt, GaveUp, Loss, Notice, SessionId, Setback, Wish};
 pub use settings::{Settings, SettingsError};
 
 /// The page for the app's developers; its quick start is compiled with the tests.
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -1,4 +1,4 @@
-//! All sessions of a process: events in, effects out.
+//! All sessions of a process: events in, effects commands.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -9,59 +9,60 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::address::{Book, Choice};
-use crate::budget::{Budget, Drops};
-use crate::learnt::{Failing, Held, Learnt};
-use crate::session::{After, Session, State};
+use crate::address::{AddressBook, Selection};
+use crate::budget::{DisconnectCounter, RetryBudget};
+use crate::learnt::{CachedFailure, CachedRejection, ServerCache};
+use crate::session::{AfterClose, Session, SessionState};
 use crate::{
-    Address, Attempt, GaveUp, Loss, Moment, Notice, SessionId, Setback, Settings, SettingsError, TICK, Wish,
+    Address, Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, Instant, SessionId, SessionNotification,
+    SessionRequest, Settings, SettingsError, TICK,
 };
 
 /// A session that was dropped sees for so long how many drop with it, before it draws its wait.
-pub const GATHER: Duration = Duration::from_millis(200);
+pub const DISCONNECT_COLLECTION_WINDOW: Duration = Duration::from_millis(200);
 /// Sessions without any address that wait for a list start within this time of its coming.
-const NEW_LIST: Duration = Duration::from_millis(500);
+const NEW_LIST_WINDOW: Duration = Duration::from_millis(500);
 
 /// What happens to a pool. Events of an attempt that is over are counted and change nothing.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Event {
+pub enum PoolEvent {
     /// The connection of an attempt has come up.
     Connected(SessionId, Attempt),
     /// It has not; there is no socket any more.
     ConnectFailed(SessionId, Attempt),
     /// What the balancer said, as [`GatewaySide`](ashtide_protocol::GatewaySide) reads it. Lines of a
     /// standing connection need not be reported. The socket is still open.
-    Heard(SessionId, Attempt, Result<GatewayEvent, PeerFault>),
+    Received(SessionId, Attempt, Result<GatewayEvent, PeerFault>),
     /// The connection has ended and its socket is closed; the peer's fault where there was one.
-    Ended(SessionId, Attempt, Option<PeerFault>),
+    ConnectionEnded(SessionId, Attempt, Option<PeerFault>),
     /// A socket that was to be closed is closed, or there was none any more.
-    Closed(SessionId, Attempt),
+    SocketClosed(SessionId, Attempt),
     /// The application wants no more of this session.
-    Leave(SessionId),
+    CloseSession(SessionId),
     /// The device has no network.
     NetworkLost,
     /// It has one, perhaps another.
-    NetworkBack,
+    NetworkRestored,
     /// The balancers' addresses are these from now on. Standing connections stay.
-    Addresses(Vec<Address>),
+    AddressesChanged(Vec<Address>),
     /// Time has passed.
-    Time,
+    TimerFired,
 }
 
 /// What a driver is to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
+pub enum PoolCommand {
     /// Connect there and report [`Event::Connected`] or [`Event::ConnectFailed`].
-    Dial {
+    Connect {
         /// For which session.
         session: SessionId,
         /// For which attempt.
         attempt: Attempt,
         /// Where.
-        at: SocketAddr,
+        gateway: SocketAddr,
     },
     /// Write the request's line on that connection, now: its `d` counts from here.
-    Write {
+    SendRequest {
         /// For which session.
         session: SessionId,
         /// For which attempt.
@@ -77,80 +78,80 @@
         attempt: Attempt,
     },
     /// Tell the application.
-    Tell(SessionId, Notice),
+    Notify(SessionId, SessionNotification),
     /// The session is over: tell the application, and forget it.
-    End(SessionId, GaveUp),
+    EndSession(SessionId, GiveUpReason),
 }
 
 /// Counts since the pool began.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Sessions asked for.
     pub opened: u64,
     /// First tries of sessions.
-    pub first_tries: u64,
+    pub first_attempts: u64,
     /// First tries of returns after a move or a break.
-    pub returns: u64,
+    pub reconnects: u64,
     /// Tries that repeat one.
     pub retries: u64,
     /// Connections that came up.
-    pub up: u64,
+    pub established: u64,
     /// Tries refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Tries failed by an answer.
     pub failed: u64,
     /// Tries that reached nobody.
-    pub unreached: u64,
+    pub connect_failures: u64,
     /// Tries not answered in time.
-    pub silent: u64,
+    pub timeouts: u64,
     /// Tries cut off before the answer.
-    pub cut: u64,
+    pub lost_before_answer: u64,
     /// Breaches of the protocol by peers.
-    pub faults: u64,
+    pub protocol_violations: u64,
     /// Standing connections moved.
     pub moved: u64,
     /// Standing connections broken.
     pub broken: u64,
     /// Sessions that ended for want of a retry in the budget.
-    pub no_budget: u64,
+    pub retry_budget_exhausted: u64,
     /// Events of attempts that were over.
-    pub late: u64,
+    pub late_events: u64,
     /// Addresses passed over, as there were too many or one stood twice.
-    pub passed_over: u64,
+    pub skipped_addresses: u64,
     /// Sessions that have ended.
     pub ended: u64,
 }
 
 /// Whether a session goes on.
-enum Fate {
-    GoesOn,
-    Over,
+enum Outcome {
+    Continue,
+    Ended,
 }
 
 /// All sessions of a process.
 #[derive(Debug)]
-pub struct Pool {
+pub struct SessionPool {
     sessions: HashMap<SessionId, Session>,
-    shared: Shared,
+    shared: PoolState,
 }
 
 /// What the sessions share.
 #[derive(Debug)]
-struct Shared {
+struct PoolState {
     settings: Settings,
     rng: Xoshiro256PlusPlus,
-    book: Book,
-    budget: Budget,
-    drops: Drops,
-    due: BTreeSet<(u64, SessionId)>,
-    figures: Figures,
+    address_book: AddressBook,
+    retry_budget: RetryBudget,
+    disconnects: DisconnectCounter,
+    timers: BTreeSet<(u64, SessionId)>,
+    metrics: Metrics,
     offline: bool,
-    now: Moment,
-    next: u64,
-    open: usize,
+    now: Instant,
+    last_session_id: u64,
+    open_sessions: usize,
 }
 
-impl Pool {
+impl SessionPool {
     /// A pool without sessions and addresses. Pools whose seeds are equal still differ once they have
     /// sessions under different keys.
     ///
@@ -159,17 +160,17 @@
     /// Fails where a setting cannot be so.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let shared = Shared {
+        let shared = PoolState {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            book: Book::new(&settings),
-            budget: Budget::new(&settings),
-            drops: Drops::default(),
-            due: BTreeSet::new(),
-            figures: Figures::default(),
+            address_book: AddressBook::new(&settings),
+            retry_budget: RetryBudget::new(&settings),
+            disconnects: DisconnectCounter::default(),
+            timers: BTreeSet::new(),
+            metrics: Metrics::default(),
             offline: false,
-            now: Moment::default(),
-            next: 0,
-            open: 0,
+            now: Instant::default(),
+            last_session_id: 0,
+            open_sessions: 0,
             settings,
         };
         Ok(Self { sessions: HashMap::new(), shared })
@@ -177,34 +178,39 @@
 
     /// Asks for a connection. The session's id is its own for as long as the pool lives, also where the
     /// session ends at once.
-    pub fn open(&mut self, now: Moment, wish: Wish, out: &mut Vec<Effect>) -> SessionId {
-        self.run_due(now, out);
+    pub fn open(
+        &mut self,
+        now: Instant,
+        request: SessionRequest,
+        commands: &mut Vec<PoolCommand>,
+    ) -> SessionId {
+        self.run_due_timers(now, commands);
         let now = self.shared.now;
-        self.shared.next += 1;
-        let id = SessionId(self.shared.next);
-        self.shared.figures.opened += 1;
+        self.shared.last_session_id += 1;
+        let id = SessionId(self.shared.last_session_id);
+        self.shared.metrics.opened += 1;
         let most = self.shared.settings.sessions;
-        let error = match wish.asking.check() {
-            Err(error) => Some(GaveUp::Wish(error)),
-            Ok(()) if self.sessions.len() >= most => Some(GaveUp::TooMany { most }),
+        let error = match request.parameters.check() {
+            Err(error) => Some(GiveUpReason::InvalidRequest(error)),
+            Ok(()) if self.sessions.len() >= most => Some(GiveUpReason::TooManySessions { limit: most }),
             Ok(()) => None,
         };
         if let Some(error) = error {
-            self.shared.figures.ended += 1;
-            out.push(Effect::End(id, error));
+            self.shared.metrics.ended += 1;
+            commands.push(PoolCommand::EndSession(id, error));
             return id;
         }
-        self.shared.stir(&wish);
-        self.shared.open = self.sessions.len() + 1;
-        let mut session = Session::new(wish, now);
+        self.shared.mix_into_seed(&request);
+        self.shared.open_sessions = self.sessions.len() + 1;
+        let mut session = Session::new(request, now);
         let fate = if self.shared.offline {
-            session.state = State::Offline;
-            Fate::GoesOn
+            session.state = SessionState::Offline;
+            Outcome::Continue
         } else {
-            self.shared.budget.deposit(now);
-            self.shared.place(now, id, &mut session, out)
+            self.shared.retry_budget.deposit(now);
+            self.shared.start_attempt(now, id, &mut session, commands)
         };
-        if let Fate::GoesOn = fate {
+        if let Outcome::Continue = fate {
             self.shared.schedule(id, &mut session);
             self.sessions.insert(id, session);
         }
@@ -212,55 +218,69 @@
     }
 
     /// Takes one event in. What is due goes first, so that nothing comes in time after its deadline.
-    pub fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Effect>) {
-        self.run_due(now, out);
+    pub fn handle(&mut self, now: Instant, event: PoolEvent, commands: &mut Vec<PoolCommand>) {
+        self.run_due_timers(now, commands);
         match event {
-            Event::Time => {}
-            Event::Connected(id, attempt) => self.step(id, Some(attempt), out, Shared::connected),
-            Event::ConnectFailed(id, attempt) => {
-                self.step(id, Some(attempt), out, |shared, now, id, session, out| {
-                    shared.socket_gone(now, id, session, Setback::Unreached, None, out)
+            PoolEvent::TimerFired => {}
+            PoolEvent::Connected(id, attempt) => {
+                self.with_session(id, Some(attempt), commands, PoolState::handle_connected)
+            }
+            PoolEvent::ConnectFailed(id, attempt) => {
+                self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
+                    shared.handle_peer_close(now, id, session, AttemptFailure::ConnectFailed, None, commands)
                 });
             }
-            Event::Heard(id, attempt, heard) => {
-                self.step(id, Some(attempt), out, |shared, now, id, session, out| {
-                    shared.heard(now, id, session, heard, out)
+            PoolEvent::Received(id, attempt, heard) => {
+                self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
+                    shared.handle_gateway_event(now, id, session, heard, commands)
                 });
             }
-            Event::Ended(id, attempt, fault) => {
-                self.step(id, Some(attempt), out, |shared, now, id, session, out| {
-                    let setback = fault.map_or(Setback::Broke, Setback::Fault);
-                    shared.socket_gone(now, id, session, setback, fault, out)
+            PoolEvent::ConnectionEnded(id, attempt, fault) => {
+                self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
+                    let setback =
+                        fault.map_or(AttemptFailure::ConnectionLost, AttemptFailure::ProtocolViolation);
+                    shared.handle_peer_close(now, id, session, setback, fault, commands)
                 });
             }
             // Of a session that is over, or an attempt that ended by itself: the usual order of things.
-            Event::Closed(id, attempt) if self.sessions.get(&id).is_none_or(|s| s.attempt != attempt) => {}
-            Event::Closed(id, attempt) => {
-                self.step(id, Some(attempt), out, |shared, now, id, session, out| match session.state {
-                    State::Closing(after) => shared.closed(now, id, session, after, out),
-                    _ => Fate::GoesOn,
+            PoolEvent::SocketClosed(id, attempt)
+                if self.sessions.get(&id).is_none_or(|s| s.attempt != attempt) => {}
+            PoolEvent::SocketClosed(id, attempt) => {
+                self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
+                    match session.state {
+                        SessionState::Closing(after) => {
+                            shared.continue_after_close(now, id, session, after, commands)
+                        }
+                        _ => Outcome::Continue,
+                    }
                 });
             }
-            Event::Leave(id) => self.step(id, None, out, |shared, _, id, session, out| {
-                shared.over(id, session, GaveUp::Closed, out)
-            }),
-            Event::NetworkLost => {
+            PoolEvent::CloseSession(id) => {
+                self.with_session(id, None, commands, |shared, _, id, session, commands| {
+                    shared.end_session(id, session, GiveUpReason::Closed, commands)
+                })
+            }
+            PoolEvent::NetworkLost => {
                 self.shared.offline = true;
-                self.each(|_| true, out, Shared::network_lost);
+                self.for_each_session(|_| true, commands, PoolState::handle_network_lost);
             }
-            Event::NetworkBack => {
+            PoolEvent::NetworkRestored => {
                 self.shared.offline = false;
-                self.each(|session| session.state == State::Offline, out, Shared::network_back);
+                self.for_each_session(
+                    |session| session.state == SessionState::Offline,
+                    commands,
+                    PoolState::handle_network_restored,
+                );
             }
-            Event::Addresses(list) => {
-                self.shared.figures.passed_over += self.shared.book.replace(list) as u64;
-                self.each(
-                    |session| session.state == State::Starved,
-                    out,
+            PoolEvent::AddressesChanged(list) => {
+                self.shared.metrics.skipped_addresses += self.shared.address_book.replace(list) as u64;
+                self.for_each_session(
+                    |session| session.state == SessionState::NoAddresses,
+                    commands,
                     |shared, now, _, session, _| {
-                        session.state = State::Waiting;
-                        session.timer = Some(now + shared.draw(NEW_LIST));
-                        Fate::GoesOn
+                        session.state = SessionState::Waiting;
+                        session.timer = Some(now + shared.jitter(NEW_LIST_WINDOW));
+                        Outcome::Continue
                     },
                 );
             }
@@ -268,8 +288,8 @@
     }
 
     /// When the pool wants [`Event::Time`] next.
-    pub fn next_wake(&self) -> Option<Moment> {
-        self.shared.due.first().map(|&(tick, _)| Moment::of_tick(tick))
+    pub fn next_wake(&self) -> Option<Instant> {
+        self.shared.timers.first().map(|&(tick, _)| Instant::from_tick(tick))
     }
 
     /// Sessions that are not over.
@@ -283,70 +303,82 @@
     }
 
     /// Whether this session's connection stands.
-    pub fn stands(&self, id: SessionId) -> bool {
-        self.sessions.get(&id).is_some_and(|session| session.state == State::Standing)
+    pub fn is_established(&self, id: SessionId) -> bool {
+        self.sessions.get(&id).is_some_and(|session| session.state == SessionState::Established)
     }
 
     /// The number of this session's latest attempt, if there is such a session.
-    pub fn attempt(&self, id: SessionId) -> Option<Attempt> {
+    pub fn current_attempt(&self, id: SessionId) -> Option<Attempt> {
         self.sessions.get(&id).map(|session| session.attempt)
     }
 
     /// Counts since the pool began.
-    pub fn figures(&self) -> &Figures {
-        &self.shared.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.shared.metrics
     }
 
     /// Retries that the budget holds now.
-    pub fn budget(&self) -> f64 {
-        self.shared.budget.tokens()
+    pub fn retry_budget(&self) -> f64 {
+        self.shared.retry_budget.tokens()
     }
 
     /// Addresses that it knows.
-    pub fn addresses(&self) -> usize {
-        self.shared.book.len()
+    pub fn address_count(&self) -> usize {
+        self.shared.address_book.len()
     }
 
     /// What is worth keeping for the next process.
-    pub fn learnt(&self, now: Moment) -> Learnt {
+    pub fn server_cache(&self, now: Instant) -> ServerCache {
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let book = &self.shared.book;
-        let holds = book.held(now).map(|(site, class, left)| Held {
+        let book = &self.shared.address_book;
+        let holds = book.active_rejections(now).map(|(site, class, left)| CachedRejection {
             site: site.into(),
             class: class.into(),
-            ms: millis(left),
+            remaining_ms: millis(left),
+        });
+        let failing = book.failing_addresses(now).map(|(at, streak, left)| CachedFailure {
+            gateway: at,
+            consecutive_failures: streak,
+            remaining_ms: millis(left),
         });
-        let failing = book.failing(now).map(|(at, streak, left)| Failing { at, streak, ms: millis(left) });
-        Learnt { tokens: self.shared.budget.tokens(), holds: holds.collect(), failing: failing.collect() }
+        ServerCache {
+            tokens: self.shared.retry_budget.tokens(),
+            rejections: holds.collect(),
+            failures: failing.collect(),
+        }
     }
 
     /// Takes up what an earlier process had learnt, so long ago. To be called once the addresses are known.
     /// Nothing in it can hold this process longer than its own settings would.
-    pub fn recall(&mut self, now: Moment, learnt: &Learnt, ago: Duration) {
+    pub fn restore_cache(&mut self, now: Instant, learnt: &ServerCache, ago: Duration) {
         let left = |ms: u64, most: Duration| Duration::from_millis(ms).min(most).saturating_sub(ago);
         let (busy, aside) = (self.shared.settings.busy_most, self.shared.settings.aside_to);
-        for held in &learnt.holds {
-            let left = left(held.ms, busy);
+        for held in &learnt.rejections {
+            let left = left(held.remaining_ms, busy);
             if !left.is_zero() {
-                self.shared.book.recall_hold(&held.site, &held.class, now + left);
+                self.shared.address_book.restore_rejection(&held.site, &held.class, now + left);
             }
         }
-        for failing in &learnt.failing {
-            let left = left(failing.ms, aside);
-            if failing.streak > 0 && !left.is_zero() {
-                self.shared.book.recall_failing(failing.at, failing.streak.min(16), now + left);
+        for failing in &learnt.failures {
+            let left = left(failing.remaining_ms, aside);
+            if failing.consecutive_failures > 0 && !left.is_zero() {
+                self.shared.address_book.restore_failure(
+                    failing.gateway,
+                    failing.consecutive_failures.min(16),
+                    now + left,
+                );
             }
         }
-        self.shared.budget.recall(learnt.tokens);
+        self.shared.retry_budget.restore(learnt.tokens);
     }
 
     /// Has a session do something, if it is there and the event is of its present attempt.
-    fn step(
+    fn with_session(
         &mut self,
         id: SessionId,
         attempt: Option<Attempt>,
-        out: &mut Vec<Effect>,
-        act: impl FnOnce(&mut Shared, Moment, SessionId, &mut Session, &mut Vec<Effect>) -> Fate,
+        commands: &mut Vec<PoolCommand>,
+        act: impl FnOnce(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
     ) {
         let shared = &mut self.shared;
         let now = shared.now;
@@ -354,520 +386,626 @@
             Some(session) if attempt.is_none_or(|attempt| attempt == session.attempt) => {
                 // Ticks are coarse; a deadline is not.
                 let fate = if session.deadline.is_some_and(|by| by <= now)
-                    || session.expires.is_some_and(|by| by <= now)
+                    || session.expires_at.is_some_and(|by| by <= now)
                 {
-                    shared.fire(now, id, session, out)
+                    shared.run_timer(now, id, session, commands)
                 } else {
-                    act(shared, now, id, session, out)
+                    act(shared, now, id, session, commands)
                 };
                 match fate {
-                    Fate::GoesOn => shared.schedule(id, session),
-                    Fate::Over => _ = self.sessions.remove(&id),
+                    Outcome::Continue => shared.schedule(id, session),
+                    Outcome::Ended => _ = self.sessions.remove(&id),
                 }
             }
-            _ => shared.figures.late += 1,
+            _ => shared.metrics.late_events += 1,
         }
     }
 
     /// Has all sessions of a kind do something, in the order in which they were opened.
-    fn each(
+    fn for_each_session(
         &mut self,
         which: impl Fn(&Session) -> bool,
-        out: &mut Vec<Effect>,
-        act: impl Fn(&mut Shared, Moment, SessionId, &mut Session, &mut Vec<Effect>) -> Fate,
+        commands: &mut Vec<PoolCommand>,
+        act: impl Fn(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
     ) {
         let mut ids: Vec<SessionId> =
             self.sessions.iter().filter(|(_, session)| which(session)).map(|(&id, _)| id).collect();
         ids.sort_unstable();
         for id in ids {
-            self.step(id, None, out, &act);
+            self.with_session(id, None, commands, &act);
         }
     }
 
-    fn run_due(&mut self, now: Moment, out: &mut Vec<Effect>) {
+    fn run_due_timers(&mut self, now: Instant, commands: &mut Vec<PoolCommand>) {
         self.shared.now = self.shared.now.max(now);
         let now = self.shared.now;
-        let passed = now.ticks_passed();
-        while let Some(&(tick, id)) = self.shared.due.first() {
+        let passed = now.elapsed_ticks();
+        while let Some(&(tick, id)) = self.shared.timers.first() {
             if tick > passed {
                 return;
             }
-            self.step(id, None, out, Shared::fire);
+            self.with_session(id, None, commands, PoolState::run_timer);
         }
     }
 }
 
-impl Shared {
+impl PoolState {
     /// Mixes the key in, so that processes that began with the same seed part ways.
-    fn stir(&mut self, wish: &Wish) {
+    fn mix_into_seed(&mut self, request: &SessionRequest) {
         let mut hash = self.rng.random::<u64>();
-        for byte in wish.asking.key.bytes().chain(wish.asking.class.bytes()) {
+        for byte in request.parameters.key.bytes().chain(request.parameters.class.bytes()) {
             hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
         self.rng = Xoshiro256PlusPlus::seed_from_u64(hash);
     }
 
-    fn draw(&mut self, window: Duration) -> Duration {
+    fn jitter(&mut self, window: Duration) -> Duration {
         window.mul_f64(self.rng.random::<f64>())
     }
 
     fn schedule(&mut self, id: SessionId, session: &mut Session) {
-        let due = session.next().map(Moment::tick);
-        if due != session.due {
-            if let Some(tick) = session.due {
-                self.due.remove(&(tick, id));
+        let due = session.next_timer().map(Instant::tick_at_or_after);
+        if due != session.scheduled_tick {
+            if let Some(tick) = session.scheduled_tick {
+                self.timers.remove(&(tick, id));
             }
             if let Some(tick) = due {
-                self.due.insert((tick, id));
+                self.timers.insert((tick, id));
             }
-            session.due = due;
+            session.scheduled_tick = due;
         }
     }
 
     /// Ends a session. This is the only place where one ends.
-    fn over(&mut self, id: SessionId, session: &mut Session, why: GaveUp, out: &mut Vec<Effect>) -> Fate {
-        if session.state.has_socket() && !matches!(session.state, State::Closing(_)) {
-            out.push(Effect::Close { session: id, attempt: session.attempt });
+    fn end_session(
+        &mut self,
+        id: SessionId,
+        session: &mut Session,
+        why: GiveUpReason,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        if session.state.has_socket() && !matches!(session.state, SessionState::Closing(_)) {
+            commands.push(PoolCommand::Close { session: id, attempt: session.attempt });
         }
-        if let (State::Dialling | State::Asked, Some(at)) = (session.state, session.address) {
-            self.book.untried(at);
+        if let (SessionState::Connecting | SessionState::AwaitingAnswer, Some(at)) =
+            (session.state, session.address)
+        {
+            self.address_book.cancel_trial(at);
         }
-        if let Some(tick) = session.due.take() {
-            self.due.remove(&(tick, id));
+        if let Some(tick) = session.scheduled_tick.take() {
+            self.timers.remove(&(tick, id));
         }
-        self.figures.ended += 1;
-        out.push(Effect::End(id, why));
-        Fate::Over
+        self.metrics.ended += 1;
+        commands.push(PoolCommand::EndSession(id, why));
+        Outcome::Ended
     }
 
     /// Tries the next address, or waits until one may be tried.
-    fn place(&mut self, now: Moment, id: SessionId, session: &mut Session, out: &mut Vec<Effect>) -> Fate {
+    fn start_attempt(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        session: &mut Session,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
         let avoid = session.address;
-        let (until, held) = match self.book.choose(now, &session.wish.asking.class, avoid, &mut self.rng) {
-            Choice::At(at) => {
-                session.attempt.0 += 1;
-                session.tries += 1;
-                session.address = Some(at);
-                session.state = State::Dialling;
-                session.timer = Some(now + self.settings.connect_within);
-                match (session.tries, session.again) {
-                    (1, false) => self.figures.first_tries += 1,
-                    (1, true) => self.figures.returns += 1,
-                    _ => self.figures.retries += 1,
+        let (until, held) =
+            match self.address_book.select(now, &session.request.parameters.class, avoid, &mut self.rng) {
+                Selection::Selected(at) => {
+                    session.attempt.0 += 1;
+                    session.attempts += 1;
+                    session.address = Some(at);
+                    session.state = SessionState::Connecting;
+                    session.timer = Some(now + self.settings.connect_within);
+                    match (session.attempts, session.established_before) {
+                        (1, false) => self.metrics.first_attempts += 1,
+                        (1, true) => self.metrics.reconnects += 1,
+                        _ => self.metrics.retries += 1,
+                    }
+                    commands.push(PoolCommand::Connect {
+                        session: id,
+                        attempt: session.attempt,
+                        gateway: at,
+                    });
+                    return Outcome::Continue;
                 }
-                out.push(Effect::Dial { session: id, attempt: session.attempt, at });
-                return Fate::GoesOn;
-            }
-            Choice::Nothing => {
-                (session.state, session.timer) = (State::Starved, None);
-                return Fate::GoesOn;
-            }
-            Choice::Held(until) => (until, true),
-            Choice::Aside(until) => (until, false),
-        };
-        let left = session.deadline.map_or(Duration::MAX, |by| by.since(until));
+                Selection::NoAddresses => {
+                    (session.state, session.timer) = (SessionState::NoAddresses, None);
+                    return Outcome::Continue;
+                }
+                Selection::Rejected(until) => (until, true),
+                Selection::Ejected(until) => (until, false),
+            };
+        let left = session.deadline.map_or(Duration::MAX, |by| by.duration_since(until));
         if left.is_zero() {
-            let wait = until.since(now);
-            let why =
-                if held { GaveUp::Refused { come_back: wait } } else { GaveUp::NoAddress { next: wait } };
-            return self.over(id, session, why, out);
+            let wait = until.duration_since(now);
+            let why = if held {
+                GiveUpReason::Rejected { retry_after: wait }
+            } else {
+                GiveUpReason::NoAvailableAddress { retry_after: wait }
+            };
+            return self.end_session(id, session, why, commands);
         }
         // All who wait for this moment would come at once: the more there are, the wider they spread.
-        let crowd = Duration::from_secs_f64(self.open as f64 / self.settings.return_rate);
+        let crowd = Duration::from_secs_f64(self.open_sessions as f64 / self.settings.return_rate);
         let window = self.settings.retry_from.max(crowd).min(self.settings.window_most).min(left / 2);
-        (session.state, session.timer) = (State::Waiting, Some(until + self.draw(window)));
-        Fate::GoesOn
+        (session.state, session.timer) = (SessionState::Waiting, Some(until + self.jitter(window)));
+        Outcome::Continue
     }
 
     /// The connection is up: the request's line goes out, with what is left of the time now.
-    fn connected(
+    fn handle_connected(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
-        if session.state != State::Dialling {
-            self.figures.late += 1;
-            return Fate::GoesOn;
-        }
-        let left = session.deadline.map_or(Duration::MAX, |by| by.since(now));
-        let wait = session.wish.try_wait.map_or(left, |wait| wait.min(left));
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        if session.state != SessionState::Connecting {
+            self.metrics.late_events += 1;
+            return Outcome::Continue;
+        }
+        let left = session.deadline.map_or(Duration::MAX, |by| by.duration_since(now));
+        let wait = session.request.attempt_timeout.map_or(left, |wait| wait.min(left));
         let name = format!("{:016x}", self.rng.random::<u64>());
-        session.wish.asking.retry = session.tries > 1;
-        session.wish.asking.again = session.again;
+        session.request.parameters.retry = session.attempts > 1;
+        session.request.parameters.again = session.established_before;
         // A line tells whole milliseconds and one at least.
         if wait < Duration::from_millis(1) {
-            session.last = Setback::Untried;
-            return self.over(id, session, GaveUp::Deadline { last: session.last }, out);
-        }
-        match session.wish.asking.line(&name, wait) {
+            session.last_failure = AttemptFailure::NotAttempted;
+            return self.end_session(
+                id,
+                session,
+                GiveUpReason::DeadlineExceeded { last: session.last_failure },
+                commands,
+            );
+        }
+        match session.request.parameters.line(&name, wait) {
             Ok(line) => {
-                (session.state, session.timer) = (State::Asked, Some(now + wait));
-                out.push(Effect::Write { session: id, attempt: session.attempt, line });
-                Fate::GoesOn
+                (session.state, session.timer) = (SessionState::AwaitingAnswer, Some(now + wait));
+                commands.push(PoolCommand::SendRequest { session: id, attempt: session.attempt, line });
+                Outcome::Continue
             }
             // It was checked when the session was opened; only the length of the whole is left.
-            Err(error) => self.over(id, session, GaveUp::Wish(error), out),
+            Err(error) => self.end_session(id, session, GiveUpReason::InvalidRequest(error), commands),
         }
     }
 
-    fn heard(
+    fn handle_gateway_event(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
         heard: Result<GatewayEvent, PeerFault>,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
         if heard.is_err() {
-            self.figures.faults += 1;
+            self.metrics.protocol_violations += 1;
         }
         match (session.state, heard) {
-            (State::Asked, Ok(GatewayEvent::Up(receipt))) => {
-                let Some(at) = session.address else { return Fate::GoesOn };
-                self.book.answered(at);
-                self.figures.up += 1;
-                let up = Notice::Up { at, receipt, tries: session.tries, again: session.again };
-                (session.state, session.timer, session.deadline) = (State::Standing, None, None);
-                (session.tries, session.refusals, session.last) = (0, 0, Setback::Untried);
-                session.since = now;
-                out.push(Effect::Tell(id, up));
-                Fate::GoesOn
-            }
-            (State::Asked, Ok(GatewayEvent::Busy(wait))) => {
-                self.setback(now, id, session, Setback::Refused(wait), out)
-            }
-            (State::Asked, Ok(_)) => self.setback(now, id, session, Setback::Failed, out),
-            (State::Dialling | State::Asked, Err(fault)) => {
-                self.setback(now, id, session, Setback::Fault(fault), out)
-            }
-            (State::Standing, Ok(GatewayEvent::Bye)) => self.over(id, session, GaveUp::Served, out),
-            (State::Standing, Ok(GatewayEvent::Move)) => self.dropped(now, id, session, Loss::Moved, out),
-            (State::Standing, Ok(_)) => Fate::GoesOn,
-            (State::Standing, Err(fault)) => self.dropped(now, id, session, Loss::Broke(Some(fault)), out),
+            (SessionState::AwaitingAnswer, Ok(GatewayEvent::Up(receipt))) => {
+                let Some(at) = session.address else { return Outcome::Continue };
+                self.address_book.record_answer(at);
+                self.metrics.established += 1;
+                let up = SessionNotification::Connected {
+                    gateway: at,
+                    receipt,
+                    attempts: session.attempts,
+                    reconnected: session.established_before,
+                };
+                (session.state, session.timer, session.deadline) = (SessionState::Established, None, None);
+                (session.attempts, session.rejections, session.last_failure) =
+                    (0, 0, AttemptFailure::NotAttempted);
+                session.established_at = now;
+                commands.push(PoolCommand::Notify(id, up));
+                Outcome::Continue
+            }
+            (SessionState::AwaitingAnswer, Ok(GatewayEvent::Busy(wait))) => {
+                self.handle_failure(now, id, session, AttemptFailure::Rejected(wait), commands)
+            }
+            (SessionState::AwaitingAnswer, Ok(_)) => {
+                self.handle_failure(now, id, session, AttemptFailure::Failed, commands)
+            }
+            (SessionState::Connecting | SessionState::AwaitingAnswer, Err(fault)) => {
+                self.handle_failure(now, id, session, AttemptFailure::ProtocolViolation(fault), commands)
+            }
+            (SessionState::Established, Ok(GatewayEvent::Bye)) => {
+                self.end_session(id, session, GiveUpReason::Completed, commands)
+            }
+            (SessionState::Established, Ok(GatewayEvent::Move)) => {
+                self.handle_disconnect(now, id, session, ConnectionLoss::Migrated, commands)
+            }
+            (SessionState::Established, Ok(_)) => Outcome::Continue,
+            (SessionState::Established, Err(fault)) => {
+                self.handle_disconnect(now, id, session, ConnectionLoss::Broken(Some(fault)), commands)
+            }
             _ => {
-                self.figures.late += 1;
-                Fate::GoesOn
+                self.metrics.late_events += 1;
+                Outcome::Continue
             }
         }
     }
 
     /// The attempt's socket is closed without the pool's doing.
-    fn socket_gone(
+    fn handle_peer_close(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        setback: Setback,
+        setback: AttemptFailure,
         fault: Option<PeerFault>,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
-        self.figures.faults += u64::from(fault.is_some());
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        self.metrics.protocol_violations += u64::from(fault.is_some());
         match session.state {
             // Both ends closed at once; the word that it is closed will be of an attempt that is over.
-            State::Closing(after) => self.closed(now, id, session, after, out),
-            State::Dialling => {
-                session.state = State::Waiting;
-                self.setback(now, id, session, Setback::Unreached, out)
+            SessionState::Closing(after) => self.continue_after_close(now, id, session, after, commands),
+            SessionState::Connecting => {
+                session.state = SessionState::Waiting;
+                self.handle_failure(now, id, session, AttemptFailure::ConnectFailed, commands)
             }
-            State::Asked => {
-                session.state = State::Waiting;
-                self.setback(now, id, session, setback, out)
+            SessionState::AwaitingAnswer => {
+                session.state = SessionState::Waiting;
+                self.handle_failure(now, id, session, setback, commands)
             }
-            State::Standing => {
-                session.state = State::Gathering;
-                self.dropped(now, id, session, Loss::Broke(fault), out)
+            SessionState::Established => {
+                session.state = SessionState::CollectingDisconnects;
+                self.handle_disconnect(now, id, session, ConnectionLoss::Broken(fault), commands)
             }
             _ => {
-                self.figures.late += 1;
-                Fate::GoesOn
+                self.metrics.late_events += 1;
+                Outcome::Continue
             }
         }
     }
 
     /// An attempt came to nothing. Its socket, where the state still has one, is closed before anything
     /// else is done for the session.
-    fn setback(
+    fn handle_failure(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        last: Setback,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
-        session.last = last;
-        self.note(now, session);
-        let most = if session.again { self.settings.return_tries } else { self.settings.tries };
+        last: AttemptFailure,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        session.last_failure = last;
+        self.record_failure(now, session);
+        let most = if session.established_before { self.settings.return_tries } else { self.settings.tries };
         let advised = match last {
-            Setback::Refused(wait) => wait.unwrap_or_default().min(self.settings.busy_most),
+            AttemptFailure::Rejected(wait) => wait.unwrap_or_default().min(self.settings.busy_most),
             _ => Duration::ZERO,
         };
-        let refused = matches!(last, Setback::Refused(_));
-        let stop = if !last.never_ran() && !session.wish.repeatable {
-            Some(GaveUp::NotRepeatable { last })
-        } else if session.tries >= most && refused {
-            Some(GaveUp::Refused { come_back: advised })
-        } else if session.tries >= most {
-            Some(GaveUp::Tries { tries: session.tries, last })
+        let refused = matches!(last, AttemptFailure::Rejected(_));
+        let stop = if !last.never_executed() && !session.request.idempotent {
+            Some(GiveUpReason::NotIdempotent { last })
+        } else if session.attempts >= most && refused {
+            Some(GiveUpReason::Rejected { retry_after: advised })
+        } else if session.attempts >= most {
+            Some(GiveUpReason::AttemptsExhausted { attempts: session.attempts, last })
         } else {
             None
         };
         if let Some(why) = stop {
-            return self.over(id, session, why, out);
+            return self.end_session(id, session, why, commands);
         }
-        let after = self.back_off(session, refused, advised);
+        let after = self.retry_delay(session, refused, advised);
         if session.deadline.is_some_and(|by| now + after >= by) {
-            let why =
-                if refused { GaveUp::Refused { come_back: advised } } else { GaveUp::Deadline { last } };
-            return self.over(id, session, why, out);
+            let why = if refused {
+                GiveUpReason::Rejected { retry_after: advised }
+            } else {
+                GiveUpReason::DeadlineExceeded { last }
+            };
+            return self.end_session(id, session, why, commands);
         }
-        if !self.budget.withdraw(now) {
-            self.figures.no_budget += 1;
-            return self.over(id, session, GaveUp::Budget { last }, out);
+        if !self.retry_budget.withdraw(now) {
+            self.metrics.retry_budget_exhausted += 1;
+            return self.end_session(id, session, GiveUpReason::RetryBudgetExhausted { last }, commands);
         }
-        out.push(Effect::Tell(id, Notice::Retrying { last, after }));
-        self.close_then(now, id, session, After::Wait(now + after), out)
+        commands.push(PoolCommand::Notify(id, SessionNotification::Retrying { last, delay: after }));
+        self.close_socket_then(now, id, session, AfterClose::Wait(now + after), commands)
     }
 
     /// Counts a setback and notes what it says of the address.
-    fn note(&mut self, now: Moment, session: &mut Session) {
+    fn record_failure(&mut self, now: Instant, session: &mut Session) {
         let at = session.address;
-        let figures = &mut self.figures;
-        match session.last {
-            Setback::Untried | Setback::Offline => return,
-            Setback::Unreached => figures.unreached += 1,
-            Setback::Refused(_) => figures.refused += 1,
-            Setback::Failed => figures.failed += 1,
-            Setback::Silent => figures.silent += 1,
-            Setback::Broke | Setback::Fault(_) => figures.cut += 1,
+        let figures = &mut self.metrics;
+        match session.last_failure {
+            AttemptFailure::NotAttempted | AttemptFailure::Offline => return,
+            AttemptFailure::ConnectFailed => figures.connect_failures += 1,
+            AttemptFailure::Rejected(_) => figures.rejected += 1,
+            AttemptFailure::Failed => figures.failed += 1,
+            AttemptFailure::TimedOut => figures.timeouts += 1,
+            AttemptFailure::ConnectionLost | AttemptFailure::ProtocolViolation(_) => {
+                figures.lost_before_answer += 1
+            }
         }
         let Some(at) = at else { return };
-        match session.last {
-            Setback::Refused(wait) => {
-                session.refusals += 1;
-                self.book.answered(at);
+        match session.last_failure {
+            AttemptFailure::Rejected(wait) => {
+                session.rejections += 1;
+                self.address_book.record_answer(at);
                 let wait = wait.unwrap_or_default().min(self.settings.busy_most);
                 if !wait.is_zero() {
-                    self.book.refused(now, at, &session.wish.asking.class, now + wait);
+                    self.address_book.record_rejection(
+                        now,
+                        at,
+                        &session.request.parameters.class,
+                        now + wait,
+                    );
                 }
             }
-            Setback::Failed => self.book.erred(now, at, &mut self.rng),
-            _ => self.book.failed(now, at, &mut self.rng),
+            AttemptFailure::Failed => self.address_book.record_error(now, at, &mut self.rng),
+            _ => self.address_book.record_failure(now, at, &mut self.rng),
         }
     }
 
     /// The wait before the next try: never less than was advised, and jittered over a window that doubles.
-    fn back_off(&mut self, session: &Session, refused: bool, advised: Duration) -> Duration {
-        let window = if session.again && refused {
+    fn retry_delay(&mut self, session: &Session, refused: bool, advised: Duration) -> Duration {
+        let window = if session.established_before && refused {
             // A crowd that came back too soon: it spreads wider still.
-            let doubled = 1_u32 << session.refusals.min(8);
-            self.base(session.dropped).saturating_mul(doubled).min(self.settings.window_most)
+            let doubled = 1_u32 << session.rejections.min(8);
+            self.reconnect_window(session.last_loss).saturating_mul(doubled).min(self.settings.window_most)
         } else {
-            let doubled = 1_u32 << session.tries.saturating_sub(1).min(16);
+            let doubled = 1_u32 << session.attempts.saturating_sub(1).min(16);
             self.settings.retry_from.saturating_mul(doubled).min(self.settings.retry_to).max(advised / 2)
         };
-        advised + self.draw(window).max(TICK)
+        advised + self.jitter(window).max(TICK)
     }
 
-    const fn base(&self, dropped: Loss) -> Duration {
+    const fn reconnect_window(&self, dropped: ConnectionLoss) -> Duration {
         match dropped {
-            Loss::Moved => self.settings.move_window,
-            Loss::Broke(_) | Loss::Offline => self.settings.break_window,
+            ConnectionLoss::Migrated => self.settings.move_window,
+            ConnectionLoss::Broken(_) | ConnectionLoss::Offline => self.settings.break_window,
         }
     }
 
     /// Closes the socket that there is, and goes on once it is closed.
-    fn close_then(
+    fn close_socket_then(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        after: After,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
+        after: AfterClose,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
         if session.state.has_socket() {
-            out.push(Effect::Close { session: id, attempt: session.attempt });
-            (session.state, session.timer) = (State::Closing(after), None);
-            Fate::GoesOn
+            commands.push(PoolCommand::Close { session: id, attempt: session.attempt });
+            (session.state, session.timer) = (SessionState::Closing(after), None);
+            Outcome::Continue
         } else {
-            self.closed(now, id, session, after, out)
+            self.continue_after_close(now, id, session, after, commands)
         }
     }
 
     /// The socket is closed: what was to follow does.
-    fn closed(
+    fn continue_after_close(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        after: After,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
+        after: AfterClose,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
         match after {
             _ if self.offline => {
-                (session.state, session.timer) = (State::Offline, None);
-                Fate::GoesOn
+                (session.state, session.timer) = (SessionState::Offline, None);
+                Outcome::Continue
             }
-            After::Wait(until) => {
-                (session.state, session.timer) = (State::Waiting, Some(until));
-                Fate::GoesOn
+            AfterClose::Wait(until) => {
+                (session.state, session.timer) = (SessionState::Waiting, Some(until));
+                Outcome::Continue
             }
-            After::Gather => {
-                (session.state, session.timer) = (State::Gathering, Some(now + GATHER));
-                Fate::GoesOn
+            AfterClose::CollectDisconnects => {
+                (session.state, session.timer) =
+                    (SessionState::CollectingDisconnects, Some(now + DISCONNECT_COLLECTION_WINDOW));
+                Outcome::Continue
             }
-            After::Offline => self.network_back(now, id, session, out),
+            AfterClose::Offline => self.handle_network_restored(now, id, session, commands),
         }
     }
 
     /// A standing connection is no more.
-    fn dropped(
+    fn handle_disconnect(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        drop: Loss,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
+        drop: ConnectionLoss,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
         match drop {
-            Loss::Moved => self.figures.moved += 1,
-            Loss::Broke(_) | Loss::Offline => self.figures.broken += 1,
-        }
-        if !session.wish.returns {
-            return self.over(id, session, GaveUp::Ended, out);
-        }
-        let quick = now.since(session.since) < self.settings.quick && drop != Loss::Offline;
-        session.quick = if quick { session.quick + 1 } else { 0 };
-        if session.quick >= self.settings.quick_most {
-            return self.over(id, session, GaveUp::Unstable { breaks: session.quick }, out);
-        }
-        (session.again, session.dropped, session.last) = (true, drop, Setback::Untried);
-        if let (Loss::Broke(_), Some(at)) = (drop, session.address) {
-            self.book.broke(now, at);
-        }
-        (session.tries, session.refusals, session.timer) = (0, 0, None);
-        self.drops.note(now);
-        self.budget.deposit(now);
+            ConnectionLoss::Migrated => self.metrics.moved += 1,
+            ConnectionLoss::Broken(_) | ConnectionLoss::Offline => self.metrics.broken += 1,
+        }
+        if !session.request.reconnects {
+            return self.end_session(id, session, GiveUpReason::ConnectionEnded, commands);
+        }
+        let quick = now.duration_since(session.established_at) < self.settings.quick
+            && drop != ConnectionLoss::Offline;
+        session.consecutive_early_losses = if quick { session.consecutive_early_losses + 1 } else { 0 };
+        if session.consecutive_early_losses >= self.settings.quick_most {
+            return self.end_session(
+                id,
+                session,
+                GiveUpReason::Unstable { consecutive_losses: session.consecutive_early_losses },
+                commands,
+            );
+        }
+        (session.established_before, session.last_loss, session.last_failure) =
+            (true, drop, AttemptFailure::NotAttempted);
+        if let (ConnectionLoss::Broken(_), Some(at)) = (drop, session.address) {
+            self.address_book.record_connection_loss(now, at);
+        }
+        (session.attempts, session.rejections, session.timer) = (0, 0, None);
+        self.disconnects.record(now);
+        self.retry_budget.deposit(now);
         // Until its wait is drawn; a driver that never closes the socket must not hold it for ever.
         session.deadline = Some(now + self.settings.window_most + self.settings.return_within);
-        out.push(Effect::Tell(id, Notice::Dropped(drop)));
-        if drop == Loss::Offline {
+        commands.push(PoolCommand::Notify(id, SessionNotification::Disconnected(drop)));
+        if drop == ConnectionLoss::Offline {
             session.deadline = Some(now + self.settings.offline_within);
-            return self.close_then(now, id, session, After::Offline, out);
+            return self.close_socket_then(now, id, session, AfterClose::Offline, commands);
         }
-        self.close_then(now, id, session, After::Gather, out)
+        self.close_socket_then(now, id, session, AfterClose::CollectDisconnects, commands)
     }
 
     /// It has seen how many dropped with it, and draws its wait from a window that fits them all.
-    fn gathered(&mut self, now: Moment, id: SessionId, session: &mut Session, out: &mut Vec<Effect>) -> Fate {
-        let lately = self.drops.lately(now);
+    fn schedule_reconnect(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        session: &mut Session,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        let lately = self.disconnects.recent(now);
         let crowd = Duration::from_secs_f64(f64::from(lately) / self.settings.return_rate);
-        let own = self.base(session.dropped).saturating_mul(1 << session.quick.min(8));
-        let after = self.draw(own.max(crowd).min(self.settings.window_most));
-        (session.state, session.timer) = (State::Waiting, Some(now + after));
+        let own = self
+            .reconnect_window(session.last_loss)
+            .saturating_mul(1 << session.consecutive_early_losses.min(8));
+        let after = self.jitter(own.max(crowd).min(self.settings.window_most));
+        (session.state, session.timer) = (SessionState::Waiting, Some(now + after));
         session.deadline = Some(now + after + self.settings.return_within);
-        out.push(Effect::Tell(id, Notice::Returning { after }));
-        Fate::GoesOn
+        commands.push(PoolCommand::Notify(id, SessionNotification::Reconnecting { delay: after }));
+        Outcome::Continue
     }
 
     /// A time is over: the life, the deadline, or the state's own.
-    fn fire(&mut self, now: Moment, id: SessionId, session: &mut Session, out: &mut Vec<Effect>) -> Fate {
-        let over = |by: Option<Moment>| by.is_some_and(|by| by <= now);
-        if over(session.expires) {
-            return self.over(id, session, GaveUp::Expired, out);
+    fn run_timer(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        session: &mut Session,
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        let over = |by: Option<Instant>| by.is_some_and(|by| by <= now);
+        if over(session.expires_at) {
+            return self.end_session(id, session, GiveUpReason::Expired, commands);
         }
         if over(session.deadline) {
-            session.last = match session.state {
-                State::Asked => Setback::Silent,
-                State::Dialling => Setback::Unreached,
-                State::Offline => Setback::Offline,
-                _ => session.last,
+            session.last_failure = match session.state {
+                SessionState::AwaitingAnswer => AttemptFailure::TimedOut,
+                SessionState::Connecting => AttemptFailure::ConnectFailed,
+                SessionState::Offline => AttemptFailure::Offline,
+                _ => session.last_failure,
             };
-            if matches!(session.state, State::Asked | State::Dialling) {
-                self.note(now, session);
+            if matches!(session.state, SessionState::AwaitingAnswer | SessionState::Connecting) {
+                self.record_failure(now, session);
             }
-            return self.over(id, session, GaveUp::Deadline { last: session.last }, out);
+            return self.end_session(
+                id,
+                session,
+                GiveUpReason::DeadlineExceeded { last: session.last_failure },
+                commands,
+            );
         }
         if !over(session.timer) {
-            return Fate::GoesOn;
+            return Outcome::Continue;
         }
         match session.state {
-            State::Gathering => self.gathered(now, id, session, out),
-            State::Waiting => self.place(now, id, session, out),
-            State::Dialling => self.setback(now, id, session, Setback::Unreached, out),
-            State::Asked => self.setback(now, id, session, Setback::Silent, out),
+            SessionState::CollectingDisconnects => self.schedule_reconnect(now, id, session, commands),
+            SessionState::Waiting => self.start_attempt(now, id, session, commands),
+            SessionState::Connecting => {
+                self.handle_failure(now, id, session, AttemptFailure::ConnectFailed, commands)
+            }
+            SessionState::AwaitingAnswer => {
+                self.handle_failure(now, id, session, AttemptFailure::TimedOut, commands)
+            }
             // None of these has a time of its own.
-            State::Starved | State::Offline | State::Standing | State::Closing(_) => {
+            SessionState::NoAddresses
+            | SessionState::Offline
+            | SessionState::Established
+            | SessionState::Closing(_) => {
                 session.timer = None;
-                Fate::GoesOn
+                Outcome::Continue
             }
         }
     }
 
-    fn network_lost(
+    fn handle_network_lost(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
-        if session.again && !matches!(session.state, State::Standing | State::Offline) {
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        if session.established_before
+            && !matches!(session.state, SessionState::Established | SessionState::Offline)
+        {
             session.deadline = Some(now + self.settings.offline_within);
         }
         match session.state {
-            State::Standing => self.dropped(now, id, session, Loss::Offline, out),
-            State::Asked if !session.wish.repeatable => {
-                self.over(id, session, GaveUp::NotRepeatable { last: Setback::Offline }, out)
-            }
-            State::Dialling | State::Asked => {
-                session.last = Setback::Offline;
+            SessionState::Established => {
+                self.handle_disconnect(now, id, session, ConnectionLoss::Offline, commands)
+            }
+            SessionState::AwaitingAnswer if !session.request.idempotent => self.end_session(
+                id,
+                session,
+                GiveUpReason::NotIdempotent { last: AttemptFailure::Offline },
+                commands,
+            ),
+            SessionState::Connecting | SessionState::AwaitingAnswer => {
+                session.last_failure = AttemptFailure::Offline;
                 if let Some(at) = session.address {
-                    self.book.untried(at);
+                    self.address_book.cancel_trial(at);
                 }
-                self.close_then(now, id, session, After::Offline, out)
+                self.close_socket_then(now, id, session, AfterClose::Offline, commands)
             }
-            State::Closing(_) => {
-                session.state = State::Closing(After::Offline);
-                Fate::GoesOn
+            SessionState::Closing(_) => {
+                session.state = SessionState::Closing(AfterClose::Offline);
+                Outcome::Continue
             }
-            State::Gathering | State::Waiting | State::Starved | State::Offline => {
-                (session.state, session.timer) = (State::Offline, None);
-                Fate::GoesOn
+            SessionState::CollectingDisconnects
+            | SessionState::Waiting
+            | SessionState::NoAddresses
+            | SessionState::Offline => {
+                (session.state, session.timer) = (SessionState::Offline, None);
+                Outcome::Continue
             }
         }
     }
 
     /// There is a network again. Who had a connection comes back with the others; who had not goes on
     /// with its first placing, within what is left of its time.
-    fn network_back(
+    fn handle_network_restored(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         session: &mut Session,
-        out: &mut Vec<Effect>,
-    ) -> Fate {
-        if session.again {
-            session.dropped = Loss::Offline;
+        commands: &mut Vec<PoolCommand>,
+    ) -> Outcome {
+        if session.established_before {
+            session.last_loss = ConnectionLoss::Offline;
             session.deadline = None;
             // A return that had begun begins anew: the network's going was no fault of the site.
-            (session.tries, session.refusals) = (0, 0);
-            self.drops.note(now);
-            (session.state, session.timer) = (State::Gathering, Some(now + GATHER));
-            return Fate::GoesOn;
-        }
-        if session.tries >= self.settings.tries {
-            return self.over(id, session, GaveUp::Tries { tries: session.tries, last: session.last }, out);
-        }
-        if session.tries == 0 {
-            self.budget.deposit(now);
-        } else if !self.budget.withdraw(now) {
-            self.figures.no_budget += 1;
-            return self.over(id, session, GaveUp::Budget { last: session.last }, out);
-        }
-        let left = session.deadline.map_or(Duration::ZERO, |by| by.since(now));
-        let after = self.draw(self.settings.break_window.min(left / 2));
-        (session.state, session.timer) = (State::Waiting, Some(now + after));
-        Fate::GoesOn
+            (session.attempts, session.rejections) = (0, 0);
+            self.disconnects.record(now);
+            (session.state, session.timer) =
+                (SessionState::CollectingDisconnects, Some(now + DISCONNECT_COLLECTION_WINDOW));
+            return Outcome::Continue;
+        }
+        if session.attempts >= self.settings.tries {
+            return self.end_session(
+                id,
+                session,
+                GiveUpReason::AttemptsExhausted { attempts: session.attempts, last: session.last_failure },
+                commands,
+            );
+        }
+        if session.attempts == 0 {
+            self.retry_budget.deposit(now);
+        } else if !self.retry_budget.withdraw(now) {
+            self.metrics.retry_budget_exhausted += 1;
+            return self.end_session(
+                id,
+                session,
+                GiveUpReason::RetryBudgetExhausted { last: session.last_failure },
+                commands,
+            );
+        }
+        let left = session.deadline.map_or(Duration::ZERO, |by| by.duration_since(now));
+        let after = self.jitter(self.settings.break_window.min(left / 2));
+        (session.state, session.timer) = (SessionState::Waiting, Some(now + after));
+        Outcome::Continue
     }
 }
--- a/crates/ashtide-client/tests/compatibility.rs
+++ b/crates/ashtide-client/tests/compatibility.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 use ashtide_client::{
-    Address, Attempt, Effect, Event, Failing, GaveUp, Held, Learnt, LearntError, Loss, Moment, Notice, Pool,
-    SessionId, Setback, Settings, Wish,
+    Address, Attempt, AttemptFailure, CachedFailure, CachedRejection, ConnectionLoss, GiveUpReason, Instant,
+    PoolCommand, PoolEvent, ServerCache, ServerCacheError, SessionId, SessionNotification, SessionPool,
+    SessionRequest, Settings,
 };
 use ashtide_protocol::{AskingError, GatewayEvent, PeerFault};
 use bytes::Bytes;
@@ -37,47 +38,67 @@
     );
 }
 
-fn learnt() -> Learnt {
-    Learnt {
+fn learnt() -> ServerCache {
+    ServerCache {
         tokens: 1.75,
-        holds: vec![
-            Held { site: "site".into(), class: "meter".into(), ms: 400 },
-            Held { site: String::new(), class: "a \"quoted\" class, \u{e9}".into(), ms: u64::MAX },
+        rejections: vec![
+            CachedRejection { site: "site".into(), class: "meter".into(), remaining_ms: 400 },
+            CachedRejection {
+                site: String::new(),
+                class: "a \"quoted\" class, \u{e9}".into(),
+                remaining_ms: u64::MAX,
+            },
         ],
-        failing: vec![
-            Failing { at: "10.0.0.1:8443".parse().expect("an address"), streak: 3, ms: 1500 },
-            Failing { at: "[fd00::1]:8443".parse().expect("an address"), streak: u32::MAX, ms: 0 },
+        failures: vec![
+            CachedFailure {
+                gateway: "10.0.0.1:8443".parse().expect("an address"),
+                consecutive_failures: 3,
+                remaining_ms: 1500,
+            },
+            CachedFailure {
+                gateway: "[fd00::1]:8443".parse().expect("an address"),
+                consecutive_failures: u32::MAX,
+                remaining_ms: 0,
+            },
         ],
     }
 }
 
-fn values(learnt: &Learnt) -> String {
+fn values(learnt: &ServerCache) -> String {
     let mut text = format!("tokens {:016x}", learnt.tokens.to_bits());
-    for held in &learnt.holds {
-        let _ = write!(text, ", site '{}' refuses class '{}' for {} ms", held.site, held.class, held.ms);
+    for held in &learnt.rejections {
+        let _ = write!(
+            text,
+            ", site '{}' refuses class '{}' for {} ms",
+            held.site, held.class, held.remaining_ms
+        );
     }
-    for failing in &learnt.failing {
-        let _ = write!(text, ", {} failed {} times, left for {} ms", failing.at, failing.streak, failing.ms);
+    for failing in &learnt.failures {
+        let _ = write!(
+            text,
+            ", {} failed {} times, left for {} ms",
+            failing.gateway, failing.consecutive_failures, failing.remaining_ms
+        );
     }
     text
 }
 
-fn outcome(read: Result<Option<(Learnt, Duration)>, LearntError>) -> String {
+fn outcome(read: Result<Option<(ServerCache, Duration)>, ServerCacheError>) -> String {
     match read {
         Ok(None) => "nothing".to_owned(),
         Ok(Some((learnt, ago))) => format!("{} ms ago: {}", ago.as_millis(), values(&learnt)),
-        Err(LearntError::Io(error)) => format!("io error: {error}"),
-        Err(error @ LearntError::TooLong) => format!("too long: {error}"),
+        Err(ServerCacheError::Io(error)) => format!("io error: {error}"),
+        Err(error @ ServerCacheError::TooLong) => format!("too long: {error}"),
         // Its text names types of the implementation.
-        Err(LearntError::Form(_)) => "not of this form".to_owned(),
-        Err(error @ LearntError::Version(_)) => format!("version: {error}"),
-        Err(error @ LearntError::Value(..)) => format!("value: {error}"),
+        Err(ServerCacheError::Syntax(_)) => "not of this form".to_owned(),
+        Err(error @ ServerCacheError::UnsupportedVersion(_)) => format!("version: {error}"),
+        Err(error @ ServerCacheError::InvalidValue(..)) => format!("value: {error}"),
     }
 }
 
 #[test]
 fn the_file_is_written_as_recorded() {
-    for (name, learnt) in [("learnt_full.json", learnt()), ("learnt_empty.json", Learnt::default())] {
+    for (name, learnt) in [("learnt_full.json", learnt()), ("learnt_empty.json", ServerCache::default())] {
         let text = learnt.encode(SAVED_MS).expect("a text");
         assert_fixture(name, &String::from_utf8(text.clone()).expect("text"));
         let folder = std::env::temp_dir().join(format!("ashtide-learnt-{}", std::process::id()));
@@ -94,8 +115,9 @@
 #[test]
 fn files_that_were_recorded_are_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility");
-    for (name, expected) in [("learnt_full.json", learnt()), ("learnt_empty.json", Learnt::default())] {
-        let read = Learnt::read(&folder.join(name), SAVED_MS + 5_000).expect("a file").expect("not too old");
+    for (name, expected) in [("learnt_full.json", learnt()), ("learnt_empty.json", ServerCache::default())] {
+        let read =
+            ServerCache::read(&folder.join(name), SAVED_MS + 5_000).expect("a file").expect("not too old");
         assert_eq!(read, (expected, Duration::from_secs(5)));
     }
 }
@@ -142,17 +164,17 @@
     let mut found = String::new();
     for (what, text) in texts {
         for unix_ms in [SAVED_MS - 1, SAVED_MS, SAVED_MS + 600_000, SAVED_MS + 600_001] {
-            let outcome = outcome(Learnt::decode(text.as_bytes(), unix_ms));
+            let outcome = outcome(ServerCache::decode(text.as_bytes(), unix_ms));
             let outcome = if outcome.len() > 1000 { format!("{} bytes", outcome.len()) } else { outcome };
             let _ = writeln!(found, "{what} at {unix_ms}: {outcome}");
         }
     }
     let path = std::env::temp_dir().join(format!("ashtide-learnt-long-{}", std::process::id()));
-    let none = outcome(Learnt::read(&path, SAVED_MS));
+    let none = outcome(ServerCache::read(&path, SAVED_MS));
     let _ = writeln!(found, "no file: {none}");
     for length in [256 << 10, (256 << 10) + 1] {
         std::fs::write(&path, vec![b' '; length]).expect("written");
-        let _ = writeln!(found, "{length} spaces: {}", outcome(Learnt::read(&path, SAVED_MS)));
+        let _ = writeln!(found, "{length} spaces: {}", outcome(ServerCache::read(&path, SAVED_MS)));
     }
     std::fs::remove_file(&path).expect("removed");
     assert_fixture("learnt_reads.txt", &found);
@@ -181,70 +203,78 @@
     }
 }
 
-fn setback(setback: Setback) -> String {
+fn setback(setback: AttemptFailure) -> String {
     let kind = match setback {
-        Setback::Untried => "untried".to_owned(),
-        Setback::Unreached => "unreached".to_owned(),
-        Setback::Refused(None) => "refused".to_owned(),
-        Setback::Refused(Some(wait)) => format!("refused for {} us", wait.as_micros()),
-        Setback::Failed => "failed".to_owned(),
-        Setback::Silent => "silent".to_owned(),
-        Setback::Broke => "broke".to_owned(),
-        Setback::Fault(which) => format!("fault {}", fault(which)),
-        Setback::Offline => "offline".to_owned(),
+        AttemptFailure::NotAttempted => "untried".to_owned(),
+        AttemptFailure::ConnectFailed => "unreached".to_owned(),
+        AttemptFailure::Rejected(None) => "refused".to_owned(),
+        AttemptFailure::Rejected(Some(wait)) => format!("refused for {} us", wait.as_micros()),
+        AttemptFailure::Failed => "failed".to_owned(),
+        AttemptFailure::TimedOut => "silent".to_owned(),
+        AttemptFailure::ConnectionLost => "broke".to_owned(),
+        AttemptFailure::ProtocolViolation(which) => format!("fault {}", fault(which)),
+        AttemptFailure::Offline => "offline".to_owned(),
     };
-    format!("{kind} ('{setback}', never ran: {})", setback.never_ran())
+    format!("{kind} ('{setback}', never ran: {})", setback.never_executed())
 }
 
-fn loss(loss: Loss) -> String {
+fn loss(loss: ConnectionLoss) -> String {
     match loss {
-        Loss::Moved => "moved".to_owned(),
-        Loss::Broke(None) => "broke".to_owned(),
-        Loss::Broke(Some(which)) => format!("broke, {}", fault(which)),
-        Loss::Offline => "offline".to_owned(),
+        ConnectionLoss::Migrated => "moved".to_owned(),
+        ConnectionLoss::Broken(None) => "broke".to_owned(),
+        ConnectionLoss::Broken(Some(which)) => format!("broke, {}", fault(which)),
+        ConnectionLoss::Offline => "offline".to_owned(),
     }
 }
 
-fn notice(notice: &Notice) -> String {
+fn notice(notice: &SessionNotification) -> String {
     match notice {
-        Notice::Up { at, receipt, tries, again } => {
+        SessionNotification::Connected { gateway: at, receipt, attempts: tries, reconnected: again } => {
             format!("up by {at}, receipt '{}', {tries} tries, again {again}", receipt.escape_ascii())
         }
-        Notice::Dropped(why) => format!("dropped, {}", loss(*why)),
-        Notice::Returning { after } => format!("returning after {} us", after.as_micros()),
-        Notice::Retrying { last, after } => {
+        SessionNotification::Disconnected(why) => format!("dropped, {}", loss(*why)),
+        SessionNotification::Reconnecting { delay: after } => {
+            format!("returning after {} us", after.as_micros())
+        }
+        SessionNotification::Retrying { last, delay: after } => {
             format!("retrying after {} us, {}", after.as_micros(), setback(*last))
         }
     }
 }
 
-fn gave_up(why: &GaveUp) -> String {
+fn gave_up(why: &GiveUpReason) -> String {
     let kind = match why {
-        GaveUp::Closed => "closed".to_owned(),
-        GaveUp::Served => "served".to_owned(),
-        GaveUp::Deadline { last } => format!("deadline, {}", setback(*last)),
-        GaveUp::Refused { come_back } => format!("refused for {} us", come_back.as_micros()),
-        GaveUp::NoAddress { next } => format!("no address for {} us", next.as_micros()),
-        GaveUp::Tries { tries, last } => format!("{tries} tries, {}", setback(*last)),
-        GaveUp::Budget { last } => format!("budget, {}", setback(*last)),
-        GaveUp::NotRepeatable { last } => format!("not repeatable, {}", setback(*last)),
-        GaveUp::Unstable { breaks } => format!("unstable, {breaks} breaks"),
-        GaveUp::Ended => "ended".to_owned(),
-        GaveUp::Expired => "expired".to_owned(),
-        GaveUp::TooMany { most } => format!("more than {most}"),
-        GaveUp::Wish(AskingError::Empty(field)) => format!("empty {field}"),
-        GaveUp::Wish(_) => "another wish".to_owned(),
+        GiveUpReason::Closed => "closed".to_owned(),
+        GiveUpReason::Completed => "served".to_owned(),
+        GiveUpReason::DeadlineExceeded { last } => format!("deadline, {}", setback(*last)),
+        GiveUpReason::Rejected { retry_after: come_back } => {
+            format!("refused for {} us", come_back.as_micros())
+        }
+        GiveUpReason::NoAvailableAddress { retry_after: next } => {
+            format!("no address for {} us", next.as_micros())
+        }
+        GiveUpReason::AttemptsExhausted { attempts: tries, last } => {
+            format!("{tries} tries, {}", setback(*last))
+        }
+        GiveUpReason::RetryBudgetExhausted { last } => format!("budget, {}", setback(*last)),
+        GiveUpReason::NotIdempotent { last } => format!("not repeatable, {}", setback(*last)),
+        GiveUpReason::Unstable { consecutive_losses: breaks } => format!("unstable, {breaks} breaks"),
+        GiveUpReason::ConnectionEnded => "ended".to_owned(),
+        GiveUpReason::Expired => "expired".to_owned(),
+        GiveUpReason::TooManySessions { limit: most } => format!("more than {most}"),
+        GiveUpReason::InvalidRequest(AskingError::Empty(field)) => format!("empty {field}"),
+        GiveUpReason::InvalidRequest(_) => "another wish".to_owned(),
     };
     format!("{kind} ('{why}')")
 }
 
 /// The core before a world that answers by chance, and all that it does there.
 struct Run {
-    pool: Pool,
+    pool: SessionPool,
     choices: Choices,
-    now: Moment,
+    now: Instant,
     /// What follows later, in order of time.
-    later: BTreeMap<(Moment, u64), Event>,
+    later: BTreeMap<(Instant, u64), PoolEvent>,
     number: u64,
     found: String,
 }
@@ -252,60 +282,60 @@
 impl Run {
     fn new(settings: Settings, seed: u64) -> Self {
         let mut run = Self {
-            pool: Pool::new(settings, seed).expect("settings"),
+            pool: SessionPool::new(settings, seed).expect("settings"),
             choices: Choices(0x5eed + seed),
-            now: Moment::from_micros(1_000_000),
+            now: Instant::from_micros(1_000_000),
             later: BTreeMap::new(),
             number: 0,
             found: String::new(),
         };
-        run.event(Event::Addresses((0..4).map(address).collect()));
+        run.event(PoolEvent::AddressesChanged((0..4).map(address).collect()));
         run
     }
 
-    fn after(&mut self, micros: u64, event: Event) {
+    fn after(&mut self, micros: u64, event: PoolEvent) {
         self.number += 1;
         self.later.insert((self.now + Duration::from_micros(micros), self.number), event);
     }
 
-    fn open(&mut self, wish: Wish) {
+    fn open(&mut self, wish: SessionRequest) {
         let mut out = Vec::new();
         let id = self.pool.open(self.now, wish, &mut out);
         let _ = writeln!(self.found, "{} opens {}", self.now.as_micros(), id.0);
         self.act(out);
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: PoolEvent) {
         let mut out = Vec::new();
         self.pool.handle(self.now, event, &mut out);
         self.act(out);
     }
 
-    fn act(&mut self, out: Vec<Effect>) {
+    fn act(&mut self, out: Vec<PoolCommand>) {
         for effect in out {
             let _ = write!(self.found, "{} ", self.now.as_micros());
             match effect {
-                Effect::Dial { session, attempt, at } => {
+                PoolCommand::Connect { session, attempt, gateway: at } => {
                     let _ = writeln!(self.found, "{} dials {at}, attempt {}", session.0, attempt.0);
                     let delay = 500 + self.choices.next(20_000);
                     match self.choices.next(10) {
-                        0 => self.after(delay, Event::ConnectFailed(session, attempt)),
+                        0 => self.after(delay, PoolEvent::ConnectFailed(session, attempt)),
                         1 => {}
-                        _ => self.after(delay, Event::Connected(session, attempt)),
+                        _ => self.after(delay, PoolEvent::Connected(session, attempt)),
                     }
                 }
-                Effect::Write { session, attempt, line } => {
+                PoolCommand::SendRequest { session, attempt, line } => {
                     let _ = writeln!(self.found, "{} writes '{}'", session.0, line.escape_ascii());
                     self.answer(session, attempt);
                 }
-                Effect::Close { session, attempt } => {
+                PoolCommand::Close { session, attempt } => {
                     let _ = writeln!(self.found, "{} closes attempt {}", session.0, attempt.0);
-                    self.after(300, Event::Closed(session, attempt));
+                    self.after(300, PoolEvent::SocketClosed(session, attempt));
                 }
-                Effect::Tell(session, told) => {
+                PoolCommand::Notify(session, told) => {
                     let _ = writeln!(self.found, "{} hears: {}", session.0, notice(&told));
                 }
-                Effect::End(session, why) => {
+                PoolCommand::EndSession(session, why) => {
                     let _ = writeln!(self.found, "{} is over: {}", session.0, gave_up(&why));
                 }
             }
@@ -319,27 +349,29 @@
             1 | 2 => Ok(GatewayEvent::Busy(Some(Duration::from_millis(self.choices.next(900))))),
             3 | 4 => Ok(GatewayEvent::Failed(Bytes::from_static(b"ERR\r\n"))),
             5 => Err(PeerFault::TooLong),
-            6 => return self.after(delay, Event::Ended(session, attempt, None)),
-            7 => return self.after(delay, Event::Ended(session, attempt, Some(PeerFault::Torn))),
+            6 => return self.after(delay, PoolEvent::ConnectionEnded(session, attempt, None)),
+            7 => {
+                return self.after(delay, PoolEvent::ConnectionEnded(session, attempt, Some(PeerFault::Torn)));
+            }
             8 => return,
             _ => {
                 self.stand(session, attempt, delay);
                 Ok(GatewayEvent::Up(Bytes::from_static(b"receipt")))
             }
         };
-        self.after(delay, Event::Heard(session, attempt, heard));
+        self.after(delay, PoolEvent::Received(session, attempt, heard));
     }
 
     /// It stands after this time, and ends at some time after that.
     fn stand(&mut self, session: SessionId, attempt: Attempt, delay: u64) {
         let ends = delay + 100_000 + self.choices.next(20_000_000);
         let event = match self.choices.next(6) {
-            0 => Event::Heard(session, attempt, Ok(GatewayEvent::Move)),
-            1 => Event::Heard(session, attempt, Ok(GatewayEvent::Bye)),
-            2 => Event::Heard(session, attempt, Err(PeerFault::UpTwice)),
-            3 => Event::Ended(session, attempt, Some(PeerFault::Stalled)),
-            4 => Event::Leave(session),
-            _ => Event::Ended(session, attempt, None),
+            0 => PoolEvent::Received(session, attempt, Ok(GatewayEvent::Move)),
+            1 => PoolEvent::Received(session, attempt, Ok(GatewayEvent::Bye)),
+            2 => PoolEvent::Received(session, attempt, Err(PeerFault::UpTwice)),
+            3 => PoolEvent::ConnectionEnded(session, attempt, Some(PeerFault::Stalled)),
+            4 => PoolEvent::CloseSession(session),
+            _ => PoolEvent::ConnectionEnded(session, attempt, None),
         };
         self.after(ends, event);
     }
@@ -353,7 +385,7 @@
             match (wake, next) {
                 (Some(wake), next) if next.is_none_or(|(when, _)| wake <= when) => {
                     self.now = wake.max(self.now);
-                    self.event(Event::Time);
+                    self.event(PoolEvent::TimerFired);
                 }
                 (_, Some(key)) => {
                     self.now = key.0.max(self.now);
@@ -368,7 +400,7 @@
     }
 
     fn sum_up(&mut self) {
-        let all = self.pool.figures().clone();
+        let all = self.pool.metrics().clone();
         let _ = writeln!(
             self.found,
             "{}: opened {} first {} returns {} retries {} up {} refused {} failed {} unreached {} silent {} \
@@ -376,45 +408,45 @@
              {} open, budget {:016x}, {} addresses; {}",
             self.now.as_micros(),
             all.opened,
-            all.first_tries,
-            all.returns,
+            all.first_attempts,
+            all.reconnects,
             all.retries,
-            all.up,
-            all.refused,
+            all.established,
+            all.rejected,
             all.failed,
-            all.unreached,
-            all.silent,
-            all.cut,
-            all.faults,
+            all.connect_failures,
+            all.timeouts,
+            all.lost_before_answer,
+            all.protocol_violations,
             all.moved,
             all.broken,
-            all.no_budget,
-            all.late,
-            all.passed_over,
+            all.retry_budget_exhausted,
+            all.late_events,
+            all.skipped_addresses,
             all.ended,
             self.pool.len(),
-            self.pool.budget().to_bits(),
-            self.pool.addresses(),
-            values(&self.pool.learnt(self.now))
+            self.pool.retry_budget().to_bits(),
+            self.pool.address_count(),
+            values(&self.pool.server_cache(self.now))
         );
     }
 }
 
 fn address(number: u16) -> Address {
     Address {
-        at: SocketAddr::from(([127, 0, 0, 1], 4000 + number)),
+        socket_addr: SocketAddr::from(([127, 0, 0, 1], 4000 + number)),
         zone: format!("z{}", number % 2),
         site: format!("site-{}", number / 3),
     }
 }
 
-fn wish(key: u64) -> Wish {
-    Wish {
-        repeatable: key % 5 != 4,
-        returns: key % 7 != 6,
-        try_wait: (key % 3 == 0).then_some(Duration::from_millis(200)),
-        life: (key % 11 == 10).then_some(Duration::from_secs(9)),
-        ..Wish::new(
+fn wish(key: u64) -> SessionRequest {
+    SessionRequest {
+        idempotent: key % 5 != 4,
+        reconnects: key % 7 != 6,
+        attempt_timeout: (key % 3 == 0).then_some(Duration::from_millis(200)),
+        max_lifetime: (key % 11 == 10).then_some(Duration::from_secs(9)),
+        ..SessionRequest::new(
             if key % 4 == 0 { "meter" } else { "alarm" },
             format!("k{key}"),
             Duration::from_millis(3200),
@@ -428,24 +460,24 @@
     for seed in [1, 2] {
         let settings = Settings { zone: Some("z0".into()), sessions: 40, ..Settings::default() };
         let mut run = Run::new(settings, seed);
-        run.pool.recall(run.now, &learnt(), Duration::from_millis(100));
-        run.open(Wish::new("", "k", Duration::from_secs(1)));
+        run.pool.restore_cache(run.now, &learnt(), Duration::from_millis(100));
+        run.open(SessionRequest::new("", "k", Duration::from_secs(1)));
         for key in 0..45 {
             run.open(wish(key));
             run.pass(Duration::from_millis(30));
         }
         run.sum_up();
         run.pass(Duration::from_secs(5));
-        run.event(Event::NetworkLost);
+        run.event(PoolEvent::NetworkLost);
         run.open(wish(50));
         run.pass(Duration::from_secs(2));
-        run.event(Event::NetworkBack);
+        run.event(PoolEvent::NetworkRestored);
         run.pass(Duration::from_secs(5));
         run.sum_up();
-        run.event(Event::Addresses(Vec::new()));
+        run.event(PoolEvent::AddressesChanged(Vec::new()));
         run.open(wish(51));
         run.pass(Duration::from_secs(1));
-        run.event(Event::Addresses([1, 1, 2, 5].map(address).into()));
+        run.event(PoolEvent::AddressesChanged([1, 1, 2, 5].map(address).into()));
         run.pass(Duration::from_secs(60));
         run.sum_up();
         found += &run.found;
--- a/crates/ashtide-client/tests/core.rs
+++ b/crates/ashtide-client/tests/core.rs
@@ -15,17 +15,17 @@
 
 fn address(number: u16) -> Address {
     Address {
-        at: ([127, 0, 0, 1], 4000 + number).into(),
+        socket_addr: ([127, 0, 0, 1], 4000 + number).into(),
         zone: format!("z{}", number % 2),
         site: "site".into(),
     }
 }
 
-fn wish(key: u64) -> Wish {
-    Wish {
-        repeatable: key % 5 != 4,
-        returns: key % 7 != 6,
-        ..Wish::new("meter", format!("k{key}"), 3200 * MS)
+fn wish(key: u64) -> SessionRequest {
+    SessionRequest {
+        idempotent: key % 5 != 4,
+        reconnects: key % 7 != 6,
+        ..SessionRequest::new("meter", format!("k{key}"), 3200 * MS)
     }
 }
 
@@ -33,52 +33,53 @@
 #[derive(Default)]
 struct Seen {
     key: String,
-    opened: Moment,
+    opened: Instant,
     /// Attempts whose sockets are, or may be, open; and whether the request went out on them.
     sockets: BTreeMap<Attempt, bool>,
     /// It must stand by then: the first placing's deadline.
-    by: Option<Moment>,
+    by: Option<Instant>,
     stood: bool,
     tries: u32,
-    not_before: Moment,
+    not_before: Instant,
     ended: u32,
     closing: BTreeSet<Attempt>,
 }
 
 struct World {
-    pool: Pool,
-    now: Moment,
+    pool: SessionPool,
+    now: Instant,
     sessions: BTreeMap<SessionId, Seen>,
     ids: BTreeSet<Bytes>,
-    out: Vec<Effect>,
+    out: Vec<PoolCommand>,
     /// Until when the one site refuses the one class.
-    held: Moment,
+    held: Instant,
     /// Until when a driver has been late with the time, so that a session may end later.
-    woken: Moment,
+    woken: Instant,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
-        let now = Moment::from_micros(1_000_000);
+        let now = Instant::from_micros(1_000_000);
         let mut world = Self {
-            pool: Pool::new(Settings { zone: Some("z0".into()), ..Settings::default() }, seed).unwrap(),
+            pool: SessionPool::new(Settings { zone: Some("z0".into()), ..Settings::default() }, seed)
+                .unwrap(),
             now,
             sessions: BTreeMap::new(),
             ids: BTreeSet::new(),
             out: Vec::new(),
-            held: Moment::default(),
+            held: Instant::default(),
             woken: now,
         };
-        world.event(Event::Addresses((0..4).map(address).collect()));
+        world.event(PoolEvent::AddressesChanged((0..4).map(address).collect()));
         world
     }
 
     fn open(&mut self, key: u64) {
         let wish = wish(key);
         let seen = Seen {
-            key: wish.asking.key.clone(),
+            key: wish.parameters.key.clone(),
             opened: self.now,
-            by: Some(self.now + wish.wait),
+            by: Some(self.now + wish.timeout),
             ..Seen::default()
         };
         let mut out = Vec::new();
@@ -88,7 +89,7 @@
         self.check();
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: PoolEvent) {
         let mut out = Vec::new();
         self.pool.handle(self.now, event, &mut out);
         self.out = out;
@@ -101,7 +102,7 @@
         while let Some(wake) = self.pool.next_wake().filter(|&wake| wake <= until) {
             self.now = wake.max(self.now);
             self.woken = self.now;
-            self.event(Event::Time);
+            self.event(PoolEvent::TimerFired);
         }
         self.now = until;
     }
@@ -110,7 +111,7 @@
         let now = self.now;
         for effect in std::mem::take(&mut self.out) {
             match effect {
-                Effect::Dial { session, attempt, .. } => {
+                PoolCommand::Connect { session, attempt, .. } => {
                     let seen = self.sessions.get_mut(&session).unwrap();
                     assert_eq!(seen.ended, 0, "nothing after the end");
                     assert!(seen.sockets.is_empty(), "dials while {:?} may be open", seen.sockets);
@@ -119,7 +120,7 @@
                     seen.sockets.insert(attempt, false);
                     seen.tries += 1;
                 }
-                Effect::Write { session, attempt, line } => {
+                PoolCommand::SendRequest { session, attempt, line } => {
                     let seen = self.sessions.get_mut(&session).unwrap();
                     assert_eq!(
                         seen.sockets.insert(attempt, true),
@@ -136,33 +137,37 @@
                     let wait = open.wait.unwrap();
                     match seen.by {
                         Some(by) => {
-                            assert!(wait <= by.since(now).max(MS), "{wait:?} but {:?} left", by.since(now))
+                            assert!(
+                                wait <= by.duration_since(now).max(MS),
+                                "{wait:?} but {:?} left",
+                                by.duration_since(now)
+                            )
                         }
                         None => assert!(wait <= Duration::from_secs(30)),
                     }
                 }
-                Effect::Close { session, attempt } => {
+                PoolCommand::Close { session, attempt } => {
                     let seen = self.sessions.get_mut(&session).unwrap();
                     assert!(seen.closing.insert(attempt), "closed once");
                 }
-                Effect::Tell(session, notice) => {
+                PoolCommand::Notify(session, notice) => {
                     let seen = self.sessions.get_mut(&session).unwrap();
                     assert_eq!(seen.ended, 0, "nothing after the end");
                     match notice {
-                        Notice::Up { .. } => {
+                        SessionNotification::Connected { .. } => {
                             assert!(seen.by.is_none_or(|by| now < by), "up after its deadline");
                             (seen.stood, seen.by, seen.tries) = (true, None, 0);
                         }
-                        Notice::Dropped(_) => seen.tries = 0,
+                        SessionNotification::Disconnected(_) => seen.tries = 0,
                         // A return begins, or begins anew once the network is back.
-                        Notice::Returning { after } => {
+                        SessionNotification::Reconnecting { delay: after } => {
                             seen.tries = 0;
                             assert!(after <= Duration::from_secs(20));
                         }
-                        Notice::Retrying { .. } => {}
+                        SessionNotification::Retrying { .. } => {}
                     }
                 }
-                Effect::End(session, _) => {
+                PoolCommand::EndSession(session, _) => {
                     let seen = self.sessions.get_mut(&session).unwrap();
                     seen.ended += 1;
                     assert_eq!(seen.ended, 1, "ends once");
@@ -172,15 +177,20 @@
         for seen in self.sessions.values().filter(|seen| seen.ended == 0) {
             // Time is told when it is asked for, so a deadline is overrun by a tick at most.
             if let Some(by) = seen.by {
-                assert!(self.woken <= by + TICK, "still here at {:?}", self.woken.since(seen.opened));
+                assert!(
+                    self.woken <= by + TICK,
+                    "still here at {:?}",
+                    self.woken.duration_since(seen.opened)
+                );
             }
         }
         // Retries are what first tries, drops and time have paid for, and no more.
         let settings = Settings::default();
-        let minutes = now.since(Moment::from_micros(1_000_000)).as_secs_f64() / 60.0;
-        let figures = self.pool.figures();
+        let minutes = now.duration_since(Instant::from_micros(1_000_000)).as_secs_f64() / 60.0;
+        let figures = self.pool.metrics();
         let paid =
-            (figures.first_tries + figures.returns + figures.opened + figures.moved + figures.broken) as f64;
+            (figures.first_attempts + figures.reconnects + figures.opened + figures.moved + figures.broken)
+                as f64;
         let most = settings.budget_first + settings.budget_ratio * paid + settings.budget_minute * minutes;
         assert!(figures.retries as f64 <= most + 1e-6, "{} retries, {most} paid for", figures.retries);
     }
@@ -198,23 +208,23 @@
     fn act(&mut self, what: u8, which: u32) {
         match what {
             0 | 1 => return self.open(u64::from(which)),
-            2 => return self.event(Event::NetworkLost),
-            3 => return self.event(Event::NetworkBack),
+            2 => return self.event(PoolEvent::NetworkLost),
+            3 => return self.event(PoolEvent::NetworkRestored),
             4 => {
                 let list = (0..4).filter(|number| which >> number & 1 == 1).map(address).collect();
-                return self.event(Event::Addresses(list));
+                return self.event(PoolEvent::AddressesChanged(list));
             }
             5 => {
                 let id = self.sessions.keys().nth(which as usize % self.sessions.len().max(1)).copied();
-                id.into_iter().for_each(|id| self.event(Event::Leave(id)));
+                id.into_iter().for_each(|id| self.event(PoolEvent::CloseSession(id)));
                 return;
             }
             6 => {
                 // Events of attempts that never were, or of other sessions' numbers.
                 let (id, attempt) = (SessionId(u64::from(which % 9)), Attempt(which % 11 + 40));
-                self.event(Event::Connected(id, attempt));
-                self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Up(Bytes::new()))));
-                return self.event(Event::Ended(id, attempt, None));
+                self.event(PoolEvent::Connected(id, attempt));
+                self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Up(Bytes::new()))));
+                return self.event(PoolEvent::ConnectionEnded(id, attempt, None));
             }
             _ => {}
         }
@@ -227,17 +237,21 @@
             7..=9 => {
                 if seen.closing.contains(&attempt) {
                     seen.sockets.remove(&attempt);
-                    self.event(Event::Closed(id, attempt));
+                    self.event(PoolEvent::SocketClosed(id, attempt));
                 }
             }
-            10..=13 if !asked => self.event(Event::Connected(id, attempt)),
+            10..=13 if !asked => self.event(PoolEvent::Connected(id, attempt)),
             14 if !asked => {
                 seen.sockets.remove(&attempt);
-                self.event(Event::ConnectFailed(id, attempt));
+                self.event(PoolEvent::ConnectFailed(id, attempt));
             }
             15 => {
                 seen.sockets.remove(&attempt);
-                self.event(Event::Ended(id, attempt, (which % 3 == 0).then_some(PeerFault::Torn)));
+                self.event(PoolEvent::ConnectionEnded(
+                    id,
+                    attempt,
+                    (which % 3 == 0).then_some(PeerFault::Torn),
+                ));
             }
             16 => {
                 let wait = Duration::from_millis(u64::from(which % 1500));
@@ -247,19 +261,19 @@
                     _ => Some(wait),
                 };
                 // A refusal counts from when it is heard, if it is an answer at all.
-                let standing = self.pool.stands(id);
+                let standing = self.pool.is_established(id);
                 let in_time = self.sessions[&id].by.is_none_or(|by| self.now < by);
-                self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Busy(busy))));
+                self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Busy(busy))));
                 if alive && asked && !standing && in_time {
                     let until = self.now + busy.unwrap_or_default().min(Settings::default().busy_most);
                     self.sessions.get_mut(&id).unwrap().not_before = until;
                 }
             }
-            17 => self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Failed(Bytes::new())))),
-            18 => self.event(Event::Heard(id, attempt, Err(PeerFault::UpTwice))),
-            19 => self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Move))),
-            20 => self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Bye))),
-            _ => self.event(Event::Heard(id, attempt, Ok(GatewayEvent::Up(Bytes::from("r"))))),
+            17 => self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Failed(Bytes::new())))),
+            18 => self.event(PoolEvent::Received(id, attempt, Err(PeerFault::UpTwice))),
+            19 => self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Move))),
+            20 => self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Bye))),
+            _ => self.event(PoolEvent::Received(id, attempt, Ok(GatewayEvent::Up(Bytes::from("r"))))),
         }
     }
 }
@@ -282,7 +296,7 @@
             world.act(what, which);
         }
         // Let it all come to an end: sockets close, the network stays, everyone leaves or is overdue.
-        world.event(Event::NetworkBack);
+        world.event(PoolEvent::NetworkRestored);
         for _ in 0..2000 {
             world.pass(200 * MS);
             let open: Vec<_> = world
@@ -292,19 +306,19 @@
                 .collect();
             for (id, attempt) in open {
                 if world.sessions.get_mut(&id).unwrap().sockets.remove(&attempt).is_some() {
-                    world.event(Event::Closed(id, attempt));
+                    world.event(PoolEvent::SocketClosed(id, attempt));
                 }
             }
         }
         for id in world.sessions.keys().copied().collect::<Vec<_>>() {
             if world.sessions[&id].ended == 0 {
-                prop_assert!(world.pool.stands(id), "neither standing nor over after 400 s");
-                world.event(Event::Leave(id));
+                prop_assert!(world.pool.is_established(id), "neither standing nor over after 400 s");
+                world.event(PoolEvent::CloseSession(id));
             }
         }
         prop_assert!(world.sessions.values().all(|seen| seen.ended == 1) && world.pool.is_empty());
         prop_assert_eq!(world.pool.next_wake(), None);
-        prop_assert_eq!(world.pool.figures().ended, world.pool.figures().opened);
+        prop_assert_eq!(world.pool.metrics().ended, world.pool.metrics().opened);
         Ok(())
     });
 }
@@ -313,19 +327,26 @@
 fn the_same_seed_and_events_give_the_same_effects() {
     run(20, |seed, script| {
         let [one, two] = [(), ()].map(|()| {
-            let (mut pool, mut all, mut now) = (Pool::new(Settings::default(), seed).unwrap(), Vec::new(), 0);
-            pool.handle(Moment::default(), Event::Addresses((0..4).map(address).collect()), &mut all);
+            let (mut pool, mut all, mut now) =
+                (SessionPool::new(Settings::default(), seed).unwrap(), Vec::new(), 0);
+            pool.handle(
+                Instant::default(),
+                PoolEvent::AddressesChanged((0..4).map(address).collect()),
+                &mut all,
+            );
             for &(ms, what, which) in &script {
                 now += u64::from(ms) * 1000;
-                let (at, id) = (Moment::from_micros(now), SessionId(u64::from(which % 6) + 1));
+                let (at, id) = (Instant::from_micros(now), SessionId(u64::from(which % 6) + 1));
                 match what {
                     0..=5 => _ = pool.open(at, wish(u64::from(which)), &mut all),
-                    6..=12 => pool.handle(at, Event::Connected(id, Attempt(1)), &mut all),
-                    13 => pool.handle(at, Event::NetworkLost, &mut all),
-                    14 => pool.handle(at, Event::NetworkBack, &mut all),
-                    _ => {
-                        pool.handle(at, Event::Heard(id, Attempt(1), Ok(GatewayEvent::Busy(None))), &mut all)
-                    }
+                    6..=12 => pool.handle(at, PoolEvent::Connected(id, Attempt(1)), &mut all),
+                    13 => pool.handle(at, PoolEvent::NetworkLost, &mut all),
+                    14 => pool.handle(at, PoolEvent::NetworkRestored, &mut all),
+                    _ => pool.handle(
+                        at,
+                        PoolEvent::Received(id, Attempt(1), Ok(GatewayEvent::Busy(None))),
+                        &mut all,
+                    ),
                 }
             }
             all
@@ -336,16 +357,16 @@
 }
 
 /// A pool with one address, and a session that has been dialled and asked.
-fn asked(settings: Settings, wish: Wish) -> (Pool, SessionId, Vec<Effect>) {
-    let (mut pool, mut out) = (Pool::new(settings, 7).unwrap(), Vec::new());
-    pool.handle(at(0), Event::Addresses(vec![address(0)]), &mut out);
+fn asked(settings: Settings, wish: SessionRequest) -> (SessionPool, SessionId, Vec<PoolCommand>) {
+    let (mut pool, mut out) = (SessionPool::new(settings, 7).unwrap(), Vec::new());
+    pool.handle(at(0), PoolEvent::AddressesChanged(vec![address(0)]), &mut out);
     let id = pool.open(at(0), wish, &mut out);
-    pool.handle(at(0), Event::Connected(id, Attempt(1)), &mut out);
+    pool.handle(at(0), PoolEvent::Connected(id, Attempt(1)), &mut out);
     (pool, id, out)
 }
 
-fn at(ms: u64) -> Moment {
-    Moment::from_micros(5_000_000 + ms * 1000)
+fn at(ms: u64) -> Instant {
+    Instant::from_micros(5_000_000 + ms * 1000)
 }
 
 fn up() -> Result<GatewayEvent, PeerFault> {
@@ -354,95 +375,113 @@
 
 #[test]
 fn a_slow_connect_leaves_the_line_what_is_left() {
-    let (mut pool, mut out) = (Pool::new(Settings::default(), 7).unwrap(), Vec::new());
-    pool.handle(at(0), Event::Addresses(vec![address(0)]), &mut out);
-    let id = pool.open(at(0), Wish::new("meter", "k", 3200 * MS), &mut out);
-    pool.handle(at(900), Event::Connected(id, Attempt(1)), &mut out);
-    let Some(Effect::Write { line, .. }) = out.last() else { panic!("{out:?}") };
+    let (mut pool, mut out) = (SessionPool::new(Settings::default(), 7).unwrap(), Vec::new());
+    pool.handle(at(0), PoolEvent::AddressesChanged(vec![address(0)]), &mut out);
+    let id = pool.open(at(0), SessionRequest::new("meter", "k", 3200 * MS), &mut out);
+    pool.handle(at(900), PoolEvent::Connected(id, Attempt(1)), &mut out);
+    let Some(PoolCommand::SendRequest { line, .. }) = out.last() else { panic!("{out:?}") };
     assert_eq!(Open::parse(line.clone()).unwrap().wait, Some(2300 * MS));
 }
 
 #[test]
 fn a_device_that_slept_ends_the_session_once() {
-    let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3200 * MS));
+    let (mut pool, id, mut out) = asked(Settings::default(), SessionRequest::new("meter", "k", 3200 * MS));
     out.clear();
     // The answer came while it slept, and is the first thing that is read.
-    pool.handle(at(3 * 3_600_000), Event::Heard(id, Attempt(1), up()), &mut out);
-    let end = Effect::End(id, GaveUp::Deadline { last: Setback::Silent });
-    assert_eq!(out, [Effect::Close { session: id, attempt: Attempt(1) }, end]);
+    pool.handle(at(3 * 3_600_000), PoolEvent::Received(id, Attempt(1), up()), &mut out);
+    let end = PoolCommand::EndSession(id, GiveUpReason::DeadlineExceeded { last: AttemptFailure::TimedOut });
+    assert_eq!(out, [PoolCommand::Close { session: id, attempt: Attempt(1) }, end]);
     assert!(pool.is_empty() && pool.next_wake().is_none());
 }
 
 #[test]
 fn ticks_are_coarse_and_deadlines_are_not() {
     for (ms, stands) in [(3202, true), (3203, false), (3206, false)] {
-        let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3203 * MS));
-        pool.handle(at(ms), Event::Heard(id, Attempt(1), up()), &mut out);
-        assert_eq!(pool.stands(id), stands, "up after {ms} ms");
+        let (mut pool, id, mut out) =
+            asked(Settings::default(), SessionRequest::new("meter", "k", 3203 * MS));
+        pool.handle(at(ms), PoolEvent::Received(id, Attempt(1), up()), &mut out);
+        assert_eq!(pool.is_established(id), stands, "up after {ms} ms");
     }
 }
 
 #[test]
 fn up_beside_the_close_is_a_break_and_not_two() {
-    let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3200 * MS));
+    let (mut pool, id, mut out) = asked(Settings::default(), SessionRequest::new("meter", "k", 3200 * MS));
     out.clear();
-    pool.handle(at(5), Event::Heard(id, Attempt(1), up()), &mut out);
-    pool.handle(at(5), Event::Ended(id, Attempt(1), None), &mut out);
+    pool.handle(at(5), PoolEvent::Received(id, Attempt(1), up()), &mut out);
+    pool.handle(at(5), PoolEvent::ConnectionEnded(id, Attempt(1), None), &mut out);
     assert!(matches!(
         out[..],
-        [Effect::Tell(_, Notice::Up { .. }), Effect::Tell(_, Notice::Dropped(Loss::Broke(None)))]
+        [
+            PoolCommand::Notify(_, SessionNotification::Connected { .. }),
+            PoolCommand::Notify(_, SessionNotification::Disconnected(ConnectionLoss::Broken(None)))
+        ]
     ));
-    assert_eq!((pool.figures().up, pool.figures().broken), (1, 1));
+    assert_eq!((pool.metrics().established, pool.metrics().broken), (1, 1));
 }
 
 #[test]
 fn connections_that_break_at_once_end_the_session_after_a_few() {
-    let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3200 * MS));
+    let (mut pool, id, mut out) = asked(Settings::default(), SessionRequest::new("meter", "k", 3200 * MS));
     let mut now = at(5);
     for attempt in 1..=5 {
-        pool.handle(now, Event::Connected(id, Attempt(attempt)), &mut out);
-        pool.handle(now, Event::Heard(id, Attempt(attempt), up()), &mut out);
-        pool.handle(now, Event::Ended(id, Attempt(attempt), None), &mut out);
+        pool.handle(now, PoolEvent::Connected(id, Attempt(attempt)), &mut out);
+        pool.handle(now, PoolEvent::Received(id, Attempt(attempt), up()), &mut out);
+        pool.handle(now, PoolEvent::ConnectionEnded(id, Attempt(attempt), None), &mut out);
         while let Some(wake) = pool.next_wake() {
             now = wake;
-            pool.handle(now, Event::Time, &mut out);
-            if let Some(Effect::Dial { .. }) = out.last() {
+            pool.handle(now, PoolEvent::TimerFired, &mut out);
+            if let Some(PoolCommand::Connect { .. }) = out.last() {
                 break;
             }
         }
     }
-    assert_eq!(out.last(), Some(&Effect::End(id, GaveUp::Unstable { breaks: 5 })));
-    assert!(now.since(at(0)) > Duration::from_secs(10), "and each wait is drawn from a wider window");
+    assert_eq!(
+        out.last(),
+        Some(&PoolCommand::EndSession(id, GiveUpReason::Unstable { consecutive_losses: 5 }))
+    );
+    assert!(
+        now.duration_since(at(0)) > Duration::from_secs(10),
+        "and each wait is drawn from a wider window"
+    );
 }
 
 #[test]
 fn an_absurd_wait_is_bounded_and_says_when_to_come_again() {
-    let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3200 * MS));
+    let (mut pool, id, mut out) = asked(Settings::default(), SessionRequest::new("meter", "k", 3200 * MS));
     let busy = GatewayEvent::Busy(Some(Duration::from_secs(1 << 40)));
-    pool.handle(at(5), Event::Heard(id, Attempt(1), Ok(busy)), &mut out);
-    let come_back = Settings::default().busy_most;
-    assert_eq!(out.last(), Some(&Effect::End(id, GaveUp::Refused { come_back })));
+    pool.handle(at(5), PoolEvent::Received(id, Attempt(1), Ok(busy)), &mut out);
+    let retry_after = Settings::default().busy_most;
+    assert_eq!(out.last(), Some(&PoolCommand::EndSession(id, GiveUpReason::Rejected { retry_after })));
     // Who asks next within that time is told so without a knock at any door of the site.
-    pool.handle(at(6), Event::Addresses((0..4).map(address).collect()), &mut out);
+    pool.handle(at(6), PoolEvent::AddressesChanged((0..4).map(address).collect()), &mut out);
     out.clear();
-    let next = pool.open(at(1005), Wish::new("meter", "other", 3200 * MS), &mut out);
-    assert_eq!(out, [Effect::End(next, GaveUp::Refused { come_back: Duration::from_secs(29) })]);
-    let other = pool.open(at(1005), Wish::new("sync", "other", 3200 * MS), &mut out);
+    let next = pool.open(at(1005), SessionRequest::new("meter", "other", 3200 * MS), &mut out);
+    assert_eq!(
+        out,
+        [PoolCommand::EndSession(next, GiveUpReason::Rejected { retry_after: Duration::from_secs(29) })]
+    );
+    let other = pool.open(at(1005), SessionRequest::new("sync", "other", 3200 * MS), &mut out);
     assert!(
-        matches!(out.last(), Some(Effect::Dial { session, .. }) if *session == other),
+        matches!(out.last(), Some(PoolCommand::Connect { session, .. }) if *session == other),
         "another class may"
     );
 }
 
 /// Answers every attempt that has been dialled; how many there were.
-fn answer_all(pool: &mut Pool, now: Moment, out: &mut Vec<Effect>, answer: &GatewayEvent) -> usize {
+fn answer_all(
+    pool: &mut SessionPool,
+    now: Instant,
+    out: &mut Vec<PoolCommand>,
+    answer: &GatewayEvent,
+) -> usize {
     let mut dials = 0;
     for effect in std::mem::take(out) {
-        if let Effect::Dial { session, attempt, .. } = effect {
+        if let PoolCommand::Connect { session, attempt, .. } = effect {
             dials += 1;
-            pool.handle(now, Event::Connected(session, attempt), out);
-            pool.handle(now, Event::Heard(session, attempt, Ok(answer.clone())), out);
-            pool.handle(now, Event::Closed(session, attempt), out);
+            pool.handle(now, PoolEvent::Connected(session, attempt), out);
+            pool.handle(now, PoolEvent::Received(session, attempt, Ok(answer.clone())), out);
+            pool.handle(now, PoolEvent::SocketClosed(session, attempt), out);
         }
     }
     dials
@@ -450,45 +489,47 @@
 
 #[test]
 fn a_dead_site_sees_first_tries_and_little_else() {
-    let (mut pool, mut out) = (Pool::new(Settings::default(), 3).unwrap(), Vec::new());
-    pool.handle(at(0), Event::Addresses((0..4).map(address).collect()), &mut out);
+    let (mut pool, mut out) = (SessionPool::new(Settings::default(), 3).unwrap(), Vec::new());
+    pool.handle(at(0), PoolEvent::AddressesChanged((0..4).map(address).collect()), &mut out);
     for number in 0..1000_u64 {
         let now = at(number * 20);
-        pool.open(now, Wish::new("meter", format!("k{number}"), 3200 * MS), &mut out);
+        pool.open(now, SessionRequest::new("meter", format!("k{number}"), 3200 * MS), &mut out);
         while answer_all(&mut pool, now, &mut out, &GatewayEvent::Busy(None)) > 0 {}
     }
-    let figures = pool.figures();
-    assert_eq!(figures.first_tries, 1000);
-    assert!((150..=203).contains(&figures.retries) && figures.no_budget > 700, "{figures:?}");
+    let figures = pool.metrics();
+    assert_eq!(figures.first_attempts, 1000);
+    assert!((150..=203).contains(&figures.retries) && figures.retry_budget_exhausted > 700, "{figures:?}");
 }
 
 #[test]
 fn one_session_finds_out_whether_a_failed_address_is_well_again() {
-    let (mut pool, mut out) = (Pool::new(Settings::default(), 3).unwrap(), Vec::new());
-    pool.handle(at(0), Event::Addresses(vec![address(0)]), &mut out);
-    let first = pool.open(at(0), Wish { wait: 60_000 * MS, ..wish(1) }, &mut out);
-    pool.handle(at(1), Event::ConnectFailed(first, Attempt(1)), &mut out);
+    let (mut pool, mut out) = (SessionPool::new(Settings::default(), 3).unwrap(), Vec::new());
+    pool.handle(at(0), PoolEvent::AddressesChanged(vec![address(0)]), &mut out);
+    let first = pool.open(at(0), SessionRequest { timeout: 60_000 * MS, ..wish(1) }, &mut out);
+    pool.handle(at(1), PoolEvent::ConnectFailed(first, Attempt(1)), &mut out);
     out.clear();
     for key in 0..50 {
-        pool.open(at(2), Wish::new("meter", format!("k{key}"), 60_000 * MS), &mut out);
+        pool.open(at(2), SessionRequest::new("meter", format!("k{key}"), 60_000 * MS), &mut out);
     }
-    let dials = |out: &[Effect]| out.iter().filter(|effect| matches!(effect, Effect::Dial { .. })).count();
+    let dials = |out: &[PoolCommand]| {
+        out.iter().filter(|effect| matches!(effect, PoolCommand::Connect { .. })).count()
+    };
     assert_eq!(dials(&out), 0, "all wait while it is set aside");
     let mut now = 2;
     while dials(&out) == 0 {
         now += 10;
-        pool.handle(at(now), Event::Time, &mut out);
+        pool.handle(at(now), PoolEvent::TimerFired, &mut out);
     }
     assert!((500..2500).contains(&now) && dials(&out) == 1, "then one tries, at {now}");
     for later in 1..50 {
-        pool.handle(at(now + later * 10), Event::Time, &mut out);
+        pool.handle(at(now + later * 10), PoolEvent::TimerFired, &mut out);
     }
     assert_eq!(dials(&out), 1, "and the others wait for its answer");
     now += 500;
     answer_all(&mut pool, at(now), &mut out, &GatewayEvent::Up(Bytes::new()));
     let mut followed = 0;
     for later in 1..200 {
-        pool.handle(at(now + later * 10), Event::Time, &mut out);
+        pool.handle(at(now + later * 10), PoolEvent::TimerFired, &mut out);
         followed += answer_all(&mut pool, at(now + later * 10), &mut out, &GatewayEvent::Up(Bytes::new()));
     }
     assert_eq!(followed, 50, "once it has come up, all follow");
@@ -496,64 +537,75 @@
 
 #[test]
 fn what_was_learnt_outlives_the_process_within_bounds() {
-    let (mut pool, id, mut out) = asked(Settings::default(), Wish::new("meter", "k", 3200 * MS));
+    let (mut pool, id, mut out) = asked(Settings::default(), SessionRequest::new("meter", "k", 3200 * MS));
     let busy = GatewayEvent::Busy(Some(Duration::from_secs(20)));
-    pool.handle(at(5), Event::Heard(id, Attempt(1), Ok(busy)), &mut out);
-    let text = pool.learnt(at(5)).encode(77_000).unwrap();
-    let (learnt, ago) = Learnt::decode(&text, 82_000).unwrap().unwrap();
+    pool.handle(at(5), PoolEvent::Received(id, Attempt(1), Ok(busy)), &mut out);
+    let text = pool.server_cache(at(5)).encode(77_000).unwrap();
+    let (learnt, ago) = ServerCache::decode(&text, 82_000).unwrap().unwrap();
     assert_eq!(ago, Duration::from_secs(5));
 
-    let mut next = Pool::new(Settings::default(), 8).unwrap();
-    next.handle(at(0), Event::Addresses(vec![address(0)]), &mut out);
-    next.recall(at(0), &learnt, ago);
+    let mut next = SessionPool::new(Settings::default(), 8).unwrap();
+    next.handle(at(0), PoolEvent::AddressesChanged(vec![address(0)]), &mut out);
+    next.restore_cache(at(0), &learnt, ago);
     out.clear();
-    let id = next.open(at(0), Wish::new("meter", "k", 3200 * MS), &mut out);
-    assert_eq!(out, [Effect::End(id, GaveUp::Refused { come_back: Duration::from_secs(15) })]);
+    let id = next.open(at(0), SessionRequest::new("meter", "k", 3200 * MS), &mut out);
+    assert_eq!(
+        out,
+        [PoolCommand::EndSession(id, GiveUpReason::Rejected { retry_after: Duration::from_secs(15) })]
+    );
 
     // A clock that went back, a file from long ago, one from another version, and garbage of all kinds.
-    assert_eq!(Learnt::decode(&text, 0).unwrap().unwrap().1, Duration::ZERO);
-    assert!(Learnt::decode(&text, 77_000 + 700_000).unwrap().is_none());
+    assert_eq!(ServerCache::decode(&text, 0).unwrap().unwrap().1, Duration::ZERO);
+    assert!(ServerCache::decode(&text, 77_000 + 700_000).unwrap().is_none());
     let other = String::from_utf8(text.clone()).unwrap().replace("\"version\":1", "\"version\":2");
-    assert!(matches!(Learnt::decode(other.as_bytes(), 0), Err(LearntError::Version(2))));
+    assert!(matches!(ServerCache::decode(other.as_bytes(), 0), Err(ServerCacheError::UnsupportedVersion(2))));
     for cut in 0..text.len() {
-        assert!(Learnt::decode(&text[..cut], 0).is_err(), "a prefix of {cut} bytes");
+        assert!(ServerCache::decode(&text[..cut], 0).is_err(), "a prefix of {cut} bytes");
     }
-    let absurd = Learnt {
+    let absurd = ServerCache {
         tokens: 1e5,
-        holds: vec![Held { site: "site".into(), class: "meter".into(), ms: u64::MAX }],
-        failing: vec![],
+        rejections: vec![CachedRejection {
+            site: "site".into(),
+            class: "meter".into(),
+            remaining_ms: u64::MAX,
+        }],
+        failures: vec![],
     };
-    let mut third = Pool::new(Settings::default(), 8).unwrap();
-    third.handle(at(0), Event::Addresses(vec![address(0)]), &mut out);
-    third.recall(at(0), &absurd, Duration::ZERO);
-    assert!(third.budget() <= Settings::default().budget_first, "no retries out of a file");
+    let mut third = SessionPool::new(Settings::default(), 8).unwrap();
+    third.handle(at(0), PoolEvent::AddressesChanged(vec![address(0)]), &mut out);
+    third.restore_cache(at(0), &absurd, Duration::ZERO);
+    assert!(third.retry_budget() <= Settings::default().budget_first, "no retries out of a file");
     out.clear();
-    let id = third.open(at(0), Wish::new("meter", "k", 3200 * MS), &mut out);
-    assert_eq!(out, [Effect::End(id, GaveUp::Refused { come_back: Settings::default().busy_most })]);
+    let id = third.open(at(0), SessionRequest::new("meter", "k", 3200 * MS), &mut out);
+    assert_eq!(
+        out,
+        [PoolCommand::EndSession(id, GiveUpReason::Rejected { retry_after: Settings::default().busy_most })]
+    );
 }
 
 /// Sessions of their own processes, all cut at one moment: when each reaches the balancer again.
-fn arrivals(count: u64, seed: impl Fn(u64) -> u64, drop: Event) -> HashMap<u64, u32> {
+fn arrivals(count: u64, seed: impl Fn(u64) -> u64, drop: PoolEvent) -> HashMap<u64, u32> {
     let mut slots = HashMap::new();
     for number in 0..count {
-        let (mut pool, mut out) = (Pool::new(Settings::default(), seed(number)).unwrap(), Vec::new());
-        pool.handle(at(0), Event::Addresses(vec![address(0), address(2)]), &mut out);
-        let id = pool.open(at(0), Wish::new("meter", format!("meter-{number}"), 3200 * MS), &mut out);
-        pool.handle(at(0), Event::Connected(id, Attempt(1)), &mut out);
-        pool.handle(at(0), Event::Heard(id, Attempt(1), up()), &mut out);
+        let (mut pool, mut out) = (SessionPool::new(Settings::default(), seed(number)).unwrap(), Vec::new());
+        pool.handle(at(0), PoolEvent::AddressesChanged(vec![address(0), address(2)]), &mut out);
+        let id =
+            pool.open(at(0), SessionRequest::new("meter", format!("meter-{number}"), 3200 * MS), &mut out);
+        pool.handle(at(0), PoolEvent::Connected(id, Attempt(1)), &mut out);
+        pool.handle(at(0), PoolEvent::Received(id, Attempt(1), up()), &mut out);
         out.clear();
         let cut = match drop {
-            Event::Ended(..) => Event::Ended(id, Attempt(1), None),
-            _ => Event::Heard(id, Attempt(1), Ok(GatewayEvent::Move)),
+            PoolEvent::ConnectionEnded(..) => PoolEvent::ConnectionEnded(id, Attempt(1), None),
+            _ => PoolEvent::Received(id, Attempt(1), Ok(GatewayEvent::Move)),
         };
         pool.handle(at(10_000), cut, &mut out);
-        pool.handle(at(10_000), Event::Closed(id, Attempt(1)), &mut out);
+        pool.handle(at(10_000), PoolEvent::SocketClosed(id, Attempt(1)), &mut out);
         out.clear();
-        while !out.iter().any(|effect| matches!(effect, Effect::Dial { .. })) {
+        while !out.iter().any(|effect| matches!(effect, PoolCommand::Connect { .. })) {
             let wake = pool.next_wake().expect("it returns");
-            pool.handle(wake, Event::Time, &mut out);
-            if out.iter().any(|effect| matches!(effect, Effect::Dial { .. })) {
-                *slots.entry(wake.since(at(10_000)).as_millis() as u64 / 100).or_default() += 1;
+            pool.handle(wake, PoolEvent::TimerFired, &mut out);
+            if out.iter().any(|effect| matches!(effect, PoolCommand::Connect { .. })) {
+                *slots.entry(wake.duration_since(at(10_000)).as_millis() as u64 / 100).or_default() += 1;
             }
         }
     }
@@ -562,8 +614,8 @@
 
 #[test]
 fn a_mass_return_is_no_wave_even_from_equal_seeds() {
-    let broken = Event::Ended(SessionId(1), Attempt(1), None);
-    let moved = Event::Heard(SessionId(1), Attempt(1), Ok(GatewayEvent::Move));
+    let broken = PoolEvent::ConnectionEnded(SessionId(1), Attempt(1), None);
+    let moved = PoolEvent::Received(SessionId(1), Attempt(1), Ok(GatewayEvent::Move));
     for (drop, least, slots_of) in [(broken, 35, 40.0), (moved, 20, 25.0)] {
         let slots = arrivals(10_000, |_| 42, drop);
         let span = slots.keys().max().unwrap() - slots.keys().min().unwrap();
@@ -579,19 +631,20 @@
     let (mut first, mut then) = (BTreeMap::new(), BTreeMap::new());
     for number in 0..devices {
         let settings = Settings { zone: zone.map(str::to_owned), ..Settings::default() };
-        let (mut pool, mut out) = (Pool::new(settings, 42).unwrap(), Vec::new());
-        pool.handle(at(0), Event::Addresses((0..6).map(address).collect()), &mut out);
-        let id = pool.open(at(0), Wish::new("meter", format!("meter-{number}"), 3200 * MS), &mut out);
-        let port = |out: &[Effect]| match out.last() {
-            Some(Effect::Dial { at, .. }) => at.port() - 4000,
+        let (mut pool, mut out) = (SessionPool::new(settings, 42).unwrap(), Vec::new());
+        pool.handle(at(0), PoolEvent::AddressesChanged((0..6).map(address).collect()), &mut out);
+        let id =
+            pool.open(at(0), SessionRequest::new("meter", format!("meter-{number}"), 3200 * MS), &mut out);
+        let port = |out: &[PoolCommand]| match out.last() {
+            Some(PoolCommand::Connect { gateway: at, .. }) => at.port() - 4000,
             other => panic!("{other:?}"),
         };
         let begun = port(&out);
         *first.entry(begun).or_default() += 1;
-        pool.handle(at(1), Event::ConnectFailed(id, Attempt(1)), &mut out);
-        while !matches!(out.last(), Some(Effect::Dial { attempt: Attempt(2), .. })) {
+        pool.handle(at(1), PoolEvent::ConnectFailed(id, Attempt(1)), &mut out);
+        while !matches!(out.last(), Some(PoolCommand::Connect { attempt: Attempt(2), .. })) {
             let wake = pool.next_wake().expect("it tries again");
-            pool.handle(wake, Event::Time, &mut out);
+            pool.handle(wake, PoolEvent::TimerFired, &mut out);
         }
         *then.entry((begun, port(&out))).or_default() += 1;
     }
