--- a/crates/ashtide-client/tests/peers.rs
+++ b/crates/ashtide-client/tests/peers.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ashtide_client::{
-    Address, Client, GaveUp, Learnt, Loss, SendError, Session, SessionEvent, Setback, Settings, Wish,
+    Address, AttemptFailure, Client, ConnectionLoss, GiveUpReason, SendError, ServerCache, Session,
+    SessionEvent, SessionRequest, Settings,
 };
 use ashtide_protocol::PeerFault;
 use futures_util::SinkExt;
@@ -34,8 +35,8 @@
     Client::builder().addresses([Address::new(at)]).settings(settings).build().unwrap()
 }
 
-fn wish() -> Wish {
-    Wish { returns: false, ..Wish::new("meter", "meter-1", Duration::from_secs(2)) }
+fn wish() -> SessionRequest {
+    SessionRequest { reconnects: false, ..SessionRequest::new("meter", "meter-1", Duration::from_secs(2)) }
 }
 
 /// Reads the request and answers these bytes in these pieces; then ends, or says nothing.
@@ -55,29 +56,38 @@
     }
 }
 
-async fn connect(bytes: &'static [u8], piece: usize, ends: bool) -> Result<Session, GaveUp> {
+async fn connect(bytes: &'static [u8], piece: usize, ends: bool) -> Result<Session, GiveUpReason> {
     let client = peer(move |stream| script(stream, bytes.to_vec(), piece, ends)).await;
     timeout(STEP, client.connect(wish())).await.expect("no hang").map_err(|error| error.0)
 }
 
-fn tries(last: Setback) -> Option<GaveUp> {
-    Some(GaveUp::Tries { tries: 1, last })
+fn tries(last: AttemptFailure) -> Option<GiveUpReason> {
+    Some(GiveUpReason::AttemptsExhausted { attempts: 1, last })
 }
 
 #[test]
 fn every_bad_answer_has_a_name() {
     play(async {
-        assert_eq!(connect(b"", 1, true).await.err(), tries(Setback::Broke));
-        assert_eq!(connect(b"", 1, false).await.err(), Some(GaveUp::Deadline { last: Setback::Silent }));
-        assert_eq!(connect(b"ERR\r\n", 2, true).await.err(), tries(Setback::Failed));
-        assert_eq!(connect(b"\xff\xfe\r\n", 9, true).await.err(), tries(Setback::Failed));
-        assert_eq!(connect(b"UP rec", 4, true).await.err(), tries(Setback::Fault(PeerFault::Torn)));
-        assert_eq!(connect(&[b'x'; 5000], 700, false).await.err(), tries(Setback::Fault(PeerFault::TooLong)));
+        assert_eq!(connect(b"", 1, true).await.err(), tries(AttemptFailure::ConnectionLost));
+        assert_eq!(
+            connect(b"", 1, false).await.err(),
+            Some(GiveUpReason::DeadlineExceeded { last: AttemptFailure::TimedOut })
+        );
+        assert_eq!(connect(b"ERR\r\n", 2, true).await.err(), tries(AttemptFailure::Failed));
+        assert_eq!(connect(b"\xff\xfe\r\n", 9, true).await.err(), tries(AttemptFailure::Failed));
+        assert_eq!(
+            connect(b"UP rec", 4, true).await.err(),
+            tries(AttemptFailure::ProtocolViolation(PeerFault::Torn))
+        );
+        assert_eq!(
+            connect(&[b'x'; 5000], 700, false).await.err(),
+            tries(AttemptFailure::ProtocolViolation(PeerFault::TooLong))
+        );
         let refused = connect(b"BUSY 90\r\nUP late\r\nBUSY 0\r\n", 99, false).await.err();
-        assert_eq!(refused, Some(GaveUp::Refused { come_back: Duration::from_millis(90) }));
+        assert_eq!(refused, Some(GiveUpReason::Rejected { retry_after: Duration::from_millis(90) }));
         assert_eq!(
             connect(b"BUSY soon\r\n", 1, true).await.err(),
-            Some(GaveUp::Refused { come_back: Duration::ZERO })
+            Some(GiveUpReason::Rejected { retry_after: Duration::ZERO })
         );
     });
 }
@@ -92,7 +102,10 @@
             while let Some(event) = timeout(STEP, session.next_event()).await.expect("no hang") {
                 rest.push(event);
             }
-            assert_eq!(rest, [SessionEvent::Line("first".into()), SessionEvent::Ended(GaveUp::Served)]);
+            assert_eq!(
+                rest,
+                [SessionEvent::Line("first".into()), SessionEvent::Ended(GiveUpReason::Completed)]
+            );
         }
     });
 }
@@ -109,7 +122,9 @@
         // The answer may be read before or after the request is written: then it cannot be told from one.
         match timeout(STEP, client.connect(wish())).await.expect("no hang") {
             Ok(_) => {}
-            Err(error) => assert_eq!(Some(error.0), tries(Setback::Fault(PeerFault::Unasked))),
+            Err(error) => {
+                assert_eq!(Some(error.0), tries(AttemptFailure::ProtocolViolation(PeerFault::Unasked)))
+            }
         }
     });
 }
@@ -118,16 +133,20 @@
 fn what_breaks_the_protocol_later_ends_the_connection() {
     play(async {
         for (bytes, why) in [
-            (&b"UP a\r\nUP b\r\n"[..], Loss::Broke(Some(PeerFault::UpTwice))),
-            (b"UP a\r\nhalf a li", Loss::Broke(Some(PeerFault::Torn))),
-            (b"UP a\r\nMOVE\r\nmore\r\n", Loss::Moved),
+            (&b"UP a\r\nUP b\r\n"[..], ConnectionLoss::Broken(Some(PeerFault::UpTwice))),
+            (b"UP a\r\nhalf a li", ConnectionLoss::Broken(Some(PeerFault::Torn))),
+            (b"UP a\r\nMOVE\r\nmore\r\n", ConnectionLoss::Migrated),
         ] {
             let client = peer(move |stream| script(stream, bytes.to_vec(), 64, true)).await;
-            let mut session = client.connect(Wish { returns: true, ..wish() }).await.expect("it is up");
+            let mut session =
+                client.connect(SessionRequest { reconnects: true, ..wish() }).await.expect("it is up");
             let event = timeout(STEP, session.next_event()).await.expect("no hang");
             match why {
-                Loss::Moved => assert_eq!(event, Some(SessionEvent::Moved)),
-                why => assert_eq!(event, Some(SessionEvent::Broken { why, cut: None })),
+                ConnectionLoss::Migrated => assert_eq!(event, Some(SessionEvent::Migrated)),
+                why => assert_eq!(
+                    event,
+                    Some(SessionEvent::Disconnected { reason: why, interrupted_line: None })
+                ),
             }
         }
     });
@@ -145,7 +164,8 @@
             drop(stream);
         })
         .await;
-        let mut session = client.connect(Wish { returns: true, ..wish() }).await.expect("it is up");
+        let mut session =
+            client.connect(SessionRequest { reconnects: true, ..wish() }).await.expect("it is up");
         let line = vec![b'x'; 4000];
         let stuck = async {
             loop {
@@ -157,8 +177,13 @@
         };
         timeout(STEP, stuck).await.expect("the queue fills, and no more is taken");
         let event = timeout(STEP, session.next_event()).await.expect("no hang");
-        let Some(SessionEvent::Broken { why, cut }) = event else { panic!("{event:?}") };
-        assert_eq!((why, cut.as_deref()), (Loss::Broke(Some(PeerFault::Stalled)), Some(&line[..])));
+        let Some(SessionEvent::Disconnected { reason: why, interrupted_line: cut }) = event else {
+            panic!("{event:?}")
+        };
+        assert_eq!(
+            (why, cut.as_deref()),
+            (ConnectionLoss::Broken(Some(PeerFault::Stalled)), Some(&line[..]))
+        );
     });
 }
 
@@ -197,7 +222,7 @@
             assert_eq!(event, Some(SessionEvent::Line(format!("{number:0>1000}").into())));
         }
         let end = timeout(STEP, session.next_event()).await.expect("no hang");
-        assert_eq!(end, Some(SessionEvent::Ended(GaveUp::Served)));
+        assert_eq!(end, Some(SessionEvent::Ended(GiveUpReason::Completed)));
         assert_eq!(session.next_event().await, None);
     });
 }
@@ -206,8 +231,8 @@
 fn what_cannot_be_a_line_is_refused_before_it_is_sent() {
     play(async {
         let mut session = connect(b"UP a\r\n", 9, false).await.expect("it is up");
-        assert_eq!(session.send(b"two\r\nlines").await, Err(SendError::Form));
-        assert_eq!(session.send(b"").await, Err(SendError::Form));
+        assert_eq!(session.send(b"two\r\nlines").await, Err(SendError::InvalidLine));
+        assert_eq!(session.send(b"").await, Err(SendError::InvalidLine));
         assert_eq!(session.send(&[b'x'; 4095]).await, Err(SendError::TooLong(4095)));
         assert_eq!(SinkExt::send(&mut session, "fine".into()).await, Ok(()));
     });
@@ -228,7 +253,7 @@
         let file = std::env::temp_dir().join(format!("ashtide-client-{}.json", std::process::id()));
         // A file that cannot be used is left out.
         std::fs::write(&file, b"{\"version\":1,").unwrap();
-        let build = || Client::builder().addresses([Address::new(at)]).state(&file).build().unwrap();
+        let build = || Client::builder().addresses([Address::new(at)]).cache_file(&file).build().unwrap();
         let client = build();
         client.connect(wish()).await.expect_err("refused");
         assert_eq!(knocks.load(Ordering::Relaxed), 1);
@@ -236,18 +261,18 @@
         let written = async {
             loop {
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-                if let Ok(Some((learnt, _))) = Learnt::read(&file, now.as_millis() as u64) {
+                if let Ok(Some((learnt, _))) = ServerCache::read(&file, now.as_millis() as u64) {
                     return learnt;
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
         let learnt = timeout(STEP, written).await.expect("the state is written at the end");
-        assert_eq!(learnt.holds.len(), 1, "{learnt:?}");
+        assert_eq!(learnt.rejections.len(), 1, "{learnt:?}");
         let again = build();
         for _ in 0..5 {
             let refused = again.connect(wish()).await.expect_err("it knows that nobody is taken yet");
-            assert!(matches!(refused.0, GaveUp::Refused { .. }), "{refused}");
+            assert!(matches!(refused.0, GiveUpReason::Rejected { .. }), "{refused}");
         }
         assert_eq!(knocks.load(Ordering::Relaxed), 1, "and does not ask");
         std::fs::remove_file(&file).unwrap();
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use ashtide_client::{Address, Client, SessionEvent, Settings, Wish};
+use ashtide_client::{Address, Client, SessionEvent, SessionRequest, Settings};
 use tokio::net::UdpSocket;
 use tokio::time::{Duration, Instant};
 
@@ -753,7 +753,8 @@
     let options = Options { sockets: 2 * DEVICES + 128, ..Options::default() };
     let mut first = Daemon::start(program, &fleet, &options).await?;
     let mut second = Daemon::start(program, &fleet, &options).await?;
-    let zone = |at, zone: &str| Address { at, zone: zone.to_owned(), site: "rehearsal".to_owned() };
+    let zone =
+        |at, zone: &str| Address { socket_addr: at, zone: zone.to_owned(), site: "rehearsal".to_owned() };
     let addresses = [zone(first.lines, "near"), zone(second.lines, "far")];
     // Opened a moment ago, and so a quick break in the library's eyes: it would spread them wider still.
     let settings =
@@ -762,7 +763,7 @@
     for number in 0..DEVICES {
         let builder = Client::builder().addresses(addresses.clone()).settings(settings.clone());
         let client = builder.build().map_err(|_| RehearsalError::Late("a client"))?;
-        let wish = Wish::new("meter", format!("device-{number}"), Duration::from_secs(3));
+        let wish = SessionRequest::new("meter", format!("device-{number}"), Duration::from_secs(3));
         sessions.push(client.connect(wish).await.map_err(|_| RehearsalError::Late("a session"))?);
     }
     let before = fleet.ledger.arrivals().len();
@@ -772,7 +773,7 @@
     let returns = sessions.iter_mut().map(|session| async move {
         loop {
             match session.next_event().await {
-                Some(SessionEvent::Up { .. }) => return true,
+                Some(SessionEvent::Connected { .. }) => return true,
                 Some(SessionEvent::Ended(_)) | None => return false,
                 Some(_) => {}
             }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -5,7 +5,10 @@
 use std::time::Duration;
 
 use ashtide::discovery::EndpointStatus;
-use ashtide_client::{Address, Client, GaveUp, Loss, Session, SessionEvent, Setback, Settings, Wish};
+use ashtide_client::{
+    Address, AttemptFailure, Client, ConnectionLoss, GiveUpReason, Session, SessionEvent, SessionRequest,
+    Settings,
+};
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::fleet::{Fleet, Mood};
 use ashtide_testkit::relay::{Relay, Weather};
@@ -36,8 +39,8 @@
     Client::builder().addresses(addresses).settings(settings).build().expect("a client")
 }
 
-fn wish(number: usize) -> Wish {
-    Wish::new("meter", format!("meter-{number}"), Duration::from_millis(2500))
+fn wish(number: usize) -> SessionRequest {
+    SessionRequest::new("meter", format!("meter-{number}"), Duration::from_millis(2500))
 }
 
 async fn sessions(client: &Client, count: usize) -> Vec<Session> {
@@ -62,8 +65,8 @@
 }
 
 async fn stands_again(session: &mut Session) {
-    let event = until(session, |event| matches!(event, SessionEvent::Up { .. })).await;
-    assert!(matches!(event, SessionEvent::Up { again: true, .. }), "{event:?}");
+    let event = until(session, |event| matches!(event, SessionEvent::Connected { .. })).await;
+    assert!(matches!(event, SessionEvent::Connected { reconnected: true, .. }), "{event:?}");
 }
 
 async fn echoes(session: &mut Session, line: &str) {
@@ -93,7 +96,7 @@
         // All that were there have come back, marked, and were placed once more each.
         let back = wait_for(&fleet, before + there as usize).await;
         assert_eq!(back.iter().filter(|arrival| arrival.again).count() as u64, there);
-        assert_eq!((client.figures().await.0.moved, fleet.ledger.overlapping()), (there, 0));
+        assert_eq!((client.metrics().await.0.moved, fleet.ledger.overlapping()), (there, 0));
         assert_eq!(fleet.servers[0].seen.offered.load(std::sync::atomic::Ordering::Relaxed), there);
     });
 }
@@ -134,16 +137,16 @@
         let (first, second) = (daemon(&fleet).await, daemon(&fleet).await);
         let client = client(&[first.lines], swift());
         let mut all = sessions(&client, 16).await;
-        client.addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
+        client.set_addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
         first.terminate().unwrap();
         for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Moved)).await;
-            assert_eq!(event, SessionEvent::Moved);
+            let event = until(session, |event| matches!(event, SessionEvent::Migrated)).await;
+            assert_eq!(event, SessionEvent::Migrated);
             stands_again(session).await;
             echoes(session, "still here").await;
         }
         assert_eq!(first.end().await.unwrap().0.code(), Some(0));
-        let figures = client.figures().await.0;
+        let figures = client.metrics().await.0;
         assert_eq!((figures.moved, figures.broken, fleet.ledger.overlapping()), (16, 0, 0));
     });
 }
@@ -155,16 +158,19 @@
         let (mut first, second) = (daemon(&fleet).await, daemon(&fleet).await);
         let client = client(&[first.lines], swift());
         let mut all = sessions(&client, 16).await;
-        client.addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
+        client.set_addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
         first.kill().await.unwrap();
         for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
-            assert!(matches!(event, SessionEvent::Broken { why: Loss::Broke(None), .. }), "{event:?}");
+            let event = until(session, |event| matches!(event, SessionEvent::Disconnected { .. })).await;
+            assert!(
+                matches!(event, SessionEvent::Disconnected { reason: ConnectionLoss::Broken(None), .. }),
+                "{event:?}"
+            );
             stands_again(session).await;
         }
-        let figures = client.figures().await.0;
+        let figures = client.metrics().await.0;
         assert_eq!((figures.broken, fleet.ledger.overlapping()), (16, 0));
-        assert!(figures.unreached <= 3, "one or two find out, the others are spared: {figures:?}");
+        assert!(figures.connect_failures <= 3, "one or two find out, the others are spared: {figures:?}");
     });
 }
 
@@ -191,8 +197,8 @@
             assert_eq!(timeout(STEP, end).await.expect("an end").unwrap(), 1);
         }
         assert!(begun.elapsed() < Duration::from_millis(2500 + 3000), "{:?}", begun.elapsed());
-        let (figures, open) = client.figures().await;
-        assert_eq!((figures.up, figures.ended, open, fleet.ledger.overlapping()), (0, 12, 0, 0));
+        let (figures, open) = client.metrics().await;
+        assert_eq!((figures.established, figures.ended, open, fleet.ledger.overlapping()), (0, 12, 0, 0));
     });
 }
 
@@ -207,16 +213,21 @@
         for refused in all {
             let refused = refused.expect_err("nobody is taken");
             assert!(
-                matches!(refused.0, GaveUp::Refused { .. } | GaveUp::Budget { .. } | GaveUp::Deadline { .. }),
+                matches!(
+                    refused.0,
+                    GiveUpReason::Rejected { .. }
+                        | GiveUpReason::RetryBudgetExhausted { .. }
+                        | GiveUpReason::DeadlineExceeded { .. }
+                ),
                 "{refused}"
             );
         }
-        let figures = client.figures().await.0;
+        let figures = client.metrics().await.0;
         // Twenty first tries pay for four retries, and there were two at the start.
-        assert!(figures.first_tries + figures.retries <= 26, "{figures:?}");
+        assert!(figures.first_attempts + figures.retries <= 26, "{figures:?}");
         assert_eq!(fleet.ledger.overlapping(), 0);
         fleet.servers.iter().for_each(|server| server.mood(Mood::Well));
-        let later = Wish { wait: Duration::from_secs(15), ..wish(99) };
+        let later = SessionRequest { timeout: Duration::from_secs(15), ..wish(99) };
         client.connect(later).await.expect("who waits is served once they are well");
     });
 }
@@ -232,17 +243,17 @@
         let nobody = dead.local_addr().unwrap();
         let client = client(&[nobody, daemon.lines], swift());
         let _all = sessions(&client, 8).await;
-        let figures = client.figures().await.0;
-        assert_eq!((figures.up, fleet.ledger.overlapping()), (8, 0));
-        assert!(figures.unreached <= 6, "{figures:?}");
+        let figures = client.metrics().await.0;
+        assert_eq!((figures.established, fleet.ledger.overlapping()), (8, 0));
+        assert!(figures.connect_failures <= 6, "{figures:?}");
         let alone = Client::builder().addresses([Address::new(nobody)]).settings(swift()).build().unwrap();
         let Err(refused) = alone.connect(wish(9)).await else { panic!("nobody is there") };
         assert!(
             matches!(
                 refused.0,
-                GaveUp::NoAddress { .. }
-                    | GaveUp::Tries { last: Setback::Unreached, .. }
-                    | GaveUp::Deadline { .. }
+                GiveUpReason::NoAvailableAddress { .. }
+                    | GiveUpReason::AttemptsExhausted { last: AttemptFailure::ConnectFailed, .. }
+                    | GiveUpReason::DeadlineExceeded { .. }
             ),
             "{refused}"
         );
@@ -259,25 +270,28 @@
         let mut all = sessions(&client, 16).await;
         relay.weather(Weather::Storm);
         for session in &mut all {
-            until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
+            until(session, |event| matches!(event, SessionEvent::Disconnected { .. })).await;
         }
         relay.weather(Weather::Fair);
         for session in &mut all {
             stands_again(session).await;
             echoes(session, "after the storm").await;
         }
-        assert_eq!(client.figures().await.0.broken, 16);
+        assert_eq!(client.metrics().await.0.broken, 16);
 
         // The device hears that the network is gone before any connection does.
         relay.weather(Weather::Fog);
         client.network_lost().await;
         for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
-            assert!(matches!(event, SessionEvent::Broken { why: Loss::Offline, .. }), "{event:?}");
+            let event = until(session, |event| matches!(event, SessionEvent::Disconnected { .. })).await;
+            assert!(
+                matches!(event, SessionEvent::Disconnected { reason: ConnectionLoss::Offline, .. }),
+                "{event:?}"
+            );
         }
         let during = fleet.ledger.arrivals().len();
         relay.weather(Weather::Fair);
-        client.network_back().await;
+        client.network_restored().await;
         for session in &mut all {
             stands_again(session).await;
             echoes(session, "after the fog").await;
@@ -302,12 +316,12 @@
         }
         drop(session);
         let none = async {
-            while client.figures().await.1 > 0 {
+            while client.metrics().await.1 > 0 {
                 tokio::task::yield_now().await;
             }
         };
         timeout(STEP, none).await.expect("no session is left");
         // Its last handle gone, the client's task ends, and what it knew is not needed any more.
-        assert_eq!(client.figures().await.0.ended, 6);
+        assert_eq!(client.metrics().await.0.ended, 6);
     });
 }
