--- a/crates/ashtide-client/src/budget.rs
+++ b/crates/ashtide-client/src/budget.rs
@@ -76,7 +76,8 @@
         let second = now.as_micros() / Self::WINDOW.as_micros() as u64;
         if second != self.window {
             self.in_previous_window = if second == self.window + 1 { self.in_window } else { 0 };
-            (self.window, self.in_window) = (second, 0);
+            self.window = second;
+            self.in_window = 0;
         }
     }
 
--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -17,7 +17,7 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::sync::CancellationToken;
 
-use crate::driver::SessionEvent;
+use crate::event::SessionEvent;
 use crate::pool::PoolEvent;
 use crate::{Attempt, GiveUpReason, SessionId};
 
@@ -242,7 +242,8 @@
                 let event = match event {
                     SessionEvent::Connected { .. } => {
                         if let Socket::Open(connection) = &mut socket {
-                            (connection.standing, connection.paused) = (true, false);
+                            connection.standing = true;
+                            connection.paused = false;
                         }
                         event
                     }
@@ -373,6 +374,8 @@
     }
 
     fn begin(&mut self, line: Bytes) {
-        (self.whole, self.writing, self.taken) = (line.clone(), line, Instant::now());
+        self.whole = line.clone();
+        self.writing = line;
+        self.taken = Instant::now();
     }
 }
--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -19,11 +19,9 @@
 use tokio_util::sync::{CancellationToken, PollSender};
 
 use crate::connection::{self, Command, Link};
+use crate::event::{SessionEvent, session_event};
 use crate::pool::{Metrics, PoolCommand, PoolEvent, SessionPool};
-use crate::{
-    Address, ConnectionLoss, GiveUpReason, ServerCache, SessionId, SessionNotification, SessionRequest,
-    Settings, SettingsError, clock,
-};
+use crate::{Address, GiveUpReason, ServerCache, SessionId, SessionRequest, Settings, SettingsError, clock};
 
 /// Lines each way that may wait between an application and its session.
 pub const MAX_QUEUED_LINES: usize = 64;
@@ -37,46 +35,6 @@
 /// What was learnt is written at most so often.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an application hears of its session, in order.
-#[derive(Debug, Clone, PartialEq)]
-pub enum SessionEvent {
-    /// A line of the server's, without its CRLF.
-    Line(Bytes),
-    /// The connection stands, or stands again.
-    Connected {
-        /// By which balancer.
-        gateway: std::net::SocketAddr,
-        /// The server's receipt.
-        receipt: Bytes,
-        /// Attempts that it took.
-        attempts: u32,
-        /// Whether the session had stood before.
-        reconnected: bool,
-    },
-    /// The balancer sent the client away; the session returns.
-    Migrated,
-    /// The connection broke, or the network went; the session returns.
-    Disconnected {
-        /// What happened.
-        reason: ConnectionLoss,
-        /// A line that was being written; the server may have it or not.
-        interrupted_line: Option<Bytes>,
-    },
-    /// It tries to come back after this time.
-    Reconnecting(Duration),
-    /// An attempt came to nothing, and another follows.
-    Retrying {
-        /// What became of it.
-        last: crate::AttemptFailure,
-        /// The wait until the next.
-        delay: Duration,
-    },
-    /// The application did not read for so long that so many notices were left out here.
-    MissedNotifications(u64),
-    /// The session is over. Nothing follows.
-    Ended(GiveUpReason),
-}
-
 /// Why no client could be built.
 #[derive(Debug, thiserror::Error)]
 pub enum BuildError {
@@ -499,17 +457,3 @@
         self.saved.1 = learnt;
     }
 }
-
-fn session_event(notice: SessionNotification) -> SessionEvent {
-    match notice {
-        SessionNotification::Connected { gateway: at, receipt, attempts: tries, reconnected: again } => {
-            SessionEvent::Connected { gateway: at, receipt, attempts: tries, reconnected: again }
-        }
-        SessionNotification::Disconnected(ConnectionLoss::Migrated) => SessionEvent::Migrated,
-        SessionNotification::Disconnected(why) => {
-            SessionEvent::Disconnected { reason: why, interrupted_line: None }
-        }
-        SessionNotification::Reconnecting { delay: after } => SessionEvent::Reconnecting(after),
-        SessionNotification::Retrying { last, delay: after } => SessionEvent::Retrying { last, delay: after },
-    }
-}
--- a/crates/ashtide-client/src/lib.rs
+++ b/crates/ashtide-client/src/lib.rs
@@ -37,24 +37,24 @@
 //!   MS is over, unless that is more than [`Settings::busy_most`].
 //! - Retries are no more than the budget has been paid for ([`Settings::budget_ratio`] of first tries).
 
-mod address;
 mod budget;
 mod clock;
 mod connection;
 mod driver;
-mod learnt;
-mod moment;
+mod event;
+mod instant;
 mod pool;
+mod selection;
+mod server_cache;
 mod session;
 mod settings;
 
-pub use address::{Address, MAX_ADDRESSES, MAX_REJECTIONS};
-pub use driver::{
-    BuildError, Builder, Client, ConnectError, MAX_QUEUED_LINES, SendError, Session, SessionEvent,
-};
-pub use learnt::{CachedFailure, CachedRejection, ServerCache, ServerCacheError};
-pub use moment::{Instant, TICK};
+pub use driver::{BuildError, Builder, Client, ConnectError, MAX_QUEUED_LINES, SendError, Session};
+pub use event::SessionEvent;
+pub use instant::{Instant, TICK};
 pub use pool::{DISCONNECT_COLLECTION_WINDOW, Metrics, PoolCommand, PoolEvent, SessionPool};
+pub use selection::{Address, MAX_ADDRESSES, MAX_REJECTIONS};
+pub use server_cache::{CachedFailure, CachedRejection, ServerCache, ServerCacheError};
 pub use session::{
     Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, SessionId, SessionNotification, SessionRequest,
 };
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::address::{AddressBook, Selection};
 use crate::budget::{DisconnectCounter, RetryBudget};
-use crate::learnt::{CachedFailure, CachedRejection, ServerCache};
+use crate::selection::{AddressBook, Selection};
+use crate::server_cache::{CachedFailure, CachedRejection, ServerCache};
 use crate::session::{AfterClose, Session, SessionState};
 use crate::{
     Address, Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, Instant, SessionId, SessionNotification,
@@ -52,7 +52,7 @@
 /// What a driver is to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoolCommand {
-    /// Connect there and report [`Event::Connected`] or [`Event::ConnectFailed`].
+    /// Connect there and report [`PoolEvent::Connected`] or [`PoolEvent::ConnectFailed`].
     Connect {
         /// For which session.
         session: SessionId,
@@ -70,7 +70,7 @@
         /// The line with its CRLF.
         line: Bytes,
     },
-    /// Close the attempt's socket, or give its dialling up, and report [`Event::Closed`].
+    /// Close the attempt's socket, or give its dialling up, and report [`PoolEvent::SocketClosed`].
     Close {
         /// Of which session.
         session: SessionId,
@@ -287,7 +287,7 @@
         }
     }
 
-    /// When the pool wants [`Event::Time`] next.
+    /// When the pool wants [`PoolEvent::TimerFired`] next.
     pub fn next_wake(&self) -> Option<Instant> {
         self.shared.timers.first().map(|&(tick, _)| Instant::from_tick(tick))
     }
@@ -510,7 +510,8 @@
                     return Outcome::Continue;
                 }
                 Selection::NoAddresses => {
-                    (session.state, session.timer) = (SessionState::NoAddresses, None);
+                    session.state = SessionState::NoAddresses;
+                    session.timer = None;
                     return Outcome::Continue;
                 }
                 Selection::Rejected(until) => (until, true),
@@ -529,7 +530,8 @@
         // All who wait for this moment would come at once: the more there are, the wider they spread.
         let crowd = Duration::from_secs_f64(self.open_sessions as f64 / self.settings.return_rate);
         let window = self.settings.retry_from.max(crowd).min(self.settings.window_most).min(left / 2);
-        (session.state, session.timer) = (SessionState::Waiting, Some(until + self.jitter(window)));
+        session.state = SessionState::Waiting;
+        session.timer = Some(until + self.jitter(window));
         Outcome::Continue
     }
 
@@ -562,7 +564,8 @@
         }
         match session.request.parameters.line(&name, wait) {
             Ok(line) => {
-                (session.state, session.timer) = (SessionState::AwaitingAnswer, Some(now + wait));
+                session.state = SessionState::AwaitingAnswer;
+                session.timer = Some(now + wait);
                 commands.push(PoolCommand::SendRequest { session: id, attempt: session.attempt, line });
                 Outcome::Continue
             }
@@ -593,7 +596,9 @@
                     attempts: session.attempts,
                     reconnected: session.established_before,
                 };
-                (session.state, session.timer, session.deadline) = (SessionState::Established, None, None);
+                session.state = SessionState::Established;
+                session.timer = None;
+                session.deadline = None;
                 (session.attempts, session.rejections, session.last_failure) =
                     (0, 0, AttemptFailure::NotAttempted);
                 session.established_at = now;
@@ -771,7 +776,8 @@
     ) -> Outcome {
         if session.state.has_socket() {
             commands.push(PoolCommand::Close { session: id, attempt: session.attempt });
-            (session.state, session.timer) = (SessionState::Closing(after), None);
+            session.state = SessionState::Closing(after);
+            session.timer = None;
             Outcome::Continue
         } else {
             self.continue_after_close(now, id, session, after, commands)
@@ -789,11 +795,13 @@
     ) -> Outcome {
         match after {
             _ if self.offline => {
-                (session.state, session.timer) = (SessionState::Offline, None);
+                session.state = SessionState::Offline;
+                session.timer = None;
                 Outcome::Continue
             }
             AfterClose::Wait(until) => {
-                (session.state, session.timer) = (SessionState::Waiting, Some(until));
+                session.state = SessionState::Waiting;
+                session.timer = Some(until);
                 Outcome::Continue
             }
             AfterClose::CollectDisconnects => {
@@ -837,7 +845,9 @@
         if let (ConnectionLoss::Broken(_), Some(at)) = (drop, session.address) {
             self.address_book.record_connection_loss(now, at);
         }
-        (session.attempts, session.rejections, session.timer) = (0, 0, None);
+        session.attempts = 0;
+        session.rejections = 0;
+        session.timer = None;
         self.disconnects.record(now);
         self.retry_budget.deposit(now);
         // Until its wait is drawn; a driver that never closes the socket must not hold it for ever.
@@ -864,7 +874,8 @@
             .reconnect_window(session.last_loss)
             .saturating_mul(1 << session.consecutive_early_losses.min(8));
         let after = self.jitter(own.max(crowd).min(self.settings.window_most));
-        (session.state, session.timer) = (SessionState::Waiting, Some(now + after));
+        session.state = SessionState::Waiting;
+        session.timer = Some(now + after);
         session.deadline = Some(now + after + self.settings.return_within);
         commands.push(PoolCommand::Notify(id, SessionNotification::Reconnecting { delay: after }));
         Outcome::Continue
@@ -959,7 +970,8 @@
             | SessionState::Waiting
             | SessionState::NoAddresses
             | SessionState::Offline => {
-                (session.state, session.timer) = (SessionState::Offline, None);
+                session.state = SessionState::Offline;
+                session.timer = None;
                 Outcome::Continue
             }
         }
@@ -978,7 +990,8 @@
             session.last_loss = ConnectionLoss::Offline;
             session.deadline = None;
             // A return that had begun begins anew: the network's going was no fault of the site.
-            (session.attempts, session.rejections) = (0, 0);
+            session.attempts = 0;
+            session.rejections = 0;
             self.disconnects.record(now);
             (session.state, session.timer) =
                 (SessionState::CollectingDisconnects, Some(now + DISCONNECT_COLLECTION_WINDOW));
@@ -1005,7 +1018,8 @@
         }
         let left = session.deadline.map_or(Duration::ZERO, |by| by.duration_since(now));
         let after = self.jitter(self.settings.break_window.min(left / 2));
-        (session.state, session.timer) = (SessionState::Waiting, Some(now + after));
+        session.state = SessionState::Waiting;
+        session.timer = Some(now + after);
         Outcome::Continue
     }
 }
--- a/crates/ashtide-client/src/address.rs
+++ b/crates/ashtide-client/src/selection.rs
@@ -212,7 +212,8 @@
             entry.consecutive_failures = entry.consecutive_failures.saturating_add(1);
             let time = from.saturating_mul(1 << (entry.consecutive_failures - 1).min(16)).min(to);
             entry.ejected_until = now + time.mul_f64(rng.random_range(0.5..1.5));
-            (entry.consecutive_errors, entry.trial_started_at) = (0, None);
+            entry.consecutive_errors = 0;
+            entry.trial_started_at = None;
         }
     }
 
@@ -273,7 +274,8 @@
 
     pub(crate) fn restore_failure(&mut self, at: SocketAddr, streak: u32, until: Instant) {
         if let Some(entry) = self.entries.get_mut(&at) {
-            (entry.consecutive_failures, entry.ejected_until) = (streak, until);
+            entry.consecutive_failures = streak;
+            entry.ejected_until = until;
         }
     }
 }
--- a/crates/ashtide-client/src/learnt.rs
+++ b/crates/ashtide-client/src/server_cache.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::MAX_ADDRESSES;
-use crate::address::MAX_REJECTIONS;
+use crate::selection::MAX_REJECTIONS;
 
 /// A larger file is not read.
 const MAX_FILE_BYTES: u64 = 256 << 10;
--- a/crates/ashtide-client/tests/compatibility.rs
+++ b/crates/ashtide-client/tests/compatibility.rs
@@ -351,7 +351,8 @@
             5 => Err(PeerFault::TooLong),
             6 => return self.after(delay, PoolEvent::ConnectionEnded(session, attempt, None)),
             7 => {
-                return self.after(delay, PoolEvent::ConnectionEnded(session, attempt, Some(PeerFault::Torn)));
+                return self
+                    .after(delay, PoolEvent::ConnectionEnded(session, attempt, Some(PeerFault::Torn)));
             }
             8 => return,
             _ => {
