--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -242,7 +242,7 @@
     }
 }
 
-/// One session: a stream of [`Event`]s and a sink of lines. Dropping it closes it.
+/// One session: a stream of [`SessionEvent`]s and a sink of lines. Dropping it closes it.
 #[derive(Debug)]
 pub struct Session {
     events: mpsc::Receiver<SessionEvent>,
@@ -255,7 +255,7 @@
 }
 
 impl Session {
-    /// The next event; none once [`Event::Ended`] has been read. Cancel-safe.
+    /// The next event; none once [`SessionEvent::Ended`] has been read. Cancel-safe.
     pub async fn next_event(&mut self) -> Option<SessionEvent> {
         std::future::poll_fn(|cx| Pin::new(&mut *self).poll_next(cx)).await
     }
