--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -1,14 +1,14 @@
-//! All sessions of a process: events in, effects commands.
+//! All sessions of a process as one state machine: events go in, commands for the driver come out.
 
 mod backoff;
+mod messages;
+mod metrics;
 mod network_change;
 
 use std::collections::{BTreeSet, HashMap};
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use ashtide_protocol::{GatewayEvent, PeerFault};
-use bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -17,114 +17,18 @@
 use crate::server_cache::{CachedFailure, CachedRejection, ServerCache};
 use crate::session::{AfterClose, Session, SessionState};
 use crate::{
-    Address, Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, Instant, SessionId, SessionNotification,
+    Attempt, AttemptFailure, ConnectionLoss, GiveUpReason, Instant, SessionId, SessionNotification,
     SessionRequest, Settings, SettingsError,
 };
 
+pub use messages::{PoolCommand, PoolEvent};
+pub use metrics::Metrics;
+
 /// A session that was dropped sees for so long how many drop with it, before it draws its wait.
 pub const DISCONNECT_COLLECTION_WINDOW: Duration = Duration::from_millis(200);
 /// Sessions without any address that wait for a list start within this time of its coming.
 const NEW_LIST_WINDOW: Duration = Duration::from_millis(500);
 
-/// What happens to a pool. Events of an attempt that is over are counted and change nothing.
-#[derive(Debug, Clone, PartialEq)]
-pub enum PoolEvent {
-    /// The connection of an attempt has come up.
-    Connected(SessionId, Attempt),
-    /// It has not; there is no socket any more.
-    ConnectFailed(SessionId, Attempt),
-    /// What the balancer said, as [`GatewaySide`](ashtide_protocol::GatewaySide) reads it. Lines of a
-    /// standing connection need not be reported. The socket is still open.
-    Received(SessionId, Attempt, Result<GatewayEvent, PeerFault>),
-    /// The connection has ended and its socket is closed; the peer's fault where there was one.
-    ConnectionEnded(SessionId, Attempt, Option<PeerFault>),
-    /// A socket that was to be closed is closed, or there was none any more.
-    SocketClosed(SessionId, Attempt),
-    /// The application wants no more of this session.
-    CloseSession(SessionId),
-    /// The device has no network.
-    NetworkLost,
-    /// It has one, perhaps another.
-    NetworkRestored,
-    /// The balancers' addresses are these from now on. Standing connections stay.
-    AddressesChanged(Vec<Address>),
-    /// Time has passed.
-    TimerFired,
-}
-
-/// What a driver is to do, in this order.
-#[derive(Debug, Clone, PartialEq)]
-pub enum PoolCommand {
-    /// Connect there and report [`PoolEvent::Connected`] or [`PoolEvent::ConnectFailed`].
-    Connect {
-        /// For which session.
-        session: SessionId,
-        /// For which attempt.
-        attempt: Attempt,
-        /// Where.
-        gateway: SocketAddr,
-    },
-    /// Write the request's line on that connection, now: its `d` counts from here.
-    SendRequest {
-        /// For which session.
-        session: SessionId,
-        /// For which attempt.
-        attempt: Attempt,
-        /// The line with its CRLF.
-        line: Bytes,
-    },
-    /// Close the attempt's socket, or give its dialling up, and report [`PoolEvent::SocketClosed`].
-    Close {
-        /// Of which session.
-        session: SessionId,
-        /// Of which attempt.
-        attempt: Attempt,
-    },
-    /// Tell the application.
-    Notify(SessionId, SessionNotification),
-    /// The session is over: tell the application, and forget it.
-    EndSession(SessionId, GiveUpReason),
-}
-
-/// Counts since the pool began.
-#[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Metrics {
-    /// Sessions asked for.
-    pub opened: u64,
-    /// First tries of sessions.
-    pub first_attempts: u64,
-    /// First tries of returns after a move or a break.
-    pub reconnects: u64,
-    /// Tries that repeat one.
-    pub retries: u64,
-    /// Connections that came up.
-    pub established: u64,
-    /// Tries refused.
-    pub rejected: u64,
-    /// Tries failed by an answer.
-    pub failed: u64,
-    /// Tries that reached nobody.
-    pub connect_failures: u64,
-    /// Tries not answered in time.
-    pub timeouts: u64,
-    /// Tries cut off before the answer.
-    pub lost_before_answer: u64,
-    /// Breaches of the protocol by peers.
-    pub protocol_violations: u64,
-    /// Standing connections moved.
-    pub moved: u64,
-    /// Standing connections broken.
-    pub broken: u64,
-    /// Sessions that ended for want of a retry in the budget.
-    pub retry_budget_exhausted: u64,
-    /// Events of attempts that were over.
-    pub late_events: u64,
-    /// Addresses passed over, as there were too many or one stood twice.
-    pub skipped_addresses: u64,
-    /// Sessions that have ended.
-    pub ended: u64,
-}
-
 /// Whether a session goes on.
 enum Outcome {
     Continue,
