--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -22,9 +22,9 @@
 use crate::{Attempt, GiveUpReason, SessionId};
 
 /// Notices that wait for an application that does not read; then the oldest go, and are counted.
-const NOTICES: usize = 16;
+const MAX_WAITING_EVENTS: usize = 16;
 /// Room for a line to begin with; lines are short, and a longer one makes more.
-const LINE_ROOM: usize = 512;
+const INITIAL_LINE_CAPACITY: usize = 512;
 
 /// What the pool's task asks of a session's.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     Dial(Attempt, SocketAddr),
     Write(Attempt, Bytes),
     Close(Attempt),
-    Tell(SessionEvent),
+    Notify(SessionEvent),
     End(GiveUpReason),
 }
 
@@ -57,7 +57,7 @@
 
 impl Waiting {
     fn push(&mut self, event: SessionEvent) {
-        if self.events.len() >= NOTICES {
+        if self.events.len() >= MAX_WAITING_EVENTS {
             // Lines are the server's word and stay; what happened to the connection is told in short.
             if let Some(at) = self.events.iter().position(|event| !matches!(event, SessionEvent::Line(_))) {
                 self.events.remove(at);
@@ -96,18 +96,18 @@
     writing: Bytes,
     whole: Bytes,
     /// When the peer last took something, while something is being written.
-    taken: Instant,
+    last_progress_at: Instant,
     /// The pool has to say something before more is read.
     paused: bool,
-    /// The pool has taken the connection for standing: the application's lines may go.
-    standing: bool,
+    /// The pool has taken the connection for established: the application's lines may go.
+    established: bool,
     /// Writing failed; what the peer said before is still to be read.
-    deaf: bool,
+    write_failed: bool,
 }
 
 /// What a session's task woke up for.
-enum Woken {
-    Gone,
+enum Wakeup {
+    HandleDropped,
     Command(Option<Command>),
     Dialled(std::io::Result<TcpStream>),
     Read(Option<Result<Bytes, LineError>>),
@@ -136,7 +136,7 @@
     }
 
     /// Hands what is left to the application, unless it goes first.
-    async fn last_words(mut self) {
+    async fn deliver_remaining(mut self) {
         while let Some(event) = self.waiting.pop() {
             tokio::select! {
                 sent = self.to_app.send(event) => if sent.is_err() {
@@ -159,21 +159,21 @@
             match &mut socket {
                 Socket::Open(connection) => {
                     let connection = &mut **connection;
-                    let stalled = connection.taken + *stall;
+                    let stalled = connection.last_progress_at + *stall;
                     let writes = !connection.writing.is_empty();
-                    let takes = connection.standing && !writes && !connection.deaf && lines;
-                    let Connection { read: reader, write, writing, paused, standing, .. } = connection;
+                    let takes = connection.established && !writes && !connection.write_failed && lines;
+                    let Connection { read: reader, write, writing, paused, established, .. } = connection;
                     // Lines wait in the socket until the application has taken the last one; answers do not.
-                    let reads = !*paused && (room || !*standing);
+                    let reads = !*paused && (room || !*established);
                     tokio::select! {
                         biased;
-                        command = commands.recv() => Woken::Command(command),
-                        () = gone.cancelled(), if !left => Woken::Gone,
-                        read = reader.next(), if reads => Woken::Read(read),
-                        wrote = write.write_buf(writing), if writes => Woken::Wrote(wrote),
-                        line = from_app.recv(), if takes => Woken::Line(line),
-                        permit = to_app.reserve(), if !room => Woken::Deliver(deliver(permit, waiting)),
-                        () = sleep_until(stalled), if writes => Woken::Stalled,
+                        command = commands.recv() => Wakeup::Command(command),
+                        () = gone.cancelled(), if !left => Wakeup::HandleDropped,
+                        read = reader.next(), if reads => Wakeup::Read(read),
+                        wrote = write.write_buf(writing), if writes => Wakeup::Wrote(wrote),
+                        line = from_app.recv(), if takes => Wakeup::Line(line),
+                        permit = to_app.reserve(), if !room => Wakeup::Deliver(deliver(permit, waiting)),
+                        () = sleep_until(stalled), if writes => Wakeup::Stalled,
                     }
                 }
                 other => {
@@ -185,39 +185,39 @@
                     };
                     tokio::select! {
                         biased;
-                        command = commands.recv() => Woken::Command(command),
-                        () = gone.cancelled(), if !left => Woken::Gone,
-                        dialled = dialling => Woken::Dialled(dialled),
-                        permit = to_app.reserve(), if !room => Woken::Deliver(deliver(permit, waiting)),
+                        command = commands.recv() => Wakeup::Command(command),
+                        () = gone.cancelled(), if !left => Wakeup::HandleDropped,
+                        dialled = dialling => Wakeup::Dialled(dialled),
+                        permit = to_app.reserve(), if !room => Wakeup::Deliver(deliver(permit, waiting)),
                     }
                 }
             }
         };
         match woken {
-            Woken::Gone => {
+            Wakeup::HandleDropped => {
                 left = true;
                 link.report(PoolEvent::CloseSession(link.id)).await;
             }
-            Woken::Deliver(delivered) => {
+            Wakeup::Deliver(delivered) => {
                 if !delivered && !left {
                     left = true;
                     link.report(PoolEvent::CloseSession(link.id)).await;
                 }
             }
-            Woken::Command(None) => {
+            Wakeup::Command(None) => {
                 link.waiting.push(SessionEvent::Ended(GiveUpReason::Closed));
                 drop(socket);
-                return link.last_words().await;
+                return link.deliver_remaining().await;
             }
-            Woken::Command(Some(Command::End(why))) => {
+            Wakeup::Command(Some(Command::End(why))) => {
                 link.waiting.push(SessionEvent::Ended(why));
                 drop(socket);
-                return link.last_words().await;
+                return link.deliver_remaining().await;
             }
-            Woken::Command(Some(Command::Dial(attempt, at))) => {
+            Wakeup::Command(Some(Command::Dial(attempt, at))) => {
                 socket = Socket::Dialling(attempt, Box::pin(TcpStream::connect(at)));
             }
-            Woken::Command(Some(Command::Write(attempt, line))) => {
+            Wakeup::Command(Some(Command::Write(attempt, line))) => {
                 if let Socket::Open(connection) = &mut socket {
                     if connection.attempt == attempt {
                         connection.side.asked();
@@ -225,7 +225,7 @@
                     }
                 }
             }
-            Woken::Command(Some(Command::Close(attempt))) => {
+            Wakeup::Command(Some(Command::Close(attempt))) => {
                 let ours = match &socket {
                     Socket::None => false,
                     Socket::Dialling(which, _) => *which == attempt,
@@ -238,11 +238,11 @@
                 }
                 link.report(PoolEvent::SocketClosed(link.id, attempt)).await;
             }
-            Woken::Command(Some(Command::Tell(event))) => {
+            Wakeup::Command(Some(Command::Notify(event))) => {
                 let event = match event {
                     SessionEvent::Connected { .. } => {
                         if let Socket::Open(connection) = &mut socket {
-                            connection.standing = true;
+                            connection.established = true;
                             connection.paused = false;
                         }
                         event
@@ -258,7 +258,7 @@
                 };
                 link.waiting.push(event);
             }
-            Woken::Dialled(dialled) => {
+            Wakeup::Dialled(dialled) => {
                 let Socket::Dialling(attempt, _) = &socket else { continue };
                 let attempt = *attempt;
                 match dialled {
@@ -273,7 +273,7 @@
                     }
                 }
             }
-            Woken::Read(Some(Ok(line))) => {
+            Wakeup::Read(Some(Ok(line))) => {
                 let Socket::Open(connection) = &mut socket else { continue };
                 match connection.side.line(line) {
                     Ok(GatewayEvent::Line(line)) => {
@@ -288,7 +288,7 @@
                     }
                 }
             }
-            Woken::Read(ended) => {
+            Wakeup::Read(ended) => {
                 let Socket::Open(connection) = &socket else { continue };
                 let attempt = connection.attempt;
                 let fault = match ended {
@@ -300,29 +300,29 @@
                 socket = Socket::None;
                 link.report(PoolEvent::ConnectionEnded(link.id, attempt, fault)).await;
             }
-            Woken::Wrote(wrote) => {
+            Wakeup::Wrote(wrote) => {
                 let Socket::Open(connection) = &mut socket else { continue };
                 match wrote {
-                    Ok(_) => connection.taken = Instant::now(),
+                    Ok(_) => connection.last_progress_at = Instant::now(),
                     Err(_) => {
-                        connection.deaf = true;
+                        connection.write_failed = true;
                         connection.writing.clear();
                     }
                 }
             }
-            Woken::Stalled => {
+            Wakeup::Stalled => {
                 let Socket::Open(connection) = &socket else { continue };
                 let attempt = connection.attempt;
                 cut = cut_of(&socket).or(cut);
                 socket = Socket::None;
                 link.report(PoolEvent::ConnectionEnded(link.id, attempt, Some(PeerFault::Stalled))).await;
             }
-            Woken::Line(Some(line)) => {
+            Wakeup::Line(Some(line)) => {
                 if let Socket::Open(connection) = &mut socket {
                     connection.begin(line);
                 }
             }
-            Woken::Line(None) => lines = false,
+            Wakeup::Line(None) => lines = false,
         }
     }
 }
@@ -346,7 +346,7 @@
 fn cut_of(socket: &Socket) -> Option<Bytes> {
     match socket {
         Socket::Open(connection)
-            if connection.standing && (!connection.writing.is_empty() || connection.deaf) =>
+            if connection.established && (!connection.writing.is_empty() || connection.write_failed) =>
         {
             Some(connection.whole.slice(..connection.whole.len().saturating_sub(2)))
         }
@@ -361,21 +361,21 @@
         let (read, write) = split_tcp(stream);
         Self {
             attempt,
-            read: FramedRead::with_capacity(read, LineCodec::default(), LINE_ROOM),
+            read: FramedRead::with_capacity(read, LineCodec::default(), INITIAL_LINE_CAPACITY),
             write,
             side: GatewaySide::default(),
             writing: Bytes::new(),
             whole: Bytes::new(),
-            taken: Instant::now(),
+            last_progress_at: Instant::now(),
             paused: false,
-            standing: false,
-            deaf: false,
+            established: false,
+            write_failed: false,
         }
     }
 
     fn begin(&mut self, line: Bytes) {
         self.whole = line.clone();
         self.writing = line;
-        self.taken = Instant::now();
+        self.last_progress_at = Instant::now();
     }
 }
--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -413,7 +413,7 @@
                     (session, Command::Write(attempt, line))
                 }
                 PoolCommand::Close { session, attempt } => (session, Command::Close(attempt)),
-                PoolCommand::Notify(session, notice) => (session, Command::Tell(session_event(notice))),
+                PoolCommand::Notify(session, notice) => (session, Command::Notify(session_event(notice))),
                 PoolCommand::EndSession(session, why) => (session, Command::End(why)),
             };
             let over = matches!(command, Command::End(_));
