--- a/crates/ashtide-fault-injection/examples/fleet.rs
+++ b/crates/ashtide-fault-injection/examples/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_fault_injection::{Act, Link, Plan, Range, RigError, play};
+use ashtide_fault_injection::{FaultAction, FaultPlan, FaultRunError, Link, RandomPlanLimits, run_plan};
 use clap::Parser;
 
 /// Plays plans against a daemon's binary.
@@ -27,17 +27,17 @@
 }
 
 /// A cold server joins while messages are lost, then a third of the gateways is cut off and comes back.
-fn sized(gateways: usize) -> Plan {
+fn sized(gateways: usize) -> FaultPlan {
     let (one, two) = ((0..gateways / 3).collect(), (gateways / 3..gateways).collect());
-    let loss = Act::Link { from: Vec::new(), to: Vec::new(), link: Link::lossy(0.3) };
+    let loss = FaultAction::Link { from: Vec::new(), to: Vec::new(), link: Link::lossy(0.3) };
     // A benchmark is read by someone, so the rig may be later than where a verdict has to stand.
-    let tier = Plan::tier(gateways, gateways as f64);
-    Plan { servers: gateways.max(6), last_ms: 20_000, late_ms: 2_000, ..tier }
-        .at(2_000, loss)
-        .at(3_000, Act::Add { zone: 1 })
-        .at(8_000, Act::Heal)
-        .at(9_000, Act::Split { parts: vec![one, two] })
-        .at(15_000, Act::Heal)
+    let tier = FaultPlan::typical(gateways, gateways as f64);
+    FaultPlan { servers: gateways.max(6), last_ms: 20_000, max_harness_delay_ms: 2_000, ..tier }
+        .with_action(2_000, loss)
+        .with_action(3_000, FaultAction::Add { zone: 1 })
+        .with_action(8_000, FaultAction::Heal)
+        .with_action(9_000, FaultAction::Split { parts: vec![one, two] })
+        .with_action(15_000, FaultAction::Heal)
 }
 
 fn main() -> ExitCode {
@@ -52,25 +52,29 @@
     }
 }
 
-fn run(arguments: &Arguments) -> Result<bool, RigError> {
-    let range =
-        Range { gateways: 3..=5, faults: 2..=5, faults_within_ms: 1_000..=6_000, fault_ms: 500..=4_000 };
-    let plans: Vec<Plan> = match &arguments.plan {
-        Some(file) => vec![Plan::read(&std::fs::read_to_string(file)?)?],
+fn run(arguments: &Arguments) -> Result<bool, FaultRunError> {
+    let range = RandomPlanLimits {
+        gateways: 3..=5,
+        faults: 2..=5,
+        faults_within_ms: 1_000..=6_000,
+        fault_ms: 500..=4_000,
+    };
+    let plans: Vec<FaultPlan> = match &arguments.plan {
+        Some(file) => vec![FaultPlan::read(&std::fs::read_to_string(file)?)?],
         None if arguments.seeds.is_empty() => arguments.gateways.iter().map(|&n| sized(n)).collect(),
-        None => arguments.seeds.iter().map(|&seed| Plan::random(seed, &range)).collect(),
+        None => arguments.seeds.iter().map(|&seed| FaultPlan::random(seed, &range)).collect(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut all = true;
     for plan in plans {
-        let played = runtime.block_on(play(&arguments.program, &plan))?;
+        let played = runtime.block_on(run_plan(&arguments.program, &plan))?;
         println!("{}", played.summary);
         for violation in played.violations.iter().take(10) {
             println!("  {violation}; {}", violation.help());
         }
         all &= played.violations.is_empty();
         if let Some(file) = &arguments.timeline {
-            std::fs::write(file, played.history.lines())?;
+            std::fs::write(file, played.history.to_json_lines())?;
         }
     }
     Ok(all)
--- a/crates/ashtide-fault-injection/examples/quota.rs
+++ b/crates/ashtide-fault-injection/examples/quota.rs
@@ -4,7 +4,8 @@
 use std::process::ExitCode;
 
 use ashtide_fault_injection::{
-    Act, Event, Load, Plan, Play, Quotas, RigError, Socket, Tenant, overshoot, placed, play,
+    Event, FaultAction, FaultPlan, FaultRun, FaultRunError, Load, ProxiedSocket, QuotaPeriod, Tenant,
+    placed_connections, quota_overshoot, run_plan,
 };
 use clap::Parser;
 use serde_json::json;
@@ -68,13 +69,15 @@
     Moved,
 }
 
-fn plan(way: Way, kind: Kind, seed: u64, quota: f64) -> Plan {
+fn plan(way: Way, kind: Kind, seed: u64, quota: f64) -> FaultPlan {
     let view = format!(
         "listen = \"{{listen}}\"\npublic = \"{{public}}\"\nseeds = {{others}}\ntier = 31\nsize = {GATEWAYS}\n\
          [state]\ngateways = {{peers}}\njudgements = \"off\"\ncounts = false\n"
     );
-    let socket =
-        |flag: &str, file: String| Socket { arguments: vec![flag.to_owned(), "{file}".to_owned()], file };
+    let socket = |flag: &str, file: String| ProxiedSocket {
+        arguments: vec![flag.to_owned(), "{file}".to_owned()],
+        file,
+    };
     let tenant = |at| Tenant { name: format!("p{at}"), quota_per_s: quota, quota_connections: 200.0 };
     let per_s = |tenant, zone| match kind {
         Kind::Moved => {
@@ -90,8 +93,8 @@
     let cells = (0..PARTNERS).flat_map(|tenant| (0..ZONES).map(move |zone| (tenant, zone)));
     let load: Vec<Load> =
         cells.map(|(tenant, zone)| Load { tenant, zone, per_s: per_s(tenant, zone) }).collect();
-    let quotas = Quotas { from_ms: 0, burst_ms: 1_000, per_s: vec![quota; PARTNERS], open: Vec::new() };
-    let mut plan = Plan {
+    let quotas = QuotaPeriod { from_ms: 0, burst_ms: 1_000, per_s: vec![quota; PARTNERS], open: Vec::new() };
+    let mut plan = FaultPlan {
         seed,
         gateways: GATEWAYS,
         zones: ZONES,
@@ -101,22 +104,22 @@
         stay_ms: 1_500,
         last_ms: LAST_MS,
         settle_ms: 3_000,
-        late_ms: 2_000,
+        max_harness_delay_ms: 2_000,
         config: json!({"settings": {"limits": {"retryAfter": true, "maxRetryAfter": 2.0}}}),
         quotas: vec![quotas],
         sockets: vec![socket("--view", view), socket("--quota", way.file(quota))],
-        ..Plan::default()
+        ..FaultPlan::default()
     };
     match kind {
         Kind::Heavy => {}
         Kind::Parted => {
             let (cut, rest) = (plan.in_zone(2), [plan.in_zone(0), plan.in_zone(1)].concat());
-            plan = plan.at(CHANGE_MS, Act::Split { parts: vec![rest, cut] });
+            plan = plan.with_action(CHANGE_MS, FaultAction::Split { parts: vec![rest, cut] });
         }
         Kind::Moved => {
             for tenant in 0..PARTNERS {
-                let load = |zone, per_s| Act::Load(Load { tenant, zone, per_s });
-                plan = plan.at(CHANGE_MS, load(0, 0.0)).at(CHANGE_MS, load(2, 1.2 * quota));
+                let load = |zone, per_s| FaultAction::Load(Load { tenant, zone, per_s });
+                plan = plan.with_action(CHANGE_MS, load(0, 0.0)).with_action(CHANGE_MS, load(2, 1.2 * quota));
             }
         }
     }
@@ -124,17 +127,23 @@
 }
 
 /// Connections a second that each partner was given between these moments, in seconds.
-fn given(played: &Play, from: u64, until: u64) -> Vec<f64> {
-    let all = placed(&played.history);
+fn given(played: &FaultRun, from: u64, until: u64) -> Vec<f64> {
+    let all = placed_connections(&played.history);
     let within = |at: u64| (from * 1_000_000..until * 1_000_000).contains(&at);
-    let count = |tenant| all.iter().filter(|it| it.tenant == tenant && !it.again && within(it.up_us)).count();
+    let count = |tenant| {
+        all.iter()
+            .filter(|it| it.tenant == tenant && !it.is_reconnect && within(it.established_at_us))
+            .count()
+    };
     (0..PARTNERS).map(|tenant| count(tenant) as f64 / (until - from) as f64).collect()
 }
 
 /// Bytes of shared state that a gateway sent a second.
-fn bytes(played: &Play) -> f64 {
+fn bytes(played: &FaultRun) -> f64 {
     let sent = |event: &Event| match event {
-        Event::Door { process, figures, .. } => Some((*process, *figures.get("state_sent_bytes_total")?)),
+        Event::AdminSample { process, figures, .. } => {
+            Some((*process, *figures.get("state_sent_bytes_total")?))
+        }
         _ => None,
     };
     let mut last = [0.0; GATEWAYS];
@@ -154,7 +163,7 @@
     }
 }
 
-fn run(arguments: &Arguments) -> Result<(), RigError> {
+fn run(arguments: &Arguments) -> Result<(), FaultRunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     println!(
         "| way | overshoot, whole | overshoot, one zone of three cut off | use, 3 to 6 s after all has moved | \
@@ -165,9 +174,11 @@
         let (mut whole, mut parted, mut used, mut fair, mut price) =
             (0.0_f64, 0.0_f64, f64::MAX, f64::MAX, 0.0_f64);
         for &seed in &arguments.seeds {
-            let played =
-                |kind| runtime.block_on(play(&arguments.program, &plan(way, kind, seed, arguments.per_s)));
-            let most = |played: &Play| overshoot(&played.history, 2_000).into_iter().fold(0.0, f64::max);
+            let played = |kind| {
+                runtime.block_on(run_plan(&arguments.program, &plan(way, kind, seed, arguments.per_s)))
+            };
+            let most =
+                |played: &FaultRun| quota_overshoot(&played.history, 2_000).into_iter().fold(0.0, f64::max);
             let heavy = played(Kind::Heavy)?;
             whole = whole.max(most(&heavy));
             let served = given(&heavy, 4, LAST_MS / 1000);
--- a/crates/ashtide-fault-injection/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -14,32 +14,32 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
-use crate::history::{Answer, Closed, Entry, Event};
-use crate::plan::{Load, Plan};
+use crate::history::{Answer, CloseReason, Entry, Event};
+use crate::plan::{FaultPlan, Load};
 
 /// How often the generator looks which requests are due.
-const OFFER: Duration = Duration::from_millis(10);
+const LOAD_TICK: Duration = Duration::from_millis(10);
 /// How often the rig looks how prompt it is itself, and what counts as prompt.
-const MIND: Duration = Duration::from_millis(50);
-const PROMPT: Duration = Duration::from_millis(60);
+const HARNESS_PROBE_INTERVAL: Duration = Duration::from_millis(50);
+const HARNESS_DELAY_THRESHOLD: Duration = Duration::from_millis(60);
 /// A connection that is not up by then is not made.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A request gets its answer so long after its deadline at the latest.
-const LATE: Duration = Duration::from_millis(500);
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// A second word would come within so long of a refusal.
-const SECOND: Duration = Duration::from_millis(50);
+const DUPLICATE_ANSWER_WAIT: Duration = Duration::from_millis(50);
 /// Between two lines of a standing connection.
-const BEAT: Duration = Duration::from_secs(1);
+const ECHO_INTERVAL: Duration = Duration::from_secs(1);
 /// A line that is not returned by then never is.
-const RETURN: Duration = Duration::from_secs(7);
+const ECHO_TIMEOUT: Duration = Duration::from_secs(7);
 /// Without a gateway, or after one that was not there, a client waits so long.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 /// The longest that a client waits because it was told to.
-const TOLD: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How often a client asks, at the most.
-const ASKS: usize = 40;
+const MAX_ATTEMPTS: usize = 40;
 /// Clients at one time, at the most.
-const CLIENTS: usize = 12_000;
+const MAX_CLIENTS: usize = 12_000;
 
 /// What the clients are to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 /// One process, as its zone's front sees it.
-pub(crate) struct Gate {
+pub(crate) struct GatewayTarget {
     pub process: usize,
     pub gateway: usize,
     pub zone: usize,
@@ -63,10 +63,10 @@
 }
 
 /// What clients share.
-pub(crate) struct World {
+pub(crate) struct ClientLoad {
     start: Instant,
     entries: Mutex<Vec<Entry>>,
-    pub gates: Mutex<Vec<Gate>>,
+    pub targets: Mutex<Vec<GatewayTarget>>,
     pub loads: Mutex<Vec<Load>>,
     standing: Mutex<BTreeMap<usize, u64>>,
     phase: watch::Sender<Phase>,
@@ -79,12 +79,12 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl World {
+impl ClientLoad {
     pub fn new(start: Instant, loads: Vec<Load>) -> Self {
         Self {
             start,
             entries: Mutex::default(),
-            gates: Mutex::default(),
+            targets: Mutex::default(),
             loads: Mutex::new(loads),
             standing: Mutex::default(),
             phase: watch::Sender::new(Phase::Running),
@@ -98,12 +98,12 @@
         moment.saturating_duration_since(self.start).as_micros() as u64
     }
 
-    pub fn note(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         let at_us = self.at(Instant::now());
         locked(&self.entries).push(Entry { at_us, event });
     }
 
-    pub fn note_at(&self, at_us: u64, event: Event) {
+    pub fn record_at(&self, at_us: u64, event: Event) {
         locked(&self.entries).push(Entry { at_us, event });
     }
 
@@ -122,17 +122,17 @@
     }
 
     /// Looks again and again how long the rig takes to answer itself: no daemon has a part in that.
-    pub async fn mind(self: Arc<Self>, server: SocketAddr) {
+    pub async fn measure_harness_delay(self: Arc<Self>, server: SocketAddr) {
         loop {
             let start = Instant::now();
             if let Ok(mut client) = LineClient::connect(server).await {
                 let _ = client.echoes("PING").await;
             }
             let took = start.elapsed();
-            if took > PROMPT {
+            if took > HARNESS_DELAY_THRESHOLD {
                 self.late_us.fetch_add(took.as_micros() as u64, Ordering::Relaxed);
             }
-            sleep(MIND).await;
+            sleep(HARNESS_PROBE_INTERVAL).await;
         }
     }
 
@@ -140,19 +140,19 @@
         self.phase.send_replace(phase);
     }
 
-    fn pick(&self, zone: usize, rng: &mut Xoshiro256PlusPlus) -> Option<(usize, usize, SocketAddr)> {
-        let gates = locked(&self.gates);
-        let open: Vec<&Gate> = gates.iter().filter(|gate| gate.open && gate.zone == zone).collect();
+    fn select_target(&self, zone: usize, rng: &mut Xoshiro256PlusPlus) -> Option<(usize, usize, SocketAddr)> {
+        let gates = locked(&self.targets);
+        let open: Vec<&GatewayTarget> = gates.iter().filter(|gate| gate.open && gate.zone == zone).collect();
         open.choose(rng).map(|gate| (gate.process, gate.gateway, gate.lines))
     }
 }
 
 /// Offers the load until the play is over, and waits for its clients.
-pub(crate) async fn offer(world: Arc<World>, plan: Arc<Plan>) {
+pub(crate) async fn offer_load(world: Arc<ClientLoad>, plan: Arc<FaultPlan>) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(plan.seed);
     let mut due: BTreeMap<(usize, usize), f64> = BTreeMap::new();
     let (mut clients, mut phase) = (JoinSet::new(), world.phase.subscribe());
-    let mut tick = interval(OFFER);
+    let mut tick = interval(LOAD_TICK);
     let mut last = Instant::now();
     loop {
         tokio::select! {
@@ -169,7 +169,7 @@
             while *credit >= 1.0 {
                 *credit -= 1.0;
                 let seed = rng.random();
-                if clients.len() < CLIENTS {
+                if clients.len() < MAX_CLIENTS {
                     clients.spawn(client(world.clone(), plan.clone(), tenant, zone, seed));
                 }
             }
@@ -180,12 +180,12 @@
 }
 
 /// What the ids of all requests to a gateway begin with: servers tell gateways apart by it.
-pub(crate) fn beginning(gateway: usize) -> String {
+pub(crate) fn request_id_prefix(gateway: usize) -> String {
     format!("{gateway:04x}")
 }
 
 /// What a request came to.
-enum Came {
+enum RequestOutcome {
     /// The client has had enough.
     Done,
     /// It is to come again, as one whose connection was moved or broke.
@@ -194,87 +194,87 @@
     Retry(Duration),
 }
 
-async fn client(world: Arc<World>, plan: Arc<Plan>, tenant: usize, zone: usize, seed: u64) {
+async fn client(world: Arc<ClientLoad>, plan: Arc<FaultPlan>, tenant: usize, zone: usize, seed: u64) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let stay = Duration::from_millis(plan.stay_ms).mul_f64(rng.random_range(0.5..1.5));
     let until = Instant::now() + stay;
     let mut marks = "";
-    for _ in 0..ASKS {
+    for _ in 0..MAX_ATTEMPTS {
         if *world.phase.borrow() != Phase::Running || Instant::now() >= until {
             return;
         }
-        let Some((process, gateway, lines)) = world.pick(zone, &mut rng) else {
-            sleep(PAUSE).await;
+        let Some((process, gateway, lines)) = world.select_target(zone, &mut rng) else {
+            sleep(RETRY_BACKOFF).await;
             continue;
         };
         let number = world.next.fetch_add(1, Ordering::Relaxed);
-        let request = format!("{}{number:012x}", beginning(gateway));
+        let request = format!("{}{number:012x}", request_id_prefix(gateway));
         let name = &plan.tenants[tenant].name;
         let line =
             format!("OPEN {request} {seed:016x} c=meter,t={name},d={},g={seed:x}{marks}", plan.deadline_ms);
         let again = marks.contains("again");
-        world.note(Event::Request { request: request.clone(), process, zone, tenant, again });
+        world.record(Event::Request { request: request.clone(), process, zone, tenant, again });
         let deadline = Duration::from_millis(plan.deadline_ms);
-        match ask(&world, &request, process, lines, &line, deadline, until).await {
-            Came::Done => return,
-            Came::Again => marks = ",again=1",
-            Came::Retry(wait) => {
+        match send_request(&world, &request, process, lines, &line, deadline, until).await {
+            RequestOutcome::Done => return,
+            RequestOutcome::Again => marks = ",again=1",
+            RequestOutcome::Retry(wait) => {
                 marks = if again { ",r=1,again=1" } else { ",r=1" };
-                sleep(wait.min(TOLD).mul_f64(rng.random_range(1.0..1.25))).await;
+                sleep(wait.min(MAX_RETRY_AFTER).mul_f64(rng.random_range(1.0..1.25))).await;
             }
         }
     }
 }
 
-async fn ask(
-    world: &World,
+async fn send_request(
+    world: &ClientLoad,
     request: &str,
     process: usize,
     lines: SocketAddr,
     line: &str,
     deadline: Duration,
     until: Instant,
-) -> Came {
-    let answered = |answer| world.note(Event::Answered { request: request.to_owned(), answer });
-    let connected = timeout(CONNECT, LineClient::connect(lines)).await;
+) -> RequestOutcome {
+    let answered = |answer| world.record(Event::Answered { request: request.to_owned(), answer });
+    let connected = timeout(CONNECT_TIMEOUT, LineClient::connect(lines)).await;
     let Ok(Ok(mut client)) = connected else {
-        answered(Answer::Untaken);
-        return Came::Retry(PAUSE);
+        answered(Answer::NotSent);
+        return RequestOutcome::Retry(RETRY_BACKOFF);
     };
     if client.say(line).await.is_err() {
-        answered(Answer::Untaken);
-        return Came::Retry(PAUSE);
+        answered(Answer::NotSent);
+        return RequestOutcome::Retry(RETRY_BACKOFF);
     }
-    let word = match timeout(deadline + LATE, client.next()).await {
+    let word = match timeout(deadline + ANSWER_GRACE, client.next()).await {
         Err(_) | Ok(Err(_)) => {
-            answered(Answer::Nothing);
-            return Came::Retry(PAUSE);
+            answered(Answer::TimedOut);
+            return RequestOutcome::Retry(RETRY_BACKOFF);
         }
         Ok(Ok(None)) => {
             answered(Answer::Ended);
-            return Came::Retry(PAUSE);
+            return RequestOutcome::Retry(RETRY_BACKOFF);
         }
         Ok(Ok(Some(word))) => word,
     };
-    let answer = answer(&word);
+    let answer = parse_answer(&word);
     answered(answer.clone());
     if let Answer::Up { .. } = answer {
         *locked(&world.standing).entry(process).or_default() += 1;
-        let how = stand(world, request, &mut client, until).await;
-        world.note(Event::Closed { request: request.to_owned(), how });
+        let how = hold_connection(world, request, &mut client, until).await;
+        world.record(Event::Closed { request: request.to_owned(), how });
         *locked(&world.standing).entry(process).or_default() -= 1;
-        return if how == Closed::Done { Came::Done } else { Came::Again };
+        return if how == CloseReason::ClientFinished { RequestOutcome::Done } else { RequestOutcome::Again };
     }
-    if let Ok(Ok(Some(second))) = timeout(SECOND, client.next()).await {
-        answered(self::answer(&second));
+    if let Ok(Ok(Some(second))) = timeout(DUPLICATE_ANSWER_WAIT, client.next()).await {
+        answered(self::parse_answer(&second));
     }
     match answer {
-        Answer::Busy { ms: Some(ms) } => Came::Retry(Duration::from_millis(ms)),
-        _ => Came::Retry(PAUSE),
+        Answer::Busy { ms: Some(ms) } => RequestOutcome::Retry(Duration::from_millis(ms)),
+        _ => RequestOutcome::Retry(RETRY_BACKOFF),
     }
 }
 
-fn answer(word: &str) -> Answer {
+fn parse_answer(word: &str) -> Answer {
     match word.split_once(' ').unwrap_or((word, "")) {
         ("UP", receipt) => Answer::Up { receipt: receipt.to_owned() },
         ("BUSY", ms) => Answer::Busy { ms: ms.parse().ok() },
@@ -283,33 +283,38 @@
 }
 
 /// Stays until the time has come, saying a line now and then.
-async fn stand(world: &World, request: &str, client: &mut LineClient, until: Instant) -> Closed {
+async fn hold_connection(
+    world: &ClientLoad,
+    request: &str,
+    client: &mut LineClient,
+    until: Instant,
+) -> CloseReason {
     let mut phase = world.phase.subscribe();
-    let mut beat = interval(BEAT);
+    let mut beat = interval(ECHO_INTERVAL);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut said, mut returned, mut heard) = (0_u64, 0_u64, Instant::now());
     loop {
         let now = *phase.borrow_and_update();
         if now == Phase::Over {
-            return Closed::Done;
+            return CloseReason::ClientFinished;
         }
         tokio::select! {
             word = client.next() => match word {
                 // Nothing for a while: the beat tells whether something was due.
                 Err(_) => {}
-                Ok(None) => return Closed::Broken,
-                Ok(Some(word)) if word == "MOVE" => return Closed::Moved,
+                Ok(None) => return CloseReason::Broken,
+                Ok(Some(word)) if word == "MOVE" => return CloseReason::Moved,
                 Ok(Some(word)) => match word.strip_prefix("m ").and_then(|number| number.parse().ok()) {
                     Some(number) => (returned, heard) = (number, Instant::now()),
                     None => {
-                        let answer = answer(&word);
-                        world.note(Event::Answered { request: request.to_owned(), answer });
+                        let answer = parse_answer(&word);
+                        world.record(Event::Answered { request: request.to_owned(), answer });
                     }
                 },
             },
             _ = beat.tick() => {
-                if said > returned && heard.elapsed() > RETURN {
-                    return Closed::Silent;
+                if said > returned && heard.elapsed() > ECHO_TIMEOUT {
+                    return CloseReason::Silent;
                 }
                 if said == returned {
                     heard = Instant::now();
@@ -318,7 +323,7 @@
                 // A connection that has broken shows by its end.
                 let _ = client.say(&format!("m {said}")).await;
             }
-            () = sleep_until(until), if now == Phase::Running => return Closed::Done,
+            () = sleep_until(until), if now == Phase::Running => return CloseReason::ClientFinished,
             _ = phase.changed() => {}
         }
     }
--- a/crates/ashtide-fault-injection/src/history.rs
+++ b/crates/ashtide-fault-injection/src/history.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::RigError;
+use crate::FaultRunError;
 use crate::mesh::Traffic;
-use crate::plan::{Act, Plan};
+use crate::plan::{FaultAction, FaultPlan};
 
 /// What a client got for its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,19 +29,22 @@
         line: String,
     },
     /// The connection could not be made, or broke before the request was written: nobody has taken it.
-    Untaken,
+    #[serde(rename = "untaken")]
+    NotSent,
     /// The connection ended with no answer.
     Ended,
     /// Nothing, until the client stopped waiting.
-    Nothing,
+    #[serde(rename = "nothing")]
+    TimedOut,
 }
 
 /// How a standing connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Closed {
+pub enum CloseReason {
     /// The client had had enough.
-    Done,
+    #[serde(rename = "done")]
+    ClientFinished,
     /// It was sent away with `MOVE`.
     Moved,
     /// It was cut off.
@@ -53,13 +56,15 @@
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum ExitCause {
     /// The rig had sent SIGTERM.
-    Asked,
+    #[serde(rename = "asked")]
+    Terminated,
     /// The rig had sent SIGKILL.
     Killed,
     /// Nobody had asked it to.
-    Alone,
+    #[serde(rename = "alone")]
+    Unexpected,
 }
 
 /// What happened.
@@ -67,14 +72,15 @@
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Event {
     /// The play began. Always the first.
-    Begun {
+    #[serde(rename = "begun")]
+    RunStarted {
         /// Its plan.
-        plan: Box<Plan>,
+        plan: Box<FaultPlan>,
     },
     /// A step of the plan was played.
     Step {
         /// What it did.
-        did: Act,
+        did: FaultAction,
     },
     /// A process takes clients.
     Started {
@@ -84,7 +90,8 @@
         gateway: usize,
     },
     /// SIGTERM was sent to it.
-    Asked {
+    #[serde(rename = "asked")]
+    TerminationRequested {
         /// Which process.
         process: usize,
     },
@@ -100,12 +107,13 @@
         /// Which process.
         process: usize,
         /// How.
-        how: End,
+        how: ExitCause,
         /// Whether its exit status was 0.
         well: bool,
     },
     /// Discovery tells this of a server from now on.
-    Listed {
+    #[serde(rename = "listed")]
+    EndpointListed {
         /// Its name.
         server: String,
         /// Its state; `DELETED` where it is off the list.
@@ -139,7 +147,7 @@
         /// The request by which it came up.
         request: String,
         /// How.
-        how: Closed,
+        how: CloseReason,
     },
     /// An attempt reached a server.
     Attempt {
@@ -153,7 +161,8 @@
         until_us: Option<u64>,
     },
     /// What an operators' door said.
-    Door {
+    #[serde(rename = "door")]
+    AdminSample {
         /// Whose.
         process: usize,
         /// Whether `health` was answered `200`; none where nothing came in time.
@@ -165,7 +174,8 @@
         calls: BTreeMap<String, String>,
     },
     /// No client comes or goes from here on, so that counts can be compared.
-    Still {
+    #[serde(rename = "still")]
+    LoadStopped {
         /// Standing connections at each process, as the clients have them.
         standing: BTreeMap<usize, u64>,
     },
@@ -175,12 +185,14 @@
         differs: Vec<String>,
     },
     /// How long the rig itself was late, up to here.
-    Late {
+    #[serde(rename = "late")]
+    HarnessDelay {
         /// In milliseconds.
         ms: u64,
     },
     /// What has gone between two members; written at the end.
-    Passed {
+    #[serde(rename = "passed")]
+    LinkTraffic {
         /// Which network: 0 is that of `peer_listen`, then the plan's further sockets.
         net: usize,
         /// The sender.
@@ -209,7 +221,7 @@
 
 impl History {
     /// As a timeline: one JSON object a line.
-    pub fn lines(&self) -> String {
+    pub fn to_json_lines(&self) -> String {
         let mut text = String::new();
         for entry in &self.0 {
             // All keys are strings and all figures finite, so each entry has its JSON.
@@ -224,18 +236,18 @@
     /// # Errors
     ///
     /// Fails on a line that is no entry, and says which.
-    pub fn read(text: &str) -> Result<Self, RigError> {
+    pub fn read(text: &str) -> Result<Self, FaultRunError> {
         let entry = |(at, line): (usize, &str)| {
-            serde_json::from_str(line).map_err(|problem| RigError::Timeline { line: at + 1, problem })
+            serde_json::from_str(line).map_err(|problem| FaultRunError::Timeline { line: at + 1, problem })
         };
         let lines = text.lines().enumerate().filter(|(_, line)| !line.is_empty());
         Ok(Self(lines.map(entry).collect::<Result<_, _>>()?))
     }
 
     /// The plan that was played.
-    pub fn plan(&self) -> Option<&Plan> {
+    pub fn plan(&self) -> Option<&FaultPlan> {
         self.0.iter().find_map(|entry| match &entry.event {
-            Event::Begun { plan } => Some(&**plan),
+            Event::RunStarted { plan } => Some(&**plan),
             _ => None,
         })
     }
--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -13,8 +13,8 @@
 mod history;
 mod mesh;
 mod plan;
-mod play;
 mod quota;
+mod run;
 mod summary;
 
 use std::io;
@@ -22,17 +22,19 @@
 use ashtide_testkit::RehearsalError;
 
 pub use checks::{Violation, violations};
-pub use history::{Answer, Closed, End, Entry, Event, History};
-pub use mesh::{Link, Mesh, Traffic};
-pub use plan::{Act, Cold, Load, Plan, Quotas, Range, Socket, Step, Tenant};
-pub use play::{Play, play};
-pub use quota::{Used, overshoot, placed};
+pub use history::{Answer, CloseReason, Entry, Event, ExitCause, History};
+pub use mesh::{Link, ProxyMesh, Traffic};
+pub use plan::{
+    FaultAction, FaultPlan, Load, ProxiedSocket, QuotaPeriod, RandomPlanLimits, SlowStart, Step, Tenant,
+};
+pub use quota::{PlacedConnection, placed_connections, quota_overshoot};
+pub use run::{FaultRun, run_plan};
 pub use summary::Summary;
 
 /// Why a plan could not be played, or a timeline not be read. It says nothing of the daemon's conduct:
 /// that is a [`Violation`].
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum FaultRunError {
     /// A figure of the plan is outside what the rig can play.
     #[error("plan: {what} is {found}, expected {expected}")]
     Plan {
@@ -56,7 +58,7 @@
     StandIns(#[from] RehearsalError),
     /// The play went on for longer than its plan says, and was given up.
     #[error("the play took over {found_ms} ms, expected {expected_ms} ms at most")]
-    Late {
+    DeadlineExceeded {
         /// How long it has taken.
         found_ms: u64,
         /// How long its plan and its ends may take.
@@ -64,7 +66,7 @@
     },
     /// The machine was too busy: what came late may be its doing and not the daemon's, so nothing is judged.
     #[error("the rig itself was late for {found_ms} ms, expected {expected_ms} ms at most")]
-    Busy {
+    HarnessDelayed {
         /// How long.
         found_ms: u64,
         /// How long it may be: the plan's `late_ms`.
@@ -83,7 +85,7 @@
     Io(#[from] io::Error),
 }
 
-impl RigError {
+impl FaultRunError {
     /// What an operator can do.
     pub fn help(&self) -> &'static str {
         match self {
@@ -94,8 +96,10 @@
             Self::StandIns(_) => {
                 "look for free ports and descriptors: a play of n gateways needs about 12 n + 300"
             }
-            Self::Late { .. } => "give the machine's cores back and play again; fewer gateways need fewer",
-            Self::Busy { .. } => {
+            Self::DeadlineExceeded { .. } => {
+                "give the machine's cores back and play again; fewer gateways need fewer"
+            }
+            Self::HarnessDelayed { .. } => {
                 "play again when less else runs; a longer late_ms makes late verdicts doubtful"
             }
             Self::Timeline { .. } => "play the plan again: timelines of other versions cannot be read",
--- a/crates/ashtide-fault-injection/src/mesh.rs
+++ b/crates/ashtide-fault-injection/src/mesh.rs
@@ -40,21 +40,21 @@
 
 impl Link {
     /// How long a reordered datagram is held back, in milliseconds.
-    pub const HELD_MS: u64 = 60;
+    pub const REORDER_DELAY_MS: u64 = 60;
     /// Passes all at once.
-    pub const WHOLE: Self = Self { loss: 0.0, delay_ms: 0, jitter_ms: 0, duplicate: 0.0, reorder: 0.0 };
+    pub const PERFECT: Self = Self { loss: 0.0, delay_ms: 0, jitter_ms: 0, duplicate: 0.0, reorder: 0.0 };
     /// Passes nothing.
-    pub const CUT: Self = Self { loss: 1.0, ..Self::WHOLE };
+    pub const CUT: Self = Self { loss: 1.0, ..Self::PERFECT };
 
     /// Loses this part.
     pub fn lossy(loss: f64) -> Self {
-        Self { loss, ..Self::WHOLE }
+        Self { loss, ..Self::PERFECT }
     }
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Self::WHOLE
+        Self::PERFECT
     }
 }
 
@@ -90,7 +90,7 @@
             self.traffic.lost += 1;
             return Vec::new();
         }
-        let held = if held < link.reorder { Link::HELD_MS } else { 0 };
+        let held = if held < link.reorder { Link::REORDER_DELAY_MS } else { 0 };
         let copies = 1 + usize::from(twice < link.duplicate);
         self.traffic.doubled += copies as u64 - 1;
         let takes = |late: f64| {
@@ -108,7 +108,7 @@
 }
 
 /// Relays between members.
-pub struct Mesh {
+pub struct ProxyMesh {
     public: Vec<SocketAddr>,
     all: Vec<SocketAddr>,
     inside: Arc<Mutex<Inside>>,
@@ -119,7 +119,7 @@
     inside.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Mesh {
+impl ProxyMesh {
     /// Opens relays on `host` for members that hear and send at `own`, all links whole. Fates are drawn
     /// from `seed`, for each direction apart.
     ///
@@ -128,7 +128,7 @@
     /// Fails where the system has no sockets for them.
     pub async fn open(host: IpAddr, own: &[SocketAddr], seed: u64) -> std::io::Result<Self> {
         let lane = |from: usize, to: usize| Lane {
-            link: Link::WHOLE,
+            link: Link::PERFECT,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed ^ ((from as u64) << 40) ^ ((to as u64) << 20)),
             traffic: Traffic::default(),
         };
--- a/crates/ashtide-fault-injection/src/plan.rs
+++ b/crates/ashtide-fault-injection/src/plan.rs
@@ -8,24 +8,24 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
 
-use crate::RigError;
+use crate::FaultRunError;
 use crate::mesh::Link;
 
 /// Most gateways of one play.
-const GATEWAYS: usize = 120;
+const MAX_GATEWAYS: usize = 120;
 /// Longest play, in milliseconds.
-const LONGEST_MS: u64 = 300_000;
+const MAX_RUN_MS: u64 = 300_000;
 /// Most steps.
-const STEPS: usize = 1_000;
+const MAX_STEPS: usize = 1_000;
 /// Most requests a second, over all.
-const PER_S: f64 = 1_000.0;
+const MAX_REQUESTS_PER_S: f64 = 1_000.0;
 /// Most connections that are expected to stand at once.
-const STANDING: f64 = 6_000.0;
+const MAX_OPEN_CONNECTIONS: f64 = 6_000.0;
 
 /// How servers begin.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Cold {
+pub struct SlowStart {
     /// Part of its capacity that a server begins with.
     pub from: f64,
     /// When it has all of it, in milliseconds after its start.
@@ -36,7 +36,7 @@
     pub window_ms: u64,
 }
 
-impl Default for Cold {
+impl Default for SlowStart {
     fn default() -> Self {
         Self { from: 0.2, warm_ms: 12_000, fall_multiple: 2.5, window_ms: 2_000 }
     }
@@ -57,7 +57,7 @@
 /// What partners are held to, from some moment on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Quotas {
+pub struct QuotaPeriod {
     /// Milliseconds since the beginning.
     pub from_ms: u64,
     /// For how long unused rights are stored, in milliseconds.
@@ -84,7 +84,7 @@
 /// What befalls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Act {
+pub enum FaultAction {
     /// What `from` send to `to` is treated like this from now on. An empty list stands for all.
     Link {
         /// Senders.
@@ -135,12 +135,14 @@
         gateway: usize,
     },
     /// A second process of the same name, index and peers' address, which knows nothing of the first.
-    Twin {
+    #[serde(rename = "twin")]
+    StartDuplicate {
         /// Which gateway.
         gateway: usize,
     },
     /// SIGTERM to the second process.
-    EndTwin {
+    #[serde(rename = "end_twin")]
+    StopDuplicate {
         /// Which gateway.
         gateway: usize,
     },
@@ -165,7 +167,8 @@
         gateways: Vec<usize>,
     },
     /// It serves them again.
-    Mend {
+    #[serde(rename = "mend")]
+    Recover {
         /// Its number.
         server: usize,
     },
@@ -186,7 +189,7 @@
     },
 }
 
-impl Act {
+impl FaultAction {
     /// The gateways that it names.
     fn gateways(&self) -> Vec<usize> {
         match self {
@@ -198,14 +201,14 @@
             | Self::Terminate { gateway }
             | Self::Start { gateway, .. }
             | Self::Restart { gateway }
-            | Self::Twin { gateway }
-            | Self::EndTwin { gateway } => vec![*gateway],
+            | Self::StartDuplicate { gateway }
+            | Self::StopDuplicate { gateway } => vec![*gateway],
             Self::Fail { gateways, .. } | Self::Rewrite { gateways, .. } => gateways.clone(),
             Self::Heal
             | Self::Load(_)
             | Self::Add { .. }
             | Self::Drain { .. }
-            | Self::Mend { .. }
+            | Self::Recover { .. }
             | Self::Remove { .. } => Vec::new(),
         }
     }
@@ -218,13 +221,13 @@
     pub at_ms: u64,
     /// What.
     #[serde(flatten)]
-    pub act: Act,
+    pub act: FaultAction,
 }
 
 /// A whole play.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Plan {
+pub struct FaultPlan {
     /// From which fates of datagrams, tenants' clients and their stays are drawn.
     pub seed: u64,
     /// Gateways on everyone's list, gateway g in zone g modulo `zones`.
@@ -238,10 +241,12 @@
     /// Servers that are there and warm at the beginning, server s in zone s modulo `zones`.
     pub servers: usize,
     /// How servers begin, which is what the cold budget is held to.
-    pub cold: Cold,
+    #[serde(rename = "cold")]
+    pub slow_start: SlowStart,
     /// How the settings say that they begin, where that is something else: real settings tell the least and
     /// the slowest.
-    pub told: Option<Cold>,
+    #[serde(rename = "told")]
+    pub configured_slow_start: Option<SlowStart>,
     /// The partners.
     pub tenants: Vec<Tenant>,
     /// The load at the beginning.
@@ -259,20 +264,23 @@
     pub settle_ms: u64,
     /// How long the rig itself may be late, in milliseconds of the whole play: on a machine that is busier
     /// than that no play can be judged. It is late while it takes over 60 ms to answer itself.
-    pub late_ms: u64,
+    #[serde(rename = "late_ms")]
+    pub max_harness_delay_ms: u64,
     /// Between two looks at every operators' door, in milliseconds.
-    pub look_ms: u64,
+    #[serde(rename = "look_ms")]
+    pub admin_poll_interval_ms: u64,
     /// Further calls to make at each look.
     pub calls: Vec<String>,
     /// Laid over each daemon's configuration. In its strings `{gateway}` stands for the gateway's number.
     pub config: serde_json::Value,
     /// Whether a gateway finds its folder again after a restart, with what its process before has left there.
-    pub keeps: bool,
+    #[serde(rename = "keeps")]
+    pub keeps_files: bool,
     /// What the partners are held to, where the daemons keep quotas: from when on, in the order of time. Of two that
     /// hold within one window, the larger counts.
-    pub quotas: Vec<Quotas>,
+    pub quotas: Vec<QuotaPeriod>,
     /// Further UDP sockets of each daemon that are led through relays as well; links are for all alike.
-    pub sockets: Vec<Socket>,
+    pub sockets: Vec<ProxiedSocket>,
 }
 
 /// A further UDP socket that each daemon opens, and how it is told its addresses.
@@ -283,14 +291,14 @@
 /// its own; `{file}`, where the file is.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Socket {
+pub struct ProxiedSocket {
     /// Put behind the daemon's arguments.
     pub arguments: Vec<String>,
     /// The text of a file that is written for the daemon; none where empty.
     pub file: String,
 }
 
-impl Default for Plan {
+impl Default for FaultPlan {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -299,8 +307,8 @@
             clocks_ms: Vec::new(),
             zones: 3,
             servers: 6,
-            cold: Cold::default(),
-            told: None,
+            slow_start: SlowStart::default(),
+            configured_slow_start: None,
             tenants: vec![
                 Tenant { name: "north".to_owned(), quota_per_s: 24.0, quota_connections: 120.0 },
                 Tenant { name: "south".to_owned(), quota_per_s: 12.0, quota_connections: 60.0 },
@@ -311,10 +319,10 @@
             steps: Vec::new(),
             last_ms: 6_000,
             settle_ms: 2_000,
-            late_ms: 600,
-            look_ms: 500,
+            max_harness_delay_ms: 600,
+            admin_poll_interval_ms: 500,
             calls: Vec::new(),
-            keeps: false,
+            keeps_files: false,
             quotas: Vec::new(),
             config: serde_json::Value::Null,
             sockets: Vec::new(),
@@ -324,7 +332,7 @@
 
 /// What a random plan may hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Range {
+pub struct RandomPlanLimits {
     /// Gateways.
     pub gateways: RangeInclusive<usize>,
     /// Faults.
@@ -335,14 +343,14 @@
     pub fault_ms: RangeInclusive<u64>,
 }
 
-impl Plan {
+impl FaultPlan {
     /// Reads a plan in JSON and checks it.
     ///
     /// # Errors
     ///
     /// Says what is not a plan, or which figure cannot be played.
-    pub fn read(text: &str) -> Result<Self, RigError> {
-        let plan: Self = serde_json::from_str(text).map_err(|problem| RigError::Plan {
+    pub fn read(text: &str) -> Result<Self, FaultRunError> {
+        let plan: Self = serde_json::from_str(text).map_err(|problem| FaultRunError::Plan {
             what: "the text",
             found: problem.to_string(),
             expected: "a plan in JSON, as docs/fault-injection.md shows one".to_owned(),
@@ -352,7 +360,7 @@
     }
 
     /// The same load a second for every tenant in every zone.
-    pub fn loaded(mut self, per_s: f64) -> Self {
+    pub fn with_uniform_load(mut self, per_s: f64) -> Self {
         let cells =
             (0..self.tenants.len()).flat_map(|tenant| (0..self.zones).map(move |zone| (tenant, zone)));
         self.load = cells.map(|(tenant, zone)| Load { tenant, zone, per_s }).collect();
@@ -361,7 +369,7 @@
 
     /// A usual tier: three zones, `per_s` requests a second of each of two tenants in each zone, quotas that
     /// hold them, and servers that begin as the settings tell.
-    pub fn tier(gateways: usize, per_s: f64) -> Self {
+    pub fn typical(gateways: usize, per_s: f64) -> Self {
         let plan = Self { gateways, ..Self::default() };
         let offered = per_s * plan.zones as f64;
         let standing = offered * plan.stay_ms as f64 / 1e3;
@@ -373,15 +381,15 @@
         };
         Self {
             tenants: vec![tenant("north", 4.0 / 3.0, 5.0 / 3.0), tenant("south", 2.0 / 3.0, 5.0 / 6.0)],
-            cold: Cold { from: 0.2, warm_ms: 17_000, ..Cold::default() },
-            told: None,
+            slow_start: SlowStart { from: 0.2, warm_ms: 17_000, ..SlowStart::default() },
+            configured_slow_start: None,
             ..plan
         }
-        .loaded(per_s)
+        .with_uniform_load(per_s)
     }
 
     /// A step more, behind all others of its time.
-    pub fn at(mut self, at_ms: u64, act: Act) -> Self {
+    pub fn with_action(mut self, at_ms: u64, act: FaultAction) -> Self {
         let behind = self.steps.partition_point(|step| step.at_ms <= at_ms);
         self.steps.insert(behind, Step { at_ms, act });
         self
@@ -394,10 +402,10 @@
 
     /// A plan drawn from this seed alone: some faults, each ended before the play is to settle, and a cold
     /// server that joins. Of two faults of one gateway's process, none begins before the other has ended.
-    pub fn random(seed: u64, range: &Range) -> Self {
+    pub fn random(seed: u64, range: &RandomPlanLimits) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let gateways = rng.random_range(range.gateways.clone());
-        let mut plan = Self { seed, ..Self::tier(gateways, 8.0) };
+        let mut plan = Self { seed, ..Self::typical(gateways, 8.0) };
         let (first, last) = (*range.faults_within_ms.start(), *range.faults_within_ms.end());
         let mut free = vec![0; gateways];
         let mut end = last;
@@ -406,43 +414,46 @@
             let until = from + lasts;
             let gateway = rng.random_range(0..gateways);
             let others: Vec<usize> = (0..gateways).filter(|&other| other != gateway).collect();
-            let mut both = |fault: Act, cure: Act| {
+            let mut both = |fault: FaultAction, cure: FaultAction| {
                 plan.steps.push(Step { at_ms: from, act: fault });
                 plan.steps.push(Step { at_ms: until, act: cure });
             };
-            let link =
-                |from: &[usize], to: &[usize], link| Act::Link { from: from.to_vec(), to: to.to_vec(), link };
+            let link = |from: &[usize], to: &[usize], link| FaultAction::Link {
+                from: from.to_vec(),
+                to: to.to_vec(),
+                link,
+            };
             match rng.random_range(0..8) {
                 0 => {
                     let loss = f64::from(rng.random_range(1..=10)) / 10.0;
-                    both(link(&[], &[], Link::lossy(loss)), Act::Heal);
+                    both(link(&[], &[], Link::lossy(loss)), FaultAction::Heal);
                 }
                 1 => {
                     let peer = others.choose(&mut rng).copied().unwrap_or(gateway);
-                    both(link(&[gateway], &[peer], Link::CUT), Act::Heal);
+                    both(link(&[gateway], &[peer], Link::CUT), FaultAction::Heal);
                 }
                 2 => {
                     let late =
-                        Link { delay_ms: 50, jitter_ms: 200, duplicate: 0.3, reorder: 0.2, ..Link::WHOLE };
-                    both(link(&[], &[], late), Act::Heal);
+                        Link { delay_ms: 50, jitter_ms: 200, duplicate: 0.3, reorder: 0.2, ..Link::PERFECT };
+                    both(link(&[], &[], late), FaultAction::Heal);
                 }
                 3 => {
                     let cut = rng.random_range(1..gateways.max(2));
                     both(
-                        Act::Split { parts: vec![(0..cut).collect(), (cut..gateways).collect()] },
-                        Act::Heal,
+                        FaultAction::Split { parts: vec![(0..cut).collect(), (cut..gateways).collect()] },
+                        FaultAction::Heal,
                     );
                 }
-                4 => both(link(&others, &[gateway], Link::CUT), Act::Heal),
+                4 => both(link(&others, &[gateway], Link::CUT), FaultAction::Heal),
                 // What befalls a process: one at a time for each.
                 _ if free[gateway] > from => continue,
-                5 => both(Act::Stall { gateway }, Act::Resume { gateway }),
+                5 => both(FaultAction::Stall { gateway }, FaultAction::Resume { gateway }),
                 6 => both(
-                    Act::Kill { gateway },
-                    Act::Start { gateway, clock_ms: rng.random_range(-2000..=2000) },
+                    FaultAction::Kill { gateway },
+                    FaultAction::Start { gateway, clock_ms: rng.random_range(-2000..=2000) },
                 ),
                 _ => {
-                    let act = Act::Restart { gateway };
+                    let act = FaultAction::Restart { gateway };
                     plan.steps.push(Step { at_ms: from, act });
                 }
             }
@@ -451,8 +462,8 @@
             end = end.max(until);
         }
         let at_ms = rng.random_range(0..=first);
-        plan.steps.push(Step { at_ms, act: Act::Add { zone: rng.random_range(0..plan.zones) } });
-        plan.steps.push(Step { at_ms: end, act: Act::Heal });
+        plan.steps.push(Step { at_ms, act: FaultAction::Add { zone: rng.random_range(0..plan.zones) } });
+        plan.steps.push(Step { at_ms: end, act: FaultAction::Heal });
         plan.steps.sort_by_key(|step| step.at_ms);
         plan.last_ms = end + 4_000 + plan.settle_ms;
         plan
@@ -463,8 +474,8 @@
     /// # Errors
     ///
     /// Says which figure cannot be, and what it may be.
-    pub fn check(&self) -> Result<(), RigError> {
-        let bad = |what, found: String, expected: String| Err(RigError::Plan { what, found, expected });
+    pub fn check(&self) -> Result<(), FaultRunError> {
+        let bad = |what, found: String, expected: String| Err(FaultRunError::Plan { what, found, expected });
         let within = |what, found: f64, least: f64, most: f64| match (least..=most).contains(&found) {
             true => Ok(()),
             false => bad(what, found.to_string(), format!("{least} to {most}")),
@@ -472,23 +483,23 @@
         let count = |what, found: usize, least: usize, most: usize| {
             within(what, found as f64, least as f64, most as f64)
         };
-        count("gateways", self.gateways, 1, GATEWAYS)?;
+        count("gateways", self.gateways, 1, MAX_GATEWAYS)?;
         count("zones", self.zones, 1, self.gateways)?;
         count("servers", self.servers, 1, 200)?;
         count("tenants", self.tenants.len(), 1, 100)?;
         count("number of further sockets", self.sockets.len(), 0, 4)?;
-        count("number of steps", self.steps.len(), 0, STEPS)?;
-        within("last_ms", self.last_ms as f64, 100.0, LONGEST_MS as f64)?;
+        count("number of steps", self.steps.len(), 0, MAX_STEPS)?;
+        within("last_ms", self.last_ms as f64, 100.0, MAX_RUN_MS as f64)?;
         within("settle_ms", self.settle_ms as f64, 100.0, self.last_ms as f64)?;
-        within("look_ms", self.look_ms as f64, 50.0, 60_000.0)?;
+        within("look_ms", self.admin_poll_interval_ms as f64, 50.0, 60_000.0)?;
         within("deadline_ms", self.deadline_ms as f64, 50.0, 10_000.0)?;
-        within("stay_ms", self.stay_ms as f64, 1.0, LONGEST_MS as f64)?;
-        within("cold.from", self.cold.from, 0.01, 1.0)?;
-        within("cold.warm_ms", self.cold.warm_ms as f64, 1.0, LONGEST_MS as f64)?;
-        within("cold.window_ms", self.cold.window_ms as f64, 1.0, 60_000.0)?;
+        within("stay_ms", self.stay_ms as f64, 1.0, MAX_RUN_MS as f64)?;
+        within("cold.from", self.slow_start.from, 0.01, 1.0)?;
+        within("cold.warm_ms", self.slow_start.warm_ms as f64, 1.0, MAX_RUN_MS as f64)?;
+        within("cold.window_ms", self.slow_start.window_ms as f64, 1.0, 60_000.0)?;
         let mut cells = std::collections::BTreeMap::new();
         let mut servers = self.servers;
-        let loads = self.load.iter().map(|load| (0, Act::Load(*load)));
+        let loads = self.load.iter().map(|load| (0, FaultAction::Load(*load)));
         let steps = self.steps.iter().map(|step| (step.at_ms, step.act.clone()));
         let mut before = 0;
         for (at_ms, act) in loads.chain(steps) {
@@ -498,29 +509,29 @@
                 count("a gateway's number", gateway, 0, self.gateways - 1)?;
             }
             match act {
-                Act::Load(Load { tenant, zone, per_s }) => {
+                FaultAction::Load(Load { tenant, zone, per_s }) => {
                     count("a tenant's number", tenant, 0, self.tenants.len() - 1)?;
                     count("a zone's number", zone, 0, self.zones - 1)?;
                     cells.insert((tenant, zone), per_s);
                     let sum = cells.values().sum();
-                    within("the load a second", sum, 0.0, PER_S)?;
+                    within("the load a second", sum, 0.0, MAX_REQUESTS_PER_S)?;
                     let standing = sum * self.stay_ms as f64 / 1e3;
-                    within("connections that stand (load times stay)", standing, 0.0, STANDING)?;
+                    within("connections that stand (load times stay)", standing, 0.0, MAX_OPEN_CONNECTIONS)?;
                 }
-                Act::Add { zone } => {
+                FaultAction::Add { zone } => {
                     count("a zone's number", zone, 0, self.zones - 1)?;
                     servers += 1;
                 }
-                Act::Drain { server }
-                | Act::Remove { server }
-                | Act::Fail { server, .. }
-                | Act::Mend { server } => {
+                FaultAction::Drain { server }
+                | FaultAction::Remove { server }
+                | FaultAction::Fail { server, .. }
+                | FaultAction::Recover { server } => {
                     count("a server's number", server, 0, servers - 1)?;
                 }
-                Act::Rewrite { socket, .. } => {
+                FaultAction::Rewrite { socket, .. } => {
                     count("a further socket's number", socket, 0, self.sockets.len().saturating_sub(1))?;
                 }
-                Act::Link { link, .. } => {
+                FaultAction::Link { link, .. } => {
                     for (what, part) in
                         [("loss", link.loss), ("duplicate", link.duplicate), ("reorder", link.reorder)]
                     {
@@ -535,13 +546,13 @@
     }
 
     /// By how much a gateway's clock is ahead at the beginning, in milliseconds.
-    pub fn clock_ms(&self, gateway: usize) -> i64 {
+    pub fn initial_clock_offset_ms(&self, gateway: usize) -> i64 {
         self.clocks_ms.get(gateway).copied().unwrap_or_default()
     }
 
     /// Connections that fill a server: the partners' shares over the most servers that are ready at once.
-    pub fn fill(&self) -> f64 {
-        let adds = self.steps.iter().filter(|step| matches!(step.act, Act::Add { .. })).count();
+    pub fn connections_when_full(&self) -> f64 {
+        let adds = self.steps.iter().filter(|step| matches!(step.act, FaultAction::Add { .. })).count();
         let shares: f64 = self.tenants.iter().map(|tenant| tenant.quota_connections).sum();
         shares / (self.servers + adds) as f64
     }
--- a/crates/ashtide-fault-injection/src/quota.rs
+++ b/crates/ashtide-fault-injection/src/quota.rs
@@ -4,31 +4,31 @@
 
 use crate::checks::Violation;
 use crate::history::{Answer, Event, History};
-use crate::plan::{Plan, Quotas};
+use crate::plan::{FaultPlan, QuotaPeriod};
 
 /// Windows that are looked at, in microseconds.
 const WINDOWS: [u64; 3] = [500_000, 2_000_000, 5_000_000];
 
 /// A connection that was placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Used {
+pub struct PlacedConnection {
     /// When its client asked, in microseconds since the beginning, and when it was up: admitted between them.
-    pub asked_us: u64,
+    pub requested_at_us: u64,
     /// See `asked_us`.
-    pub up_us: u64,
+    pub established_at_us: u64,
     /// When it was over; the end of time where it was not.
-    pub over_us: u64,
+    pub closed_at_us: u64,
     /// Its tenant and zone.
     pub tenant: usize,
     /// See `tenant`.
     pub zone: usize,
     /// Whether it came after a move or a break.
-    pub again: bool,
+    pub is_reconnect: bool,
 }
 
 /// All connections that were placed, in the order in which they were asked for.
 #[must_use]
-pub fn placed(history: &History) -> Vec<Used> {
+pub fn placed_connections(history: &History) -> Vec<PlacedConnection> {
     let (mut all, mut places) = (Vec::new(), HashMap::new());
     let mut asked = HashMap::new();
     for entry in &history.0 {
@@ -39,25 +39,32 @@
             Event::Answered { request, answer: Answer::Up { .. } } => {
                 if let Some(&(asked_us, zone, tenant, again)) = asked.get(request.as_str()) {
                     places.insert(request.as_str(), all.len());
-                    all.push(Used { asked_us, up_us: entry.at_us, over_us: u64::MAX, tenant, zone, again });
+                    all.push(PlacedConnection {
+                        requested_at_us: asked_us,
+                        established_at_us: entry.at_us,
+                        closed_at_us: u64::MAX,
+                        tenant,
+                        zone,
+                        is_reconnect: again,
+                    });
                 }
             }
             Event::Closed { request, .. } => {
                 if let Some(&at) = places.get(request.as_str()) {
-                    let used: &mut Used = &mut all[at];
-                    used.over_us = entry.at_us;
+                    let used: &mut PlacedConnection = &mut all[at];
+                    used.closed_at_us = entry.at_us;
                 }
             }
             _ => {}
         }
     }
-    all.sort_by_key(|it| it.asked_us);
+    all.sort_by_key(|it| it.requested_at_us);
     all
 }
 
 /// The most that a tenant may be given in a window from then on.
-fn most(quotas: &[Quotas], tenant: usize, from: u64, window: u64) -> f64 {
-    let holds = |(at, it): (usize, &Quotas)| {
+fn placement_limit(quotas: &[QuotaPeriod], tenant: usize, from: u64, window: u64) -> f64 {
+    let holds = |(at, it): (usize, &QuotaPeriod)| {
         let until = quotas.get(at + 1).map_or(u64::MAX, |next| next.from_ms * 1000);
         let all = it.per_s.get(tenant).copied()?;
         let may = all * (window + it.burst_ms * 1000) as f64 / 1e6;
@@ -69,12 +76,25 @@
 /// The window of this length, in microseconds, in which a tenant was given the most of what it may: when it began, how
 /// many, and how many it may be. Only what was both asked for and up within it counts: it was admitted in it for
 /// certain. What came back after a move or a break has a part of its own, and does not count.
-fn worst(all: &[Used], quotas: &[Quotas], tenant: usize, window: u64) -> Option<(u64, usize, f64)> {
-    let own: Vec<&Used> = all.iter().filter(|it| it.tenant == tenant && !it.again).collect();
+fn worst_window(
+    all: &[PlacedConnection],
+    quotas: &[QuotaPeriod],
+    tenant: usize,
+    window: u64,
+) -> Option<(u64, usize, f64)> {
+    let own: Vec<&PlacedConnection> =
+        all.iter().filter(|it| it.tenant == tenant && !it.is_reconnect).collect();
     let windows = own.iter().enumerate().map(|(first, start)| {
-        let end = start.asked_us + window;
-        let within = own[first..].iter().take_while(|it| it.asked_us < end).filter(|it| it.up_us <= end);
-        (start.asked_us, within.count(), most(quotas, tenant, start.asked_us, window))
+        let end = start.requested_at_us + window;
+        let within = own[first..]
+            .iter()
+            .take_while(|it| it.requested_at_us < end)
+            .filter(|it| it.established_at_us <= end);
+        (
+            start.requested_at_us,
+            within.count(),
+            placement_limit(quotas, tenant, start.requested_at_us, window),
+        )
     });
     windows.max_by(|one, other| (one.1 as f64 / one.2).total_cmp(&(other.1 as f64 / other.2)))
 }
@@ -82,36 +102,47 @@
 /// By how much each tenant was given more than its quota and one burst in its worst window of so many milliseconds, as a
 /// part of that; below nought where it was never given all.
 #[must_use]
-pub fn overshoot(history: &History, window_ms: u64) -> Vec<f64> {
+pub fn quota_overshoot(history: &History, window_ms: u64) -> Vec<f64> {
     let plan = history.plan().cloned().unwrap_or_default();
-    let all = placed(history);
-    let over = |tenant| worst(&all, &plan.quotas, tenant, window_ms * 1000);
+    let all = placed_connections(history);
+    let over = |tenant| worst_window(&all, &plan.quotas, tenant, window_ms * 1000);
     (0..plan.tenants.len()).map(|tenant| over(tenant).map_or(-1.0, |it| it.1 as f64 / it.2 - 1.0)).collect()
 }
 
-pub(crate) fn violations(history: &History, plan: &Plan, found: &mut Vec<Violation>) {
+pub(crate) fn check_quotas(history: &History, plan: &FaultPlan, found: &mut Vec<Violation>) {
     if plan.quotas.is_empty() {
         return;
     }
-    let all = placed(history);
+    let all = placed_connections(history);
     for (tenant, name) in plan.tenants.iter().map(|it| &it.name).enumerate() {
         for window in WINDOWS {
-            if let Some((at_us, count, most)) = worst(&all, &plan.quotas, tenant, window)
+            if let Some((at_us, count, most)) = worst_window(&all, &plan.quotas, tenant, window)
                 && count as f64 > most
             {
                 let window_ms = window / 1000;
-                found.push(Violation::Quota { tenant: name.clone(), at_us, window_ms, found: count, most });
+                found.push(Violation::RateQuotaExceeded {
+                    tenant: name.clone(),
+                    at_us,
+                    window_ms,
+                    found: count,
+                    most,
+                });
             }
         }
-        open(&all, plan, tenant, found);
+        check_open_connections(&all, plan, tenant, found);
     }
 }
 
 /// The most that stood of a tenant at one moment, as its clients have it.
-fn open(all: &[Used], plan: &Plan, tenant: usize, found: &mut Vec<Violation>) {
+fn check_open_connections(
+    all: &[PlacedConnection],
+    plan: &FaultPlan,
+    tenant: usize,
+    found: &mut Vec<Violation>,
+) {
     let mut changes: Vec<(u64, i64)> = Vec::new();
     for it in all.iter().filter(|it| it.tenant == tenant) {
-        changes.extend([(it.up_us, 1), (it.over_us, -1)]);
+        changes.extend([(it.established_at_us, 1), (it.closed_at_us, -1)]);
     }
     changes.sort_unstable();
     let mut stand = 0;
@@ -121,7 +152,7 @@
         let Some(&most) = quota.and_then(|it| it.open.get(tenant)) else { continue };
         if change > 0 && stand as f64 > most {
             let tenant = plan.tenants[tenant].name.clone();
-            found.push(Violation::OpenQuota { tenant, at_us, found: stand as usize, most });
+            found.push(Violation::ConnectionQuotaExceeded { tenant, at_us, found: stand as usize, most });
             return;
         }
     }
--- a/crates/ashtide-fault-injection/src/play.rs
+++ b/crates/ashtide-fault-injection/src/run.rs
@@ -17,35 +17,35 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 
-use crate::RigError;
+use crate::FaultRunError;
 use crate::checks::{Violation, violations};
-use crate::clients::{Gate, Phase, World, beginning, locked, offer};
-use crate::history::{End, Event, History};
-use crate::mesh::{Link, Mesh};
-use crate::plan::{Act, Load, Plan};
+use crate::clients::{ClientLoad, GatewayTarget, Phase, locked, offer_load, request_id_prefix};
+use crate::history::{Event, ExitCause, History};
+use crate::mesh::{Link, ProxyMesh};
+use crate::plan::{FaultAction, FaultPlan, Load};
 use crate::summary::Summary;
 
 /// How often processes are looked at for their end.
-const LOOK: Duration = Duration::from_millis(20);
+const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Between two `PING`s of a front, and how long it waits for `PONG`.
 const PING: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(1));
 /// A front leads clients to a process for so long after it was asked to stop.
-const NOTICED: Duration = Duration::from_millis(300);
+const SHUTDOWN_NOTICE_DELAY: Duration = Duration::from_millis(300);
 /// Seconds from which a server counts as slow in the settings: stand-ins are slow only where the machine is,
 /// and gateways that leave swamped servers alone for seconds would show that instead of the plan's faults.
-const SLOW: f64 = 1.0;
+const SLOW_RESPONSE_S: f64 = 1.0;
 /// A door has so long for its answer.
-const DOOR: Duration = Duration::from_millis(400);
+const ADMIN_TIMEOUT: Duration = Duration::from_millis(400);
 /// All processes have left so long after they were asked to: the longest deadline, and the platform's slack.
-const LEFT: Duration = Duration::from_millis(3_900);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_900);
 /// How much longer than its plan a play may take, beside this a gateway, until it is given up.
-const BESIDE: Duration = Duration::from_secs(30);
+const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 /// What the start of a gateway may take.
-const START: Duration = Duration::from_secs(1);
+const GATEWAY_START_TIME: Duration = Duration::from_secs(1);
 
 /// A play that came to its end.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Play {
+pub struct FaultRun {
     /// All that happened.
     pub history: History,
     /// What did not hold.
@@ -60,51 +60,56 @@
 ///
 /// Fails where the plan cannot be played, or a process or stand-in does not start. What the daemon does
 /// wrong is no error but a [`Violation`].
-pub async fn play(program: &Path, plan: &Plan) -> Result<Play, RigError> {
+pub async fn run_plan(program: &Path, plan: &FaultPlan) -> Result<FaultRun, FaultRunError> {
     plan.check()?;
-    let most = Duration::from_millis(plan.last_ms + plan.settle_ms) + BESIDE + START * plan.gateways as u32;
-    let late = RigError::Late { found_ms: most.as_millis() as u64, expected_ms: most.as_millis() as u64 };
-    let history = timeout(most, Tier::open(program, plan)).await.map_err(|_| late)??;
+    let most = Duration::from_millis(plan.last_ms + plan.settle_ms)
+        + RUN_TIMEOUT_MARGIN
+        + GATEWAY_START_TIME * plan.gateways as u32;
+    let late = FaultRunError::DeadlineExceeded {
+        found_ms: most.as_millis() as u64,
+        expected_ms: most.as_millis() as u64,
+    };
+    let history = timeout(most, Harness::open(program, plan)).await.map_err(|_| late)??;
     let busy = history.0.iter().find_map(|entry| match entry.event {
-        Event::Late { ms } if ms > plan.late_ms => Some(ms),
+        Event::HarnessDelay { ms } if ms > plan.max_harness_delay_ms => Some(ms),
         _ => None,
     });
     if let Some(found_ms) = busy {
-        return Err(RigError::Busy { found_ms, expected_ms: plan.late_ms });
+        return Err(FaultRunError::HarnessDelayed { found_ms, expected_ms: plan.max_harness_delay_ms });
     }
-    Ok(Play { violations: violations(&history), summary: Summary::of(&history), history })
+    Ok(FaultRun { violations: violations(&history), summary: Summary::of(&history), history })
 }
 
 /// A running process of the daemon. It ends, and so do its watchers, when this is dropped.
 struct Process {
     number: usize,
     gateway: usize,
-    twin: bool,
+    is_duplicate: bool,
     daemon: Daemon,
-    asked: bool,
+    termination_requested: bool,
     /// Whether the gateway is to be started again once this has ended.
-    again: bool,
+    restart_after_exit: bool,
     /// Pings, looks at its door.
     _watchers: JoinSet<()>,
 }
 
 /// Gateways' own sockets of one kind, and the relays between them.
-struct Net {
+struct ProxiedNetwork {
     own: Vec<SocketAddr>,
-    mesh: Mesh,
+    mesh: ProxyMesh,
 }
 
-impl Net {
-    async fn open(host: IpAddr, gateways: usize, seed: u64) -> Result<Self, RigError> {
+impl ProxiedNetwork {
+    async fn open(host: IpAddr, gateways: usize, seed: u64) -> Result<Self, FaultRunError> {
         // Held together, so that they are all different; the daemons take them a moment later.
         let held = (0..gateways).map(|_| std::net::UdpSocket::bind((host, 0)));
         let held = held.collect::<Result<Vec<_>, _>>()?;
         let own = held.iter().map(std::net::UdpSocket::local_addr).collect::<Result<Vec<_>, _>>()?;
-        let mesh = Mesh::open(host, &own, seed).await?;
+        let mesh = ProxyMesh::open(host, &own, seed).await?;
         Ok(Self { own, mesh })
     }
 
-    fn marks(&self, gateway: usize) -> Vec<(&'static str, String)> {
+    fn placeholders(&self, gateway: usize) -> Vec<(&'static str, String)> {
         let mut others = self.mesh.public().to_vec();
         others.remove(gateway);
         vec![
@@ -119,24 +124,24 @@
 }
 
 /// Files of a play; gone with it.
-struct Folder(PathBuf);
+struct TemporaryDirectory(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-struct Tier<'a> {
+struct Harness<'a> {
     program: &'a Path,
-    plan: Arc<Plan>,
-    world: Arc<World>,
+    plan: Arc<FaultPlan>,
+    client_load: Arc<ClientLoad>,
     fleet: Fleet,
     /// Where gateways take clients.
     lines: Vec<SocketAddr>,
     /// The network of `peer_listen`, and those of the plan's further sockets.
-    nets: Vec<Net>,
-    folder: Folder,
+    nets: Vec<ProxiedNetwork>,
+    folder: TemporaryDirectory,
     /// Files that were written anew, by gateway and socket.
     texts: BTreeMap<(usize, usize), String>,
     running: Vec<Process>,
@@ -151,22 +156,22 @@
     Ipv4Addr::new(127, 64 | (high & 0x3f), low, 1 + (play % 250) as u8).into()
 }
 
-fn marked(text: &str, marks: &[(&str, String)]) -> String {
+fn substitute(text: &str, marks: &[(&str, String)]) -> String {
     marks.iter().fold(text.to_owned(), |text, (mark, with)| text.replace(mark, with))
 }
 
 /// Replaces the marks in all strings of a value.
-fn fill(value: &mut Value, marks: &[(&str, String)]) {
+fn substitute_in_json(value: &mut Value, marks: &[(&str, String)]) {
     match value {
-        Value::String(text) => *text = marked(text, marks),
-        Value::Array(items) => items.iter_mut().for_each(|item| fill(item, marks)),
-        Value::Object(fields) => fields.values_mut().for_each(|item| fill(item, marks)),
+        Value::String(text) => *text = substitute(text, marks),
+        Value::Array(items) => items.iter_mut().for_each(|item| substitute_in_json(item, marks)),
+        Value::Object(fields) => fields.values_mut().for_each(|item| substitute_in_json(item, marks)),
         _ => {}
     }
 }
 
-impl<'a> Tier<'a> {
-    async fn open(program: &'a Path, plan: &Plan) -> Result<History, RigError> {
+impl<'a> Harness<'a> {
+    async fn open(program: &'a Path, plan: &FaultPlan) -> Result<History, FaultRunError> {
         let zones: Vec<String> = (0..plan.servers).map(|server| zone(server % plan.zones)).collect();
         let fleet = Fleet::start_in(&zones).await?;
         let host = host();
@@ -176,15 +181,15 @@
         drop(held);
         let mut nets = Vec::new();
         for net in 0..=plan.sockets.len() {
-            nets.push(Net::open(host, plan.gateways, plan.seed ^ ((net as u64) << 60)).await?);
+            nets.push(ProxiedNetwork::open(host, plan.gateways, plan.seed ^ ((net as u64) << 60)).await?);
         }
-        let folder = Folder(std::env::temp_dir().join(format!("ashtide-fault-injection-{host}")));
+        let folder = TemporaryDirectory(std::env::temp_dir().join(format!("ashtide-fault-injection-{host}")));
         std::fs::create_dir_all(&folder.0)?;
-        let world = Arc::new(World::new(Instant::now(), Vec::new()));
+        let world = Arc::new(ClientLoad::new(Instant::now(), Vec::new()));
         let mut tier = Self {
             program,
             plan: Arc::new(plan.clone()),
-            world,
+            client_load: world,
             fleet,
             lines,
             nets,
@@ -196,24 +201,26 @@
         let there = (0..plan.gateways).filter(|gateway| !plan.absent.contains(gateway));
         let tier_now = &tier;
         let starts = there.map(|gateway| async move {
-            let options = tier_now.options(gateway, false, plan.clock_ms(gateway))?;
+            let options = tier_now.options(gateway, false, plan.initial_clock_offset_ms(gateway))?;
             let daemon = Daemon::start(program, &tier_now.fleet, &options).await;
-            daemon.map(|daemon| (gateway, daemon)).map_err(|problem| RigError::Gateway { gateway, problem })
+            daemon
+                .map(|daemon| (gateway, daemon))
+                .map_err(|problem| FaultRunError::Gateway { gateway, problem })
         });
         let daemons = futures_util::future::try_join_all(starts).await?;
         // The beginning is when all that are to be there are.
-        tier.world = Arc::new(World::new(Instant::now(), plan.load.clone()));
-        tier.world.note_at(0, Event::Begun { plan: Box::new(plan.clone()) });
+        tier.client_load = Arc::new(ClientLoad::new(Instant::now(), plan.load.clone()));
+        tier.client_load.record_at(0, Event::RunStarted { plan: Box::new(plan.clone()) });
         for (gateway, daemon) in daemons {
-            tier.admit(gateway, false, daemon);
+            tier.register_process(gateway, false, daemon);
         }
         tier.run().await
     }
 
     /// What a gateway's daemon is told.
-    fn options(&self, gateway: usize, twin: bool, clock_ms: i64) -> Result<Options, RigError> {
+    fn options(&self, gateway: usize, twin: bool, clock_ms: i64) -> Result<Options, FaultRunError> {
         let (plan, peers) = (&self.plan, &self.nets[0]);
-        let cold = plan.told.unwrap_or(plan.cold);
+        let cold = plan.configured_slow_start.unwrap_or(plan.slow_start);
         let secs = |ms: u64| ms as f64 / 1e3;
         let quotas: Vec<f64> = plan.tenants.iter().map(|tenant| tenant.quota_connections).collect();
         let customers: Vec<Value> = plan
@@ -230,28 +237,28 @@
             "limits": {"memory_mb": 192, "sockets": 4096},
             "settings": {
                 "azs": zones, "zone": zone(gateway % plan.zones), "balancers": plan.gateways, "index": gateway,
-                "classes": [{"name": "meter", "aim": SLOW, "deadline": secs(plan.deadline_ms), "effect": "pure",
+                "classes": [{"name": "meter", "aim": SLOW_RESPONSE_S, "deadline": secs(plan.deadline_ms), "effect": "pure",
                              "worth": 1.0}],
                 "customers": customers,
-                "familyInfo": {"tenantQuotaConnections": quotas, "messageAim": [SLOW]},
-                "limits": {"peers": plan.gateways > 1, "connectTimeout": SLOW},
+                "familyInfo": {"tenantQuotaConnections": quotas, "messageAim": [SLOW_RESPONSE_S]},
+                "limits": {"peers": plan.gateways > 1, "connectTimeout": SLOW_RESPONSE_S},
                 "rules": {"coldFrom": cold.from, "warmWithin": secs(cold.warm_ms),
                           "fallMultiple": cold.fall_multiple, "overloadFor": secs(cold.window_ms)},
             },
         });
         let mut over = plan.config.clone();
-        fill(&mut over, &peers.marks(gateway));
+        substitute_in_json(&mut over, &peers.placeholders(gateway));
         lay(&over, &mut config);
         let mut arguments = Vec::new();
         for (number, (socket, net)) in plan.sockets.iter().zip(&self.nets[1..]).enumerate() {
-            let (file, mut marks) = (self.file(gateway, number), net.marks(gateway));
+            let (file, mut marks) = (self.file(gateway, number), net.placeholders(gateway));
             marks.push(("{file}", file.display().to_string()));
             let text = self.texts.get(&(gateway, number)).unwrap_or(&socket.file);
-            std::fs::write(&file, marked(text, &marks))?;
-            arguments.extend(socket.arguments.iter().map(|argument| marked(argument, &marks).into()));
+            std::fs::write(&file, substitute(text, &marks))?;
+            arguments.extend(socket.arguments.iter().map(|argument| substitute(argument, &marks).into()));
         }
         let mut environment = vec![(CLOCK_OFFSET_VARIABLE.to_owned(), clock_ms.to_string())];
-        if plan.keeps {
+        if plan.keeps_files {
             let folder = self.folder.0.join(format!("{gateway}{}", if twin { "-twin" } else { "" }));
             std::fs::create_dir_all(&folder)?;
             environment.push(("TMPDIR".to_owned(), folder.display().to_string()));
@@ -265,74 +272,88 @@
     }
 
     /// Writes such a file anew, and tells the gateway's process, if there is one.
-    fn rewrite(&mut self, gateway: usize, socket: usize, text: &str) -> Result<(), RigError> {
-        let (file, mut marks) = (self.file(gateway, socket), self.nets[socket + 1].marks(gateway));
+    fn rewrite(&mut self, gateway: usize, socket: usize, text: &str) -> Result<(), FaultRunError> {
+        let (file, mut marks) = (self.file(gateway, socket), self.nets[socket + 1].placeholders(gateway));
         marks.push(("{file}", file.display().to_string()));
         self.texts.insert((gateway, socket), text.to_owned());
-        std::fs::write(&file, marked(text, &marks))?;
-        for at in self.of(gateway, false) {
+        std::fs::write(&file, substitute(text, &marks))?;
+        for at in self.process_indices(gateway, false) {
             self.running[at].daemon.hang_up()?;
         }
         Ok(())
     }
 
-    async fn start(&mut self, gateway: usize, twin: bool, clock_ms: i64) -> Result<(), RigError> {
+    async fn start(&mut self, gateway: usize, twin: bool, clock_ms: i64) -> Result<(), FaultRunError> {
         let options = self.options(gateway, twin, clock_ms)?;
         let daemon = Daemon::start(self.program, &self.fleet, &options).await;
-        let daemon = daemon.map_err(|problem| RigError::Gateway { gateway, problem })?;
-        self.admit(gateway, twin, daemon);
+        let daemon = daemon.map_err(|problem| FaultRunError::Gateway { gateway, problem })?;
+        self.register_process(gateway, twin, daemon);
         Ok(())
     }
 
     /// A process has said that it listens: its front and its door are watched from now on.
-    fn admit(&mut self, gateway: usize, twin: bool, daemon: Daemon) {
+    fn register_process(&mut self, gateway: usize, twin: bool, daemon: Daemon) {
         let number = self.started;
         self.started += 1;
-        self.world.note(Event::Started { process: number, gateway });
+        self.client_load.record(Event::Started { process: number, gateway });
         let zone = gateway % self.plan.zones;
-        let gate = Gate { process: number, gateway, zone, lines: daemon.lines, open: false };
-        locked(&self.world.gates).push(gate);
+        let gate = GatewayTarget { process: number, gateway, zone, lines: daemon.lines, open: false };
+        locked(&self.client_load.targets).push(gate);
         let mut watchers = JoinSet::new();
-        watchers.spawn(ping(self.world.clone(), number, daemon.lines));
+        watchers.spawn(health_check_loop(self.client_load.clone(), number, daemon.lines));
         if let Some(door) = daemon.door {
-            watchers.spawn(look(self.world.clone(), number, door, self.plan.clone()));
+            watchers.spawn(admin_poll_loop(self.client_load.clone(), number, door, self.plan.clone()));
         }
         let (asked, again) = (false, false);
-        self.running.push(Process { number, gateway, twin, daemon, asked, again, _watchers: watchers });
+        self.running.push(Process {
+            number,
+            gateway,
+            is_duplicate: twin,
+            daemon,
+            termination_requested: asked,
+            restart_after_exit: again,
+            _watchers: watchers,
+        });
     }
 
     /// Plays all steps, and the end.
-    async fn run(mut self) -> Result<History, RigError> {
+    async fn run(mut self) -> Result<History, FaultRunError> {
         let start = Instant::now();
         let plan = self.plan.clone();
         let moment = |ms: u64| start + Duration::from_millis(ms);
-        let load = tokio::spawn(offer(self.world.clone(), plan.clone()));
-        let load = Guard(load);
-        let _minder = Guard(tokio::spawn(self.world.clone().mind(self.fleet.servers[0].address)));
+        let load = tokio::spawn(offer_load(self.client_load.clone(), plan.clone()));
+        let load = AbortOnDrop(load);
+        let _minder = AbortOnDrop(tokio::spawn(
+            self.client_load.clone().measure_harness_delay(self.fleet.servers[0].address),
+        ));
         for step in &plan.steps {
             self.watch_until(moment(step.at_ms)).await?;
-            self.world.note(Event::Step { did: step.act.clone() });
-            self.play(&step.act).await?;
+            self.client_load.record(Event::Step { did: step.act.clone() });
+            self.apply(&step.act).await?;
         }
         self.watch_until(moment(plan.last_ms)).await?;
-        self.world.phase(Phase::Still);
-        self.settle().await?;
-        self.world.phase(Phase::Over);
-        let found_ms = self.world.late().as_millis() as u64;
-        self.world.note(Event::Late { ms: found_ms });
+        self.client_load.phase(Phase::Still);
+        self.await_convergence().await?;
+        self.client_load.phase(Phase::Over);
+        let found_ms = self.client_load.late().as_millis() as u64;
+        self.client_load.record(Event::HarnessDelay { ms: found_ms });
         load.end().await;
         for at in 0..self.running.len() {
             self.stall(at, false)?;
-            self.ask(at)?;
+            self.request_termination(at)?;
         }
-        let last = Instant::now() + LEFT;
+        let last = Instant::now() + SHUTDOWN_TIMEOUT;
         while !self.running.is_empty() && Instant::now() < last {
-            self.reap().await?;
-            sleep(LOOK).await;
+            self.reap_exited().await?;
+            sleep(PROCESS_POLL_INTERVAL).await;
         }
         for mut process in std::mem::take(&mut self.running) {
             process.daemon.kill().await?;
-            self.world.note(Event::Ended { process: process.number, how: End::Asked, well: false });
+            self.client_load.record(Event::Ended {
+                process: process.number,
+                how: ExitCause::Terminated,
+                well: false,
+            });
         }
         Ok(self.history())
     }
@@ -343,33 +364,33 @@
                 request: String::from_utf8_lossy(&arrival.id).into_owned(),
                 server: arrival.server.to_string(),
                 receipt: Arrival::receipt(&arrival.server, number),
-                until_us: arrival.until.map(|until| self.world.at(until)),
+                until_us: arrival.until.map(|until| self.client_load.at(until)),
             };
-            self.world.note_at(self.world.at(arrival.at), event);
+            self.client_load.record_at(self.client_load.at(arrival.at), event);
         }
-        for (net, Net { mesh, .. }) in self.nets.iter().enumerate() {
+        for (net, ProxiedNetwork { mesh, .. }) in self.nets.iter().enumerate() {
             for (from, row) in mesh.traffic().into_iter().enumerate() {
                 for (to, traffic) in row.into_iter().enumerate().filter(|&(to, _)| to != from) {
-                    self.world.note(Event::Passed { net, from, to, traffic });
+                    self.client_load.record(Event::LinkTraffic { net, from, to, traffic });
                 }
             }
         }
-        let mut entries = self.world.entries();
+        let mut entries = self.client_load.entries();
         entries.sort_by_key(|entry| entry.at_us);
         History(entries)
     }
 
     /// Watches processes until then.
-    async fn watch_until(&mut self, moment: Instant) -> Result<(), RigError> {
+    async fn watch_until(&mut self, moment: Instant) -> Result<(), FaultRunError> {
         while Instant::now() < moment {
-            self.reap().await?;
-            sleep_until(moment.min(Instant::now() + LOOK)).await;
+            self.reap_exited().await?;
+            sleep_until(moment.min(Instant::now() + PROCESS_POLL_INTERVAL)).await;
         }
         Ok(())
     }
 
     /// Takes away what has ended, and starts again what is to be.
-    async fn reap(&mut self) -> Result<(), RigError> {
+    async fn reap_exited(&mut self) -> Result<(), FaultRunError> {
         let mut at = 0;
         while at < self.running.len() {
             let Some(status) = self.running[at].daemon.ended()? else {
@@ -377,24 +398,25 @@
                 continue;
             };
             let process = self.running.remove(at);
-            let how = if process.asked { End::Asked } else { End::Alone };
-            self.gone(&process, how, status.success());
-            if process.again {
-                let clock_ms = self.plan.clock_ms(process.gateway);
+            let how =
+                if process.termination_requested { ExitCause::Terminated } else { ExitCause::Unexpected };
+            self.record_exit(&process, how, status.success());
+            if process.restart_after_exit {
+                let clock_ms = self.plan.initial_clock_offset_ms(process.gateway);
                 self.start(process.gateway, false, clock_ms).await?;
             }
         }
         Ok(())
     }
 
-    fn gone(&self, process: &Process, how: End, well: bool) {
-        locked(&self.world.gates).retain(|gate| gate.process != process.number);
-        self.world.note(Event::Ended { process: process.number, how, well });
+    fn record_exit(&self, process: &Process, how: ExitCause, well: bool) {
+        locked(&self.client_load.targets).retain(|gate| gate.process != process.number);
+        self.client_load.record(Event::Ended { process: process.number, how, well });
     }
 
     /// Processes of a gateway, by their place among those that run.
-    fn of(&self, gateway: usize, only_twins: bool) -> Vec<usize> {
-        let of = |process: &Process| process.gateway == gateway && (process.twin || !only_twins);
+    fn process_indices(&self, gateway: usize, only_twins: bool) -> Vec<usize> {
+        let of = |process: &Process| process.gateway == gateway && (process.is_duplicate || !only_twins);
         (0..self.running.len()).filter(|&at| of(&self.running[at])).collect()
     }
 
@@ -403,91 +425,95 @@
         self.nets.iter().for_each(|net| net.mesh.set(from, to, link));
     }
 
-    async fn play(&mut self, act: &Act) -> Result<(), RigError> {
+    async fn apply(&mut self, act: &FaultAction) -> Result<(), FaultRunError> {
         let everyone: Vec<usize> = (0..self.plan.gateways).collect();
         match act {
-            Act::Link { from, to, link } => {
+            FaultAction::Link { from, to, link } => {
                 let some = |some: &Vec<usize>| if some.is_empty() { everyone.clone() } else { some.clone() };
                 self.link(&some(from), &some(to), *link);
             }
-            Act::Split { parts } => {
+            FaultAction::Split { parts } => {
                 self.link(&everyone, &everyone, Link::CUT);
-                parts.iter().for_each(|part| self.link(part, part, Link::WHOLE));
+                parts.iter().for_each(|part| self.link(part, part, Link::PERFECT));
             }
-            Act::Heal => self.link(&everyone, &everyone, Link::WHOLE),
-            Act::Stall { gateway } => {
-                for at in self.of(*gateway, false) {
+            FaultAction::Heal => self.link(&everyone, &everyone, Link::PERFECT),
+            FaultAction::Stall { gateway } => {
+                for at in self.process_indices(*gateway, false) {
                     self.stall(at, true)?;
                 }
             }
-            Act::Resume { gateway } => {
-                for at in self.of(*gateway, false) {
+            FaultAction::Resume { gateway } => {
+                for at in self.process_indices(*gateway, false) {
                     self.stall(at, false)?;
                 }
             }
-            Act::Kill { gateway } => {
-                for at in self.of(*gateway, false).into_iter().rev() {
+            FaultAction::Kill { gateway } => {
+                for at in self.process_indices(*gateway, false).into_iter().rev() {
                     let mut process = self.running.remove(at);
                     process.daemon.kill().await?;
-                    self.world.note(Event::Ended { process: process.number, how: End::Killed, well: false });
+                    self.client_load.record(Event::Ended {
+                        process: process.number,
+                        how: ExitCause::Killed,
+                        well: false,
+                    });
                     // Its front finds out by itself, a little later.
-                    let (world, number) = (self.world.clone(), process.number);
+                    let (world, number) = (self.client_load.clone(), process.number);
                     tokio::spawn(async move {
                         sleep(PING.0).await;
-                        locked(&world.gates).retain(|gate| gate.process != number);
+                        locked(&world.targets).retain(|gate| gate.process != number);
                     });
                 }
             }
-            Act::Terminate { gateway } => {
-                for at in self.of(*gateway, false) {
-                    self.ask(at)?;
+            FaultAction::Terminate { gateway } => {
+                for at in self.process_indices(*gateway, false) {
+                    self.request_termination(at)?;
                 }
             }
-            Act::Restart { gateway } => {
-                for at in self.of(*gateway, false) {
-                    self.ask(at)?;
-                    self.running[at].again = !self.running[at].twin;
+            FaultAction::Restart { gateway } => {
+                for at in self.process_indices(*gateway, false) {
+                    self.request_termination(at)?;
+                    self.running[at].restart_after_exit = !self.running[at].is_duplicate;
                 }
             }
-            Act::EndTwin { gateway } => {
-                for at in self.of(*gateway, true) {
-                    self.ask(at)?;
+            FaultAction::StopDuplicate { gateway } => {
+                for at in self.process_indices(*gateway, true) {
+                    self.request_termination(at)?;
                 }
             }
-            Act::Start { gateway, clock_ms } => match self.of(*gateway, false).first() {
-                Some(&at) => self.running[at].again |= self.running[at].asked,
+            FaultAction::Start { gateway, clock_ms } => match self.process_indices(*gateway, false).first() {
+                Some(&at) => self.running[at].restart_after_exit |= self.running[at].termination_requested,
                 None => self.start(*gateway, false, *clock_ms).await?,
             },
-            Act::Twin { gateway } => self.start(*gateway, true, 0).await?,
-            Act::Load(load) => {
-                let mut loads = locked(&self.world.loads);
+            FaultAction::StartDuplicate { gateway } => self.start(*gateway, true, 0).await?,
+            FaultAction::Load(load) => {
+                let mut loads = locked(&self.client_load.loads);
                 let same = |old: &&mut Load| (old.tenant, old.zone) == (load.tenant, load.zone);
                 match loads.iter_mut().find(same) {
                     Some(old) => *old = *load,
                     None => loads.push(*load),
                 }
             }
-            Act::Add { zone: at } => {
+            FaultAction::Add { zone: at } => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 let server = self.fleet.add(&zone(*at), unix.as_millis() as u64).await?;
                 self.listed(server, "SERVING", true);
             }
-            Act::Drain { server } => {
+            FaultAction::Drain { server } => {
                 self.fleet.set(*server, EndpointStatus::Draining);
                 self.listed(*server, "DRAINING", false);
             }
-            Act::Fail { server, gateways } => {
+            FaultAction::Fail { server, gateways } => {
                 let of = if gateways.is_empty() { &everyone } else { gateways };
-                let beginnings = of.iter().map(|&gateway| beginning(gateway).into_bytes()).collect();
+                let beginnings = of.iter().map(|&gateway| request_id_prefix(gateway).into_bytes()).collect();
                 self.fleet.servers[*server].fail(beginnings);
             }
-            Act::Rewrite { socket, gateways, file } => {
+            FaultAction::Rewrite { socket, gateways, file } => {
                 for &gateway in if gateways.is_empty() { &everyone } else { gateways } {
                     self.rewrite(gateway, *socket, file)?;
                 }
             }
-            Act::Mend { server } => self.fleet.servers[*server].fail(Vec::new()),
-            Act::Remove { server } => {
+            FaultAction::Recover { server } => self.fleet.servers[*server].fail(Vec::new()),
+            FaultAction::Remove { server } => {
                 self.fleet.remove(*server);
                 self.listed(*server, "DELETED", false);
             }
@@ -497,34 +523,34 @@
 
     fn listed(&self, server: usize, status: &str, cold: bool) {
         let server = self.fleet.servers[server].name.clone();
-        self.world.note(Event::Listed { server, status: status.to_owned(), cold });
+        self.client_load.record(Event::EndpointListed { server, status: status.to_owned(), cold });
     }
 
-    fn stall(&mut self, at: usize, stalled: bool) -> Result<(), RigError> {
+    fn stall(&mut self, at: usize, stalled: bool) -> Result<(), FaultRunError> {
         let process = &self.running[at];
         process.daemon.stall(stalled)?;
-        self.world.note(Event::Stalled { process: process.number, stalled });
+        self.client_load.record(Event::Stalled { process: process.number, stalled });
         Ok(())
     }
 
     /// Asks a process to stop; its front finds out a little later.
-    fn ask(&mut self, at: usize) -> Result<(), RigError> {
+    fn request_termination(&mut self, at: usize) -> Result<(), FaultRunError> {
         let process = &mut self.running[at];
-        if std::mem::replace(&mut process.asked, true) {
+        if std::mem::replace(&mut process.termination_requested, true) {
             return Ok(());
         }
         process.daemon.terminate()?;
-        self.world.note(Event::Asked { process: process.number });
-        let (world, number) = (self.world.clone(), process.number);
+        self.client_load.record(Event::TerminationRequested { process: process.number });
+        let (world, number) = (self.client_load.clone(), process.number);
         process._watchers.spawn(async move {
-            sleep(NOTICED).await;
-            locked(&world.gates).retain(|gate| gate.process != number);
+            sleep(SHUTDOWN_NOTICE_DELAY).await;
+            locked(&world.targets).retain(|gate| gate.process != number);
         });
         Ok(())
     }
 
     /// Where doors tell what gateways share: whose sums of open connections are not what clients hold.
-    async fn shared_differs(&self) -> Vec<String> {
+    async fn shared_state_differences(&self) -> Vec<String> {
         const CALL: &str = "state";
         if !self.plan.calls.iter().any(|call| call == CALL) {
             return Vec::new();
@@ -532,10 +558,10 @@
         let (mut told, mut expected) = (Vec::new(), 0);
         for process in &self.running {
             let Some(door) = process.daemon.door else { continue };
-            let text = consult(door, &[CALL.to_owned()]).await.2.remove(CALL).unwrap_or_default();
+            let text = sample_admin(door, &[CALL.to_owned()]).await.2.remove(CALL).unwrap_or_default();
             // A second process of one name has no part in it.
             if text.starts_with("self ") {
-                expected += self.world.standing().get(&process.number).copied().unwrap_or_default();
+                expected += self.client_load.standing().get(&process.number).copied().unwrap_or_default();
                 told.push((process, ["server ", "tenant "].map(|what| open(&text, what)), text));
             }
         }
@@ -552,19 +578,20 @@
     }
 
     /// Waits until doors and clients agree, for as long as the plan gives.
-    async fn settle(&mut self) -> Result<(), RigError> {
+    async fn await_convergence(&mut self) -> Result<(), FaultRunError> {
         let last = Instant::now() + Duration::from_millis(self.plan.settle_ms);
-        self.world.note(Event::Still { standing: self.world.standing() });
+        self.client_load.record(Event::LoadStopped { standing: self.client_load.standing() });
         loop {
-            self.reap().await?;
+            self.reap_exited().await?;
             let mut differs = Vec::new();
             let mut there = BTreeSet::new();
             let known = self.fleet.known()["endpoints"].as_array().map_or(0, Vec::len) as f64;
             for process in &self.running {
                 there.insert(process.gateway);
                 let Some(door) = process.daemon.door else { continue };
-                let (ready, figures, _) = consult(door, &[]).await;
-                let standing = self.world.standing().get(&process.number).copied().unwrap_or_default() as f64;
+                let (ready, figures, _) = sample_admin(door, &[]).await;
+                let standing =
+                    self.client_load.standing().get(&process.number).copied().unwrap_or_default() as f64;
                 let found = (ready, figures.get("in_progress"), figures.get("known_reading_servers"));
                 if found != (Some(true), Some(&standing), Some(&known)) {
                     differs.push(format!(
@@ -574,26 +601,26 @@
                     ));
                 }
             }
-            differs.extend(self.shared_differs().await);
+            differs.extend(self.shared_state_differences().await);
             if differs.is_empty() || Instant::now() >= last {
-                self.world.note(Event::Settled { differs });
+                self.client_load.record(Event::Settled { differs });
                 return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(PROCESS_POLL_INTERVAL).await;
         }
     }
 }
 
 /// A task that ends with its holder.
-struct Guard(tokio::task::JoinHandle<()>);
+struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
-impl Guard {
+impl AbortOnDrop {
     async fn end(mut self) {
         let _ = (&mut self.0).await;
     }
 }
 
-impl Drop for Guard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -611,7 +638,7 @@
 }
 
 /// Asks a process for `PONG` and opens or closes its gate by the answer.
-async fn ping(world: Arc<World>, process: usize, lines: SocketAddr) {
+async fn health_check_loop(world: Arc<ClientLoad>, process: usize, lines: SocketAddr) {
     loop {
         let pong = timeout(PING.1, async {
             let mut client = LineClient::connect(lines).await.ok()?;
@@ -619,7 +646,7 @@
             client.next().await.ok()?
         });
         let open = pong.await.is_ok_and(|word| word.as_deref() == Some("PONG"));
-        for gate in locked(&world.gates).iter_mut().filter(|gate| gate.process == process) {
+        for gate in locked(&world.targets).iter_mut().filter(|gate| gate.process == process) {
             gate.open = open;
         }
         sleep(PING.0).await;
@@ -627,24 +654,24 @@
 }
 
 /// Notes again and again what a door says.
-async fn look(world: Arc<World>, process: usize, door: SocketAddr, plan: Arc<Plan>) {
-    let mut tick = interval(Duration::from_millis(plan.look_ms));
+async fn admin_poll_loop(world: Arc<ClientLoad>, process: usize, door: SocketAddr, plan: Arc<FaultPlan>) {
+    let mut tick = interval(Duration::from_millis(plan.admin_poll_interval_ms));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
-        let (ready, figures, calls) = consult(door, &plan.calls).await;
-        world.note(Event::Door { process, ready, figures, calls });
+        let (ready, figures, calls) = sample_admin(door, &plan.calls).await;
+        world.record(Event::AdminSample { process, ready, figures, calls });
     }
 }
 
-type Said = (Option<bool>, BTreeMap<String, f64>, BTreeMap<String, String>);
+type AdminState = (Option<bool>, BTreeMap<String, f64>, BTreeMap<String, String>);
 
 /// What a door says now.
-async fn consult(door: SocketAddr, calls: &[String]) -> Said {
-    let said = async |call: &str| timeout(DOOR, ask(door, call)).await.ok()?.ok();
+async fn sample_admin(door: SocketAddr, calls: &[String]) -> AdminState {
+    let said = async |call: &str| timeout(ADMIN_TIMEOUT, ask(door, call)).await.ok()?.ok();
     let ready = said("health").await.map(|answer| answer.starts_with("200"));
     if ready.is_none() {
-        return Said::default();
+        return AdminState::default();
     }
     let mut figures = BTreeMap::new();
     for line in said("counters").await.unwrap_or_default().lines() {
--- a/crates/ashtide-fault-injection/src/summary.rs
+++ b/crates/ashtide-fault-injection/src/summary.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::checks::{violations, worst_window};
+use crate::checks::{violations, worst_slow_start_window};
 use crate::history::{Answer, Event, History};
 use crate::mesh::Traffic;
 
@@ -53,9 +53,9 @@
                         Answer::Up { .. } => "up",
                         Answer::Busy { .. } => "busy",
                         Answer::Failed { .. } => "failed",
-                        Answer::Untaken => "untaken",
+                        Answer::NotSent => "untaken",
                         Answer::Ended => "ended",
-                        Answer::Nothing => "nothing",
+                        Answer::TimedOut => "nothing",
                     };
                     *sum.requests.entry(name).or_default() += 1;
                     if let (Answer::Up { .. }, Some(at)) = (answer, asked.get(request.as_str())) {
@@ -66,13 +66,13 @@
                     sum.attempts += 1;
                     sends.entry(server).or_default().push(entry.at_us);
                 }
-                Event::Listed { server, cold: true, .. } => {
+                Event::EndpointListed { server, cold: true, .. } => {
                     cold.insert(server.as_str(), entry.at_us);
                 }
-                Event::Still { .. } => still = entry.at_us,
+                Event::LoadStopped { .. } => still = entry.at_us,
                 Event::Settled { .. } => sum.settled_ms = (entry.at_us - still) as f64 / 1e3,
-                Event::Late { ms } => sum.late_ms = sum.late_ms.max(*ms),
-                Event::Passed { traffic, .. } => {
+                Event::HarnessDelay { ms } => sum.late_ms = sum.late_ms.max(*ms),
+                Event::LinkTraffic { traffic, .. } => {
                     sum.datagrams.sent += traffic.sent;
                     sum.datagrams.bytes += traffic.bytes;
                     sum.datagrams.lost += traffic.lost;
@@ -85,7 +85,12 @@
         let at = |part: f64| waits.get((waits.len() as f64 * part) as usize).copied().unwrap_or_default();
         sum.up_ms = [at(0.5), at(0.99)];
         let used = cold.iter().filter_map(|(server, &began)| {
-            let (_, used, most) = worst_window(sends.get(server)?, began, &plan.cold, plan.fill())?;
+            let (_, used, most) = worst_slow_start_window(
+                sends.get(server)?,
+                began,
+                &plan.slow_start,
+                plan.connections_when_full(),
+            )?;
             Some(used as f64 / most)
         });
         sum.cold_used = used.fold(0.0, f64::max);
--- a/crates/ashtide-fault-injection/tests/mesh.rs
+++ b/crates/ashtide-fault-injection/tests/mesh.rs
@@ -3,13 +3,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_fault_injection::{Act, Link, Mesh, Plan, Range, RigError, Step};
+use ashtide_fault_injection::{
+    FaultAction, FaultPlan, FaultRunError, Link, ProxyMesh, RandomPlanLimits, Step,
+};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
 struct Members {
     sockets: Vec<UdpSocket>,
-    mesh: Mesh,
+    mesh: ProxyMesh,
 }
 
 impl Members {
@@ -19,7 +21,7 @@
             sockets.push(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         }
         let own: Vec<SocketAddr> = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
-        let mesh = Mesh::open(own[0].ip(), &own, 7).await.unwrap();
+        let mesh = ProxyMesh::open(own[0].ip(), &own, 7).await.unwrap();
         Self { sockets, mesh }
     }
 
@@ -58,17 +60,17 @@
     let came = members.send(0, 1, 100).await.len();
     assert!((55..=85).contains(&came), "{came} of 100 at a loss of three in ten");
 
-    members.mesh.set(&[0], &[1], Link { duplicate: 0.5, ..Link::WHOLE });
+    members.mesh.set(&[0], &[1], Link { duplicate: 0.5, ..Link::PERFECT });
     let came = members.send(0, 1, 100).await.len();
     assert!((130..=170).contains(&came), "{came} of 100, half of them twice");
 
-    members.mesh.set(&[0], &[1], Link { reorder: 0.2, ..Link::WHOLE });
+    members.mesh.set(&[0], &[1], Link { reorder: 0.2, ..Link::PERFECT });
     let mut came = members.send(0, 1, 100).await;
     assert_ne!(came, in_order);
     came.sort_unstable();
     assert_eq!(came, in_order);
 
-    members.mesh.set(&[0], &[1], Link { delay_ms: 150, ..Link::WHOLE });
+    members.mesh.set(&[0], &[1], Link { delay_ms: 150, ..Link::PERFECT });
     let start = std::time::Instant::now();
     assert_eq!(members.send(0, 1, 1).await, [0]);
     assert!(start.elapsed() >= Duration::from_millis(150 + 300));
@@ -93,38 +95,48 @@
 
 #[test]
 fn random_plans_follow_from_their_seed_and_can_be_played() {
-    let range =
-        Range { gateways: 3..=5, faults: 2..=5, faults_within_ms: 1_000..=6_000, fault_ms: 500..=4_000 };
+    let range = RandomPlanLimits {
+        gateways: 3..=5,
+        faults: 2..=5,
+        faults_within_ms: 1_000..=6_000,
+        fault_ms: 500..=4_000,
+    };
     let mut all = Vec::new();
     for seed in 0..300 {
-        let plan = Plan::random(seed, &range);
+        let plan = FaultPlan::random(seed, &range);
         let text = serde_json::to_string(&plan).unwrap();
-        assert_eq!(Plan::read(&text).unwrap(), Plan::random(seed, &range), "seed {seed}");
+        assert_eq!(FaultPlan::read(&text).unwrap(), FaultPlan::random(seed, &range), "seed {seed}");
         let cured = plan.last_ms - plan.settle_ms;
         assert!(plan.steps.iter().all(|step| step.at_ms < cured), "seed {seed}");
         all.extend(plan.steps);
     }
-    let some = |like: fn(&Act) -> bool| all.iter().any(|step| like(&step.act));
-    assert!(some(|act| matches!(act, Act::Split { .. })) && some(|act| matches!(act, Act::Kill { .. })));
-    assert!(some(|act| matches!(act, Act::Stall { .. })) && some(|act| matches!(act, Act::Restart { .. })));
+    let some = |like: fn(&FaultAction) -> bool| all.iter().any(|step| like(&step.act));
+    assert!(
+        some(|act| matches!(act, FaultAction::Split { .. }))
+            && some(|act| matches!(act, FaultAction::Kill { .. }))
+    );
+    assert!(
+        some(|act| matches!(act, FaultAction::Stall { .. }))
+            && some(|act| matches!(act, FaultAction::Restart { .. }))
+    );
 }
 
 #[test]
 fn a_plan_that_cannot_be_played_is_refused_with_the_figure_at_fault() {
-    let step = |act| Plan { steps: vec![Step { at_ms: 10, act }], ..Plan::default() };
-    let lossy = Act::Link { from: Vec::new(), to: Vec::new(), link: Link::lossy(1.5) };
+    let step = |act| FaultPlan { steps: vec![Step { at_ms: 10, act }], ..FaultPlan::default() };
+    let lossy = FaultAction::Link { from: Vec::new(), to: Vec::new(), link: Link::lossy(1.5) };
     for (plan, at_fault) in [
-        (Plan { gateways: 1_000, ..Plan::default() }, "gateways"),
-        (Plan { last_ms: 10_000_000, ..Plan::default() }, "last_ms"),
-        (Plan::default().loaded(10_000.0), "the load a second"),
-        (step(Act::Kill { gateway: 3 }), "a gateway's number"),
-        (step(Act::Drain { server: 6 }), "a server's number"),
+        (FaultPlan { gateways: 1_000, ..FaultPlan::default() }, "gateways"),
+        (FaultPlan { last_ms: 10_000_000, ..FaultPlan::default() }, "last_ms"),
+        (FaultPlan::default().with_uniform_load(10_000.0), "the load a second"),
+        (step(FaultAction::Kill { gateway: 3 }), "a gateway's number"),
+        (step(FaultAction::Drain { server: 6 }), "a server's number"),
         (step(lossy), "loss"),
     ] {
         match plan.check() {
-            Err(RigError::Plan { what, .. }) => assert_eq!(what, at_fault),
+            Err(FaultRunError::Plan { what, .. }) => assert_eq!(what, at_fault),
             other => panic!("{at_fault}: {other:?}"),
         }
     }
-    assert!(matches!(Plan::read("{\"gatewys\": 3}"), Err(RigError::Plan { what: "the text", .. })));
+    assert!(matches!(FaultPlan::read("{\"gatewys\": 3}"), Err(FaultRunError::Plan { what: "the text", .. })));
 }
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -5,18 +5,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-use ashtide_fault_injection::{Act, Event, Link, Load, Plan, Play, Range, Socket, play};
+use ashtide_fault_injection::{
+    Event, FaultAction, FaultPlan, FaultRun, Link, Load, ProxiedSocket, RandomPlanLimits, run_plan,
+};
 use fault_runs::{played, turn};
 use serde_json::json;
 
 /// Plays a plan and expects that all holds. What fails is printed, with all that is needed to play it again.
-fn holds(plan: Plan) -> Play {
+fn holds(plan: FaultPlan) -> FaultRun {
     let played = played(&plan);
     println!("{}", played.summary);
     if !played.violations.is_empty() {
         let name = format!("ashtide-fault-injection-{}-{}.jsonl", std::process::id(), plan.seed);
         let timeline = std::env::temp_dir().join(name);
-        let _ = std::fs::write(&timeline, played.history.lines());
+        let _ = std::fs::write(&timeline, played.history.to_json_lines());
         for violation in played.violations.iter().take(20) {
             println!("{violation}; {}", violation.help());
         }
@@ -28,34 +30,38 @@
 }
 
 /// Five gateways in three zones under load; in the midst of it a server starts cold and another drains.
-fn tier() -> Plan {
-    Plan { last_ms: 9_000, ..Plan::tier(5, 10.0) }
-        .at(1_500, Act::Add { zone: 1 })
-        .at(2_500, Act::Drain { server: 0 })
+fn tier() -> FaultPlan {
+    FaultPlan { last_ms: 9_000, ..FaultPlan::typical(5, 10.0) }
+        .with_action(1_500, FaultAction::Add { zone: 1 })
+        .with_action(2_500, FaultAction::Drain { server: 0 })
 }
 
-fn link(from: &[usize], to: &[usize], link: Link) -> Act {
-    Act::Link { from: from.to_vec(), to: to.to_vec(), link }
+fn link(from: &[usize], to: &[usize], link: Link) -> FaultAction {
+    FaultAction::Link { from: from.to_vec(), to: to.to_vec(), link }
 }
 
 /// How many entries of a history are like this.
-fn count(played: &Play, like: impl Fn(&Event) -> bool) -> usize {
+fn count(played: &FaultRun, like: impl Fn(&Event) -> bool) -> usize {
     played.history.0.iter().filter(|entry| like(&entry.event)).count()
 }
 
 #[test]
 fn three_in_ten_messages_are_lost() {
-    let played = holds(tier().at(500, link(&[], &[], Link::lossy(0.3))).at(6_500, Act::Heal));
+    let played = holds(
+        tier().with_action(500, link(&[], &[], Link::lossy(0.3))).with_action(6_500, FaultAction::Heal),
+    );
     let datagrams = played.summary.datagrams;
     assert!(datagrams.lost > 0 && datagrams.lost * 20 > datagrams.sent, "{datagrams:?}");
 }
 
 #[test]
 fn a_link_carries_one_way_only() {
-    let played = holds(tier().at(500, link(&[0], &[1], Link::CUT)));
+    let played = holds(tier().with_action(500, link(&[0], &[1], Link::CUT)));
     let passed = |from, to| {
         played.history.0.iter().find_map(|entry| match entry.event {
-            Event::Passed { from: sender, to: receiver, traffic, .. } if (sender, receiver) == (from, to) => {
+            Event::LinkTraffic { from: sender, to: receiver, traffic, .. }
+                if (sender, receiver) == (from, to) =>
+            {
                 Some((traffic.sent, traffic.lost))
             }
             _ => None,
@@ -67,14 +73,20 @@
 
 #[test]
 fn a_gateway_stalls_for_three_seconds() {
-    let played = holds(tier().at(2_500, Act::Stall { gateway: 1 }).at(5_500, Act::Resume { gateway: 1 }));
-    let mute = |event: &Event| matches!(event, Event::Door { process: 1, ready: None, .. });
+    let played = holds(
+        tier()
+            .with_action(2_500, FaultAction::Stall { gateway: 1 })
+            .with_action(5_500, FaultAction::Resume { gateway: 1 }),
+    );
+    let mute = |event: &Event| matches!(event, Event::AdminSample { process: 1, ready: None, .. });
     assert!(count(&played, mute) >= 3, "its door kept answering");
 }
 
 #[test]
 fn a_gateway_is_killed_and_comes_back() {
-    let plan = tier().at(2_500, Act::Kill { gateway: 1 }).at(4_000, Act::Start { gateway: 1, clock_ms: 0 });
+    let plan = tier()
+        .with_action(2_500, FaultAction::Kill { gateway: 1 })
+        .with_action(4_000, FaultAction::Start { gateway: 1, clock_ms: 0 });
     let played = holds(plan);
     let started = |event: &Event| matches!(event, Event::Started { gateway: 1, .. });
     assert_eq!(count(&played, started), 2);
@@ -85,28 +97,30 @@
 #[test]
 fn a_partition_of_three_and_two_heals() {
     let parts = vec![vec![0, 1, 2], vec![3, 4]];
-    let played = holds(tier().at(500, Act::Split { parts }).at(5_500, Act::Heal));
+    let played =
+        holds(tier().with_action(500, FaultAction::Split { parts }).with_action(5_500, FaultAction::Heal));
     assert!(played.summary.datagrams.lost > 0, "{:?}", played.summary.datagrams);
 }
 
 #[test]
 fn all_restart_in_turn_while_load_runs() {
-    let turns = (0..5).map(|gateway| (1_800 + 900 * gateway as u64, Act::Restart { gateway }));
-    let plan = turns.fold(Plan { last_ms: 12_000, ..tier() }, |plan, (at_ms, act)| plan.at(at_ms, act));
+    let turns = (0..5).map(|gateway| (1_800 + 900 * gateway as u64, FaultAction::Restart { gateway }));
+    let plan = turns
+        .fold(FaultPlan { last_ms: 12_000, ..tier() }, |plan, (at_ms, act)| plan.with_action(at_ms, act));
     let played = holds(plan);
     assert_eq!(count(&played, |event| matches!(event, Event::Started { .. })), 10);
 }
 
 #[test]
 fn a_zone_hears_nothing_for_ten_seconds_while_its_traffic_doubles() {
-    let load = |tenant, per_s| Act::Load(Load { tenant, zone: 1, per_s });
-    let plan = Plan { last_ms: 13_500, ..tier() }
-        .at(500, link(&[0, 2, 3], &[1, 4], Link::CUT))
-        .at(500, load(0, 20.0))
-        .at(500, load(1, 20.0))
-        .at(10_500, Act::Heal)
-        .at(10_500, load(0, 10.0))
-        .at(10_500, load(1, 10.0));
+    let load = |tenant, per_s| FaultAction::Load(Load { tenant, zone: 1, per_s });
+    let plan = FaultPlan { last_ms: 13_500, ..tier() }
+        .with_action(500, link(&[0, 2, 3], &[1, 4], Link::CUT))
+        .with_action(500, load(0, 20.0))
+        .with_action(500, load(1, 20.0))
+        .with_action(10_500, FaultAction::Heal)
+        .with_action(10_500, load(0, 10.0))
+        .with_action(10_500, load(1, 10.0));
     let played = holds(plan);
     let there = |event: &Event| matches!(event, Event::Request { zone: 1, .. });
     let elsewhere = |event: &Event| matches!(event, Event::Request { zone: 0, .. });
@@ -117,12 +131,14 @@
 #[test]
 fn clocks_are_two_seconds_off() {
     let clocks_ms = vec![2_000, -2_000];
-    holds(Plan { clocks_ms, ..tier() });
+    holds(FaultPlan { clocks_ms, ..tier() });
 }
 
 #[test]
 fn two_processes_have_one_name() {
-    let plan = tier().at(1_000, Act::Twin { gateway: 1 }).at(6_000, Act::EndTwin { gateway: 1 });
+    let plan = tier()
+        .with_action(1_000, FaultAction::StartDuplicate { gateway: 1 })
+        .with_action(6_000, FaultAction::StopDuplicate { gateway: 1 });
     let played = holds(plan);
     let served = |event: &Event| matches!(event, Event::Request { process: 5, .. });
     assert!(count(&played, served) > 10, "nobody came to the second");
@@ -130,17 +146,24 @@
 
 #[test]
 fn a_gateway_joins() {
-    let played = holds(Plan { absent: vec![4], ..tier() }.at(2_000, Act::Start { gateway: 4, clock_ms: 0 }));
+    let played = holds(
+        FaultPlan { absent: vec![4], ..tier() }
+            .with_action(2_000, FaultAction::Start { gateway: 4, clock_ms: 0 }),
+    );
     let served = |event: &Event| matches!(event, Event::Request { process: 4, .. });
     assert!(count(&played, served) > 10, "nobody came to it");
 }
 
 #[test]
 fn plans_of_fixed_seeds_hold() {
-    let range =
-        Range { gateways: 3..=5, faults: 2..=4, faults_within_ms: 1_000..=4_000, fault_ms: 500..=3_000 };
+    let range = RandomPlanLimits {
+        gateways: 3..=5,
+        faults: 2..=4,
+        faults_within_ms: 1_000..=4_000,
+        fault_ms: 500..=3_000,
+    };
     for seed in [11, 12, 13] {
-        let plan = Plan::random(seed, &range);
+        let plan = FaultPlan::random(seed, &range);
         let played = played(&plan);
         println!("{}", played.summary);
         let plan = serde_json::to_string(&plan).unwrap();
@@ -155,13 +178,13 @@
                 [vrrp]\nrouter = 7\npriority = 10{gateway}\ninterval_ms = 50\nlisten = \"{listen}\"\n\
                 peers = {others}\n";
     let socket =
-        Socket { arguments: vec!["--fronts".to_owned(), "{file}".to_owned()], file: file.to_owned() };
-    let plan = Plan { sockets: vec![socket], last_ms: 4_000, ..Plan::tier(3, 5.0) };
-    let played = played(&plan.at(500, link(&[2], &[1], Link::CUT)));
+        ProxiedSocket { arguments: vec!["--fronts".to_owned(), "{file}".to_owned()], file: file.to_owned() };
+    let plan = FaultPlan { sockets: vec![socket], last_ms: 4_000, ..FaultPlan::typical(3, 5.0) };
+    let played = played(&plan.with_action(500, link(&[2], &[1], Link::CUT)));
     assert_eq!(played.violations, []);
     let passed = |from: usize, to: usize| {
         let of = played.history.0.iter().find_map(|entry| match entry.event {
-            Event::Passed { net: 1, from: one, to: other, traffic } if (one, other) == (from, to) => {
+            Event::LinkTraffic { net: 1, from: one, to: other, traffic } if (one, other) == (from, to) => {
                 Some(traffic)
             }
             _ => None,
@@ -177,28 +200,33 @@
 // ---- What gateways share ------------------------------------------------------------------
 
 /// A tier whose gateways keep a view and share their state, with nothing that is cold.
-fn sharing(judgements: &str) -> Plan {
+fn sharing(judgements: &str) -> FaultPlan {
     let file = format!(
         "listen = \"{{listen}}\"\npublic = \"{{public}}\"\nseeds = {{others}}\ntier = 31\nsize = 5\n\
          [state]\ngateways = {{peers}}\ncheck = \"log\"\ndatagrams_per_s = 60\njudgements = \"{judgements}\"\n"
     );
-    let socket = Socket { arguments: vec!["--view".to_owned(), "{file}".to_owned()], file };
-    let plan = Plan { last_ms: 8_000, settle_ms: 4_500, look_ms: 500, ..Plan::tier(5, 10.0) };
-    Plan { sockets: vec![socket], calls: vec!["state".to_owned()], ..plan }
+    let socket = ProxiedSocket { arguments: vec!["--view".to_owned(), "{file}".to_owned()], file };
+    let plan = FaultPlan {
+        last_ms: 8_000,
+        settle_ms: 4_500,
+        admin_poll_interval_ms: 500,
+        ..FaultPlan::typical(5, 10.0)
+    };
+    FaultPlan { sockets: vec![socket], calls: vec!["state".to_owned()], ..plan }
 }
 
 /// Plays a plan of gateways that share, and expects that all holds and no invariant is broken.
-fn shares(plan: &Plan) -> Play {
+fn shares(plan: &FaultPlan) -> FaultRun {
     let played = played(plan);
     println!("{}", played.summary);
     let timeline =
         std::env::temp_dir().join(format!("ashtide-fault-injection-state-{}.jsonl", std::process::id()));
     if !played.violations.is_empty() {
-        let _ = std::fs::write(&timeline, played.history.lines());
+        let _ = std::fs::write(&timeline, played.history.to_json_lines());
     }
     assert_eq!(played.violations, [], "timeline {}", timeline.display());
     let last = |event: &Event, name: &str| match event {
-        Event::Door { figures, .. } => figures.get(name).copied(),
+        Event::AdminSample { figures, .. } => figures.get(name).copied(),
         _ => None,
     };
     let figures = |name| played.history.0.iter().filter_map(|it| last(&it.event, name)).fold(0.0, f64::max);
@@ -211,14 +239,14 @@
 
 /// The lines of a server or of all that doors said within a time, in milliseconds, by process.
 fn judged(
-    played: &Play,
+    played: &FaultRun,
     server: &str,
     within_ms: std::ops::Range<u64>,
 ) -> std::collections::BTreeMap<usize, bool> {
     let mut judged = std::collections::BTreeMap::new();
     let looks = played.history.0.iter().filter(|it| within_ms.contains(&(it.at_us / 1_000)));
     for entry in looks {
-        let Event::Door { process, calls, ready: Some(true), .. } = &entry.event else { continue };
+        let Event::AdminSample { process, calls, ready: Some(true), .. } = &entry.event else { continue };
         let text = calls.get("state").map_or("", String::as_str);
         let out =
             text.lines().any(|it| it.starts_with(&format!("server {server} ")) && it.contains("judged="));
@@ -228,7 +256,7 @@
 }
 
 /// How many attempts came to a server within a time, in milliseconds, by these gateways.
-fn attempts(played: &Play, server: &str, gateways: &[usize], within_ms: std::ops::Range<u64>) -> usize {
+fn attempts(played: &FaultRun, server: &str, gateways: &[usize], within_ms: std::ops::Range<u64>) -> usize {
     let by = |request: &str| gateways.iter().any(|gateway| request.starts_with(&format!("{gateway:04x}")));
     let here = played.history.0.iter().filter(|it| within_ms.contains(&(it.at_us / 1_000)));
     here.filter(
@@ -245,29 +273,31 @@
 #[test]
 fn what_is_shared_agrees_after_loss_and_a_stall() {
     let plan = sharing("use")
-        .at(300, link(&[], &[], Link::lossy(0.3)))
-        .at(1_000, Act::Stall { gateway: 1 })
-        .at(4_000, Act::Resume { gateway: 1 })
-        .at(5_000, Act::Heal);
+        .with_action(300, link(&[], &[], Link::lossy(0.3)))
+        .with_action(1_000, FaultAction::Stall { gateway: 1 })
+        .with_action(4_000, FaultAction::Resume { gateway: 1 })
+        .with_action(5_000, FaultAction::Heal);
     shares(&plan);
 }
 
 #[test]
 fn what_is_shared_agrees_after_a_kill_and_a_partition() {
-    let plan = Plan { clocks_ms: vec![2_000, -2_000], last_ms: 10_000, ..sharing("use") }
-        .at(500, Act::Split { parts: vec![vec![0, 1, 2], vec![3, 4]] })
-        .at(1_500, Act::Kill { gateway: 1 })
-        .at(3_000, Act::Start { gateway: 1, clock_ms: -2_000 })
-        .at(5_500, Act::Heal);
+    let plan = FaultPlan { clocks_ms: vec![2_000, -2_000], last_ms: 10_000, ..sharing("use") }
+        .with_action(500, FaultAction::Split { parts: vec![vec![0, 1, 2], vec![3, 4]] })
+        .with_action(1_500, FaultAction::Kill { gateway: 1 })
+        .with_action(3_000, FaultAction::Start { gateway: 1, clock_ms: -2_000 })
+        .with_action(5_500, FaultAction::Heal);
     shares(&plan);
 }
 
 #[test]
 fn of_two_processes_of_one_name_one_shares() {
-    let plan = sharing("use").at(800, Act::Twin { gateway: 1 }).at(3_500, Act::EndTwin { gateway: 1 });
+    let plan = sharing("use")
+        .with_action(800, FaultAction::StartDuplicate { gateway: 1 })
+        .with_action(3_500, FaultAction::StopDuplicate { gateway: 1 });
     let played = shares(&plan);
     let none = |event: &Event| match event {
-        Event::Door { process: 5, calls, .. } => {
+        Event::AdminSample { process: 5, calls, .. } => {
             calls.get("state").is_some_and(|it| it.starts_with("400 no state yet"))
         }
         _ => false,
@@ -279,14 +309,14 @@
 /// begins, and come back to it when it is well.
 #[test]
 fn who_has_not_seen_a_server_fail_leaves_it_by_what_the_others_saw() {
-    let mut plan = Plan { last_ms: 13_000, ..sharing("use") };
+    let mut plan = FaultPlan { last_ms: 13_000, ..sharing("use") };
     plan.load.iter_mut().filter(|it| it.zone == 1).for_each(|it| it.per_s = 0.0);
-    let load = |tenant| Act::Load(Load { tenant, zone: 1, per_s: 10.0 });
+    let load = |tenant| FaultAction::Load(Load { tenant, zone: 1, per_s: 10.0 });
     let plan = plan
-        .at(2_000, Act::Fail { server: 0, gateways: Vec::new() })
-        .at(6_000, load(0))
-        .at(6_000, load(1))
-        .at(8_000, Act::Mend { server: 0 });
+        .with_action(2_000, FaultAction::Fail { server: 0, gateways: Vec::new() })
+        .with_action(6_000, load(0))
+        .with_action(6_000, load(1))
+        .with_action(8_000, FaultAction::Recover { server: 0 });
     let played = shares(&plan);
     let (saw, others) = (&[0, 2, 3][..], &[1, 4][..]);
     let out = judged(&played, "s-0", 4_000..8_000);
@@ -304,7 +334,7 @@
 /// One gateway does not reach a server that all others do.
 #[test]
 fn one_gateway_that_sees_a_server_fail_takes_it_from_nobody() {
-    let plan = sharing("use").at(1_500, Act::Fail { server: 0, gateways: vec![2] });
+    let plan = sharing("use").with_action(1_500, FaultAction::Fail { server: 0, gateways: vec![2] });
     let played = shares(&plan);
     let out = judged(&played, "s-0", 0..7_000);
     assert!(out.len() == 5 && out.values().all(|out| !out), "{out:?}");
@@ -316,7 +346,7 @@
 #[test]
 fn the_rig_catches_gateways_that_do_not_spare_cold_servers() {
     let config = json!({"settings": {"rules": {"coldFrom": 1.0, "warmWithin": 0.0}}});
-    let played = played(&Plan { config, last_ms: 6_000, ..tier() });
+    let played = played(&FaultPlan { config, last_ms: 6_000, ..tier() });
     assert_eq!(played.summary.violations.keys().copied().collect::<Vec<_>>(), ["cold-budget"]);
 }
 
@@ -326,8 +356,8 @@
     let _turn = turn();
     // Told to no other play's processes, so theirs are not counted.
     let clock_ms = 1_234_567;
-    let plan =
-        Plan { gateways: 3, clocks_ms: vec![clock_ms; 3], ..tier() }.at(100, Act::Stall { gateway: 1 });
+    let plan = FaultPlan { gateways: 3, clocks_ms: vec![clock_ms; 3], ..tier() }
+        .with_action(100, FaultAction::Stall { gateway: 1 });
     let mark = format!("ASHTIDE_CLOCK_OFFSET_MS={clock_ms}");
     let running = || {
         let all = std::fs::read_dir("/proc").expect("processes").flatten();
@@ -339,7 +369,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
             tokio::select! {
-                ended = play(Path::new(env!("CARGO_BIN_EXE_ashtide")), &plan) => ended.map(|_| 0),
+                ended = run_plan(Path::new(env!("CARGO_BIN_EXE_ashtide")), &plan) => ended.map(|_| 0),
                 seen = async {
                     while running() < 3 {
                         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/tests/fault_runs/mod.rs
+++ b/tests/fault_runs/mod.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, TryLockError};
 use std::time::Duration;
 
-use ashtide_fault_injection::{Plan, Play, RigError, play};
+use ashtide_fault_injection::{FaultPlan, FaultRun, FaultRunError, run_plan};
 
 /// Plays that run at the same time: each has some processes, and is judged by what comes late.
 static TURNS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
@@ -27,12 +27,12 @@
 }
 
 /// Plays a plan with this daemon.
-pub fn played(plan: &Plan) -> Play {
+pub fn played(plan: &FaultPlan) -> FaultRun {
     let _turn = turn();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     for _ in 0..TRIES {
-        match runtime.block_on(play(Path::new(env!("CARGO_BIN_EXE_ashtide")), plan)) {
-            Err(RigError::Busy { found_ms, .. }) => {
+        match runtime.block_on(run_plan(Path::new(env!("CARGO_BIN_EXE_ashtide")), plan)) {
+            Err(FaultRunError::HarnessDelayed { found_ms, .. }) => {
                 println!("once more: the rig was late for {found_ms} ms");
                 std::thread::sleep(Duration::from_secs(3));
             }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -8,7 +8,7 @@
 
 use ashtide::admin::protocol::AdminRequest;
 use ashtide::fleet::maintenance::{MaintenanceCommand, MaintenanceError, Settings, schema};
-use ashtide_fault_injection::{Link, Mesh};
+use ashtide_fault_injection::{Link, ProxyMesh};
 use ashtide_testkit::daemon::{Daemon, Options, ask};
 use ashtide_testkit::fleet::Fleet;
 use serde_json::json;
@@ -188,7 +188,7 @@
 
 struct Cluster {
     fleet: Fleet,
-    mesh: Mesh,
+    mesh: ProxyMesh,
     own: Vec<SocketAddr>,
     folder: PathBuf,
     max_out: usize,
@@ -210,7 +210,7 @@
         let free: Vec<_> = (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
         let own: Vec<SocketAddr> = free.iter().map(|it| it.local_addr().expect("its address")).collect();
         drop(free);
-        let mesh = Mesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &own, 1).await.expect("relays");
+        let mesh = ProxyMesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &own, 1).await.expect("relays");
         let folder = std::env::temp_dir().join(format!("ashtide-work-{}-{what}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut cluster = Self {
@@ -356,8 +356,8 @@
         assert!(!last.agreed && last.out.is_empty(), "{last:?}");
         let answer = cluster.daemons[4].call("maintenance request s-9").await.expect("an answer");
         assert!(answer.starts_with("400"), "{answer}");
-        cluster.mesh.set(one, other, Link::WHOLE);
-        cluster.mesh.set(other, one, Link::WHOLE);
+        cluster.mesh.set(one, other, Link::PERFECT);
+        cluster.mesh.set(other, one, Link::PERFECT);
     }
     for number in 0..GATEWAYS {
         cluster.daemons[number].kill().await.expect("killed");
