--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -16,12 +16,13 @@
 mod quota;
 mod run;
 mod summary;
+mod violation;
 
 use std::io;
 
 use ashtide_testkit::RehearsalError;
 
-pub use checks::{Violation, violations};
+pub use checks::{violations, worst_slow_start_window};
 pub use history::{Answer, CloseReason, Entry, Event, ExitCause, History};
 pub use mesh::{Link, ProxyMesh, Traffic};
 pub use plan::{
@@ -30,6 +31,7 @@
 pub use quota::{PlacedConnection, placed_connections, quota_overshoot};
 pub use run::{FaultRun, run_plan};
 pub use summary::Summary;
+pub use violation::Violation;
 
 /// Why a plan could not be played, or a timeline not be read. It says nothing of the daemon's conduct:
 /// that is a [`Violation`].
--- a/crates/ashtide-fault-injection/src/quota.rs
+++ b/crates/ashtide-fault-injection/src/quota.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use crate::checks::Violation;
 use crate::history::{Answer, Event, History};
 use crate::plan::{FaultPlan, QuotaPeriod};
+use crate::violation::Violation;
 
 /// Windows that are looked at, in microseconds.
 const WINDOWS: [u64; 3] = [500_000, 2_000_000, 5_000_000];
--- a/crates/ashtide-fault-injection/src/run.rs
+++ b/crates/ashtide-fault-injection/src/run.rs
@@ -18,12 +18,13 @@
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 
 use crate::FaultRunError;
-use crate::checks::{Violation, violations};
+use crate::checks::violations;
 use crate::clients::{ClientLoad, GatewayTarget, Phase, locked, offer_load, request_id_prefix};
 use crate::history::{Event, ExitCause, History};
 use crate::mesh::{Link, ProxyMesh};
 use crate::plan::{FaultAction, FaultPlan, Load};
 use crate::summary::Summary;
+use crate::violation::Violation;
 
 /// How often processes are looked at for their end.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -21,7 +21,7 @@
     include_str!("../crates/ashtide-maintenance/src/store/mod.rs"),
     include_str!("../crates/ashtide-maintenance/src/queue/change.rs"),
     include_str!("../crates/ashtide-maintenance/src/violation.rs"),
-    include_str!("../crates/ashtide-fault-injection/src/checks.rs"),
+    include_str!("../crates/ashtide-fault-injection/src/violation.rs"),
     include_str!("../crates/ashtide-fault-injection/src/lib.rs"),
 ];
 const PAGE: &str = include_str!("../docs/errors.md");
