--- /dev/null
+++ b/tests/watches/client.rs
@@ -0,0 +1,409 @@
+//! The client of a watch: timeouts, ends, address changes and how lists are parsed.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ashtide::config::Config;
+use ashtide::discovery::{EndpointList, HEARTBEAT_TIMEOUT, WatchEnd};
+use ashtide::handover::{PersistedState, ProcessState};
+use ashtide::metrics::Metrics;
+use ashtide::net::discovery::follow_endpoint_list;
+use ashtide::net::event_loop::{EventLoop, EventLoopParts};
+use ashtide::net::handover::SiblingLink;
+use ashtide::net::messages::{DriverEvent, EventLoopHandle};
+use ashtide::net::pending_clients::PendingClients;
+use ashtide_testkit::fleet::chunk;
+use ashtide_testkit::within;
+use serde_json::json;
+use tokio::io::AsyncWriteExt;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, sleep};
+
+use super::harness::{RESPONSE_HEAD, StubDiscovery, UNAVAILABLE_RESPONSE, list_json, unused_address};
+
+/// `follow` before a core that is the test.
+struct WatchClient {
+    address: watch::Sender<SocketAddr>,
+    subscriptions: mpsc::Sender<()>,
+    events: mpsc::Receiver<DriverEvent>,
+    event_loop: EventLoopHandle,
+}
+
+/// An end of a watch, as told.
+#[derive(Debug, PartialEq)]
+struct ObservedEnd {
+    since_synced: Duration,
+    end: WatchEnd,
+    resubscribe: bool,
+}
+
+impl WatchClient {
+    fn start(initial_address: SocketAddr, after_version: u64, queue: usize) -> Self {
+        let (address, address_changes) = watch::channel(initial_address);
+        let (subscriptions, requested) = mpsc::channel(1);
+        let (sender, events) = mpsc::channel(queue);
+        let event_loop = EventLoopHandle::new(Arc::new(Metrics::new(&[])), sender);
+        tokio::spawn(follow_endpoint_list(address_changes, after_version, requested, event_loop.clone()));
+        Self { address, subscriptions, events, event_loop }
+    }
+
+    fn subscribe(&self) {
+        self.subscriptions.try_send(()).expect("room for a call");
+    }
+
+    async fn next_event(&mut self) -> DriverEvent {
+        within("a report", self.events.recv()).await.expect("told").expect("it follows")
+    }
+
+    async fn expect_watch_end(&mut self) -> ObservedEnd {
+        match self.next_event().await {
+            DriverEvent::WatchEnded { since_synced, end, resubscribe } => {
+                ObservedEnd { since_synced, end, resubscribe }
+            }
+            other => panic!("an end of a watch, not {other:?}"),
+        }
+    }
+
+    async fn expect_update(&mut self) -> EndpointList {
+        match self.next_event().await {
+            DriverEvent::ListUpdated { update, .. } => update,
+            other => panic!("news, not {other:?}"),
+        }
+    }
+
+    async fn expect_synced(&mut self) {
+        let next = self.next_event().await;
+        assert!(matches!(next, DriverEvent::WatchSynced { .. }), "in step, not {next:?}");
+    }
+}
+
+#[tokio::test]
+async fn one_timeout_covers_a_request_until_its_first_complete_object() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 41, 16);
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    request.send_raw(&format!("{RESPONSE_HEAD}5000\r\n{{\"index\":42,")).await;
+    let received_at = request.received_at;
+    let closed_at =
+        within("the end of the call", request.send_bytes_until_closed(Duration::from_millis(100)))
+            .await
+            .expect("left");
+    let took = closed_at - received_at;
+    assert!(took > Duration::from_millis(3300) && took < Duration::from_millis(4500), "{took:?}");
+    let ended = client.expect_watch_end().await;
+    assert!(
+        ended.end == WatchEnd::Failed
+            && ended.resubscribe
+            && ended.since_synced >= Duration::from_millis(3400),
+        "{ended:?}"
+    );
+}
+
+#[tokio::test]
+async fn only_complete_objects_and_heartbeats_keep_a_watch_open() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 0, 16);
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    request.send_list(&list_json(1, true, &["a"])).await;
+    // 3.2 s, as three beats keep it.
+    for _ in 0..2 {
+        sleep(Duration::from_millis(1600)).await;
+        request.send_heartbeat().await;
+    }
+    let last_heartbeat = Instant::now();
+    request.send_raw("5000\r\n{\"index\":42,").await;
+    let closed_at =
+        within("the end of the watch", request.send_bytes_until_closed(Duration::from_millis(100)))
+            .await
+            .expect("left");
+    assert!(
+        closed_at - last_heartbeat > HEARTBEAT_TIMEOUT - Duration::from_millis(100)
+            && closed_at - last_heartbeat < HEARTBEAT_TIMEOUT * 3 / 2,
+        "{:?}",
+        closed_at - last_heartbeat
+    );
+    client.expect_update().await;
+    client.expect_synced().await;
+    let ended = client.expect_watch_end().await;
+    assert!(ended.end == WatchEnd::Failed && ended.resubscribe, "{ended:?}");
+    assert!(
+        ended.since_synced >= HEARTBEAT_TIMEOUT && ended.since_synced < HEARTBEAT_TIMEOUT * 3 / 2,
+        "{ended:?}"
+    );
+}
+
+#[tokio::test]
+async fn every_watch_end_reports_the_time_since_the_list_was_synced() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 41, 16);
+    let start = Instant::now();
+    // A first call that fails, with a list from before: it is asked from there again.
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    assert_eq!(request.after_version, 41);
+    request.send_raw(UNAVAILABLE_RESPONSE).await;
+    let ended = client.expect_watch_end().await;
+    assert!(
+        (ended.end, ended.resubscribe) == (WatchEnd::Failed, true) && ended.since_synced <= start.elapsed(),
+        "{ended:?}"
+    );
+    // Answered with nothing new; the watch ends 0.3 s after.
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    assert_eq!(request.after_version, 41);
+    let answered_at = Instant::now();
+    request.send_raw(&format!("{RESPONSE_HEAD}{}", chunk("\n"))).await;
+    client.expect_synced().await;
+    let synced_at = Instant::now();
+    sleep(Duration::from_millis(300)).await;
+    drop(request);
+    let ended = client.expect_watch_end().await;
+    assert_eq!((ended.end, ended.resubscribe), (WatchEnd::Closed, true));
+    assert!(
+        ended.since_synced >= Duration::from_millis(300) && ended.since_synced <= answered_at.elapsed(),
+        "{ended:?}"
+    );
+    // 503 and reset in turn: the same moment counts.
+    expect_failures_since_sync(&service, &mut client, synced_at, answered_at).await;
+    // A watch that is reset has told what it told.
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    request.send_list(&list_json(42, false, &["a"])).await;
+    client.expect_update().await;
+    client.expect_synced().await;
+    request.reset();
+    assert_eq!(client.expect_watch_end().await.end, WatchEnd::Closed);
+    // Nobody listens.
+    let (_socket, address) = unused_address();
+    client.address.send_replace(address);
+    assert_eq!(client.expect_watch_end().await.end, WatchEnd::ConnectionRefused);
+}
+
+/// Fails four requests in turn; each end counts from the last synchronisation.
+async fn expect_failures_since_sync(
+    service: &StubDiscovery,
+    client: &mut WatchClient,
+    synced_at: Instant,
+    answered_at: Instant,
+) {
+    for turn in 0..4 {
+        client.subscribe();
+        let mut request = service.accept_request().await;
+        if turn % 2 == 0 {
+            request.send_raw(UNAVAILABLE_RESPONSE).await;
+        } else {
+            request.reset();
+        }
+        let ended = client.expect_watch_end().await;
+        assert_eq!((ended.end, ended.resubscribe), (WatchEnd::Failed, true));
+        assert!(
+            ended.since_synced >= synced_at.elapsed() - Duration::from_millis(200),
+            "{ended:?} in turn {turn}"
+        );
+        assert!(ended.since_synced <= answered_at.elapsed(), "{ended:?} in turn {turn}");
+    }
+}
+
+#[tokio::test]
+async fn updates_of_the_old_discovery_are_stale_after_an_address_change() {
+    let old = StubDiscovery::start().await;
+    let new = StubDiscovery::start().await;
+    // Room for a single event: the core is busy.
+    let mut client = WatchClient::start(old.address, 41, 1);
+    client.subscribe();
+    let mut watch = old.accept_request().await;
+    watch.send_list(&list_json(42, true, &["old"])).await;
+    watch.send_raw(&chunk(&format!("{}\n", list_json(43, false, &["older"])))).await;
+    // The first is in the queue by now.
+    let queued = async {
+        while client.events.is_empty() {
+            tokio::task::yield_now().await;
+        }
+    };
+    within("a report in the queue", queued).await.expect("queued");
+    client.address.send_replace(new.address);
+    watch.wait_until_closed().await;
+    assert!(!new.has_pending_request(), "not before the core has been told of the end");
+    let event = client.next_event().await;
+    assert!(matches!(&event, DriverEvent::ListUpdated { update, .. } if update.index == 42), "{event:?}");
+    assert!(client.event_loop.is_stale(&event), "told by the old, and heard after the move");
+    let ended = client.expect_watch_end().await;
+    assert_eq!((ended.end, ended.resubscribe), (WatchEnd::Closed, false), "the new one is called unasked");
+    let mut request = new.accept_request().await;
+    assert_eq!(request.after_version, 0, "versions of another service say nothing");
+    request.send_list(&list_json(3, true, &["new"])).await;
+    let event = client.next_event().await;
+    assert!(matches!(&event, DriverEvent::ListUpdated { update, .. } if update.index == 3), "{event:?}");
+    assert!(!client.event_loop.is_stale(&event));
+    client.expect_synced().await;
+    // Back to the first before anybody looked: what it told last was void, so it is asked for all, too.
+    client.address.send_replace(old.address);
+    client.address.send_replace(new.address);
+    request.wait_until_closed().await;
+    client.expect_watch_end().await;
+    assert_eq!(new.accept_request().await.after_version, 0);
+}
+
+#[tokio::test]
+async fn an_address_change_before_the_first_request_requests_a_snapshot() {
+    let old = StubDiscovery::start().await;
+    let new = StubDiscovery::start().await;
+    let client = WatchClient::start(old.address, 41, 16);
+    client.address.send_replace(new.address);
+    client.subscribe();
+    assert_eq!(
+        new.accept_request().await.after_version,
+        0,
+        "the version that it began with is the old one's"
+    );
+}
+
+#[tokio::test]
+async fn an_address_change_keeps_a_single_request_outstanding() {
+    let one = StubDiscovery::start().await;
+    let two = StubDiscovery::start().await;
+    let mut client = WatchClient::start(one.address, 0, 16);
+    client.subscribe();
+    one.accept_request().await.reset();
+    assert!(client.expect_watch_end().await.resubscribe);
+    // The core waits before it asks again; meanwhile discovery moves, and is called at once.
+    client.address.send_replace(two.address);
+    two.accept_request().await.reset();
+    assert!(!client.expect_watch_end().await.resubscribe, "it will ask as it is");
+    client.subscribe();
+    let mut request = two.accept_request().await;
+    // One that is out is given up for another, and never are two out.
+    client.address.send_replace(one.address);
+    request.wait_until_closed().await;
+    let ended = client.expect_watch_end().await;
+    assert_eq!((ended.end, ended.resubscribe), (WatchEnd::Failed, false));
+    one.accept_request().await.reset();
+    assert!(client.expect_watch_end().await.resubscribe, "now it has nothing left to wait for");
+}
+
+#[tokio::test]
+async fn deltas_of_a_restarted_discovery_lead_to_a_snapshot() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 41, 16);
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    // Its versions are behind, so it has nothing new to say; then something changes.
+    request.send_raw(&format!("{RESPONSE_HEAD}{}", chunk("\n"))).await;
+    client.expect_synced().await;
+    let heartbeat_at = Instant::now();
+    sleep(Duration::from_millis(300)).await;
+    request.send_raw(&chunk(&format!("{}\n", list_json(3, false, &["a"])))).await;
+    assert_eq!(client.expect_update().await.index, 3, "what it says of a server is so");
+    request.wait_until_closed().await;
+    let ended = client.expect_watch_end().await;
+    assert!(ended.end == WatchEnd::Failed && ended.resubscribe, "{ended:?}");
+    assert!(
+        ended.since_synced >= Duration::from_millis(300),
+        "{ended:?}, and {:?} since a beat",
+        heartbeat_at.elapsed()
+    );
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    assert_eq!(request.after_version, 0);
+    request.send_list(&list_json(3, true, &["a", "b"])).await;
+    assert!(client.expect_update().await.snapshot);
+    client.expect_synced().await;
+    // A whole list counts whatever its version.
+    request.send_raw(&chunk(&format!("{}\n", list_json(2, true, &["b"])))).await;
+    assert_eq!(client.expect_update().await.index, 2);
+    drop(request);
+    assert_eq!(client.expect_watch_end().await.end, WatchEnd::Closed);
+    client.subscribe();
+    assert_eq!(service.accept_request().await.after_version, 2);
+}
+
+#[tokio::test]
+async fn lists_are_read_indented_pipelined_and_one_byte_at_a_time() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 0, 16);
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    let first = list_json(1, true, &["a", "b"]);
+    let second = list_json(2, false, &["b"]);
+    // Two objects, beats and the begin of a third in chunks that end anywhere.
+    let body = format!("{first:#}\n\n{second}\n\n\n{:#}\n", list_json(3, false, &["a"]));
+    let (one, rest) = body.split_at(first.to_string().len() + 7);
+    let text = format!("{RESPONSE_HEAD}{}{}", chunk(one), chunk(rest));
+    for byte in text.bytes() {
+        request.stream.write_all(&[byte]).await.expect("a watch that is open");
+        tokio::task::yield_now().await;
+    }
+    assert_eq!(client.expect_update().await.endpoints.len(), 2);
+    client.expect_synced().await;
+    for index in [2, 3] {
+        assert_eq!(client.expect_update().await.index, index);
+    }
+    // All at once, and the end behind it.
+    let more = list_json(4, false, &["c"]);
+    let last = list_json(5, true, &["c"]);
+    let text = format!("{}{}", chunk(&format!("{more}\n{last}")), chunk("\n\n"));
+    request.send_raw(&text).await;
+    drop(request);
+    for index in [4, 5] {
+        assert_eq!(client.expect_update().await.index, index);
+    }
+    assert_eq!(client.expect_watch_end().await.end, WatchEnd::Closed);
+}
+
+#[tokio::test]
+async fn updates_before_a_malformed_line_are_delivered() {
+    let service = StubDiscovery::start().await;
+    let mut client = WatchClient::start(service.address, 0, 16);
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    let both = format!("{}\n{{\"index\":2,\"endpoints\":7}}\n", list_json(1, true, &["a"]));
+    request.send_raw(&format!("{RESPONSE_HEAD}{}", chunk(&both))).await;
+    assert_eq!(client.expect_update().await.index, 1);
+    client.expect_synced().await;
+    assert_eq!(client.expect_watch_end().await.end, WatchEnd::Failed);
+    client.subscribe();
+    assert_eq!(service.accept_request().await.after_version, 1);
+}
+
+#[tokio::test]
+async fn the_event_loop_drops_stale_updates() {
+    let settings = json!({
+        "azs": ["here"], "zone": "here", "balancers": 1, "discovery": "on_request", "tick": 0.005,
+        "classes": [{"name": "meter", "aim": 0.4, "deadline": 3.0, "effect": "pure", "worth": 1.0}],
+    });
+    let config = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "5eed",
+                        "settings": settings});
+    let config = Config::from_json(config, |_| None).expect("a configuration");
+    let (subscribe, _subscriptions) = mpsc::channel(1);
+    let (datagrams, _sent) = mpsc::channel(1);
+    let (_successor_sender, successor) = watch::channel(None);
+    let pending_clients = PendingClients::new(config.capacity(0));
+    let sibling_link = SiblingLink::new(
+        pending_clients,
+        None,
+        PersistedState::default(),
+        0,
+        ProcessState::default(),
+        successor,
+    );
+    let EventLoopParts { event_loop, handle, admin: _admin } =
+        EventLoop::create(&config, subscribe, datagrams, sibling_link);
+    let mut addresses = event_loop.server_addresses();
+    let update = |name| serde_json::from_value(list_json(1, false, &[name])).expect("a list");
+    let checks = async {
+        // Both are in the queue before the core looks.
+        handle.send(DriverEvent::ListUpdated { watch: handle.start_watch(), update: update("old") }).await;
+        handle.send(DriverEvent::ListUpdated { watch: handle.start_watch(), update: update("new") }).await;
+        let listed = within("a list", addresses.wait_for(|addresses| addresses.contains_key("new"))).await;
+        let listed = listed.expect("in time").expect("a core that runs");
+        assert!(!listed.contains_key("old"), "told before a later watch began, and heard after");
+    };
+    tokio::select! {
+        biased;
+        () = checks => {}
+        () = event_loop.run(None) => panic!("a core that ends unasked"),
+    }
+}
--- /dev/null
+++ b/tests/watches/daemon.rs
@@ -0,0 +1,228 @@
+//! The daemon when its watch ends: validity of the list, changes of the list and descriptors.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+
+use ashtide_testkit::clients::LineClient;
+use ashtide_testkit::daemon::{Daemon, Options};
+use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::within;
+use serde_json::json;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep, sleep_until};
+
+use super::harness::{RESPONSE_HEAD, StubDiscovery, UNAVAILABLE_RESPONSE, unused_address};
+
+fn accepted_connections(fleet: &Fleet, server: usize) -> u64 {
+    fleet.servers[server].seen.taken.load(std::sync::atomic::Ordering::Relaxed)
+}
+
+/// So many clients ask one after the other; those that stay, and how many were rejected.
+async fn open_clients(daemon: &Daemon, count: u64) -> (Vec<LineClient>, usize) {
+    let mut clients = Vec::new();
+    let mut rejected = 0;
+    for number in 0..count {
+        let (client, answer) = LineClient::open(daemon.lines, number).await.expect("an answer");
+        assert!(answer.starts_with("BUSY") || answer.starts_with("UP"), "{answer}");
+        rejected += usize::from(answer.starts_with("BUSY"));
+        clients.push(client);
+    }
+    (clients, rejected)
+}
+
+async fn start_daemon(service: &StubDiscovery, servers: usize, options: Options) -> (Fleet, Daemon) {
+    let mut fleet = Fleet::start(servers).await.expect("a fleet");
+    fleet.discovery = service.address;
+    let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
+    let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
+    (fleet, daemon)
+}
+
+/// Answers nothing, or 503 and resets in turn, for good.
+fn never_answer(service: StubDiscovery, resets: bool) {
+    tokio::spawn(async move {
+        let mut calls = VecDeque::new();
+        loop {
+            let Ok((mut stream, _)) = service.listener.accept().await else { return };
+            if resets {
+                let _ = stream.read(&mut [0; 512]).await;
+                let _ = stream
+                    .write_all(if calls.len() % 2 == 0 { UNAVAILABLE_RESPONSE.as_bytes() } else { b"" })
+                    .await;
+                stream.set_zero_linger().expect("a socket");
+                calls.push_back(None);
+            } else {
+                calls.push_back(Some(stream));
+            }
+        }
+    });
+}
+
+/// Placed on until shortly before 6 s after the last word, and not after.
+async fn expect_validity_of_six_seconds(daemon: &Daemon, last: Instant) {
+    sleep_until(last + Duration::from_millis(5000)).await;
+    let (_placed, rejected) = open_clients(daemon, 2).await;
+    assert_eq!(rejected, 0, "the list still stands");
+    sleep_until(last + Duration::from_millis(6500)).await;
+    let (_refused, rejected) = open_clients(daemon, 2).await;
+    assert_eq!(rejected, 2, "a change counts as told by now");
+    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a line for those on call");
+}
+
+#[tokio::test]
+async fn six_seconds_after_a_reset_nothing_is_placed_while_requests_fail() {
+    let service = StubDiscovery::start().await;
+    let (fleet, daemon) = start_daemon(&service, 2, Options::default()).await;
+    let mut watch = service.accept_request().await;
+    watch.send_list(&fleet.known()).await;
+    watch.send_heartbeat().await;
+    let last = Instant::now();
+    daemon.says("discovery: ").await.expect("an answer");
+    watch.reset();
+    never_answer(service, true);
+    expect_validity_of_six_seconds(&daemon, last).await;
+}
+
+#[tokio::test]
+async fn six_seconds_after_its_start_a_process_without_an_answer_places_nothing() {
+    let service = StubDiscovery::start().await;
+    let (_fleet, daemon) = start_daemon(&service, 2, Options::default()).await;
+    let start = Instant::now();
+    never_answer(service, false);
+    expect_validity_of_six_seconds(&daemon, start).await;
+}
+
+#[tokio::test]
+async fn six_seconds_after_a_change_to_an_unresponsive_discovery_nothing_is_placed() {
+    let old = StubDiscovery::start().await;
+    let new = StubDiscovery::start().await;
+    let (fleet, mut daemon) = start_daemon(&old, 2, Options::default()).await;
+    let mut watch = old.accept_request().await;
+    watch.send_list(&fleet.known()).await;
+    watch.send_heartbeat().await;
+    let last = Instant::now();
+    daemon.says("discovery: ").await.expect("an answer");
+    daemon.reload("discovery", json!(new.address)).expect("a daemon that runs");
+    watch.wait_until_closed().await;
+    never_answer(new, false);
+    expect_validity_of_six_seconds(&daemon, last).await;
+}
+
+#[tokio::test]
+async fn the_list_stays_valid_while_connections_to_discovery_are_refused() {
+    let service = StubDiscovery::start().await;
+    let (fleet, mut daemon) = start_daemon(&service, 2, Options::default()).await;
+    let mut watch = service.accept_request().await;
+    watch.send_list(&fleet.known()).await;
+    daemon.says("discovery: ").await.expect("an answer");
+    let (_socket, address) = unused_address();
+    daemon.reload("discovery", json!(address)).expect("a daemon that runs");
+    watch.wait_until_closed().await;
+    let closed_at = Instant::now();
+    sleep_until(closed_at + Duration::from_millis(7500)).await;
+    let (_placed, rejected) = open_clients(&daemon, 4).await;
+    assert_eq!(rejected, 0, "the last list stands");
+}
+
+/// Waits for the line that says that a watch from this version has begun.
+async fn expect_watch_line(daemon: &Daemon, address: SocketAddr, after_version: u64) {
+    let line: &'static str =
+        Box::leak(format!("discovery: watching {address} after version {after_version}:").into());
+    daemon.says(line).await.expect("an answer");
+}
+
+#[tokio::test]
+async fn draining_removal_and_a_new_address_are_applied_after_resets() {
+    let service = StubDiscovery::start().await;
+    let (fleet, daemon) = start_daemon(&service, 3, Options::default()).await;
+    // Two servers; the third takes the place of the first.
+    let mut known = fleet.known();
+    known["index"] = json!(5);
+    known["endpoints"].as_array_mut().expect("entries").pop();
+    let mut watch = service.accept_request().await;
+    watch.send_list(&known).await;
+    expect_watch_line(&daemon, service.address, 1).await;
+    let (_standing, rejected) = open_clients(&daemon, 8).await;
+    assert!(rejected == 0 && accepted_connections(&fleet, 0) > 0 && accepted_connections(&fleet, 1) > 0);
+    // Reset, and then a drain: the next call tells it, indented.
+    watch.reset();
+    let mut watch = service.accept_request().await;
+    assert_eq!(watch.after_version, 5);
+    known["index"] = json!(6);
+    known["endpoints"][0]["status"] = json!("DRAINING");
+    watch.send_raw(&format!("{RESPONSE_HEAD}{}", chunk(&format!("{known:#}\n")))).await;
+    expect_watch_line(&daemon, service.address, 5).await;
+    let before = accepted_connections(&fleet, 0);
+    let (_more, rejected) = open_clients(&daemon, 8).await;
+    assert_eq!(
+        (rejected, accepted_connections(&fleet, 0)),
+        (0, before),
+        "all go to the server that is not drained"
+    );
+    // The whole list lacks it.
+    watch.reset();
+    let mut watch = service.accept_request().await;
+    let mut lacks = known.clone();
+    lacks["index"] = json!(7);
+    lacks["endpoints"].as_array_mut().expect("entries").remove(0);
+    watch.send_list(&lacks).await;
+    expect_watch_line(&daemon, service.address, 6).await;
+    let (_more, rejected) = open_clients(&daemon, 8).await;
+    assert_eq!((rejected, accepted_connections(&fleet, 0)), (0, before));
+    // It comes back at another address, begun a moment ago.
+    watch.reset();
+    let mut watch = service.accept_request().await;
+    known["index"] = json!(8);
+    known["endpoints"][0]["status"] = json!("SERVING");
+    known["endpoints"][0]["address"] = json!(fleet.servers[2].address);
+    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
+    known["endpoints"][0]["since_ms"] = json!(unix.as_millis() as u64 - 1_000);
+    watch.send_list(&known).await;
+    expect_watch_line(&daemon, service.address, 7).await;
+    let other = accepted_connections(&fleet, 1);
+    let (_more, rejected) = open_clients(&daemon, 8).await;
+    assert_eq!((rejected, accepted_connections(&fleet, 0)), (0, before), "nothing goes to the old address");
+    let (new, more) = (accepted_connections(&fleet, 2), accepted_connections(&fleet, 1) - other);
+    assert!(new < more, "it is cold: {new} there, {more} at the other");
+    let used = async {
+        while accepted_connections(&fleet, 2) == 0 {
+            open_clients(&daemon, 1).await;
+            sleep(Duration::from_millis(50)).await;
+        }
+    };
+    within("use of the new address", used).await.expect("used");
+    assert_eq!(accepted_connections(&fleet, 0), before, "nothing goes to the old address");
+}
+
+#[tokio::test]
+async fn a_watch_request_has_a_descriptor_when_clients_use_all_others() {
+    let service = StubDiscovery::start().await;
+    let (fleet, daemon) = start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
+    let mut watch = service.accept_request().await;
+    watch.send_list(&fleet.known()).await;
+    daemon.says("discovery: ").await.expect("an answer");
+    let id = daemon.id().expect("it runs");
+    let most = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
+    let pid = rustix::process::Pid::from_raw(id.cast_signed());
+    rustix::process::prlimit(pid, rustix::process::Resource::Nofile, most).expect("its limit");
+    let mut idle = Vec::new();
+    for _ in 0..160 {
+        idle.push(within("a connection", TcpStream::connect(daemon.lines)).await.expect("in time"));
+    }
+    let open = || std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
+    let filled = async {
+        while open() < 70 {
+            sleep(Duration::from_millis(20)).await;
+        }
+    };
+    within("a crowd", filled).await.expect("clients hold descriptors");
+    for turn in 0..3 {
+        watch.reset();
+        watch = service.accept_request().await;
+        watch.send_list(&fleet.known()).await;
+        assert!(open() <= 100, "turn {turn}");
+    }
+}
