--- a/tests/watches/client.rs
+++ b/tests/watches/client.rs
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn only_complete_objects_and_heartbeats_keep_a_watch_open() {
+async fn complete_objects_and_heartbeats_alone_extend_a_watch() {
     let service = StubDiscovery::start().await;
     let mut client = WatchClient::start(service.address, 0, 16);
     client.subscribe();
@@ -140,16 +140,7 @@
     let service = StubDiscovery::start().await;
     let mut client = WatchClient::start(service.address, 41, 16);
     let start = Instant::now();
-    // A first call that fails, with a list from before: it is asked from there again.
-    client.subscribe();
-    let mut request = service.accept_request().await;
-    assert_eq!(request.after_version, 41);
-    request.send_raw(UNAVAILABLE_RESPONSE).await;
-    let ended = client.expect_watch_end().await;
-    assert!(
-        (ended.end, ended.resubscribe) == (WatchEnd::Failed, true) && ended.since_synced <= start.elapsed(),
-        "{ended:?}"
-    );
+    expect_failed_first_request(&service, &mut client, start).await;
     // Answered with nothing new; the watch ends 0.3 s after.
     client.subscribe();
     let mut request = service.accept_request().await;
@@ -168,7 +159,7 @@
     );
     // 503 and reset in turn: the same moment counts.
     expect_failures_since_sync(&service, &mut client, synced_at, answered_at).await;
-    // A watch that is reset has told what it told.
+    // Updates before a reset are delivered.
     client.subscribe();
     let mut request = service.accept_request().await;
     request.send_list(&list_json(42, false, &["a"])).await;
@@ -177,11 +168,24 @@
     request.reset();
     assert_eq!(client.expect_watch_end().await.end, WatchEnd::Closed);
     // Nobody listens.
-    let (_socket, address) = unused_address();
-    client.address.send_replace(address);
+    let unused = unused_address();
+    client.address.send_replace(unused.address);
     assert_eq!(client.expect_watch_end().await.end, WatchEnd::ConnectionRefused);
 }
 
+/// Fails the first request; with a cached list, it starts after the version of that list.
+async fn expect_failed_first_request(service: &StubDiscovery, client: &mut WatchClient, start: Instant) {
+    client.subscribe();
+    let mut request = service.accept_request().await;
+    assert_eq!(request.after_version, 41);
+    request.send_raw(UNAVAILABLE_RESPONSE).await;
+    let ended = client.expect_watch_end().await;
+    assert!(
+        (ended.end, ended.resubscribe) == (WatchEnd::Failed, true) && ended.since_synced <= start.elapsed(),
+        "{ended:?}"
+    );
+}
+
 /// Fails four requests in turn; each end counts from the last synchronisation.
 async fn expect_failures_since_sync(
     service: &StubDiscovery,
@@ -211,7 +215,7 @@
 async fn updates_of_the_old_discovery_are_stale_after_an_address_change() {
     let old = StubDiscovery::start().await;
     let new = StubDiscovery::start().await;
-    // Room for a single event: the core is busy.
+    // The queue has capacity for one event: the event loop is busy.
     let mut client = WatchClient::start(old.address, 41, 1);
     client.subscribe();
     let mut watch = old.accept_request().await;
@@ -239,7 +243,7 @@
     assert!(matches!(&event, DriverEvent::ListUpdated { update, .. } if update.index == 3), "{event:?}");
     assert!(!client.event_loop.is_stale(&event));
     client.expect_synced().await;
-    // Back to the first before anybody looked: what it told last was void, so it is asked for all, too.
+    // Two changes before the client runs: its last version is stale, so it requests a snapshot.
     client.address.send_replace(old.address);
     client.address.send_replace(new.address);
     request.wait_until_closed().await;
@@ -262,20 +266,20 @@
 }
 
 #[tokio::test]
-async fn an_address_change_keeps_a_single_request_outstanding() {
+async fn an_address_change_adds_no_second_request() {
     let one = StubDiscovery::start().await;
     let two = StubDiscovery::start().await;
     let mut client = WatchClient::start(one.address, 0, 16);
     client.subscribe();
     one.accept_request().await.reset();
     assert!(client.expect_watch_end().await.resubscribe);
-    // The core waits before it asks again; meanwhile discovery moves, and is called at once.
+    // The address changes during the backoff, and the new one is requested at once.
     client.address.send_replace(two.address);
     two.accept_request().await.reset();
     assert!(!client.expect_watch_end().await.resubscribe, "it will ask as it is");
     client.subscribe();
     let mut request = two.accept_request().await;
-    // One that is out is given up for another, and never are two out.
+    // An outstanding request is closed before the next one is sent.
     client.address.send_replace(one.address);
     request.wait_until_closed().await;
     let ended = client.expect_watch_end().await;
@@ -328,7 +332,7 @@
     let mut request = service.accept_request().await;
     let first = list_json(1, true, &["a", "b"]);
     let second = list_json(2, false, &["b"]);
-    // Two objects, beats and the begin of a third in chunks that end anywhere.
+    // Two objects, heartbeats and a third object, in chunks that split them.
     let body = format!("{first:#}\n\n{second}\n\n\n{:#}\n", list_json(3, false, &["a"]));
     let (one, rest) = body.split_at(first.to_string().len() + 7);
     let text = format!("{RESPONSE_HEAD}{}{}", chunk(one), chunk(rest));
@@ -341,7 +345,7 @@
     for index in [2, 3] {
         assert_eq!(client.expect_update().await.index, index);
     }
-    // All at once, and the end behind it.
+    // Two objects at once, and then the end of the connection.
     let more = list_json(4, false, &["c"]);
     let last = list_json(5, true, &["c"]);
     let text = format!("{}{}", chunk(&format!("{more}\n{last}")), chunk("\n\n"));
--- a/tests/watches/daemon.rs
+++ b/tests/watches/daemon.rs
@@ -9,19 +9,31 @@
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::fleet::{Fleet, chunk};
 use ashtide_testkit::within;
-use serde_json::json;
+use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::harness::{RESPONSE_HEAD, StubDiscovery, UNAVAILABLE_RESPONSE, unused_address};
+use super::harness::{RESPONSE_HEAD, StubDiscovery, UNAVAILABLE_RESPONSE, WatchRequest, unused_address};
+
+/// Opened clients, which stay connected while this lives.
+struct ClientRun {
+    clients: Vec<LineClient>,
+    rejected: usize,
+}
+
+/// A daemon and its servers, with the stub as its discovery service.
+struct Deployment {
+    fleet: Fleet,
+    daemon: Daemon,
+}
 
 fn accepted_connections(fleet: &Fleet, server: usize) -> u64 {
     fleet.servers[server].seen.taken.load(std::sync::atomic::Ordering::Relaxed)
 }
 
-/// So many clients ask one after the other; those that stay, and how many were rejected.
-async fn open_clients(daemon: &Daemon, count: u64) -> (Vec<LineClient>, usize) {
+/// Opens this many clients one after the other.
+async fn open_clients(daemon: &Daemon, count: u64) -> ClientRun {
     let mut clients = Vec::new();
     let mut rejected = 0;
     for number in 0..count {
@@ -30,44 +42,43 @@
         rejected += usize::from(answer.starts_with("BUSY"));
         clients.push(client);
     }
-    (clients, rejected)
+    ClientRun { clients, rejected }
 }
 
-async fn start_daemon(service: &StubDiscovery, servers: usize, options: Options) -> (Fleet, Daemon) {
+async fn start_daemon(service: &StubDiscovery, servers: usize, options: Options) -> Deployment {
     let mut fleet = Fleet::start(servers).await.expect("a fleet");
     fleet.discovery = service.address;
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
     let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
-    (fleet, daemon)
+    Deployment { fleet, daemon }
 }
 
-/// Answers nothing, or 503 and resets in turn, for good.
+/// Never answers; with `resets`, sends 503 and nothing in turn and resets the connection.
 fn never_answer(service: StubDiscovery, resets: bool) {
     tokio::spawn(async move {
-        let mut calls = VecDeque::new();
+        let mut requests = VecDeque::new();
         loop {
             let Ok((mut stream, _)) = service.listener.accept().await else { return };
             if resets {
                 let _ = stream.read(&mut [0; 512]).await;
-                let _ = stream
-                    .write_all(if calls.len() % 2 == 0 { UNAVAILABLE_RESPONSE.as_bytes() } else { b"" })
-                    .await;
+                let response = if requests.len() % 2 == 0 { UNAVAILABLE_RESPONSE.as_bytes() } else { b"" };
+                let _ = stream.write_all(response).await;
                 stream.set_zero_linger().expect("a socket");
-                calls.push_back(None);
+                requests.push_back(None);
             } else {
-                calls.push_back(Some(stream));
+                requests.push_back(Some(stream));
             }
         }
     });
 }
 
-/// Placed on until shortly before 6 s after the last word, and not after.
-async fn expect_validity_of_six_seconds(daemon: &Daemon, last: Instant) {
-    sleep_until(last + Duration::from_millis(5000)).await;
-    let (_placed, rejected) = open_clients(daemon, 2).await;
+/// Expects placements shortly before 6 s after the last synchronisation and rejections shortly after.
+async fn expect_validity_of_six_seconds(daemon: &Daemon, synced_at: Instant) {
+    sleep_until(synced_at + Duration::from_millis(5000)).await;
+    let ClientRun { clients: _placed_clients, rejected } = open_clients(daemon, 2).await;
     assert_eq!(rejected, 0, "the list still stands");
-    sleep_until(last + Duration::from_millis(6500)).await;
-    let (_refused, rejected) = open_clients(daemon, 2).await;
+    sleep_until(synced_at + Duration::from_millis(6500)).await;
+    let ClientRun { clients: _rejected_clients, rejected } = open_clients(daemon, 2).await;
     assert_eq!(rejected, 2, "a change counts as told by now");
     daemon.says("discovery: endpoint list is older than 6 s").await.expect("a line for those on call");
 }
@@ -75,21 +86,21 @@
 #[tokio::test]
 async fn six_seconds_after_a_reset_nothing_is_placed_while_requests_fail() {
     let service = StubDiscovery::start().await;
-    let (fleet, daemon) = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
-    let last = Instant::now();
+    let synced_at = Instant::now();
     daemon.says("discovery: ").await.expect("an answer");
     watch.reset();
     never_answer(service, true);
-    expect_validity_of_six_seconds(&daemon, last).await;
+    expect_validity_of_six_seconds(&daemon, synced_at).await;
 }
 
 #[tokio::test]
 async fn six_seconds_after_its_start_a_process_without_an_answer_places_nothing() {
     let service = StubDiscovery::start().await;
-    let (_fleet, daemon) = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { fleet: _fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
     let start = Instant::now();
     never_answer(service, false);
     expect_validity_of_six_seconds(&daemon, start).await;
@@ -99,35 +110,35 @@
 async fn six_seconds_after_a_change_to_an_unresponsive_discovery_nothing_is_placed() {
     let old = StubDiscovery::start().await;
     let new = StubDiscovery::start().await;
-    let (fleet, mut daemon) = start_daemon(&old, 2, Options::default()).await;
+    let Deployment { fleet, mut daemon } = start_daemon(&old, 2, Options::default()).await;
     let mut watch = old.accept_request().await;
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
-    let last = Instant::now();
+    let synced_at = Instant::now();
     daemon.says("discovery: ").await.expect("an answer");
     daemon.reload("discovery", json!(new.address)).expect("a daemon that runs");
     watch.wait_until_closed().await;
     never_answer(new, false);
-    expect_validity_of_six_seconds(&daemon, last).await;
+    expect_validity_of_six_seconds(&daemon, synced_at).await;
 }
 
 #[tokio::test]
 async fn the_list_stays_valid_while_connections_to_discovery_are_refused() {
     let service = StubDiscovery::start().await;
-    let (fleet, mut daemon) = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { fleet, mut daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
     daemon.says("discovery: ").await.expect("an answer");
-    let (_socket, address) = unused_address();
-    daemon.reload("discovery", json!(address)).expect("a daemon that runs");
+    let unused = unused_address();
+    daemon.reload("discovery", json!(unused.address)).expect("a daemon that runs");
     watch.wait_until_closed().await;
     let closed_at = Instant::now();
     sleep_until(closed_at + Duration::from_millis(7500)).await;
-    let (_placed, rejected) = open_clients(&daemon, 4).await;
+    let ClientRun { clients: _placed_clients, rejected } = open_clients(&daemon, 4).await;
     assert_eq!(rejected, 0, "the last list stands");
 }
 
-/// Waits for the line that says that a watch from this version has begun.
+/// Waits for the log line of a watch that starts after this version.
 async fn expect_watch_line(daemon: &Daemon, address: SocketAddr, after_version: u64) {
     let line: &'static str =
         Box::leak(format!("discovery: watching {address} after version {after_version}:").into());
@@ -137,42 +148,71 @@
 #[tokio::test]
 async fn draining_removal_and_a_new_address_are_applied_after_resets() {
     let service = StubDiscovery::start().await;
-    let (fleet, daemon) = start_daemon(&service, 3, Options::default()).await;
-    // Two servers; the third takes the place of the first.
+    let deployment = start_daemon(&service, 3, Options::default()).await;
+    let Deployment { fleet, daemon } = &deployment;
+    // The list has two servers; the third replaces the first later.
     let mut known = fleet.known();
     known["index"] = json!(5);
     known["endpoints"].as_array_mut().expect("entries").pop();
     let mut watch = service.accept_request().await;
     watch.send_list(&known).await;
-    expect_watch_line(&daemon, service.address, 1).await;
-    let (_standing, rejected) = open_clients(&daemon, 8).await;
-    assert!(rejected == 0 && accepted_connections(&fleet, 0) > 0 && accepted_connections(&fleet, 1) > 0);
-    // Reset, and then a drain: the next call tells it, indented.
+    expect_watch_line(daemon, service.address, 1).await;
+    let ClientRun { clients: mut connections, rejected } = open_clients(daemon, 8).await;
+    assert!(rejected == 0 && accepted_connections(fleet, 0) > 0 && accepted_connections(fleet, 1) > 0);
+    // The next watch reports draining in an indented list.
     watch.reset();
     let mut watch = service.accept_request().await;
     assert_eq!(watch.after_version, 5);
     known["index"] = json!(6);
     known["endpoints"][0]["status"] = json!("DRAINING");
     watch.send_raw(&format!("{RESPONSE_HEAD}{}", chunk(&format!("{known:#}\n")))).await;
-    expect_watch_line(&daemon, service.address, 5).await;
-    let before = accepted_connections(&fleet, 0);
-    let (_more, rejected) = open_clients(&daemon, 8).await;
+    expect_watch_line(daemon, service.address, 5).await;
+    let before = accepted_connections(fleet, 0);
+    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    connections.extend(clients);
     assert_eq!(
-        (rejected, accepted_connections(&fleet, 0)),
+        (rejected, accepted_connections(fleet, 0)),
         (0, before),
         "all go to the server that is not drained"
     );
-    // The whole list lacks it.
+    let watch = remove_first_server(&service, &deployment, watch, &known, &mut connections, before).await;
+    let _watch = return_at_new_address(&service, &deployment, watch, known, &mut connections, before).await;
+    assert_eq!(accepted_connections(fleet, 0), before, "nothing goes to the old address");
+}
+
+/// Resets the watch and answers the next one with a snapshot that lacks the first server.
+async fn remove_first_server(
+    service: &StubDiscovery,
+    deployment: &Deployment,
+    watch: WatchRequest,
+    known: &Value,
+    connections: &mut Vec<LineClient>,
+    before: u64,
+) -> WatchRequest {
+    let Deployment { fleet, daemon } = deployment;
     watch.reset();
     let mut watch = service.accept_request().await;
-    let mut lacks = known.clone();
-    lacks["index"] = json!(7);
-    lacks["endpoints"].as_array_mut().expect("entries").remove(0);
-    watch.send_list(&lacks).await;
-    expect_watch_line(&daemon, service.address, 6).await;
-    let (_more, rejected) = open_clients(&daemon, 8).await;
-    assert_eq!((rejected, accepted_connections(&fleet, 0)), (0, before));
-    // It comes back at another address, begun a moment ago.
+    let mut without_server = known.clone();
+    without_server["index"] = json!(7);
+    without_server["endpoints"].as_array_mut().expect("entries").remove(0);
+    watch.send_list(&without_server).await;
+    expect_watch_line(daemon, service.address, 6).await;
+    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    connections.extend(clients);
+    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, before));
+    watch
+}
+
+/// Resets the watch and answers the next one with the first server at a new address, just started.
+async fn return_at_new_address(
+    service: &StubDiscovery,
+    deployment: &Deployment,
+    watch: WatchRequest,
+    mut known: Value,
+    connections: &mut Vec<LineClient>,
+    before: u64,
+) -> WatchRequest {
+    let Deployment { fleet, daemon } = deployment;
     watch.reset();
     let mut watch = service.accept_request().await;
     known["index"] = json!(8);
@@ -181,40 +221,43 @@
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
     known["endpoints"][0]["since_ms"] = json!(unix.as_millis() as u64 - 1_000);
     watch.send_list(&known).await;
-    expect_watch_line(&daemon, service.address, 7).await;
-    let other = accepted_connections(&fleet, 1);
-    let (_more, rejected) = open_clients(&daemon, 8).await;
-    assert_eq!((rejected, accepted_connections(&fleet, 0)), (0, before), "nothing goes to the old address");
-    let (new, more) = (accepted_connections(&fleet, 2), accepted_connections(&fleet, 1) - other);
+    expect_watch_line(daemon, service.address, 7).await;
+    let other = accepted_connections(fleet, 1);
+    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    connections.extend(clients);
+    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, before), "nothing goes to the old address");
+    let new = accepted_connections(fleet, 2);
+    let more = accepted_connections(fleet, 1) - other;
     assert!(new < more, "it is cold: {new} there, {more} at the other");
     let used = async {
-        while accepted_connections(&fleet, 2) == 0 {
-            open_clients(&daemon, 1).await;
+        while accepted_connections(fleet, 2) == 0 {
+            open_clients(daemon, 1).await;
             sleep(Duration::from_millis(50)).await;
         }
     };
     within("use of the new address", used).await.expect("used");
-    assert_eq!(accepted_connections(&fleet, 0), before, "nothing goes to the old address");
+    watch
 }
 
 #[tokio::test]
 async fn a_watch_request_has_a_descriptor_when_clients_use_all_others() {
     let service = StubDiscovery::start().await;
-    let (fleet, daemon) = start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
+    let Deployment { fleet, daemon } =
+        start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
     daemon.says("discovery: ").await.expect("an answer");
     let id = daemon.id().expect("it runs");
-    let most = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
+    let limit = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
     let pid = rustix::process::Pid::from_raw(id.cast_signed());
-    rustix::process::prlimit(pid, rustix::process::Resource::Nofile, most).expect("its limit");
+    rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit).expect("its limit");
     let mut idle = Vec::new();
     for _ in 0..160 {
         idle.push(within("a connection", TcpStream::connect(daemon.lines)).await.expect("in time"));
     }
-    let open = || std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
+    let open_descriptors = || std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
     let filled = async {
-        while open() < 70 {
+        while open_descriptors() < 70 {
             sleep(Duration::from_millis(20)).await;
         }
     };
@@ -223,6 +266,6 @@
         watch.reset();
         watch = service.accept_request().await;
         watch.send_list(&fleet.known()).await;
-        assert!(open() <= 100, "turn {turn}");
+        assert!(open_descriptors() <= 100, "turn {turn}");
     }
 }
--- a/tests/watches/engine.rs
+++ b/tests/watches/engine.rs
@@ -102,7 +102,7 @@
     assert_eq!(gateway.place_requests(time_at(5.95)).len(), 2);
     gateway.engine.handle_timer(time_at(6.0), TimerEvent::ListExpired, &mut commands);
     assert!(gateway.engine.list_expired() && gateway.place_requests(time_at(6.1)).is_empty());
-    // What an older process relays, and the news of an answer until it is all there.
+    // Lists of an older process, and updates of an incomplete answer.
     for update in [ListUpdate::Cached, ListUpdate::Delta, ListUpdate::Snapshot] {
         gateway.engine.handle_list_update(
             time_at(6.2),
@@ -114,7 +114,7 @@
     }
     commands.clear();
     gateway.engine.renew_list_lease(time_at(6.4), &mut commands);
-    // Those that waited, and those that come.
+    // Queued requests, and new ones.
     for placed in [gateway.count_placements(time_at(6.4), commands), gateway.place_requests(time_at(6.5))] {
         assert_eq!(placed.into_keys().collect::<Vec<_>>(), [ServerId(1)]);
     }
@@ -133,7 +133,7 @@
         backoffs[0] >= Duration::from_millis(250) && backoffs[0] < Duration::from_millis(510),
         "{backoffs:?}"
     );
-    // Nothing is placed by now, and that is no reason to call more often.
+    // An expired list doesn't shorten the backoff.
     let last = backoffs.last().expect("several");
     assert!(backoffs.len() >= 4 && *last >= Duration::from_millis(1500), "{backoffs:?}");
     for _ in 0..8 {
@@ -141,7 +141,7 @@
     }
     let longest = Duration::from_millis(3010);
     assert!(backoffs.iter().all(|&backoff| backoff <= longest), "6 s less a call of 3 s: {backoffs:?}");
-    // An answer with nothing new is one, too, whether the list still stood or not.
+    // An answer without updates counts too, whether the list was valid or not.
     for list_was_valid in [false, true] {
         let now = gateway.now();
         gateway.engine.renew_list_lease(now, &mut Vec::new());
--- a/tests/watches/harness.rs
+++ b/tests/watches/harness.rs
@@ -94,12 +94,18 @@
     }
 }
 
-/// An address without a listener, reserved by the returned socket.
-pub fn unused_address() -> (TcpSocket, SocketAddr) {
+/// An address without a listener, reserved while this lives.
+pub struct UnusedAddress {
+    pub address: SocketAddr,
+    _socket: TcpSocket,
+}
+
+/// Reserves an address without a listener.
+pub fn unused_address() -> UnusedAddress {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = socket.local_addr().expect("an address");
-    (socket, address)
+    UnusedAddress { address, _socket: socket }
 }
 
 /// A list message with serving endpoints of these names.
--- a/tests/watches/herd.rs
+++ b/tests/watches/herd.rs
@@ -23,61 +23,77 @@
 
 const GATEWAYS: usize = 300;
 const MILLISECOND: i64 = 1_000;
-/// One call at a time, 60 a second; a call that has waited so long fails.
+/// Discovery serves one request at a time, 60 a second.
 const SERVICE_TIME: i64 = 16_667;
+/// A request that has waited this long fails.
 const REQUEST_TIMEOUT: i64 = 3_000 * MILLISECOND;
 const NETWORK_DELAY: i64 = MILLISECOND;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum HerdEvent {
-    Timer(usize, TimerToken),
-    Call(usize),
-    Served(usize),
-    Waited(usize, i64),
-    Answer(usize, bool),
+    Timer { gateway: usize, token: TimerToken },
+    RequestArrived { gateway: usize },
+    Served { gateway: usize },
+    RequestTimedOut { request: SentRequest },
+    Answered { gateway: usize, succeeded: bool },
 }
 
-/// Gateways that lose their watches in one instant, and one discovery.
+/// A watch request of a gateway and when it was sent or queued, in microseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SentRequest {
+    gateway: usize,
+    time: i64,
+}
+
+/// The order of scheduled events: by time, and by sequence number at the same time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EventKey {
+    due_at: i64,
+    sequence: usize,
+}
+
+/// Gateways that lose their watches at the same time, and one discovery service.
 struct Herd {
     gateways: Vec<Balancer>,
     leases: Vec<ListLease>,
-    /// When each was in step last before, and synced_at.
-    since: Vec<i64>,
+    /// When each was synchronised last before its watch ended.
+    last_synced_at: Vec<i64>,
+    /// When each was synchronised again.
     synced_at: Vec<Option<i64>>,
     outstanding: Vec<bool>,
     now: i64,
-    due: BTreeMap<(i64, usize), HerdEvent>,
-    queue: VecDeque<(usize, i64)>,
+    scheduled: BTreeMap<EventKey, HerdEvent>,
+    queue: VecDeque<SentRequest>,
     busy: bool,
     down_until: i64,
-    sent_requests: Vec<(i64, usize)>,
-    ended: Vec<i64>,
+    sent_requests: Vec<SentRequest>,
+    watch_ended_at: Vec<i64>,
 }
 
 impl Herd {
-    fn new(seed: u64, down: i64) -> Self {
+    fn new(seed: u64, outage: i64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let settings = Settings { gateways: GATEWAYS as u32, ..settings() };
         let now = 1_000_000 * MILLISECOND;
-        let since = (0..GATEWAYS).map(|_| now - rng.random_range(0..2_000) * MILLISECOND).collect();
+        let last_synced_at = (0..GATEWAYS).map(|_| now - rng.random_range(0..2_000) * MILLISECOND).collect();
         let mut herd = Self {
             gateways: (0..GATEWAYS).map(|_| Balancer::new(settings.clone(), rng.random())).collect(),
             leases: vec![ListLease::new(Time::from_micros(now)); GATEWAYS],
-            since,
+            last_synced_at,
             synced_at: vec![None; GATEWAYS],
             outstanding: vec![false; GATEWAYS],
             now,
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             queue: VecDeque::new(),
             busy: false,
-            down_until: now + down,
+            down_until: now + outage,
             sent_requests: Vec::new(),
-            ended: vec![now; GATEWAYS],
+            watch_ended_at: vec![now; GATEWAYS],
         };
         for gateway in 0..GATEWAYS {
             herd.leases[gateway].renew();
             let entries = vec![EndpointEntry::ready(ServerId(0), ZoneId(0))];
-            // The first subscription, which is none of this.
+            // The first subscription isn't part of the test.
             let mut actions = Vec::new();
             let list = Event::EndpointList { update: ListUpdate::Snapshot, entries };
             herd.gateways[gateway].handle(Time::from_micros(now), list, &mut actions);
@@ -86,13 +102,13 @@
         herd
     }
 
-    fn schedule(&mut self, after: i64, step: HerdEvent) {
-        let number = self.due.len() + self.sent_requests.len() * 1_000;
-        let mut key = (self.now + after, number);
-        while self.due.contains_key(&key) {
-            key.1 += 1;
+    fn schedule(&mut self, delay: i64, event: HerdEvent) {
+        let sequence = self.scheduled.len() + self.sent_requests.len() * 1_000;
+        let mut key = EventKey { due_at: self.now + delay, sequence };
+        while self.scheduled.contains_key(&key) {
+            key.sequence += 1;
         }
-        self.due.insert(key, step);
+        self.scheduled.insert(key, event);
     }
 
     fn deliver(&mut self, gateway: usize, event: Event) {
@@ -101,18 +117,18 @@
         for action in actions {
             match action {
                 Action::SetTimer { token, due_at } => {
-                    let after = due_at.as_micros() - self.now;
-                    self.schedule(after, HerdEvent::Timer(gateway, token));
+                    let delay = due_at.as_micros() - self.now;
+                    self.schedule(delay, HerdEvent::Timer { gateway, token });
                 }
                 Action::Subscribe => {
                     assert!(
                         !std::mem::replace(&mut self.outstanding[gateway], true),
-                        "two sent_requests out"
+                        "two requests outstanding"
                     );
-                    let waited = self.now - self.ended[gateway];
+                    let waited = self.now - self.watch_ended_at[gateway];
                     assert!(waited <= REQUEST_TIMEOUT, "a wait of {waited} us");
-                    self.sent_requests.push((self.now, gateway));
-                    self.schedule(NETWORK_DELAY, HerdEvent::Call(gateway));
+                    self.sent_requests.push(SentRequest { gateway, time: self.now });
+                    self.schedule(NETWORK_DELAY, HerdEvent::RequestArrived { gateway });
                 }
                 other => panic!("nobody asked for {other:?}"),
             }
@@ -120,9 +136,10 @@
     }
 
     fn lose_watch(&mut self, gateway: usize, end: WatchEnd) {
-        let (now, since) = (Time::from_micros(self.now), Time::from_micros(self.since[gateway]));
-        self.leases[gateway].handle_watch_end(now, since, end);
-        self.ended[gateway] = self.now;
+        let now = Time::from_micros(self.now);
+        let last_synced_at = Time::from_micros(self.last_synced_at[gateway]);
+        self.leases[gateway].handle_watch_end(now, last_synced_at, end);
+        self.watch_ended_at[gateway] = self.now;
         self.deliver(gateway, Event::EndpointList { update: ListUpdate::WatchFailed, entries: Vec::new() });
     }
 
@@ -130,35 +147,37 @@
         if self.busy {
             return;
         }
-        if let Some((gateway, _)) = self.queue.pop_front() {
+        if let Some(SentRequest { gateway, .. }) = self.queue.pop_front() {
             self.busy = true;
-            self.schedule(SERVICE_TIME, HerdEvent::Served(gateway));
+            self.schedule(SERVICE_TIME, HerdEvent::Served { gateway });
         }
     }
 
-    fn step(&mut self, step: HerdEvent) {
-        match step {
-            HerdEvent::Timer(gateway, token) => self.deliver(gateway, Event::Timer(token)),
-            HerdEvent::Call(gateway) if self.now < self.down_until => {
-                self.schedule(NETWORK_DELAY, HerdEvent::Answer(gateway, false));
+    fn handle_event(&mut self, event: HerdEvent) {
+        match event {
+            HerdEvent::Timer { gateway, token } => self.deliver(gateway, Event::Timer(token)),
+            HerdEvent::RequestArrived { gateway } if self.now < self.down_until => {
+                self.schedule(NETWORK_DELAY, HerdEvent::Answered { gateway, succeeded: false });
             }
-            HerdEvent::Call(gateway) => {
-                self.queue.push_back((gateway, self.now));
-                self.schedule(REQUEST_TIMEOUT, HerdEvent::Waited(gateway, self.now));
+            HerdEvent::RequestArrived { gateway } => {
+                let request = SentRequest { gateway, time: self.now };
+                self.queue.push_back(request);
+                self.schedule(REQUEST_TIMEOUT, HerdEvent::RequestTimedOut { request });
                 self.serve_next();
             }
-            HerdEvent::Served(gateway) => {
+            HerdEvent::Served { gateway } => {
                 self.busy = false;
-                self.schedule(NETWORK_DELAY, HerdEvent::Answer(gateway, true));
+                self.schedule(NETWORK_DELAY, HerdEvent::Answered { gateway, succeeded: true });
                 self.serve_next();
             }
-            HerdEvent::Waited(gateway, since) => {
-                if let Some(place) = self.queue.iter().position(|&it| it == (gateway, since)) {
-                    self.queue.remove(place);
-                    self.schedule(NETWORK_DELAY, HerdEvent::Answer(gateway, false));
+            HerdEvent::RequestTimedOut { request } => {
+                if let Some(index) = self.queue.iter().position(|&queued| queued == request) {
+                    self.queue.remove(index);
+                    let gateway = request.gateway;
+                    self.schedule(NETWORK_DELAY, HerdEvent::Answered { gateway, succeeded: false });
                 }
             }
-            HerdEvent::Answer(gateway, succeeded) => {
+            HerdEvent::Answered { gateway, succeeded } => {
                 self.outstanding[gateway] = false;
                 if succeeded {
                     self.leases[gateway].renew();
@@ -172,34 +191,41 @@
         }
     }
 
-    /// Until all are in step synced_at, or 60 s. How long that took in seconds, how many calls, the most in 100 ms
-    /// that were not a gateway's first, and the longest time that a gateway placed nothing.
+    /// Runs until all gateways are synchronised again, for at most 60 s.
     fn run(mut self) -> HerdOutcome {
         let start = self.now;
         while self.synced_at.iter().any(Option::is_none) {
-            let ((at, _), step) =
-                self.due.pop_first().expect("a gateway out of step sent_requests synced_at");
-            assert!(at < start + 60_000 * MILLISECOND, "not in step within a minute");
-            self.now = at;
-            self.step(step);
+            let (key, event) = self.scheduled.pop_first().expect("a gateway without a watch sends requests");
+            assert!(key.due_at < start + 60_000 * MILLISECOND, "not in step within a minute");
+            self.now = key.due_at;
+            self.handle_event(event);
         }
+        self.outcome(start)
+    }
+
+    fn outcome(&self, start: i64) -> HerdOutcome {
         let synced_at: Vec<i64> = self.synced_at.iter().flatten().copied().collect();
-        let took = (synced_at.iter().max().expect("all") - start) as f64 / 1e6;
-        let mut called = [false; GATEWAYS];
-        let further = self.sent_requests.iter().filter(|(_, it)| std::mem::replace(&mut called[*it], true));
-        let further: Vec<i64> = further.map(|&(at, _)| at).collect();
-        let within =
-            |from: i64| further.iter().filter(|&&at| (from..from + 100 * MILLISECOND).contains(&at)).count();
-        let most = further.iter().map(|&at| within(at)).max().unwrap_or(0);
-        let without = synced_at
+        let seconds_to_sync = (synced_at.iter().max().expect("all") - start) as f64 / 1e6;
+        let mut has_sent = [false; GATEWAYS];
+        let retries = self
+            .sent_requests
+            .iter()
+            .filter(|request| std::mem::replace(&mut has_sent[request.gateway], true));
+        let retry_times: Vec<i64> = retries.map(|request| request.time).collect();
+        let retries_from = |start: i64| {
+            let window = start..start + 100 * MILLISECOND;
+            retry_times.iter().filter(|&time| window.contains(time)).count()
+        };
+        let largest_burst = retry_times.iter().map(|&time| retries_from(time)).max().unwrap_or(0);
+        let times_expired = synced_at
             .iter()
-            .zip(&self.since)
-            .map(|(synced_at, since)| synced_at - since - MAX_LIST_STALENESS.as_micros());
+            .zip(&self.last_synced_at)
+            .map(|(synced_at, last_synced_at)| synced_at - last_synced_at - MAX_LIST_STALENESS.as_micros());
         HerdOutcome {
-            seconds_to_sync: took,
+            seconds_to_sync,
             requests: self.sent_requests.len(),
-            largest_burst: most,
-            seconds_expired: without.max().expect("all").max(0) as f64 / 1e6,
+            largest_burst,
+            seconds_expired: times_expired.max().expect("all").max(0) as f64 / 1e6,
         }
     }
 }
--- a/tests/watches/lease.rs
+++ b/tests/watches/lease.rs
@@ -27,16 +27,18 @@
     expiry.expect("an ended watch leaves no list standing for good")
 }
 
+/// A lease whose watch is synchronised.
+fn synced_lease() -> ListLease {
+    let mut lease = ListLease::new(time_at(0.0));
+    lease.renew();
+    assert!(lease.is_valid(time_at(10_000.0)), "a synchronised watch keeps the lease valid");
+    lease
+}
+
 #[test]
 fn the_list_is_valid_for_six_seconds_after_the_last_complete_message_however_the_watch_ended() {
     use WatchEnd::{Closed, ConnectionRefused, Failed};
-    let synced_lease = || {
-        let mut lease = ListLease::new(time_at(0.0));
-        lease.renew();
-        assert!(lease.is_valid(time_at(10_000.0)), "a watch in step vouches for as long as it is");
-        lease
-    };
-    // A new process, with no call answered; and the first call refused by nobody's port.
+    // A new process without an answer, and with its first connection refused.
     assert_eq!(lease_expiry(&mut ListLease::new(time_at(5.0)), &[]), time_at(11.0));
     assert_eq!(lease_expiry(&mut ListLease::new(time_at(5.0)), &[lost(9.0, 5.0, Failed)]), time_at(11.0));
     assert_eq!(
@@ -44,7 +46,7 @@
         time_at(11.5)
     );
     for end in [Closed, Failed, ConnectionRefused] {
-        // Whatever ended it; and at once where that was long ago, as for a process that stalled for 13 s.
+        // However the watch ended; and at once for an old synchronisation, as in a process stalled for 13 s.
         let expected = if end == ConnectionRefused { time_at(21.0) } else { time_at(20.0) };
         assert_eq!(lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, end)]), expected, "{end:?}");
         assert_eq!(lease_expiry(&mut synced_lease(), &[lost(27.0, 14.0, end)]), time_at(20.0), "{end:?}");
@@ -54,11 +56,17 @@
         lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, Closed), lost(16.0, 16.0, Failed)]),
         time_at(20.0)
     );
-    // Nothing listens: from each such moment on, while that is all that was found.
+    expect_expiry_after_refusals();
+}
+
+/// Refused connections extend the lease only while nothing else has failed since the watch closed.
+fn expect_expiry_after_refusals() {
+    use WatchEnd::{Closed, ConnectionRefused, Failed};
+    // Nothing listens: the lease counts from each refused connection.
     let refusals =
         [lost(15.0, 14.0, Closed), lost(15.5, 14.0, ConnectionRefused), lost(18.0, 14.0, ConnectionRefused)];
     assert_eq!(lease_expiry(&mut synced_lease(), &refusals), time_at(24.0));
-    // Something had listened: it may have been told of a change, and who came later found nobody.
+    // A failure before a refusal: a service was there and may have received a change.
     let failure_before_refusal =
         [lost(15.0, 14.0, Closed), lost(15.5, 14.0, Failed), lost(18.0, 14.0, ConnectionRefused)];
     assert_eq!(lease_expiry(&mut synced_lease(), &failure_before_refusal), time_at(20.0));
@@ -67,7 +75,7 @@
         time_at(20.0),
         "silence"
     );
-    // And a list that no longer stands does not stand again without an answer.
+    // An expired list stays expired without an answer.
     assert_eq!(
         lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, Closed), lost(20.1, 14.0, ConnectionRefused)]),
         time_at(20.0)
