--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Machines taken out for work by real daemons: their settings, and five processes with faults between them.
+//! Maintenance of servers: settings, admin requests, and five daemons with faults between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-const GOOD: &str = "gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\nslot = 1\ntier = 1\nfolder = \
+const VALID_SETTINGS: &str = "gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\nslot = 1\ntier = 1\nfolder = \
                     \"/tmp\"\nmax_out = 2\n";
 
 #[test]
@@ -29,20 +29,22 @@
     let keys = schema["properties"].as_object().expect("properties");
     let present: BTreeSet<&String> = table.keys().collect();
     assert_eq!(keys.keys().collect::<BTreeSet<_>>(), present, "each key stands in the deploy file");
-    for (key, about) in keys.iter().filter(|it| it.1["type"] == "integer") {
-        for beyond in [about["minimum"].as_i64().unwrap() - 1, about["maximum"].as_i64().unwrap() + 1] {
-            let mut table: toml::Table = GOOD.parse().expect("TOML");
-            table.insert(key.clone(), beyond.into());
-            let expected =
-                Settings::parse(&table.to_string()).err().map(|it| it.to_string()).unwrap_or_default();
-            assert!(expected.contains(&format!("{key}: found {beyond}; expected")), "{key}: {expected}");
+    for (key, property) in keys.iter().filter(|(_, property)| property["type"] == "integer") {
+        for out_of_range in
+            [property["minimum"].as_i64().unwrap() - 1, property["maximum"].as_i64().unwrap() + 1]
+        {
+            let mut table: toml::Table = VALID_SETTINGS.parse().expect("TOML");
+            table.insert(key.clone(), out_of_range.into());
+            let parsed = Settings::parse(&table.to_string());
+            let problem = parsed.err().map(|error| error.to_string()).unwrap_or_default();
+            assert!(problem.contains(&format!("{key}: found {out_of_range}; expected")), "{key}: {problem}");
         }
     }
 }
 
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
-    let settings = Settings::parse(GOOD).expect("good");
+    let settings = Settings::parse(VALID_SETTINGS).expect("good");
     assert_eq!(settings.listen, "127.0.0.1:2".parse::<SocketAddr>().expect("its own in the list"));
     for (from, to, expected) in [
         ("slot = 1", "slot = 3", "slot: found 3; expected one of 3 gateways"),
@@ -54,106 +56,132 @@
         ("tier = 1", "tier = 1\nquorum = 1", "quorum: found an unknown key; expected listen"),
         ("slot = 1", "slot =", "expected TOML"),
     ] {
-        let with_help = |it: MaintenanceError| it.with_help();
-        let problem = Settings::parse(&GOOD.replace(from, to)).err().map(with_help).unwrap_or_default();
+        let with_help = |error: MaintenanceError| error.with_help();
+        let problem =
+            Settings::parse(&VALID_SETTINGS.replace(from, to)).err().map(with_help).unwrap_or_default();
         assert!(problem.contains(expected), "{to}: {problem}");
     }
 }
 
 #[test]
 fn admin_requests_are_parsed_or_rejected() {
-    let s = || "s-1".to_owned();
-    for (line, order) in [
+    let server = || "s-1".to_owned();
+    for (line, command) in [
         ("maintenance list", MaintenanceCommand::List),
-        ("maintenance request s-1", MaintenanceCommand::Request(s(), String::new())),
-        ("maintenance request s-1  a new disk", MaintenanceCommand::Request(s(), "a new disk".to_owned())),
-        ("maintenance cancel s-1", MaintenanceCommand::Cancel(s())),
-        ("maintenance done s-1", MaintenanceCommand::Done(s())),
+        ("maintenance request s-1", MaintenanceCommand::Request(server(), String::new())),
+        (
+            "maintenance request s-1  a new disk",
+            MaintenanceCommand::Request(server(), "a new disk".to_owned()),
+        ),
+        ("maintenance cancel s-1", MaintenanceCommand::Cancel(server())),
+        ("maintenance done s-1", MaintenanceCommand::Done(server())),
     ] {
         assert_eq!(
             AdminRequest::parse(line.as_bytes()).expect("a call"),
-            AdminRequest::Maintenance(order),
+            AdminRequest::Maintenance(command),
             "{line}"
         );
     }
-    let expected = |line: &str| AdminRequest::parse(line.as_bytes()).err().map(|it| it.to_string());
+    let parse_error = |line: &str| AdminRequest::parse(line.as_bytes()).err().map(|error| error.to_string());
     for line in ["maintenance list s-1", "maintenance request", "maintenance done s-1 now"] {
-        assert_eq!(expected(line).as_deref(), Some("wrong number of words"), "{line}");
+        assert_eq!(parse_error(line).as_deref(), Some("wrong number of words"), "{line}");
     }
-    assert_eq!(expected("maintenance take s-1").as_deref(), Some("no such call"));
+    assert_eq!(parse_error("maintenance take s-1").as_deref(), Some("no such call"));
 }
 
 const GATEWAYS: usize = 5;
 const SERVERS: usize = 10;
 
-/// What a gateway's door said: when it was asked and had answered, what it keeps out by name and token, and how far
-/// each machine is; nothing where it did not answer.
+/// A gateway's answer to `maintenance list`.
 #[derive(Clone, Debug)]
 struct Snapshot {
     requested_at: Instant,
     answered_at: Instant,
     agreed: bool,
-    out: BTreeSet<(String, u64)>,
+    out: BTreeSet<Grant>,
+    /// State of the maintenance by server.
     states: BTreeMap<String, String>,
 }
 
+/// A server that a gateway keeps out, and the token of its grant.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Grant {
+    server: String,
+    token: u64,
+}
+
+/// The beginning or end of a time in which a server is out at a gateway.
+struct Edge {
+    time: Instant,
+    begins: bool,
+    server: String,
+}
+
+/// What all gateways together have granted.
+struct GrantTotals {
+    most_out: usize,
+    tokens: usize,
+}
+
+/// All snapshots by gateway; `None` where a gateway didn't answer.
 #[derive(Default)]
-struct Seen(Mutex<[Vec<Option<Snapshot>>; GATEWAYS]>);
+struct SnapshotLog(Mutex<[Vec<Option<Snapshot>>; GATEWAYS]>);
 
-impl Seen {
+impl SnapshotLog {
     fn last(&self, gateway: usize) -> Option<Snapshot> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)[gateway].last().cloned().flatten()
     }
 
-    /// The servers out at one moment at all gateways together, at most. A server counts as out at a gateway between two
-    /// answers that both say so, under one token: late answers make it fewer, never more.
-    fn most_out(&self) -> (usize, usize) {
+    /// Counts the tokens and the most servers out at once over all gateways. A server is out at a gateway between two
+    /// answers with the same grant, so late answers can only lower the count.
+    fn grant_totals(&self) -> GrantTotals {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut edges = Vec::new();
         let mut tokens = BTreeSet::new();
-        for snapshot in all.iter() {
-            for two in snapshot.windows(2) {
-                let [Some(one), Some(other)] = two else { continue };
-                for (name, token) in one.out.intersection(&other.out) {
-                    tokens.insert(*token);
-                    if one.answered_at < other.requested_at {
+        for snapshots in all.iter() {
+            for pair in snapshots.windows(2) {
+                let [Some(earlier), Some(later)] = pair else { continue };
+                for grant in earlier.out.intersection(&later.out) {
+                    tokens.insert(grant.token);
+                    if earlier.answered_at < later.requested_at {
                         edges.extend([
-                            (one.answered_at, true, name.clone()),
-                            (other.requested_at, false, name.clone()),
+                            Edge { time: earlier.answered_at, begins: true, server: grant.server.clone() },
+                            Edge { time: later.requested_at, begins: false, server: grant.server.clone() },
                         ]);
                     }
                 }
             }
         }
-        // Ends first: what begins at that very moment came after.
-        edges.sort_by_key(|edge| (edge.0, edge.1));
-        let (mut out, mut most) = (BTreeMap::<String, usize>::new(), 0);
-        for (_, begins, name) in edges {
-            let count = out.entry(name).or_default();
+        // At the same time, ends come before beginnings.
+        edges.sort_by_key(|edge| (edge.time, edge.begins));
+        let mut out = BTreeMap::<String, usize>::new();
+        let mut most_out = 0;
+        for Edge { begins, server, .. } in edges {
+            let count = out.entry(server).or_default();
             *count = if begins { *count + 1 } else { *count - 1 };
-            most = most.max(out.values().filter(|&&count| count > 0).count());
+            most_out = most_out.max(out.values().filter(|&&count| count > 0).count());
         }
-        (most, tokens.len())
+        GrantTotals { most_out, tokens: tokens.len() }
     }
 
-    /// No machine is given out again once it was back, as any gateway has seen it.
-    fn went_back(&self) -> Option<String> {
-        let course = ["queued", "draining", "out", "released"];
+    /// A server whose maintenance went back to an earlier state at some gateway, if any.
+    fn find_state_regression(&self) -> Option<String> {
+        let order = ["queued", "draining", "out", "released"];
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        for snapshot in all.iter() {
+        for snapshots in all.iter() {
             let mut last: BTreeMap<&str, usize> = BTreeMap::new();
-            for snapshot in snapshot.iter().flatten().filter(|it| it.agreed) {
+            for snapshot in snapshots.iter().flatten().filter(|snapshot| snapshot.agreed) {
                 for (name, state) in &snapshot.states {
-                    let now = course.iter().position(|it| it == state)?;
+                    let now = order.iter().position(|known| known == state)?;
                     let before = last.insert(name, now).unwrap_or(now);
                     if before > now {
-                        return Some(format!("{name} was {} and is {state}", course[before]));
+                        return Some(format!("{name} was {} and is {state}", order[before]));
                     }
                 }
-                // What is gone from the table was released.
-                for (name, course) in &mut last {
+                // A server that is no longer listed was released.
+                for (name, position) in &mut last {
                     if !snapshot.states.contains_key(*name) {
-                        *course = 3;
+                        *position = 3;
                     }
                 }
             }
@@ -162,7 +190,7 @@
     }
 }
 
-fn read(text: &str, requested_at: Instant) -> Option<Snapshot> {
+fn parse_snapshot(text: &str, requested_at: Instant) -> Option<Snapshot> {
     let mut lines = text.strip_suffix("EOF\n")?.lines();
     let agreed = lines.next()?.contains(" agreed,");
     let token = |line: &str| line.split("token=").nth(1)?.split(' ').next()?.parse().ok();
@@ -178,7 +206,7 @@
         let first = fields.next()?;
         let second = fields.next()?;
         if first == "kept-out" {
-            snapshot.out.insert((second.to_owned(), token(line)?));
+            snapshot.out.insert(Grant { server: second.to_owned(), token: token(line)? });
         } else {
             snapshot.states.insert(first.to_owned(), second.to_owned());
         }
@@ -193,9 +221,9 @@
     folder: PathBuf,
     max_out: usize,
     daemons: Vec<Daemon>,
-    doors: Arc<Mutex<Vec<SocketAddr>>>,
-    seen: Arc<Seen>,
-    _watchers: tokio::task::JoinSet<()>,
+    admin_addresses: Arc<Mutex<Vec<SocketAddr>>>,
+    snapshots: Arc<SnapshotLog>,
+    pollers: tokio::task::JoinSet<()>,
 }
 
 impl Drop for Cluster {
@@ -205,13 +233,16 @@
 }
 
 impl Cluster {
-    async fn start(what: &str, max_out: usize) -> Self {
+    async fn start(folder_suffix: &str, max_out: usize) -> Self {
         let fleet = Fleet::start(SERVERS).await.expect("stand-ins");
-        let free: Vec<_> = (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-        let own: Vec<SocketAddr> = free.iter().map(|it| it.local_addr().expect("its address")).collect();
-        drop(free);
+        let reserved: Vec<_> =
+            (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+        let own: Vec<SocketAddr> =
+            reserved.iter().map(|socket| socket.local_addr().expect("its address")).collect();
+        drop(reserved);
         let mesh = Mesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &own, 1).await.expect("relays");
-        let folder = std::env::temp_dir().join(format!("ashtide-work-{}-{what}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("ashtide-work-{}-{folder_suffix}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut cluster = Self {
             fleet,
@@ -220,40 +251,53 @@
             folder,
             max_out,
             daemons: Vec::new(),
-            doors: Arc::default(),
-            seen: Arc::default(),
-            _watchers: tokio::task::JoinSet::new(),
+            admin_addresses: Arc::default(),
+            snapshots: Arc::default(),
+            pollers: tokio::task::JoinSet::new(),
         };
         for number in 0..GATEWAYS {
-            let daemon = cluster.daemon(number).await;
-            cluster.doors.lock().unwrap_or_else(PoisonError::into_inner).push(daemon.door.expect("a door"));
+            let daemon = cluster.start_daemon(number).await;
+            cluster
+                .admin_addresses
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(daemon.door.expect("a door"));
             cluster.daemons.push(daemon);
         }
+        cluster.spawn_pollers();
+        cluster
+            .wait_until("a tier that agrees", 30, |cluster| {
+                (0..GATEWAYS)
+                    .all(|number| cluster.snapshots.last(number).is_some_and(|snapshot| snapshot.agreed))
+            })
+            .await;
+        cluster
+    }
+
+    /// Polls the maintenance list of each gateway.
+    fn spawn_pollers(&mut self) {
         for number in 0..GATEWAYS {
-            let doors = cluster.doors.clone();
-            let seen = cluster.seen.clone();
-            cluster._watchers.spawn(async move {
+            let admin_addresses = self.admin_addresses.clone();
+            let snapshots = self.snapshots.clone();
+            self.pollers.spawn(async move {
                 loop {
-                    let admin_address = doors.lock().unwrap_or_else(PoisonError::into_inner)[number];
+                    let admin_address =
+                        admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number];
                     let requested_at = Instant::now();
                     let snapshot =
                         timeout(Duration::from_millis(400), ask(admin_address, "maintenance list")).await;
-                    let snapshot =
-                        snapshot.ok().and_then(Result::ok).and_then(|text| read(&text, requested_at));
-                    seen.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(snapshot);
+                    let snapshot = snapshot
+                        .ok()
+                        .and_then(Result::ok)
+                        .and_then(|text| parse_snapshot(&text, requested_at));
+                    snapshots.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(snapshot);
                     sleep(Duration::from_millis(40)).await;
                 }
             });
         }
-        cluster
-            .until("a tier that agrees", 30, |cluster| {
-                (0..GATEWAYS).all(|it| cluster.seen.last(it).is_some_and(|snapshot| snapshot.agreed))
-            })
-            .await;
-        cluster
     }
 
-    async fn daemon(&self, number: usize) -> Daemon {
+    async fn start_daemon(&self, number: usize) -> Daemon {
         let file = self.folder.join(format!("{number}.toml"));
         let text = format!(
             "gateways = {}\nslot = {number}\nlisten = \"{}\"\ntier = 9\nfolder = \"{}\"\nvoters = {GATEWAYS}\n\
@@ -273,29 +317,30 @@
         Daemon::start(program, &self.fleet, &options).await.expect("a daemon")
     }
 
-    /// Starts a gateway anew, on the disk that it left.
-    async fn again(&mut self, number: usize) {
-        let daemon = self.daemon(number).await;
-        self.doors.lock().unwrap_or_else(PoisonError::into_inner)[number] = daemon.door.expect("a door");
+    /// Restarts a gateway with its stored state.
+    async fn restart(&mut self, number: usize) {
+        let daemon = self.start_daemon(number).await;
+        self.admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] =
+            daemon.door.expect("a door");
         self.daemons[number] = daemon;
     }
 
-    async fn until(&self, what: &str, seconds: u64, so: impl Fn(&Self) -> bool) {
+    async fn wait_until(&self, what: &str, seconds: u64, condition: impl Fn(&Self) -> bool) {
         let end = Instant::now() + Duration::from_secs(seconds);
-        while !so(self) {
-            let last: Vec<_> = (0..GATEWAYS).map(|it| self.seen.last(it)).collect();
+        while !condition(self) {
+            let last: Vec<_> = (0..GATEWAYS).map(|number| self.snapshots.last(number)).collect();
             assert!(Instant::now() < end, "waited {seconds} s for {what}: {last:#?}");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn request_six(&self) {
+    async fn request_six_servers(&self) {
         for server in 0..6 {
             let call = format!("maintenance request s-{server} a new disk");
             let end = Instant::now() + Duration::from_secs(10);
             loop {
                 let answer = self.daemons[server % GATEWAYS].call(&call).await.expect("an answer");
-                // Settled, or known already where the answer to the first was late.
+                // Accepted, or already known when the first answer was late.
                 if answer.starts_with("200") || answer.contains("waits or is out already") {
                     break;
                 }
@@ -304,75 +349,80 @@
         }
     }
 
-    /// The one that sees a running grant through, as this gateway knows it.
-    async fn holder(&self, requested_at: usize) -> Option<usize> {
-        let text = self.daemons[requested_at].call("maintenance list").await.ok()?;
+    /// The gateway that executes the current grant, as this gateway reports it.
+    async fn grant_holder(&self, gateway: usize) -> Option<usize> {
+        let text = self.daemons[gateway].call("maintenance list").await.ok()?;
         text.split("holder=").nth(1)?.split(' ').next()?.parse().ok()
     }
 
-    /// All has been worked off, whoever is asked.
-    async fn worked_off(&self) {
-        self.until("an empty queue", 60, |cluster| {
-            (0..GATEWAYS).all(|it| cluster.seen.last(it).is_some_and(|it| it.agreed && it.states.is_empty()))
+    /// Waits until the queue is empty at all gateways and checks the grants.
+    async fn expect_completion(&self) {
+        self.wait_until("an empty queue", 60, |cluster| {
+            (0..GATEWAYS).all(|number| {
+                let last = cluster.snapshots.last(number);
+                last.is_some_and(|snapshot| snapshot.agreed && snapshot.states.is_empty())
+            })
         })
         .await;
-        let (most, tokens) = self.seen.most_out();
-        println!("{most} out at most, {tokens} tokens seen");
-        assert_eq!(most, self.max_out, "so many were out at once");
-        assert_eq!(self.seen.went_back(), None);
+        let GrantTotals { most_out, tokens } = self.snapshots.grant_totals();
+        println!("{most_out} out at most, {tokens} tokens seen");
+        assert_eq!(most_out, self.max_out, "so many were out at once");
+        assert_eq!(self.snapshots.find_state_regression(), None);
         assert!(tokens >= 6, "{tokens} grants were seen, six machines were asked for");
     }
 }
 
 #[tokio::test]
-async fn the_granting_gateway_dies_in_mid_drain_and_a_stalled_one_wakes_with_an_old_grant() {
+async fn the_granting_gateway_is_killed_while_draining_and_a_stalled_one_resumes_with_an_old_grant() {
     let mut cluster = Cluster::start("killed", 2).await;
-    cluster.request_six().await;
-    let out = |it: usize| {
-        move |cluster: &Cluster| cluster.seen.last(it).is_some_and(|snapshot| !snapshot.out.is_empty())
+    cluster.request_six_servers().await;
+    let has_grant = |number: usize| {
+        move |cluster: &Cluster| {
+            cluster.snapshots.last(number).is_some_and(|snapshot| !snapshot.out.is_empty())
+        }
     };
-    cluster.until("a first grant", 10, out(0)).await;
-    let holder = cluster.holder(0).await.expect("it has a holder");
+    cluster.wait_until("a first grant", 10, has_grant(0)).await;
+    let holder = cluster.grant_holder(0).await.expect("it has a holder");
     cluster.daemons[holder].kill().await.expect("killed");
-    let asleep = (holder + 1) % GATEWAYS;
-    cluster.until("a grant that is known to the one that falls asleep", 20, out(asleep)).await;
-    cluster.daemons[asleep].stall(true).expect("stopped");
+    let stalled = (holder + 1) % GATEWAYS;
+    cluster.wait_until("a grant that is known to the one that falls asleep", 20, has_grant(stalled)).await;
+    cluster.daemons[stalled].stall(true).expect("stopped");
     sleep(Duration::from_secs(6)).await;
-    cluster.daemons[asleep].stall(false).expect("on again");
-    cluster.again(holder).await;
-    cluster.worked_off().await;
+    cluster.daemons[stalled].stall(false).expect("on again");
+    cluster.restart(holder).await;
+    cluster.expect_completion().await;
 }
 
 #[tokio::test]
-async fn halves_never_grant_past_the_bound_and_all_restart_while_the_queue_goes_on() {
+async fn partitions_never_exceed_the_limit_and_all_gateways_restart_while_servers_are_queued() {
     let mut cluster = Cluster::start("halves", 3).await;
-    cluster.request_six().await;
-    for (one, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice())] {
-        cluster.mesh.set(one, other, Link::CUT);
-        cluster.mesh.set(other, one, Link::CUT);
+    cluster.request_six_servers().await;
+    for (majority, minority) in [([0, 1, 2].as_slice(), [3, 4].as_slice())] {
+        cluster.mesh.set(majority, minority, Link::CUT);
+        cluster.mesh.set(minority, majority, Link::CUT);
         sleep(Duration::from_secs(4)).await;
-        // The smaller part has no majority: it keeps nothing out any more, and settles nothing.
-        let last = cluster.seen.last(4).expect("it answers");
+        // The minority keeps no server out and accepts no request.
+        let last = cluster.snapshots.last(4).expect("it answers");
         assert!(!last.agreed && last.out.is_empty(), "{last:?}");
         let answer = cluster.daemons[4].call("maintenance request s-9").await.expect("an answer");
         assert!(answer.starts_with("400"), "{answer}");
-        cluster.mesh.set(one, other, Link::WHOLE);
-        cluster.mesh.set(other, one, Link::WHOLE);
+        cluster.mesh.set(majority, minority, Link::WHOLE);
+        cluster.mesh.set(minority, majority, Link::WHOLE);
     }
     for number in 0..GATEWAYS {
         cluster.daemons[number].kill().await.expect("killed");
-        cluster.again(number).await;
+        cluster.restart(number).await;
         cluster
-            .until("a restarted gateway that agrees", 20, |cluster| {
-                cluster.seen.last(number).is_some_and(|snapshot| snapshot.agreed)
+            .wait_until("a restarted gateway that agrees", 20, |cluster| {
+                cluster.snapshots.last(number).is_some_and(|snapshot| snapshot.agreed)
             })
             .await;
     }
-    cluster.worked_off().await;
+    cluster.expect_completion().await;
 }
 
 #[tokio::test]
-async fn without_the_option_nothing_is_settled() {
+async fn maintenance_requests_are_rejected_without_the_option() {
     let fleet = Fleet::start(1).await.expect("stand-ins");
     let options = Options { config: json!({"operator": "127.0.0.1:0"}), ..Options::default() };
     let daemon =
--- a/tests/shared_state.rs
+++ b/tests/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the gateways share, in the daemon: settings, what is seen, and hubs that tell each other without sockets.
+//! State shared by gateways: settings, outcome reports, and gateways that exchange datagrams without sockets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,11 +12,12 @@
 use ashtide_fleet::DecodeError;
 use ashtide_fleet::state::EvidenceKind;
 
-const HEAD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n[state]\n";
+const SETTINGS_HEAD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n[state]\n";
 
 fn parse_problem(rest: &str) -> String {
-    let settings = Settings::parse(&format!("{HEAD}{rest}"));
-    settings.and_then(|it| it.gateway_slots(None)).err().map(|it| it.to_string()).unwrap_or_default()
+    let settings = Settings::parse(&format!("{SETTINGS_HEAD}{rest}"));
+    let slots = settings.and_then(|settings| settings.gateway_slots(None));
+    slots.err().map(|error| error.to_string()).unwrap_or_default()
 }
 
 #[test]
@@ -41,105 +42,134 @@
     ] {
         assert!(parse_problem(text).contains(problem), "{text}: {}", parse_problem(text));
     }
-    let settings = Settings::parse(HEAD).expect("good");
-    let peers = ["127.0.0.2:1", "127.0.0.1:1"].map(|it| it.parse().expect("an address"));
+    let settings = Settings::parse(SETTINGS_HEAD).expect("good");
+    let peers = ["127.0.0.2:1", "127.0.0.1:1"].map(|address| address.parse().expect("an address"));
     let slots = settings.gateway_slots(Some(&peers)).expect("by the peers, at the view's port");
     assert_eq!((slots.len(), slots.own().0), (2, 1));
-    let plain = Settings::parse("listen = \"127.0.0.1:7946\"\ntier = 1\n").expect("good");
-    assert_eq!(plain.shared_state, None);
+    let without_state = Settings::parse("listen = \"127.0.0.1:7946\"\ntier = 1\n").expect("good");
+    assert_eq!(without_state.shared_state, None);
 }
 
 #[test]
 fn the_schema_has_the_bounds_and_the_choices() {
     let schema = schema();
-    for word in schema["properties"]["judgements"]["enum"].as_array().expect("words") {
-        let parsed = Settings::parse(&format!("{HEAD}judgements = {word}"));
+    for choice in schema["properties"]["judgements"]["enum"].as_array().expect("words") {
+        let parsed = Settings::parse(&format!("{SETTINGS_HEAD}judgements = {choice}"));
         assert!(parsed.is_ok(), "{:?}", parsed.map_err(ViewError::with_help));
     }
     let rate = &schema["properties"]["datagrams_per_s"];
     for bound in ["minimum", "maximum"] {
-        assert!(Settings::parse(&format!("{HEAD}datagrams_per_s = {}", rate[bound])).is_ok());
+        assert!(Settings::parse(&format!("{SETTINGS_HEAD}datagrams_per_s = {}", rate[bound])).is_ok());
     }
 }
 
 #[test]
-fn what_fails_counts_since_it_last_went_well() {
-    let mut witness = OutcomeReporter::default();
+fn failures_count_since_the_last_success() {
+    let mut reporter = OutcomeReporter::default();
     let server = ServerId(3);
-    let at = |ms: i64| Time::from_micros(ms * 1_000);
-    let report = |of, failing, silent| OutcomeReport { attempts: of, observations: [failing, silent, 0] };
+    let time_at = |ms: i64| Time::from_micros(ms * 1_000);
+    let report = |attempts, failing, silent| OutcomeReport { attempts, observations: [failing, silent, 0] };
     for _ in 0..20 {
-        witness.record(server, None);
+        reporter.record(server, None);
     }
-    assert_eq!(witness.take_reports(at(0)).len(), 1);
-    witness.record_end(server, false, Outcome::ConnectError);
-    assert_eq!(witness.take_reports(at(250)), [(server, report(1, 1, 0))]);
-    assert_eq!(witness.take_reports(at(500)), [], "nothing new");
-    witness.record_end(server, false, Outcome::TimedOut);
-    // A client that left, or a connection that ended as they do, says nothing of the server.
-    witness.record_end(server, true, Outcome::Ok);
-    witness.record_end(server, false, Outcome::Cancelled);
-    assert_eq!(witness.take_reports(at(750)), [(server, report(2, 1, 1))]);
-    witness.record(server, None);
+    assert_eq!(reporter.take_reports(time_at(0)).len(), 1);
+    reporter.record_end(server, false, Outcome::ConnectError);
+    assert_eq!(reporter.take_reports(time_at(250)), [(server, report(1, 1, 0))]);
+    assert_eq!(reporter.take_reports(time_at(500)), [], "nothing new");
+    reporter.record_end(server, false, Outcome::TimedOut);
+    // A client that left or a connection that ended normally is no evidence about the server.
+    reporter.record_end(server, true, Outcome::Ok);
+    reporter.record_end(server, false, Outcome::Cancelled);
+    assert_eq!(reporter.take_reports(time_at(750)), [(server, report(2, 1, 1))]);
+    reporter.record(server, None);
     assert_eq!(
-        witness.take_reports(at(1_000)),
+        reporter.take_reports(time_at(1_000)),
         [(server, report(1, 0, 0))],
         "well again at the first attempt"
     );
-    witness.record_end(server, false, Outcome::Failed);
-    assert_eq!(witness.take_reports(at(12_000)), [(server, report(1, 1, 0))], "and what is old is forgotten");
+    reporter.record_end(server, false, Outcome::Failed);
+    assert_eq!(
+        reporter.take_reports(time_at(12_000)),
+        [(server, report(1, 1, 0))],
+        "and what is old is forgotten"
+    );
+}
+
+/// Open connections of a gateway to a server.
+struct OpenConnections<'a> {
+    server: &'a str,
+    count: u32,
 }
 
-/// Hubs whose datagrams reach each other at once.
+fn open_to(server: &str, count: u32) -> OpenConnections<'_> {
+    OpenConnections { server, count }
+}
+
+/// Gateways whose datagrams arrive at once.
 struct Cluster {
-    hubs: Vec<GatewayState>,
-    gateways: Vec<SocketAddr>,
+    gateways: Vec<GatewayState>,
+    addresses: Vec<SocketAddr>,
     now: Duration,
 }
 
-const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
+const SERVER_NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 impl Cluster {
     fn new(size: u16) -> Self {
-        let gateways: Vec<SocketAddr> =
-            (0..size).map(|it| SocketAddr::from(([127, 0, 0, 1], 9_000 + it))).collect();
+        let addresses: Vec<SocketAddr> =
+            (0..size).map(|number| SocketAddr::from(([127, 0, 0, 1], 9_000 + number))).collect();
         let settings =
-            Settings::parse(&format!("{HEAD}check = \"log\"\njudgements = \"use\"")).expect("good");
+            Settings::parse(&format!("{SETTINGS_HEAD}check = \"log\"\njudgements = \"use\"")).expect("good");
         let state = settings.shared_state.expect("the table");
-        let hubs = gateways.iter().enumerate().map(|(number, &own)| {
-            let slots = GatewaySlots::new(gateways.clone(), own).expect("its own is among them");
-            let mut hub = GatewayState::new(state.clone(), 1, slots, 100, number as u64, Duration::ZERO);
-            hub.set_peers(gateways.iter().copied());
-            hub
+        let gateways = addresses.iter().enumerate().map(|(number, &own)| {
+            let slots = GatewaySlots::new(addresses.clone(), own).expect("its own is among them");
+            let mut gateway = GatewayState::new(state.clone(), 1, slots, 100, number as u64, Duration::ZERO);
+            gateway.set_peers(addresses.iter().copied());
+            gateway
         });
-        Self { hubs: hubs.collect(), gateways: gateways.clone(), now: Duration::ZERO }
+        Self { gateways: gateways.collect(), addresses: addresses.clone(), now: Duration::ZERO }
     }
 
-    /// Lets time pass; these see a server fail, all others see nothing of it.
-    fn pass(&mut self, ms: u64, see: &[usize], open: &[(&str, u32)]) -> Vec<OutlierDecision> {
+    /// Advances the time; these gateways report failures of server `a`, the others nothing.
+    fn advance(
+        &mut self,
+        ms: u64,
+        failing_at: &[usize],
+        open: &[OpenConnections<'_>],
+    ) -> Vec<OutlierDecision> {
         let mut decisions = Vec::new();
         for step in 1..=ms / 50 {
             self.now += Duration::from_millis(50);
-            for hub in &mut self.hubs {
-                hub.advance_to(self.now);
+            for gateway in &mut self.gateways {
+                gateway.advance_to(self.now);
             }
-            for from in 0..self.hubs.len() {
-                while let Some((to, datagram)) = self.hubs[from].next_datagram() {
-                    let to = self.gateways.iter().position(|&it| it == to).expect("a gateway");
-                    self.hubs[to].handle_datagram(self.gateways[from], &datagram).expect("sound");
+            for sender in 0..self.gateways.len() {
+                while let Some((destination, datagram)) = self.gateways[sender].next_datagram() {
+                    let receiver =
+                        self.addresses.iter().position(|&address| address == destination).expect("a gateway");
+                    self.gateways[receiver]
+                        .handle_datagram(self.addresses[sender], &datagram)
+                        .expect("sound");
                 }
             }
             if step % 5 == 0 {
-                decisions = (0..self.hubs.len()).map(|number| self.observation(number, see, open)).collect();
+                decisions =
+                    (0..self.gateways.len()).map(|number| self.observe(number, failing_at, open)).collect();
             }
         }
         decisions
     }
 
-    fn observation(&mut self, number: usize, see: &[usize], open: &[(&str, u32)]) -> OutlierDecision {
-        let open_at = |name: &str| open.iter().find(|it| it.0 == name).map_or(0, |it| it.1);
-        let servers =
-            NAMES.iter().copied().chain(open.iter().map(|it| it.0).filter(|it| !NAMES.contains(it)));
+    fn observe(
+        &mut self,
+        number: usize,
+        failing_at: &[usize],
+        open: &[OpenConnections<'_>],
+    ) -> OutlierDecision {
+        let open_at =
+            |name: &str| open.iter().find(|entry| entry.server == name).map_or(0, |entry| entry.count);
+        let other_names = open.iter().map(|entry| entry.server).filter(|name| !SERVER_NAMES.contains(name));
+        let servers = SERVER_NAMES.iter().copied().chain(other_names);
         let observation = LocalObservation {
             servers: servers
                 .map(|name| ServerObservation {
@@ -151,38 +181,38 @@
                 })
                 .collect(),
             tenants: vec![("north", 2)],
-            outcome_reports: match see.contains(&number) {
+            outcome_reports: match failing_at.contains(&number) {
                 true => vec![(name_hash("a"), OutcomeReport { attempts: 4, observations: [4, 0, 0] })],
                 false => Vec::new(),
             },
         };
-        let decisions = self.hubs[number].observe(self.now, &observation);
+        let decisions = self.gateways[number].observe(self.now, &observation);
         assert_eq!(decisions.violation, None);
         decisions
     }
 }
 
 #[test]
-fn three_that_see_a_server_fail_take_it_from_all_and_one_from_nobody() {
-    for (see, out) in [(&[0, 1, 2][..], true), (&[0], false), (&[0, 4], false)] {
+fn three_reporting_gateways_eject_a_server_everywhere_and_one_ejects_it_nowhere() {
+    for (failing_at, ejected) in [(&[0, 1, 2][..], true), (&[0], false), (&[0, 4], false)] {
         let mut cluster = Cluster::new(5);
-        let decisions = cluster.pass(6_000, see, &[]);
+        let decisions = cluster.advance(6_000, failing_at, &[]);
         for decisions in decisions {
-            assert_eq!(decisions.ejected.contains(&name_hash("a")), out, "seen by {see:?}");
+            assert_eq!(decisions.ejected.contains(&name_hash("a")), ejected, "seen by {failing_at:?}");
         }
-        // Nobody tries it any more: it is back once what was seen is old.
-        let decisions = cluster.pass(12_000, &[], &[]);
-        assert!(decisions.iter().all(|it| it.ejected.is_empty()), "{decisions:?}");
+        // Without new attempts the server returns once the reports are old.
+        let decisions = cluster.advance(12_000, &[], &[]);
+        assert!(decisions.iter().all(|decision| decision.ejected.is_empty()), "{decisions:?}");
     }
 }
 
 #[test]
-fn evidence_of_an_overrun_server_takes_it_from_nobody() {
+fn evidence_of_an_overrun_ejects_no_server() {
     assert_eq!(OBSERVED_KINDS[2], EvidenceKind::Overrun);
     let mut cluster = Cluster::new(4);
-    cluster.pass(3_000, &[], &[]);
-    for hub in &mut cluster.hubs {
-        hub.exchange().outlier_reports_mut().record_observation(
+    cluster.advance(3_000, &[], &[]);
+    for gateway in &mut cluster.gateways {
+        gateway.exchange().outlier_reports_mut().record_observation(
             cluster.now,
             name_hash("a"),
             EvidenceKind::Overrun,
@@ -190,64 +220,70 @@
             9,
         );
     }
-    assert!(cluster.pass(1_000, &[], &[]).iter().all(|it| it.ejected.is_empty()));
+    assert!(cluster.advance(1_000, &[], &[]).iter().all(|decision| decision.ejected.is_empty()));
 }
 
 #[test]
 fn datagrams_from_another_address_than_the_senders_are_rejected() {
     let mut cluster = Cluster::new(3);
-    for hub in &mut cluster.hubs {
-        hub.advance_to(Duration::from_secs(1));
+    for gateway in &mut cluster.gateways {
+        gateway.advance_to(Duration::from_secs(1));
     }
-    let (_, datagram) = cluster.hubs[0].next_datagram().expect("a word");
-    let own = cluster.gateways[0];
-    let another = cluster.gateways[2];
+    let (_, datagram) = cluster.gateways[0].next_datagram().expect("a datagram");
+    let own = cluster.addresses[0];
+    let another = cluster.addresses[2];
     let stranger = "127.0.0.9:9000".parse().expect("an address");
-    assert_eq!(cluster.hubs[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
-    assert_eq!(cluster.hubs[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
-    assert_eq!(cluster.hubs[1].handle_datagram(own, &datagram), Ok(()));
+    assert_eq!(cluster.gateways[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(cluster.gateways[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(cluster.gateways[1].handle_datagram(own, &datagram), Ok(()));
     assert!(
-        cluster.hubs[1].metrics_text().contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2")
+        cluster.gateways[1]
+            .metrics_text()
+            .contains("router_state_unheard_datagrams_total{reason=\"foreign\"} 2")
     );
 }
 
-fn open(hub: &mut GatewayState, name: &str) -> Option<u32> {
-    hub.request_totals();
-    let text = hub.status_text();
+fn open_connections(gateway: &mut GatewayState, name: &str) -> Option<u32> {
+    gateway.request_totals();
+    let text = gateway.status_text();
     let line = text.lines().find(|line| line.starts_with(&format!("server {name} ")))?;
-    line.split(' ').find_map(|word| word.strip_prefix("open=")?.parse().ok())
+    line.split(' ').find_map(|field| field.strip_prefix("open=")?.parse().ok())
 }
 
 #[test]
-fn a_superseded_process_goes_on_as_a_later_incarnation() {
+fn a_superseded_process_continues_as_a_later_incarnation() {
     let mut cluster = Cluster::new(3);
-    cluster.pass(4_000, &[], &[("a", 4)]);
-    assert_eq!(cluster.hubs[1].handle_new_incarnation(101), None, "held dead by mistake: the same life");
-    let line = cluster.hubs[1].handle_new_incarnation(500).expect("others know a later life");
+    cluster.advance(4_000, &[], &[open_to("a", 4)]);
+    assert_eq!(
+        cluster.gateways[1].handle_new_incarnation(101),
+        None,
+        "wrongly considered dead: the same incarnation"
+    );
+    let line = cluster.gateways[1].handle_new_incarnation(500).expect("others know a later incarnation");
     assert_eq!(
         line,
         "state: another process of this gateway was known; restarted as generation 500, lending nothing for one lease"
     );
-    cluster.pass(4_000, &[], &[("a", 7), ("b", 1)]);
-    cluster.hubs.iter_mut().for_each(GatewayState::request_totals);
-    cluster.pass(1_000, &[], &[("a", 7), ("b", 1)]);
-    for hub in &mut cluster.hubs {
-        assert_eq!((open(hub, "a"), open(hub, "b")), (Some(21), Some(3)));
+    cluster.advance(4_000, &[], &[open_to("a", 7), open_to("b", 1)]);
+    cluster.gateways.iter_mut().for_each(GatewayState::request_totals);
+    cluster.advance(1_000, &[], &[open_to("a", 7), open_to("b", 1)]);
+    for gateway in &mut cluster.gateways {
+        assert_eq!((open_connections(gateway, "a"), open_connections(gateway, "b")), (Some(21), Some(3)));
     }
 }
 
 #[test]
-fn servers_that_came_and_went_make_room_for_others() {
+fn removed_servers_free_capacity_for_others() {
     let mut cluster = Cluster::new(3);
-    cluster.pass(3_000, &[], &[]);
+    cluster.advance(3_000, &[], &[]);
     for number in 0..1_200 {
         let name = format!("s-{number}");
-        cluster.pass(250, &[], &[(&name, 2)]);
+        cluster.advance(250, &[], &[open_to(&name, 2)]);
     }
-    cluster.pass(4_000, &[], &[("a", 5)]);
-    cluster.hubs.iter_mut().for_each(GatewayState::request_totals);
-    cluster.pass(1_000, &[], &[("a", 5)]);
-    for hub in &mut cluster.hubs {
-        assert_eq!(open(hub, "a"), Some(15));
+    cluster.advance(4_000, &[], &[open_to("a", 5)]);
+    cluster.gateways.iter_mut().for_each(GatewayState::request_totals);
+    cluster.advance(1_000, &[], &[open_to("a", 5)]);
+    for gateway in &mut cluster.gateways {
+        assert_eq!(open_connections(gateway, "a"), Some(15));
     }
 }
