--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,4 +1,4 @@
-//! A connection to a server that comes up late, before the real daemon: what was told meanwhile counts.
+//! A connection to a server that is established late: the daemon applies list changes made meanwhile.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,89 +13,85 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Whatever takes longer has failed.
-const STEP: Duration = Duration::from_secs(5);
-/// A connection that is not up by then finds the queue full.
-const FULL: Duration = Duration::from_millis(100);
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// A step that takes longer has failed.
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection that isn't established by then finds the accept queue full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Tells `now` to the one watch there is, and `then` once it is told to.
-async fn discovery(now: Value, then: Value) -> (SocketAddr, oneshot::Sender<()>) {
+/// A discovery service with one watch.
+struct StubDiscovery {
+    address: SocketAddr,
+    /// Sends the second list.
+    send_update: oneshot::Sender<()>,
+}
+
+/// Sends the first list to the watch, and the second when requested.
+async fn start_discovery(first_list: Value, second_list: Value) -> StubDiscovery {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("an address");
-    let (tell, told) = oneshot::channel();
+    let address = listener.local_addr().expect("an address");
+    let (send_update, update_requested) = oneshot::channel();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a watch");
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(stream.read_u8().await.expect("a call"));
         }
-        let first = format!("{HEAD}{}", chunk(&format!("{now}\n")));
+        let first = format!("{RESPONSE_HEAD}{}", chunk(&format!("{first_list}\n")));
         stream.write_all(first.as_bytes()).await.expect("read");
-        tokio::pin!(told);
+        tokio::pin!(update_requested);
         loop {
-            let text = match timeout(FULL, &mut told).await {
+            let text = match timeout(CONNECT_TIMEOUT, &mut update_requested).await {
                 Ok(_) => break,
                 Err(_) => chunk("\n"),
             };
             stream.write_all(text.as_bytes()).await.expect("read");
         }
-        let mut text = chunk(&format!("{then}\n"));
+        let mut text = chunk(&format!("{second_list}\n"));
         while stream.write_all(text.as_bytes()).await.is_ok() {
             text = chunk("\n");
-            tokio::time::sleep(FULL).await;
+            tokio::time::sleep(CONNECT_TIMEOUT).await;
         }
     });
-    (at, tell)
+    StubDiscovery { address, send_update }
 }
 
-/// A listener whose queue is full: connections come up only once it is emptied.
-async fn crowded() -> (TcpListener, Vec<TcpStream>) {
+/// A listener with a full accept queue: connections are established only after it is emptied.
+struct FullListener {
+    listener: TcpListener,
+    fillers: Vec<TcpStream>,
+}
+
+async fn listen_with_full_queue() -> FullListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(1).expect("listens");
-    let at = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("bound");
     let mut fillers = Vec::new();
-    while let Ok(Ok(filler)) = timeout(FULL, TcpStream::connect(at)).await {
+    while let Ok(Ok(filler)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         fillers.push(filler);
     }
-    (listener, fillers)
+    FullListener { listener, fillers }
 }
 
-#[tokio::test]
-async fn a_connection_that_comes_up_after_its_server_was_drained_carries_no_byte() {
-    let mut fleet = Fleet::start(1).await.expect("a fleet");
-    let (late, fillers) = crowded().await;
-    let list = |index: u64, late_is: &str, other_is: &str| {
-        let entry = |name: &str, address: SocketAddr, status: &str| {
-            json!({"name": name, "address": address, "zone": "here", "type": "one", "group": 0,
-                   "status": status, "weight": 1.0, "since_ms": 0})
-        };
-        let at = late.local_addr().expect("bound");
-        let other = fleet.servers[0].address;
-        json!({"index": index, "snapshot": true,
-               "endpoints": [entry("late", at, late_is), entry("other", other, other_is)]})
+/// An endpoint of the list with its status.
+struct ListedServer<'a> {
+    name: &'a str,
+    address: SocketAddr,
+    status: &'a str,
+}
+
+fn list_json(index: u64, servers: &[ListedServer<'_>]) -> Value {
+    let entry = |server: &ListedServer<'_>| {
+        json!({"name": server.name, "address": server.address, "zone": "here", "type": "one", "group": 0,
+               "status": server.status, "weight": 1.0, "since_ms": 0})
     };
-    // At first only the late one takes anything, then only the other.
-    let (now, then) = (list(1, "SERVING", "DRAINING"), list(2, "DRAINING", "SERVING"));
-    let (at, tell) = discovery(now.clone(), then).await;
-    fleet.discovery = at;
-    let config = json!({"settings": {
-        "limits": {"connectTimeout": 5.0},
-        "classes": [{"name": "meter", "aim": 2.0, "deadline": 8.0, "effect": "side_effect", "worth": 1.0}],
-        "rules": {"stopSendingWithin": 0.2},
-    }});
-    let options = Options { known: Some(now), config, ..Options::default() };
-    let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
-    daemon.says("discovery: ").await.expect("it watches");
+    let entries: Vec<Value> = servers.iter().map(entry).collect();
+    json!({"index": index, "snapshot": true, "endpoints": entries})
+}
 
-    let mut client = LineClient::connect(daemon.lines).await.expect("taken");
-    client.say("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("heard");
-    tokio::time::sleep(FULL).await;
-    tell.send(()).expect("told");
-    tokio::time::sleep(FULL).await;
-    // Who asks now is served by the other: the list has been taken in.
+/// Opens clients until the other server accepts one, so that the second list has been applied.
+async fn expect_placement(daemon: &Daemon) {
     let mut placed = false;
     for number in 10..200 {
         let (_, answer) = LineClient::open(daemon.lines, number).await.expect("answered");
@@ -105,17 +101,61 @@
         }
     }
     assert!(placed, "the other takes what comes");
-    // Past the grace the queue is emptied, and the first connection comes up with the system's next try.
-    tokio::time::sleep(Duration::from_millis(300)).await;
+}
+
+/// Empties the accept queue and accepts the connection that is established then.
+async fn accept_after_fillers(late: &TcpListener, fillers: Vec<TcpStream>) -> TcpStream {
     for _ in &fillers {
-        drop(timeout(STEP, late.accept()).await.expect("one that filled the queue").expect("there"));
+        drop(timeout(STEP_TIMEOUT, late.accept()).await.expect("one that filled the queue").expect("there"));
     }
     drop(fillers);
-    let (mut came, _) = timeout(STEP, late.accept()).await.expect("it comes up").expect("there");
+    let (connection, _) = timeout(STEP_TIMEOUT, late.accept()).await.expect("it comes up").expect("there");
+    connection
+}
+
+/// A class that isn't idempotent, and a short grace period for draining servers.
+fn config() -> Value {
+    json!({"settings": {
+        "limits": {"connectTimeout": 5.0},
+        "classes": [{"name": "meter", "aim": 2.0, "deadline": 8.0, "effect": "side_effect", "worth": 1.0}],
+        "rules": {"stopSendingWithin": 0.2},
+    }})
+}
+
+#[tokio::test]
+async fn a_connection_established_after_its_server_was_drained_carries_no_byte() {
+    let mut fleet = Fleet::start(1).await.expect("a fleet");
+    let FullListener { listener: late, fillers } = listen_with_full_queue().await;
+    let late_address = late.local_addr().expect("bound");
+    let other_address = fleet.servers[0].address;
+    let list = |index, late_status, other_status| {
+        let late = ListedServer { name: "late", address: late_address, status: late_status };
+        let other = ListedServer { name: "other", address: other_address, status: other_status };
+        list_json(index, &[late, other])
+    };
+    // At first only the late server is serving, then only the other one.
+    let first_list = list(1, "SERVING", "DRAINING");
+    let second_list = list(2, "DRAINING", "SERVING");
+    let discovery = start_discovery(first_list.clone(), second_list).await;
+    fleet.discovery = discovery.address;
+    let options = Options { known: Some(first_list), config: config(), ..Options::default() };
+    let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
+    let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
+    daemon.says("discovery: ").await.expect("it watches");
+
+    let mut client = LineClient::connect(daemon.lines).await.expect("taken");
+    client.say("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("sent");
+    tokio::time::sleep(CONNECT_TIMEOUT).await;
+    discovery.send_update.send(()).expect("a watch");
+    tokio::time::sleep(CONNECT_TIMEOUT).await;
+    expect_placement(&daemon).await;
+    // After the grace period the queue is emptied; the kernel's next attempt establishes the first connection.
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    let mut connection = accept_after_fillers(&late, fillers).await;
     let mut bytes = Vec::new();
-    let _ = timeout(STEP, came.read_to_end(&mut bytes)).await.expect("an end");
+    let _ = timeout(STEP_TIMEOUT, connection.read_to_end(&mut bytes)).await.expect("an end");
     assert_eq!(String::from_utf8_lossy(&bytes), "", "sent to a server that drains, past the grace");
-    // And its request, of which nothing has run, is served by the other, though it may not be repeated.
+    // The request wasn't sent, so the other server serves it although it isn't idempotent.
     let answer = client.next().await.expect("an answer");
     assert!(answer.as_deref().is_some_and(|line| line.starts_with("UP ")), "{answer:?}");
 }
