--- a/tests/client.rs
+++ b/tests/client.rs
@@ -1,5 +1,5 @@
-//! The client library against the daemon's binary: what becomes of sessions when servers, balancers and the
-//! network fail, and that no two attempts of a session are ever out, as the stand-in servers count them.
+//! The client library against the daemon: sessions when servers, gateways and the network fail. The stub servers
+//! check that a session never has two attempts at once.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use tokio::time::timeout;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_ashtide");
-/// Any step ends by then.
-const STEP: Duration = Duration::from_secs(20);
+/// A step that takes longer has failed.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn play(test: impl Future<Output = ()>) {
+fn run_with_io(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test);
 }
 
-/// Narrow windows, so that a return is a matter of moments.
-fn swift() -> Settings {
+/// Short windows, so that sessions reconnect quickly.
+fn fast_reconnect_settings() -> Settings {
     Settings {
         break_window: Duration::from_millis(300),
         move_window: Duration::from_millis(300),
@@ -32,7 +32,7 @@
 }
 
 fn client(addresses: &[std::net::SocketAddr], settings: Settings) -> Client {
-    let addresses = addresses.iter().map(|&at| Address::new(at));
+    let addresses = addresses.iter().map(|&address| Address::new(address));
     Client::builder().addresses(addresses).settings(settings).build().expect("a client")
 }
 
@@ -40,82 +40,84 @@
     Wish::new("meter", format!("meter-{number}"), Duration::from_millis(2500))
 }
 
-async fn sessions(client: &Client, count: usize) -> Vec<Session> {
-    let mut all = Vec::new();
+async fn connect_sessions(client: &Client, count: usize) -> Vec<Session> {
+    let mut sessions = Vec::new();
     for number in 0..count {
-        all.push(client.connect(wish(number)).await.expect("a session"));
+        sessions.push(client.connect(wish(number)).await.expect("a session"));
     }
-    all
+    sessions
 }
 
-/// The next event that `which` wants.
-async fn until(session: &mut Session, which: impl Fn(&SessionEvent) -> bool) -> SessionEvent {
-    let wanted = async {
+/// The next event that matches, or the end of the session.
+async fn next_matching(session: &mut Session, matches: impl Fn(&SessionEvent) -> bool) -> SessionEvent {
+    let matching = async {
         loop {
             let event = session.next_event().await.expect("no end before");
-            if which(&event) || matches!(event, SessionEvent::Ended(_)) {
+            if matches(&event) || matches!(event, SessionEvent::Ended(_)) {
                 return event;
             }
         }
     };
-    timeout(STEP, wanted).await.expect("it comes")
+    timeout(STEP_TIMEOUT, matching).await.expect("it comes")
 }
 
-async fn stands_again(session: &mut Session) {
-    let event = until(session, |event| matches!(event, SessionEvent::Up { .. })).await;
+async fn expect_reconnected(session: &mut Session) {
+    let event = next_matching(session, |event| matches!(event, SessionEvent::Up { .. })).await;
     assert!(matches!(event, SessionEvent::Up { again: true, .. }), "{event:?}");
 }
 
-async fn echoes(session: &mut Session, line: &str) {
+async fn expect_echo(session: &mut Session, line: &str) {
     session.send(line.as_bytes()).await.expect("it is taken");
-    let event = until(session, |event| matches!(event, SessionEvent::Line(_))).await;
+    let event = next_matching(session, |event| matches!(event, SessionEvent::Line(_))).await;
     assert_eq!(event, SessionEvent::Line(line.to_owned().into()));
 }
 
-async fn daemon(fleet: &Fleet) -> Daemon {
+async fn start_daemon(fleet: &Fleet) -> Daemon {
     Daemon::start(Path::new(DAEMON), fleet, &Options::default()).await.expect("a daemon")
 }
 
 #[test]
-fn clients_of_a_drained_server_go_on_elsewhere() {
-    play(async {
+fn sessions_of_a_draining_server_move_to_others() {
+    run_with_io(async {
         let fleet = Fleet::start(3).await.unwrap();
-        let daemon = daemon(&fleet).await;
-        let client = client(&[daemon.lines], swift());
-        let mut all = sessions(&client, 24).await;
+        let daemon = start_daemon(&fleet).await;
+        let client = client(&[daemon.lines], fast_reconnect_settings());
+        let mut sessions = connect_sessions(&client, 24).await;
         let before = fleet.ledger.arrivals().len();
-        let there = fleet.servers[0].seen.taken.load(std::sync::atomic::Ordering::Relaxed);
-        assert!(there > 0 && before == 24);
+        let moved = fleet.servers[0].seen.taken.load(std::sync::atomic::Ordering::Relaxed);
+        assert!(moved > 0 && before == 24);
         fleet.set(0, EndpointStatus::Draining);
-        for (number, session) in all.iter_mut().enumerate() {
-            echoes_through_moves(session, &format!("reading {number}")).await;
+        for (number, session) in sessions.iter_mut().enumerate() {
+            expect_echo_through_moves(session, &format!("reading {number}")).await;
         }
-        // All that were there have come back, marked, and were placed once more each.
-        let back = wait_for(&fleet, before + there as usize).await;
-        assert_eq!(back.iter().filter(|arrival| arrival.again).count() as u64, there);
-        assert_eq!((client.figures().await.0.moved, fleet.ledger.overlapping()), (there, 0));
-        assert_eq!(fleet.servers[0].seen.offered.load(std::sync::atomic::Ordering::Relaxed), there);
+        // Each client of the drained server has reconnected once, marked as such.
+        let arrivals = wait_for_attempts(&fleet, before + moved as usize).await;
+        assert_eq!(arrivals.iter().filter(|arrival| arrival.again).count() as u64, moved);
+        assert_eq!((client.figures().await.0.moved, fleet.ledger.overlapping()), (moved, 0));
+        assert_eq!(fleet.servers[0].seen.offered.load(std::sync::atomic::Ordering::Relaxed), moved);
     });
 }
 
-/// Sends a line until its echo comes: what was written when a connection ended may be lost.
-async fn echoes_through_moves(session: &mut Session, line: &str) {
+/// Sends a line until it is echoed: data written when a connection ends may be lost.
+async fn expect_echo_through_moves(session: &mut Session, line: &str) {
     for _ in 0..10 {
         if session.send(line.as_bytes()).await.is_err() {
             break;
         }
-        let said =
-            timeout(Duration::from_secs(1), until(session, |event| matches!(event, SessionEvent::Line(_))));
-        if said.await.is_ok_and(|event| event == SessionEvent::Line(line.to_owned().into())) {
+        let echo = timeout(
+            Duration::from_secs(1),
+            next_matching(session, |event| matches!(event, SessionEvent::Line(_))),
+        );
+        if echo.await.is_ok_and(|event| event == SessionEvent::Line(line.to_owned().into())) {
             return;
         }
     }
     panic!("no echo of '{line}'");
 }
 
-/// Waits until so many attempts have reached the servers.
-async fn wait_for(fleet: &Fleet, count: usize) -> Vec<ashtide_testkit::ledger::Arrival> {
-    let all = async {
+/// Waits until this many attempts have reached the servers.
+async fn wait_for_attempts(fleet: &Fleet, count: usize) -> Vec<ashtide_testkit::ledger::Arrival> {
+    let attempts = async {
         loop {
             let arrivals = fleet.ledger.arrivals();
             if arrivals.len() >= count {
@@ -124,58 +126,60 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(STEP, all).await.expect("so many attempts")
+    timeout(STEP_TIMEOUT, attempts).await.expect("so many attempts")
 }
 
 #[test]
-fn clients_of_a_stopping_balancer_go_on_through_another() {
-    play(async {
+fn sessions_of_a_stopping_gateway_move_to_another() {
+    run_with_io(async {
         let fleet = Fleet::start(2).await.unwrap();
-        let (first, second) = (daemon(&fleet).await, daemon(&fleet).await);
-        let client = client(&[first.lines], swift());
-        let mut all = sessions(&client, 16).await;
+        let first = start_daemon(&fleet).await;
+        let second = start_daemon(&fleet).await;
+        let client = client(&[first.lines], fast_reconnect_settings());
+        let mut sessions = connect_sessions(&client, 16).await;
         client.addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
         first.terminate().unwrap();
-        for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Moved)).await;
+        for session in &mut sessions {
+            let event = next_matching(session, |event| matches!(event, SessionEvent::Moved)).await;
             assert_eq!(event, SessionEvent::Moved);
-            stands_again(session).await;
-            echoes(session, "still here").await;
+            expect_reconnected(session).await;
+            expect_echo(session, "still here").await;
         }
         assert_eq!(first.end().await.unwrap().0.code(), Some(0));
-        let figures = client.figures().await.0;
-        assert_eq!((figures.moved, figures.broken, fleet.ledger.overlapping()), (16, 0, 0));
+        let metrics = client.figures().await.0;
+        assert_eq!((metrics.moved, metrics.broken, fleet.ledger.overlapping()), (16, 0, 0));
     });
 }
 
 #[test]
-fn a_killed_balancer_is_a_break_and_its_address_is_left() {
-    play(async {
+fn a_killed_gateway_breaks_sessions_and_its_address_is_avoided() {
+    run_with_io(async {
         let fleet = Fleet::start(2).await.unwrap();
-        let (mut first, second) = (daemon(&fleet).await, daemon(&fleet).await);
-        let client = client(&[first.lines], swift());
-        let mut all = sessions(&client, 16).await;
+        let mut first = start_daemon(&fleet).await;
+        let second = start_daemon(&fleet).await;
+        let client = client(&[first.lines], fast_reconnect_settings());
+        let mut sessions = connect_sessions(&client, 16).await;
         client.addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
         first.kill().await.unwrap();
-        for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
+        for session in &mut sessions {
+            let event = next_matching(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
             assert!(matches!(event, SessionEvent::Broken { why: Loss::Broke(None), .. }), "{event:?}");
-            stands_again(session).await;
+            expect_reconnected(session).await;
         }
-        let figures = client.figures().await.0;
-        assert_eq!((figures.broken, fleet.ledger.overlapping()), (16, 0));
-        assert!(figures.unreached <= 3, "one or two find out, the others are spared: {figures:?}");
+        let metrics = client.figures().await.0;
+        assert_eq!((metrics.broken, fleet.ledger.overlapping()), (16, 0));
+        assert!(metrics.unreached <= 3, "one or two find out, the others are spared: {metrics:?}");
     });
 }
 
 #[test]
 fn silent_servers_end_each_session_once_and_in_time() {
-    play(async {
+    run_with_io(async {
         let fleet = Fleet::start(2).await.unwrap();
-        let daemon = daemon(&fleet).await;
+        let daemon = start_daemon(&fleet).await;
         fleet.servers.iter().for_each(|server| server.mood(Mood::Silent));
-        let client = client(&[daemon.lines], swift());
-        let begun = std::time::Instant::now();
+        let client = client(&[daemon.lines], fast_reconnect_settings());
+        let started_at = std::time::Instant::now();
         let mut ends = Vec::new();
         for session in futures_util::future::join_all((0..12).map(|number| client.open(wish(number)))).await {
             ends.push(tokio::spawn(async move {
@@ -188,32 +192,35 @@
             }));
         }
         for end in ends {
-            assert_eq!(timeout(STEP, end).await.expect("an end").unwrap(), 1);
+            assert_eq!(timeout(STEP_TIMEOUT, end).await.expect("an end").unwrap(), 1);
         }
-        assert!(begun.elapsed() < Duration::from_millis(2500 + 3000), "{:?}", begun.elapsed());
-        let (figures, open) = client.figures().await;
-        assert_eq!((figures.up, figures.ended, open, fleet.ledger.overlapping()), (0, 12, 0, 0));
+        assert!(started_at.elapsed() < Duration::from_millis(2500 + 3000), "{:?}", started_at.elapsed());
+        let (metrics, open) = client.figures().await;
+        assert_eq!((metrics.up, metrics.ended, open, fleet.ledger.overlapping()), (0, 12, 0, 0));
     });
 }
 
 #[test]
-fn servers_that_refuse_are_not_hammered_through_another_balancer() {
-    play(async {
+fn rejections_are_not_retried_without_limit_through_another_gateway() {
+    run_with_io(async {
         let fleet = Fleet::start(2).await.unwrap();
-        let (first, second) = (daemon(&fleet).await, daemon(&fleet).await);
+        let first = start_daemon(&fleet).await;
+        let second = start_daemon(&fleet).await;
         fleet.servers.iter().for_each(|server| server.mood(Mood::Refuses));
-        let client = client(&[first.lines, second.lines], Settings { budget_first: 2.0, ..swift() });
-        let all = futures_util::future::join_all((0..20).map(|number| client.connect(wish(number)))).await;
-        for refused in all {
-            let refused = refused.expect_err("nobody is taken");
+        let client =
+            client(&[first.lines, second.lines], Settings { budget_first: 2.0, ..fast_reconnect_settings() });
+        let results =
+            futures_util::future::join_all((0..20).map(|number| client.connect(wish(number)))).await;
+        for result in results {
+            let refused = result.expect_err("nobody is taken");
             assert!(
                 matches!(refused.0, GaveUp::Refused { .. } | GaveUp::Budget { .. } | GaveUp::Deadline { .. }),
                 "{refused}"
             );
         }
-        let figures = client.figures().await.0;
-        // Twenty first tries pay for four retries, and there were two at the start.
-        assert!(figures.first_tries + figures.retries <= 26, "{figures:?}");
+        let metrics = client.figures().await.0;
+        // Twenty first attempts add four retries to the initial budget of two.
+        assert!(metrics.first_tries + metrics.retries <= 26, "{metrics:?}");
         assert_eq!(fleet.ledger.overlapping(), 0);
         fleet.servers.iter().for_each(|server| server.mood(Mood::Well));
         let later = Wish { wait: Duration::from_secs(15), ..wish(99) };
@@ -222,20 +229,24 @@
 }
 
 #[test]
-fn a_refused_port_costs_a_retry_and_no_more() {
-    play(async {
+fn a_refused_connection_costs_one_retry() {
+    run_with_io(async {
         let fleet = Fleet::start(1).await.unwrap();
-        let daemon = daemon(&fleet).await;
-        // Bound and not listening: nobody else can have it, and nobody answers.
+        let daemon = start_daemon(&fleet).await;
+        // Bound but not listening: the port is reserved and refuses connections.
         let dead = tokio::net::TcpSocket::new_v4().unwrap();
         dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let nobody = dead.local_addr().unwrap();
-        let client = client(&[nobody, daemon.lines], swift());
-        let _all = sessions(&client, 8).await;
-        let figures = client.figures().await.0;
-        assert_eq!((figures.up, fleet.ledger.overlapping()), (8, 0));
-        assert!(figures.unreached <= 6, "{figures:?}");
-        let alone = Client::builder().addresses([Address::new(nobody)]).settings(swift()).build().unwrap();
+        let unused = dead.local_addr().unwrap();
+        let client = client(&[unused, daemon.lines], fast_reconnect_settings());
+        let _sessions = connect_sessions(&client, 8).await;
+        let metrics = client.figures().await.0;
+        assert_eq!((metrics.up, fleet.ledger.overlapping()), (8, 0));
+        assert!(metrics.unreached <= 6, "{metrics:?}");
+        let alone = Client::builder()
+            .addresses([Address::new(unused)])
+            .settings(fast_reconnect_settings())
+            .build()
+            .unwrap();
         let Err(refused) = alone.connect(wish(9)).await else { panic!("nobody is there") };
         assert!(
             matches!(
@@ -250,37 +261,37 @@
 }
 
 #[test]
-fn a_network_that_cuts_and_one_that_swallows() {
-    play(async {
+fn sessions_survive_resets_and_a_network_that_drops_packets() {
+    run_with_io(async {
         let fleet = Fleet::start(2).await.unwrap();
-        let daemon = daemon(&fleet).await;
-        let relay = Relay::start(daemon.lines).await.unwrap();
-        let client = client(&[relay.address], swift());
-        let mut all = sessions(&client, 16).await;
-        relay.weather(Weather::Storm);
-        for session in &mut all {
-            until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
+        let daemon = start_daemon(&fleet).await;
+        let network = Relay::start(daemon.lines).await.unwrap();
+        let client = client(&[network.address], fast_reconnect_settings());
+        let mut sessions = connect_sessions(&client, 16).await;
+        network.weather(Weather::Storm);
+        for session in &mut sessions {
+            next_matching(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
         }
-        relay.weather(Weather::Fair);
-        for session in &mut all {
-            stands_again(session).await;
-            echoes(session, "after the storm").await;
+        network.weather(Weather::Fair);
+        for session in &mut sessions {
+            expect_reconnected(session).await;
+            expect_echo(session, "after the storm").await;
         }
         assert_eq!(client.figures().await.0.broken, 16);
 
-        // The device hears that the network is gone before any connection does.
-        relay.weather(Weather::Fog);
+        // The client is notified of the network loss before any connection fails.
+        network.weather(Weather::Fog);
         client.network_lost().await;
-        for session in &mut all {
-            let event = until(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
+        for session in &mut sessions {
+            let event = next_matching(session, |event| matches!(event, SessionEvent::Broken { .. })).await;
             assert!(matches!(event, SessionEvent::Broken { why: Loss::Offline, .. }), "{event:?}");
         }
         let during = fleet.ledger.arrivals().len();
-        relay.weather(Weather::Fair);
+        network.weather(Weather::Fair);
         client.network_back().await;
-        for session in &mut all {
-            stands_again(session).await;
-            echoes(session, "after the fog").await;
+        for session in &mut sessions {
+            expect_reconnected(session).await;
+            expect_echo(session, "after the fog").await;
         }
         let arrivals = fleet.ledger.arrivals();
         assert!(arrivals[during..].iter().all(|arrival| arrival.again));
@@ -289,11 +300,11 @@
 }
 
 #[test]
-fn who_drops_a_future_or_a_session_leaves_nothing_behind() {
-    play(async {
+fn a_dropped_future_or_session_leaves_no_state() {
+    run_with_io(async {
         let fleet = Fleet::start(1).await.unwrap();
-        let daemon = daemon(&fleet).await;
-        let client = client(&[daemon.lines], swift());
+        let daemon = start_daemon(&fleet).await;
+        let client = client(&[daemon.lines], fast_reconnect_settings());
         let session = client.connect(wish(0)).await.unwrap();
         fleet.servers[0].mood(Mood::Silent);
         for number in 1..6 {
@@ -301,13 +312,13 @@
             assert!(dropped.is_err(), "nobody answers");
         }
         drop(session);
-        let none = async {
+        let no_sessions = async {
             while client.figures().await.1 > 0 {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(STEP, none).await.expect("no session is left");
-        // Its last handle gone, the client's task ends, and what it knew is not needed any more.
+        timeout(STEP_TIMEOUT, no_sessions).await.expect("no session is left");
+        // The client's task ends with its last handle.
         assert_eq!(client.figures().await.0.ended, 6);
     });
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned restarts of the daemon's binary: a stop with everything in its way, and what a successor goes by.
+//! Graceful shutdown of the daemon with clients in every state.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,117 +11,162 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// SIGKILL comes no earlier after SIGTERM, with the deadline of 3 s that the daemon is told.
-const KILLED: Duration = Duration::from_millis(3700);
-/// Wait between two looks at what a server has seen.
-const MOMENT: Duration = Duration::from_millis(5);
+/// The earliest SIGKILL after SIGTERM, with the daemon's deadline of 3 s.
+const KILL_DELAY: Duration = Duration::from_millis(3700);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-async fn start(fleet: &Fleet, options: Options) -> Daemon {
+async fn start_daemon(fleet: &Fleet, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
     Daemon::start(program, fleet, &options).await.expect("a daemon")
 }
 
-fn open(id: u32) -> String {
+fn open_line(id: u32) -> String {
     format!("OPEN {id:016x} {id:016x} c=meter,d=3000,g={id:x}")
 }
 
-/// A client that has asked, and whose line has come to a server.
-async fn asking(fleet: &Fleet, daemon: &Daemon, id: u32) -> LineClient {
+/// A client whose request has reached a server.
+async fn connect_with_request(fleet: &Fleet, daemon: &Daemon, id: u32) -> LineClient {
     let before = fleet.ledger.arrivals().len();
     let mut client = LineClient::connect(daemon.lines).await.expect("taken");
-    client.say(&open(id)).await.expect("heard");
-    let arrives = async {
+    client.say(&open_line(id)).await.expect("sent");
+    let arrival = async {
         while fleet.ledger.arrivals().len() == before {
-            sleep(MOMENT).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    within("an attempt", arrives).await.expect("sent on");
+    within("an attempt", arrival).await.expect("forwarded");
     client
 }
 
-/// The lines that come until the end, and when that was.
-async fn rest(client: &mut LineClient) -> Result<(Vec<String>, Instant), RehearsalError> {
+/// A client and the beginning of the lines that it should receive.
+struct ExpectedEnd {
+    expected: &'static str,
+    client: LineClient,
+}
+
+fn expect_end(expected: &'static str, client: LineClient) -> ExpectedEnd {
+    ExpectedEnd { expected, client }
+}
+
+/// The lines of a client until its connection ended.
+struct ReceivedLines {
+    lines: Vec<String>,
+    ended_at: Instant,
+}
+
+async fn read_to_end(client: &mut LineClient) -> Result<ReceivedLines, RehearsalError> {
     let mut lines = Vec::new();
     while let Some(line) = client.next().await? {
         lines.push(line);
     }
-    Ok((lines, Instant::now()))
+    Ok(ReceivedLines { lines, ended_at: Instant::now() })
 }
 
-#[tokio::test]
-async fn a_stop_moves_or_answers_everyone_before_it_is_killed() {
-    let fleet = Fleet::start(3).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
-    let mood = |mood| fleet.servers.iter().for_each(|server| server.mood(mood));
-    // The first to come is moved first, and has read nothing by then.
-    mood(Mood::Talks);
-    let mut stuffed = TcpStream::connect(daemon.lines).await.expect("taken");
-    stuffed.write_all(format!("{}\r\n", open(300)).as_bytes()).await.expect("heard");
-    stuffed.read_exact(&mut [0; 12]).await.expect("up");
+/// Opens 12 clients, half of them at servers whose answers are partial.
+async fn connect_clients(fleet: &Fleet, daemon: &Daemon) -> Vec<ExpectedEnd> {
     let mut clients = Vec::new();
-    let mut standing = 0;
+    let mut established = 0;
     for id in 0..12 {
-        mood(if id < 6 { Mood::Well } else { Mood::HalfOut });
+        let mood = if id < 6 { Mood::Well } else { Mood::HalfOut };
+        fleet.servers.iter().for_each(|server| server.mood(mood));
         let (client, answer) = LineClient::open(daemon.lines, id).await.expect("answered");
-        standing += u32::from(answer.starts_with("UP "));
-        clients.push(("MOVE", client));
+        established += u32::from(answer.starts_with("UP "));
+        clients.push(expect_end("MOVE", client));
     }
-    assert_eq!(standing, 12);
-    mood(Mood::Silent);
-    clients.push(("BUSY", asking(&fleet, &daemon, 100).await));
-    mood(Mood::Late);
-    clients.push(("UP, MOVE", asking(&fleet, &daemon, 101).await));
-    let mut half = LineClient::connect(daemon.lines).await.expect("taken");
-    half.begin("OPEN 1 2 c=me").await.expect("heard");
-    clients.push(("ERR", half));
-
-    let asked = Instant::now();
-    daemon.terminate().expect("it runs");
+    assert_eq!(established, 12);
+    clients
+}
+
+/// Connects clients with requests and without ones at fixed times after SIGTERM.
+async fn connect_during_shutdown(
+    fleet: &Fleet,
+    daemon: &Daemon,
+    clients: &mut Vec<ExpectedEnd>,
+    terminated_at: Instant,
+) {
     for (id, after) in [(200, 0), (201, 150), (202, 350)] {
-        sleep(Duration::from_millis(after).saturating_sub(asked.elapsed())).await;
-        clients.push(("UP, MOVE", asking(&fleet, &daemon, id).await));
+        sleep(Duration::from_millis(after).saturating_sub(terminated_at.elapsed())).await;
+        clients.push(expect_end("UP, MOVE", connect_with_request(fleet, daemon, id).await));
     }
     let silent = LineClient::connect(daemon.lines).await.expect("taken");
-    clients.push(("ERR", silent));
-    sleep(Duration::from_millis(1500).saturating_sub(asked.elapsed())).await;
+    clients.push(expect_end("ERR", silent));
+    sleep(Duration::from_millis(1500).saturating_sub(terminated_at.elapsed())).await;
     let later = LineClient::connect(daemon.lines).await.expect("taken");
-    clients.push(("BUSY 1000", later));
-
-    sleep(Duration::from_millis(2400).saturating_sub(asked.elapsed())).await;
-    let mut said = String::new();
-    stuffed.read_to_string(&mut said).await.expect("no reset");
-    assert!(said.ends_with("x\r\nMOVE\r\n"), "cut off: {:?}", &said[said.len().saturating_sub(12)..]);
+    clients.push(expect_end("BUSY 1000", later));
+}
 
-    let ends = clients.iter_mut().map(|(due, client)| async move {
-        let (lines, at) = rest(client).await.expect("an end");
-        (*due, lines, at)
+/// Reads all clients to their ends, and checks their lines and that they end in time.
+async fn expect_lines(clients: &mut [ExpectedEnd], terminated_at: Instant) {
+    let ends = clients.iter_mut().map(|ExpectedEnd { expected, client }| async move {
+        let received = read_to_end(client).await.expect("an end");
+        (*expected, received)
     });
-    for (due, lines, at) in futures_util::future::join_all(ends).await {
-        let words: Vec<&str> =
+    for (expected, ReceivedLines { lines, ended_at }) in futures_util::future::join_all(ends).await {
+        let kinds: Vec<&str> =
             lines.iter().map(|line| line.split_once("UP ").map_or(line.as_str(), |_| "UP")).collect();
-        assert!(words.join(", ").starts_with(due), "due {due}, came {lines:?}");
-        assert!(at - asked < KILLED, "{lines:?} came {:?} after SIGTERM", at - asked);
+        assert!(kinds.join(", ").starts_with(expected), "expected {expected}, received {lines:?}");
+        let delay = ended_at - terminated_at;
+        assert!(delay < KILL_DELAY, "{lines:?} came {delay:?} after SIGTERM");
     }
+}
+
+#[tokio::test]
+async fn a_graceful_shutdown_moves_or_answers_all_clients_in_time() {
+    let fleet = Fleet::start(3).await.expect("a fleet");
+    let daemon = start_daemon(&fleet, Options::default()).await;
+    let set_mood = |mood| fleet.servers.iter().for_each(|server| server.mood(mood));
+    // The first client is moved first and hasn't read anything by then.
+    set_mood(Mood::Talks);
+    let mut stuffed = TcpStream::connect(daemon.lines).await.expect("taken");
+    stuffed.write_all(format!("{}\r\n", open_line(300)).as_bytes()).await.expect("sent");
+    stuffed.read_exact(&mut [0; 12]).await.expect("up");
+    let mut clients = connect_clients(&fleet, &daemon).await;
+    set_mood(Mood::Silent);
+    clients.push(expect_end("BUSY", connect_with_request(&fleet, &daemon, 100).await));
+    set_mood(Mood::Late);
+    clients.push(expect_end("UP, MOVE", connect_with_request(&fleet, &daemon, 101).await));
+    let mut partial = LineClient::connect(daemon.lines).await.expect("taken");
+    partial.begin("OPEN 1 2 c=me").await.expect("sent");
+    clients.push(expect_end("ERR", partial));
+
+    let terminated_at = Instant::now();
+    daemon.terminate().expect("it runs");
+    connect_during_shutdown(&fleet, &daemon, &mut clients, terminated_at).await;
+
+    sleep(Duration::from_millis(2400).saturating_sub(terminated_at.elapsed())).await;
+    let mut received = String::new();
+    stuffed.read_to_string(&mut received).await.expect("no reset");
+    assert!(
+        received.ends_with("x\r\nMOVE\r\n"),
+        "cut off: {:?}",
+        &received[received.len().saturating_sub(12)..]
+    );
+
+    expect_lines(&mut clients, terminated_at).await;
     let (status, _) = daemon.end().await.expect("it ends");
-    assert!(status.success() && asked.elapsed() < KILLED, "{status} after {:?}", asked.elapsed());
+    assert!(
+        status.success() && terminated_at.elapsed() < KILL_DELAY,
+        "{status} after {:?}",
+        terminated_at.elapsed()
+    );
 }
 
 #[tokio::test]
-async fn who_asks_while_an_idle_process_ends_is_answered() {
+async fn clients_that_connect_during_a_graceful_shutdown_are_answered() {
     let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let daemon = start_daemon(&fleet, Options::default()).await;
     daemon.terminate().expect("it runs");
     sleep(Duration::from_millis(500)).await;
     let mut ends = Vec::new();
     for id in 0.. {
         let Ok(mut client) = LineClient::connect(daemon.lines).await else { break };
         ends.push(tokio::spawn(async move {
-            // The process may end before it has taken this one in.
-            let _ = client.say(&open(id)).await;
-            let word = client.next().await.ok().flatten();
-            word.is_some_and(|word| word.starts_with("BUSY") || word.starts_with("UP "))
+            // The process may end before it accepts this client.
+            let _ = client.say(&open_line(id)).await;
+            let line = client.next().await.ok().flatten();
+            line.is_some_and(|line| line.starts_with("BUSY") || line.starts_with("UP "))
         }));
-        sleep(MOMENT).await;
+        sleep(POLL_INTERVAL).await;
     }
     let ends = futures_util::future::join_all(ends).await;
     let dropped = ends.iter().filter(|end| !matches!(end, Ok(true))).count();
