--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Partners' quotas in the daemon: their file, and who is admitted at one gateway.
+//! Quotas of tenants: the settings file, and admission at one gateway.
 
 use std::time::Duration;
 
@@ -25,17 +25,17 @@
     let keys = schema["properties"].as_object().expect("properties");
     let table: toml::Table = file.parse().expect("TOML");
     assert!(keys.keys().all(|key| table.contains_key(key)) && table.len() == keys.len());
-    for (key, about) in keys.iter().filter(|it| it.1["type"] == "integer") {
-        let with = |value: i64| {
+    for (key, property) in keys.iter().filter(|(_, property)| property["type"] == "integer") {
+        let parse_with = |value: i64| {
             let mut table = table.clone();
             table.insert(key.clone(), value.into());
             Settings::parse(&table.to_string(), &[])
         };
-        let bound = |name: &str| about[name].as_i64().expect("a bound");
-        assert!(with(bound("minimum")).is_ok() && with(bound("maximum")).is_ok(), "{key}");
-        for beyond in [bound("minimum") - 1, bound("maximum") + 1] {
-            let expected = with(beyond).err().map(|it| it.to_string()).unwrap_or_default();
-            assert!(expected.contains(&format!("{key}: found {beyond}; expected")), "{key}: {expected}");
+        let bound = |name: &str| property[name].as_i64().expect("a bound");
+        assert!(parse_with(bound("minimum")).is_ok() && parse_with(bound("maximum")).is_ok(), "{key}");
+        for out_of_range in [bound("minimum") - 1, bound("maximum") + 1] {
+            let problem = parse_with(out_of_range).err().map(|error| error.to_string()).unwrap_or_default();
+            assert!(problem.contains(&format!("{key}: found {out_of_range}; expected")), "{key}: {problem}");
         }
     }
 }
@@ -62,18 +62,18 @@
         let problem_text = problem(text);
         assert!(problem_text.contains(expected) && problem_text.contains("; "), "{text}: {problem_text}");
     }
-    let customers =
+    let tenants =
         [TenantQuota { name: "a".to_owned(), connections_per_second: 3.0, max_open_connections: Some(4) }];
-    let settings = Settings::parse("generation = 1", &customers).expect("by the settings' customers");
-    assert_eq!(settings.partners, customers);
+    let settings = Settings::parse("generation = 1", &tenants).expect("the tenants of the settings");
+    assert_eq!(settings.partners, tenants);
 }
 
-/// A gateway that is alone on its list, so that all rights are its own.
+/// The only gateway of its list, which owns all permits.
 struct Gateway {
     exchange: Exchange,
     admission: Admission,
     now: Duration,
-    next: u32,
+    next_request: u32,
 }
 
 fn settings(generation: u32, per_s: u32, connections: u32) -> Settings {
@@ -95,10 +95,10 @@
         };
         let exchange = Exchange::new(setup, Slot(0), 7, 7, now);
         let admission = Admission::new(settings(1, 10, 15), Slot(0), 1, now);
-        Self { exchange, admission, now, next: 0 }
+        Self { exchange, admission, now, next_request: 0 }
     }
 
-    fn pass(&mut self, ms: u64) -> Vec<String> {
+    fn advance(&mut self, ms: u64) -> Vec<String> {
         let mut lines = Vec::new();
         for _ in 0..ms / 50 {
             self.now += Duration::from_millis(50);
@@ -112,43 +112,45 @@
         lines
     }
 
-    fn offer(&mut self, tenant: &str, offer: ConnectionKind) -> Result<RequestId, Duration> {
-        self.next += 1;
-        let id = RequestId(self.next);
+    fn request(&mut self, tenant: &str, kind: ConnectionKind) -> Result<RequestId, Duration> {
+        self.next_request += 1;
+        let id = RequestId(self.next_request);
         let at_exchange = (self.now, &mut self.exchange);
-        self.admission.admit(at_exchange, id, tenant, offer, true).map(|()| id)
+        self.admission.admit(at_exchange, id, tenant, kind, true).map(|()| id)
     }
 
-    fn admitted(&mut self, times: usize) -> Vec<RequestId> {
-        (0..times).filter_map(|_| self.offer("a", ConnectionKind::New).ok()).collect()
+    fn admit_new(&mut self, count: usize) -> Vec<RequestId> {
+        (0..count).filter_map(|_| self.request("a", ConnectionKind::New).ok()).collect()
     }
 }
 
 #[test]
-fn a_partner_has_its_quota_here_and_others_are_not_limited() {
+fn a_tenant_is_limited_to_its_quota_and_others_are_unlimited() {
     let mut gateway = Gateway::new();
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
-    gateway.pass(3_500);
-    let first = gateway.admitted(14);
-    assert_eq!(first.len(), 10, "its pace and burst");
-    assert!((0..50).all(|_| gateway.offer("nobody", ConnectionKind::New).is_ok()));
+    gateway.advance(3_500);
+    let admitted = gateway.admit_new(14);
+    assert_eq!(admitted.len(), 10, "its pace and burst");
+    assert!((0..50).all(|_| gateway.request("nobody", ConnectionKind::New).is_ok()));
     assert!(
         gateway
-            .pass(100)
+            .advance(100)
             .iter()
-            .any(|it| it == "quota: partner a is over its quota; rejecting new connections")
+            .any(|line| line == "quota: partner a is over its quota; rejecting new connections")
     );
-    gateway.pass(1_000);
-    assert_eq!(gateway.admitted(14).len(), 5, "15 may be open");
-    first.into_iter().for_each(|id| gateway.admission.release(&mut gateway.exchange, id));
-    gateway.pass(1_000);
-    assert_eq!(gateway.admitted(4).len(), 4, "others have ended");
+    gateway.advance(1_000);
+    assert_eq!(gateway.admit_new(14).len(), 5, "15 may be open");
+    admitted.into_iter().for_each(|id| gateway.admission.release(&mut gateway.exchange, id));
+    gateway.advance(1_000);
+    assert_eq!(gateway.admit_new(4).len(), 4, "others have ended");
     let text = gateway.admission.status_text(&mut gateway.exchange);
     let expected = "within=19 moved=0 borrowed=0 refused=13";
     assert!(text.contains(expected) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
-    let lines = gateway.pass(6_000);
+    let lines = gateway.advance(6_000);
     assert!(
-        lines.iter().any(|it| it == "quota: partner a is within its quota again (13 connections rejected)"),
+        lines
+            .iter()
+            .any(|line| line == "quota: partner a is within its quota again (13 connections rejected)"),
         "{lines:?}"
     );
 }
@@ -156,65 +158,65 @@
 #[test]
 fn connections_open_before_a_limit_are_counted_once() {
     let mut gateway = Gateway::new();
-    let mut alone = gateway.admission.standalone_exchange(gateway.now);
+    let mut standalone = gateway.admission.standalone_exchange(gateway.now);
     for id in 100..106 {
-        gateway.admission.adopt_connection(&mut alone, RequestId(id), "a");
+        gateway.admission.adopt_connection(&mut standalone, RequestId(id), "a");
     }
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
-    gateway.pass(3_500);
-    let open = |gateway: &mut Gateway| {
+    gateway.advance(3_500);
+    let open_connections = |gateway: &mut Gateway| {
         let text = gateway.admission.status_text(&mut gateway.exchange);
-        text.split_once(" open=").and_then(|it| it.1.split(' ').next()?.parse::<u64>().ok())
+        text.split_once(" open=").and_then(|(_, count)| count.split(' ').next()?.parse::<u64>().ok())
     };
-    assert_eq!(open(&mut gateway), Some(6));
+    assert_eq!(open_connections(&mut gateway), Some(6));
     gateway.admission.reload(&mut gateway.exchange, settings(2, 10, 7)).expect("later");
-    assert_eq!((open(&mut gateway), gateway.admitted(5).len()), (Some(6), 1));
+    assert_eq!((open_connections(&mut gateway), gateway.admit_new(5).len()), (Some(6), 1));
     gateway.admission.release(&mut gateway.exchange, RequestId(103));
     gateway.admission.release(&mut gateway.exchange, RequestId(103));
-    assert_eq!(open(&mut gateway), Some(6), "the end of one counts once");
+    assert_eq!(open_connections(&mut gateway), Some(6), "the end of one counts once");
 }
 
 #[test]
-fn a_file_read_anew_is_in_use_once_it_is_agreed_on_and_an_older_one_never() {
+fn a_reloaded_file_applies_once_agreed_and_an_older_one_is_rejected() {
     let mut gateway = Gateway::new();
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
-    gateway.pass(3_500);
+    gateway.advance(3_500);
     let line = gateway.admission.reload(&mut gateway.exchange, settings(2, 20, 90)).expect("later");
     assert_eq!(line, "quota: generation 2 with 1 partners is not agreed by all gateways yet");
-    assert_eq!(gateway.admitted(30).len(), 10, "by the old one still");
-    let lines = gateway.pass(3_000);
-    assert!(lines.iter().any(|it| it == "quota: generation 2 is agreed by all gateways"), "{lines:?}");
-    assert_eq!(gateway.admitted(40).len(), 20);
+    assert_eq!(gateway.admit_new(30).len(), 10, "by the old one still");
+    let lines = gateway.advance(3_000);
+    assert!(lines.iter().any(|line| line == "quota: generation 2 is agreed by all gateways"), "{lines:?}");
+    assert_eq!(gateway.admit_new(40).len(), 20);
     let older = gateway.admission.reload(&mut gateway.exchange, settings(1, 10, 15));
     assert_eq!(older, Err(StaleAllocation::Older { found: 1, at: 2 }));
     gateway.admission.reload(&mut gateway.exchange, settings(3, 5, 90)).expect("later");
-    assert!(gateway.admitted(40).len() <= 5);
-    gateway.pass(1_500);
-    assert_eq!(gateway.admitted(40).len(), 5, "less is less at once");
+    assert!(gateway.admit_new(40).len() <= 5);
+    gateway.advance(1_500);
+    assert_eq!(gateway.admit_new(40).len(), 5, "less is less at once");
     let persisted = gateway.exchange.agreement().map(AllocationAgreement::persisted);
-    let mut next = Gateway::new();
+    let mut restarted = Gateway::new();
     assert!(
-        next.admission.start_sharing(&mut next.exchange, persisted).is_err(),
-        "its file is older than its life before"
+        restarted.admission.start_sharing(&mut restarted.exchange, persisted).is_err(),
+        "its file is older than that of its previous incarnation"
     );
 }
 
 #[test]
-fn a_gateway_that_shares_nothing_yet_has_its_floors() {
+fn a_gateway_that_does_not_share_yet_admits_its_minimum() {
     let mut gateway = Gateway::new();
-    let mut alone = gateway.admission.standalone_exchange(gateway.now);
+    let mut standalone = gateway.admission.standalone_exchange(gateway.now);
     for _ in 0..200 {
         gateway.now += Duration::from_millis(50);
-        alone.advance_to(gateway.now);
-        gateway.admission.advance_to(gateway.now, &mut alone);
+        standalone.advance_to(gateway.now);
+        gateway.admission.advance_to(gateway.now, &mut standalone);
     }
     let mut admitted = 0;
     for id in 0..50 {
-        let at_exchange = (gateway.now, &mut alone);
+        let at_exchange = (gateway.now, &mut standalone);
         admitted += usize::from(
             gateway.admission.admit(at_exchange, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
         );
     }
     assert_eq!(admitted, 1, "a tenth of ten");
-    assert_eq!(gateway.admission.allocation_to_persist(&alone), None, "nothing is promised by that");
+    assert_eq!(gateway.admission.allocation_to_persist(&standalone), None, "nothing is promised by that");
 }
