--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -1,12 +1,12 @@
-//! The fault rig: several real daemons on loopback, the network between them in the rig's hands.
+//! Fault injection: several real daemons on loopback, with faults between them.
 //!
-//! A [`Plan`] is data: so many gateways, zones and servers, the load of each tenant in each zone, and what
-//! befalls them when. [`play`] starts the processes, leads what the gateways tell each other through a
-//! [`Mesh`] that loses, delays, doubles and reorders it, plays the plan in real time, and gives back a
-//! [`History`]: a timeline in JSON lines. [`violations`] reads a history, fresh or from a file, and names
-//! what did not hold; it knows no process and no clock.
+//! A [`FaultPlan`] is data: gateways, zones, servers, the load of each tenant in each zone, and the faults with their
+//! times. [`run_plan`] starts the processes, sends the datagrams between gateways through a [`ProxyMesh`] that loses,
+//! delays, duplicates and reorders them, carries the plan out in real time, and returns a [`History`]: a timeline in JSON
+//! lines. [`violations`] reads a history, just recorded or from a file, and names the invariants that did not hold; it
+//! knows no process and no clock.
 //!
-//! Every play is bounded in time and count, and every process it starts ends with it, also where it panics.
+//! Every run is bounded in time and count, and every process that it starts ends with it, also after a panic.
 
 mod checks;
 mod clients;
--- a/crates/ashtide-fault-injection/src/mesh.rs
+++ b/crates/ashtide-fault-injection/src/mesh.rs
@@ -34,7 +34,7 @@
     pub jitter_ms: u64,
     /// Part that comes twice.
     pub duplicate: f64,
-    /// Part that is held back until others have passed it, for [`Link::HELD_MS`].
+    /// Part that is held back until others have passed it, for [`Link::REORDER_DELAY_MS`].
     pub reorder: f64,
 }
 
