--- a/src/net/session/admission.rs
+++ b/src/net/session/admission.rs
@@ -1,4 +1,5 @@
-//! The way of one client up to its session: its first line, and whether it may have what it asks for.
+//! Admission of one client of the line protocol: its first line, the checks of its request, and the start of
+//! its session.
 
 use ashtide_protocol::{ClientSide, Open, busy};
 use bytes::{Bytes, BytesMut};
@@ -17,21 +18,22 @@
 
 static LIMIT_REJECTIONS: RateLimitedLog = RateLimitedLog::new("clients");
 
-/// A request that may have a session, and what it holds until its end.
+/// An admitted request with the permit and the id claim that it has until its session ends.
 struct Admission {
     open: Box<Open>,
     permit: SessionPermit,
     id_claim: RequestIdClaim,
 }
 
-/// A request that gets no session: how it is counted, and its answer.
+/// The rejection of a request without a session: the counter to increment and the answer to the client.
 struct Rejection {
     counter: Counter,
     answer: Bytes,
 }
 
 impl Frontend {
-    /// Serves one client to its end. Its slot is kept until it has a session or has gone.
+    /// Serves one client until its connection ends. The client has its slot until it has a session or its
+    /// connection is closed.
     pub async fn serve_client(self, client: TcpStream, mut slot: PendingSlot) {
         let mut client = LineConnection::new(client);
         let mut side = ClientSide::default();
@@ -50,7 +52,7 @@
                 Err(answer) => answer,
             },
             FirstLine::Invalid(error) => self.answer_client_error(&error),
-            // It may ask at this very moment: what it reads then is an answer, and harmless.
+            // A request that the client sends at this moment is answered by the same line.
             FirstLine::OnlyPinged => {
                 self.event_loop.count_closed(CloseReason::NoRequest);
                 busy(DEFAULT_RETRY_AFTER)
@@ -64,8 +66,10 @@
         }
     }
 
-    /// Sends a client away that has not asked yet. Where another client needs its descriptor, few are waited for; at a
-    /// stop none does, and all are.
+    /// Answers an evicted client, which has not sent a complete first line, with `BUSY` and closes its
+    /// connection. When descriptors are short, at most a few clients are closed gracefully at a time, and the
+    /// others immediately. During shutdown no other client needs the descriptor, and all are closed
+    /// gracefully.
     async fn evict(&self, client: LineConnection) {
         let stopping = self.pending_clients.is_closed();
         let graceful_close = if stopping { None } else { self.pending_clients.try_acquire_graceful_close() };
@@ -79,7 +83,11 @@
         drop(graceful_close);
     }
 
-    /// Whether the client may have a session; the answer where it may not.
+    /// Checks whether the client may have a session, and counts a rejection.
+    ///
+    /// # Errors
+    ///
+    /// Returns the answer to a client that may not have one.
     fn admit(&self, open: Box<Open>) -> Result<Admission, Bytes> {
         let class = open.class.clone();
         self.check_admission(open).map_err(|rejection| {
@@ -98,13 +106,13 @@
             return Err(invalid(ClientError::DuplicateId));
         };
         let Some(permit) = self.pending_clients.try_acquire_session() else {
-            LIMIT_REJECTIONS.log("all sessions are in use; rejecting a client");
+            LIMIT_REJECTIONS.log("session limit reached; rejecting a client with BUSY");
             return Err(Rejection { counter: Counter::Rejected, answer: busy(DEFAULT_RETRY_AFTER) });
         };
         Ok(Admission { open, permit, id_claim })
     }
 
-    /// Reports the request, and runs its session to its end.
+    /// Reports the request to the event loop, and runs its session until it ends.
     async fn run_session(self, client: LineConnection, side: ClientSide, admission: Admission) {
         let Admission { open, permit, id_claim } = admission;
         let id = self.event_loop.next_request_id();
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -1,4 +1,5 @@
-//! A request that waits for a connection to a server, and the attempts that the event loop has it make.
+//! The session of a request that waits for a connection to a server, and the attempts that it makes on
+//! command of the event loop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,50 +25,51 @@
 use crate::net::messages::{RequestCommand, SessionCommand, SessionEvent, to_duration};
 use crate::net::rate_limited_log::RateLimitedLog;
 
-/// A connection from before the start is lost if it is not established by then.
+/// Time limit for restoring a connection that existed before the start. A connection that is not established
+/// by then is lost.
 pub(super) const RESTORE_TIMEOUT: Duration = Duration::from_secs(40);
-/// Wait between attempts to reach the server of a connection from before the start.
+/// Delay between two attempts to reach the server of a connection that is being restored.
 const RESTORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 static LOCAL_FAILURES: RateLimitedLog = RateLimitedLog::new("connect");
 
-/// One request, its client, and what it holds until its end.
+/// One request with its client, its command queue and its id claim.
 pub(super) struct Session {
     pub(super) id: RequestId,
     pub(super) open: Open,
     pub(super) client: LineConnection,
     pub(super) side: ClientSide,
-    /// The few lines that came before the connection was established. The client is read all the time, so that its
-    /// leaving is noticed.
+    /// Lines received from the client before the connection was established. The client is read all the time,
+    /// so that the end of its connection is detected; the protocol limits the size of these lines.
     pub(super) early_lines: BytesMut,
     pub(super) commands: mpsc::Receiver<RequestCommand>,
     pub(super) frontend: Frontend,
     pub(super) id_claim: RequestIdClaim,
 }
 
-/// What a client did while its request waited.
+/// Input from a client whose request waits for a connection.
 enum ClientActivity {
     Line(Bytes),
     Ended(ClientEnd),
 }
 
-/// How a client ended while its request waited.
+/// Why a client's request ended before a connection was established for it.
 enum ClientEnd {
     Left,
     Invalid(ClientError),
 }
 
-/// A server that has accepted the request, and the line that says so.
+/// A connection to a server that has accepted the request, and the server's `UP` line.
 pub(super) struct EstablishedServer {
     pub(super) connection: LineConnection,
     pub(super) side: ServerSide,
     pub(super) accept_line: Bytes,
 }
 
-/// How an attempt ended that established nothing.
+/// The end of an attempt that did not result in an established connection.
 enum AttemptEnd {
     Failed(Outcome),
-    /// The event loop has cancelled it.
+    /// The event loop has cancelled the attempt.
     Cancelled,
     Client(ClientEnd),
 }
@@ -101,7 +103,7 @@
                 Ok(Some(SessionCommand::Migrate)) => {
                     return self.frontend.finish_client(self.client, MOVE).await;
                 }
-                // Of an attempt that has ended here meanwhile.
+                // A command for an attempt that has already ended in this session.
                 Ok(Some(_)) => continue,
                 Ok(None) => return self.abandon().await,
                 Err(end) => end,
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Waits for the next command. The client goes before all else, here and below: one that has left gets no attempt,
-    /// also where it leaves at the moment at which the event loop decides on one.
+    /// Waits for the next command. Input from the client has precedence here and in the steps of an attempt:
+    /// no attempt is made for a client that has left, even if it leaves while the event loop decides on one.
     async fn next_command(&mut self) -> Result<Option<SessionCommand>, ClientEnd> {
         loop {
             tokio::select! {
@@ -138,7 +140,8 @@
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
     }
 
-    /// Ends a session whose commands have ended without an answer. That should not happen, but the client is owed one.
+    /// Answers the client with `BUSY` after the command queue was closed without a final answer. This is not
+    /// expected to happen, but every client must receive an answer.
     async fn abandon(self) {
         self.frontend.event_loop.count_closed(CloseReason::Unanswered);
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
@@ -146,7 +149,7 @@
         self.frontend.finish_client(self.client, &busy(DEFAULT_RETRY_AFTER)).await;
     }
 
-    /// Ends the request of a client that did not wait for its answer: the answer is an error.
+    /// Ends the request of a client that sent invalid input while it waited, and answers with an error.
     async fn reject_client(self, error: &ClientError) {
         self.send(SessionEvent::ClientLeft { id: self.id }).await;
         let answer = self.frontend.answer_client_error(error);
@@ -165,14 +168,15 @@
         self.frontend.finish_client(self.client, &line).await;
     }
 
-    /// Makes one attempt, up to a server that has accepted the request and whose acceptance counts.
+    /// Makes one attempt until a server has accepted the request and the event loop has confirmed the
+    /// connection.
     async fn make_attempt(
         &mut self,
         attempt: u32,
         address: SocketAddr,
         timeout: Duration,
     ) -> Result<EstablishedServer, AttemptEnd> {
-        // Its socket is closed before anything else is done where the attempt is given up: it is dropped on return.
+        // If the attempt is cancelled, its socket is dropped on return, and so closed before any later step.
         let server = match self.open.at {
             Some(_) => self.restore(attempt, address, timeout).await?,
             None => self.attempt(attempt, address, timeout).await?,
@@ -182,8 +186,8 @@
         Ok(server)
     }
 
-    /// Connects and exchanges first lines. Nothing is written before the event loop has consented: a connection may be
-    /// established late.
+    /// Connects and exchanges first lines. Nothing is written before the event loop has consented, as the
+    /// connection may be established late, when the server is no longer to be used.
     async fn attempt(
         &mut self,
         attempt: u32,
@@ -195,7 +199,7 @@
         let server = self.run_step(attempt, open_connection(address, connect_timeout)).await??;
         let event = SessionEvent::AttemptConnected { id: self.id, attempt };
         self.await_consent(attempt, event, SessionCommand::SendFirstLine { attempt }).await?;
-        // The runtime looks at the sockets once more: what the client has done by now counts.
+        // Yields, so that the runtime polls the sockets again and a client that has left by now is detected.
         self.run_step(attempt, yield_now()).await?;
         let line = self.open.forward(timeout.saturating_sub(started_at.elapsed()));
         let event_loop = self.frontend.event_loop.clone();
@@ -204,7 +208,8 @@
         self.run_step(attempt, exchange_first_lines(server, &line, count_attempt)).await?
     }
 
-    /// Reaches the server of a connection from before the start, where there is time, and no other server to go to.
+    /// Connects to the server that had the client's connection before the start. Connecting is repeated until
+    /// the time limit, as no other server can restore the connection.
     async fn restore(
         &mut self,
         attempt: u32,
@@ -217,27 +222,28 @@
         let event_loop = self.frontend.event_loop.clone();
         let class = self.open.class.clone();
         let count_attempt = || event_loop.count(Counter::Attempts, &class);
-        let reach = async {
+        let restore_with_retries = async {
             loop {
-                let reached = match open_connection(address, connect_timeout).await {
+                let result = match open_connection(address, connect_timeout).await {
                     Ok(server) => exchange_first_lines(server, &line, count_attempt).await,
                     Err(end) => Err(end),
                 };
-                match reached {
+                match result {
                     Err(AttemptEnd::Failed(Outcome::ConnectError | Outcome::LocalFailure)) => {
                         sleep(RESTORE_RETRY_DELAY).await;
                     }
-                    reached => return reached,
+                    result => return result,
                 }
             }
         };
         let timed_out = || Err(AttemptEnd::Failed(Outcome::TimedOut));
-        let reach = async { timeout_at(deadline, reach).await.unwrap_or_else(|_| timed_out()) };
-        self.run_step(attempt, reach).await?
+        let restore_until_deadline =
+            async { timeout_at(deadline, restore_with_retries).await.unwrap_or_else(|_| timed_out()) };
+        self.run_step(attempt, restore_until_deadline).await?
     }
 
-    /// Reports how far an attempt has come, and waits for the event loop's consent to go on: it may have cancelled the
-    /// attempt at the same moment, and started another or answered.
+    /// Reports the progress of an attempt, and waits for the event loop's consent to continue. The event loop
+    /// may have cancelled the attempt at the same moment, and started another one or sent the final answer.
     async fn await_consent(
         &mut self,
         attempt: u32,
@@ -257,7 +263,8 @@
         }
     }
 
-    /// Runs one step of an attempt, unless the client leaves or the event loop cancels the attempt before its end.
+    /// Runs one step of an attempt to completion, unless the client leaves or the event loop cancels the
+    /// attempt first.
     async fn run_step<T>(&mut self, attempt: u32, step: impl Future<Output = T>) -> Result<T, AttemptEnd> {
         tokio::pin!(step);
         loop {
@@ -287,7 +294,7 @@
         }
     }
 
-    /// Relays a connection that is established.
+    /// Relays an established connection. A new connection, unlike a restored one, ends the restore phase.
     async fn establish(self, attempt: u32, server: EstablishedServer) {
         if self.open.at.is_none() {
             self.frontend.pending_clients.end_restore_phase();
@@ -296,17 +303,17 @@
     }
 }
 
-/// Waits for what the client does while its request waits.
+/// Reads the next input from a client whose request waits.
 ///
-/// A client that ends its side has left, with a close, a half-close or a reset: the protocol has a client wait for its
-/// answer, knows no end of one direction alone, and a close cannot be told from a half-close before something has been
-/// written. That is decided here and nowhere else.
+/// A client that closes, half-closes or resets its connection has left. The protocol requires a client to
+/// wait for its answer and has no half-closed connections, and a close cannot be distinguished from a
+/// half-close before something is written. This is the only place that decides so.
 async fn watch_client(lines: &mut Lines, side: &mut ClientSide) -> ClientActivity {
     match lines.next().await {
         Some(Ok(line)) => match side.line(line) {
             ClientEvent::Pass(line) => ClientActivity::Line(line),
             ClientEvent::Bad(error) => ClientActivity::Ended(ClientEnd::Invalid(error.into())),
-            // Neither comes behind an `OPEN`.
+            // The protocol state machine reports neither after an `OPEN`.
             ClientEvent::Ping | ClientEvent::Open(_) => ClientActivity::Ended(ClientEnd::Left),
         },
         Some(Err(LineError::Io(_))) | None => ClientActivity::Ended(ClientEnd::Left),
@@ -314,7 +321,8 @@
     }
 }
 
-/// Connects to a server within this time. A connection that is established later has been closed before.
+/// Connects to a server within the time limit. The socket is closed at the limit, so that no connection is
+/// established later.
 async fn open_connection(address: SocketAddr, timeout: Duration) -> Result<LineConnection, AttemptEnd> {
     let failure = match connect(address, Instant::now() + timeout).await {
         Ok(stream) => return Ok(LineConnection::new(stream)),
@@ -329,7 +337,8 @@
     }))
 }
 
-/// Writes the first line to a server, and reads its answer. `on_written` is called once the line has been written.
+/// Writes the first line to a server, and reads the server's answer. `on_written` is called after the line
+/// has been written.
 async fn exchange_first_lines(
     mut server: LineConnection,
     line: &[u8],
--- a/src/net/session/connection.rs
+++ b/src/net/session/connection.rs
@@ -1,7 +1,8 @@
-//! One TCP connection of the line protocol: read as lines, written as bytes, and closed without losing the last line.
+//! One TCP connection of the line protocol, read as lines, written as bytes, and closed without losing the
+//! last line.
 //!
-//! Each direction has one buffer: that of the `FramedRead` it is read by, bounded by the codec. A line leaves it only to
-//! be written straight to the other socket, and nothing more is read in that direction until it has been: that is the
+//! Each direction has one buffer, that of its `FramedRead`, which the codec bounds. A line is taken from it
+//! only to be written to the other socket, and the next line is read after it has been written. This is the
 //! back-pressure.
 
 use std::io::{self, Cursor, Read, Write};
@@ -15,19 +16,21 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-/// Limit on writing a last line, which waits only behind what the peer has not read yet. A peer that pauses for as long
-/// and reads on is not cut off within a line.
+/// Time limit for writing the last line, which is delayed only by data that the peer has not read yet. A peer
+/// that stops reading for less than this time receives the complete line.
 const LAST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A socket whose sending side is shut down waits for the other end, so that no reset overtakes the last line.
+/// Time for which a socket whose sending side is shut down waits for the peer's end, so that no reset
+/// overtakes the last line.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes read and discarded after the end, at most: a peer that sends more gets a reset.
+/// Maximum number of bytes read and discarded after the last line. A peer that sends more receives a reset.
 const MAX_DRAINED_BYTES: usize = 256 << 10;
-/// Bytes discarded at a time.
+/// Size in bytes of the buffer for discarded input.
 const DRAIN_BUFFER_SIZE: usize = 4096;
-/// Initial capacity for a line; a longer line makes the buffer grow.
+/// Initial capacity of a line buffer in bytes. A longer line makes the buffer grow.
 const LINE_BUFFER_SIZE: usize = 1024;
 
-/// What another process has read from the socket and not passed on comes before the socket itself.
+/// The input of a connection: first the bytes that another process has read from the socket and not
+/// forwarded, then the socket itself.
 type Source = Chain<Cursor<Bytes>, TcpReader>;
 /// The lines of one direction.
 pub(super) type Lines = FramedRead<Source, LineCodec>;
@@ -38,19 +41,19 @@
     pub(super) writer: TcpWriter,
 }
 
-/// A socket that nobody reads any more, and the bytes that were read from it and not taken as lines.
+/// A socket without a reader, and the bytes that were read from it but not returned as lines.
 pub(super) struct DetachedSocket {
     pub(super) stream: std::net::TcpStream,
     pub(super) unread: Bytes,
 }
 
 impl LineConnection {
-    /// A connection that nothing has been read from.
+    /// Creates a connection from a socket from which nothing has been read.
     pub(super) fn new(stream: TcpStream) -> Self {
         Self::resume(stream, Bytes::new())
     }
 
-    /// A connection from which another process has read these bytes.
+    /// Creates a connection from a socket from which another process has read `read_before`.
     pub(super) fn resume(stream: TcpStream, read_before: Bytes) -> Self {
         let _ = stream.set_nodelay(true);
         let (reader, writer) = split_tcp(stream);
@@ -58,17 +61,18 @@
         Self { lines: FramedRead::with_capacity(source, LineCodec::default(), LINE_BUFFER_SIZE), writer }
     }
 
-    /// Waits until the socket can be read.
+    /// Waits until the socket is readable.
     pub(super) async fn readable(&self) -> io::Result<()> {
         self.lines.get_ref().get_ref().1.readable().await
     }
 
-    /// Whether the beginning of a line has been read.
+    /// Checks whether an incomplete line is buffered.
     pub(super) fn has_partial_line(&self) -> bool {
         !self.lines.read_buffer().is_empty()
     }
 
-    /// The socket, for another process or for a last look.
+    /// Returns the socket and its unread bytes, for a handoff to another process or for direct reads before a
+    /// close.
     pub(super) fn detach(self) -> io::Result<DetachedSocket> {
         let mut unread = self.lines.read_buffer().clone();
         let (before, reader) = self.lines.into_inner().into_inner();
@@ -78,8 +82,9 @@
         Ok(DetachedSocket { stream, unread: unread.freeze() })
     }
 
-    /// Writes a last line, shuts the sending side down and waits for the other end: a close over unread input would
-    /// reset the connection and discard the line. Returns false if the line could not be written.
+    /// Writes the last line, shuts the sending side down and discards input until the peer ends. A close with
+    /// unread input would reset the connection and discard the line. Returns false if the line could not be
+    /// written.
     pub(super) async fn finish(mut self, last_line: &[u8]) -> bool {
         if !matches!(timeout(LAST_LINE_TIMEOUT, self.writer.write_all(last_line)).await, Ok(Ok(()))) {
             return false;
@@ -89,8 +94,8 @@
         true
     }
 
-    /// Reads on, within bounds, after the sending side has been shut down: a close over unread bytes would be a reset,
-    /// and discard what has been written and not been read by the peer.
+    /// Reads and discards input, within limits, after the sending side has been shut down. A close with
+    /// unread input would reset the connection and discard the data that the peer has not read yet.
     pub(super) async fn discard_input(self) {
         let mut reader = self.lines.into_inner();
         let mut discarded = BytesMut::with_capacity(DRAIN_BUFFER_SIZE);
@@ -107,10 +112,10 @@
         let _ = timeout(LINGER_TIMEOUT, drain).await;
     }
 
-    /// Writes a last line and closes without waiting, after discarding what has arrived: unread, it would turn the close
-    /// into a reset. Bytes that are still on their way do so all the same.
+    /// Writes the last line and closes without waiting. Input that has arrived is discarded first, as unread
+    /// input would turn the close into a reset. Bytes that arrive after the close still cause one.
     pub(super) fn close_immediately(self, last_line: &[u8]) {
-        // Reads the socket itself, as the runtime may not know yet that it is readable.
+        // Reads from the socket directly, as the runtime may not have been notified yet that it is readable.
         let Ok(DetachedSocket { mut stream, .. }) = self.detach() else { return };
         let _ = stream.write(last_line);
         let mut discarded = [0; DRAIN_BUFFER_SIZE];
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Ends with a reset, as the other side of the relay did.
+    /// Closes the connection with a reset, as the other side of the relay did.
     pub(super) fn reset(self) {
         if let Ok(stream) = self.lines.into_inner().into_inner().1.reunite(self.writer) {
             let _ = stream.set_zero_linger();
@@ -129,7 +134,8 @@
     }
 }
 
-/// The rest of a line that has been partly written, and a last one: `MOVE` may stand only between lines.
+/// Returns the rest of a partly written line followed by the last line, as `MOVE` is valid only between
+/// lines.
 pub(super) fn complete_line(mut partial: Bytes, last_line: &[u8]) -> Bytes {
     let length = partial.remaining() + last_line.len();
     let mut bytes = partial.copy_to_bytes(partial.remaining()).to_vec();
--- a/src/net/session/first_line.rs
+++ b/src/net/session/first_line.rs
@@ -1,4 +1,4 @@
-//! What a client asks for: its first line, and the `PING`s that may stand before it.
+//! Reads a client's first line, which may be preceded by `PING` lines.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 use super::connection::LineConnection;
 use crate::net::pending_clients::ActivityNotifier;
 
-/// Limit on the time from a client's arrival to the end of its first line. A good client may take 2 s to write it, and a
-/// bad one is owed an end within 3 s.
+/// Time limit from the accept of a client to the end of its first line. A valid client may take 2 s to write
+/// the line, and the connection of an invalid one must be closed within 3 s.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// How reading a client's first line ended.
+/// Result of reading a client's first line.
 pub(super) enum FirstLine {
-    /// It asks for a connection.
+    /// The client requests a connection.
     Open(Box<Open>),
-    /// It is answered with an error.
+    /// The client's input is invalid and is answered with an error.
     Invalid(ClientError),
-    /// It has sent `PING` and nothing after that.
+    /// The client has sent `PING` lines and no request until the time limit.
     OnlyPinged,
-    /// It has gone, and is owed no answer.
+    /// The client has closed its connection, or does not read its answers, and receives no answer.
     Closed,
 }
 
-/// What a client did wrong.
+/// An error of a client that is answered with `ERR` and logged.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ClientError {
-    /// Its bytes are no lines.
+    /// The input is not valid lines.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// A line is no request.
+    /// The first line is not a valid request.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// It sent no complete first line.
-    #[error("nothing asked for within {FIRST_LINE_TIMEOUT:?}")]
+    /// The client sent no complete first line within the time limit.
+    #[error("no complete request received within {FIRST_LINE_TIMEOUT:?}")]
     TimedOut,
-    /// It ended within its first line.
-    #[error("ended within its first line")]
+    /// The connection ended within the first line.
+    #[error("connection ended within the first line")]
     Incomplete,
-    /// Its id belongs to another request.
-    #[error("the id of a request that is still open")]
+    /// The id of the request is in use by another open request.
+    #[error("request id is already used by an open request")]
     DuplicateId,
-    /// It names a server, which only clients from before the start may do.
-    #[error("'at' after the start")]
+    /// The request names a server, which is permitted only during the restore phase.
+    #[error("request names a server with 'at=' after the end of the restore phase")]
     RestoreAfterStart,
 }
 
-/// Reads until the client has asked for a connection or its time is up. `PING`s are answered.
+/// Reads until the client has sent a request or the time limit is reached, and answers each `PING`.
 pub(super) async fn read_first_line(
     client: &mut LineConnection,
     side: &mut ClientSide,
@@ -68,14 +68,14 @@
             Ok(None) if partial => return FirstLine::Invalid(ClientError::Incomplete),
             Ok(Some(Err(LineError::Io(_))) | None) => return FirstLine::Closed,
             Ok(Some(Err(error))) => return FirstLine::Invalid(error.into()),
-            // A client that only sends `PING` is owed no error.
+            // Sending only `PING` is not an error.
             Err(_) if answered_ping && !partial => return FirstLine::OnlyPinged,
             Err(_) => return FirstLine::Invalid(ClientError::TimedOut),
         };
         match side.line(line) {
             ClientEvent::Ping => {
                 answered_ping = true;
-                // A client that does not read its answers has no claim to more of them.
+                // A client that does not read its answers receives no further ones.
                 if !matches!(timeout_at(deadline, client.writer.write_all(PONG)).await, Ok(Ok(()))) {
                     return FirstLine::Closed;
                 }
--- a/src/net/session/frontend.rs
+++ b/src/net/session/frontend.rs
@@ -1,4 +1,4 @@
-//! What all clients of the line protocol share.
+//! The front end of the line protocol: the state shared by all its clients.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,32 +16,32 @@
 use crate::net::pending_clients::PendingClients;
 use crate::net::rate_limited_log::RateLimitedLog;
 
-/// Wait that a client over a limit is told.
+/// Wait sent with `BUSY` to a client that exceeds a limit of this process or that is evicted.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) static CLIENT_ERRORS: RateLimitedLog = RateLimitedLog::new("client");
 
-/// Time limits that the settings give.
+/// Time limits from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// Limit on connecting to a server.
+    /// Time limit for connecting to a server.
     pub connect: Duration,
 }
 
-/// What all clients of the line protocol share.
+/// State shared by all clients of the line protocol.
 #[derive(Clone)]
 pub struct Frontend {
-    /// Clients without a session, and the limit on those with one.
+    /// Clients without a session, and the limit on sessions.
     pub pending_clients: PendingClients,
     pub(super) timeouts: Timeouts,
     pub(super) event_loop: EventLoopHandle,
     pub(super) open_ids: OpenIds,
-    /// The process that takes established connections over when this one shuts down.
+    /// The process that adopts established connections when this one shuts down, once it is known.
     pub(super) successor: watch::Receiver<Option<Arc<Successor>>>,
 }
 
 impl Frontend {
-    /// A front end without clients.
+    /// Creates a front end without clients.
     pub fn new(
         pending_clients: PendingClients,
         timeouts: Timeouts,
@@ -51,21 +51,21 @@
         Self { pending_clients, timeouts, event_loop, open_ids: OpenIds::default(), successor }
     }
 
-    /// Ends a client with a last line, and counts a client that did not read it.
+    /// Sends a client its last line and closes its connection; counts a client that did not read the line.
     pub(super) async fn finish_client(&self, client: LineConnection, last_line: &[u8]) {
         if !client.finish(last_line).await {
             self.event_loop.count_closed(CloseReason::AnswerUnread);
         }
     }
 
-    /// Logs what a client did wrong; its answer.
+    /// Logs a client's error, and returns the answer to the client.
     pub(super) fn answer_client_error(&self, error: &ClientError) -> Bytes {
         CLIENT_ERRORS.log(error);
         Bytes::from_static(FAILED)
     }
 }
 
-/// What a client asks for, without the time that it waits.
+/// Converts an `OPEN` line into a request of the event loop, without the client's time limit.
 pub(super) fn connection_request(open: &Open) -> ConnectionRequest {
     ConnectionRequest {
         class: open.class.clone(),
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -1,4 +1,5 @@
-//! Established connections that go on in another process: those of an older one, and those passed to a successor.
+//! Established connections passed between processes: adopted from an older process, or handed off to the
+//! successor.
 
 use std::os::fd::{AsFd, OwnedFd};
 
@@ -15,17 +16,17 @@
 use crate::handover::{EstablishedConnection, PendingBytes};
 use crate::net::messages::{RequestCommand, SESSION_COMMAND_QUEUE, SessionEvent};
 
-/// The number of an attempt that an older process has made.
+/// The attempt number of an adopted connection, whose attempt was made by an older process.
 const ADOPTED_ATTEMPT: u32 = 0;
 
-/// A request whose id is held here.
+/// A request whose id this process has claimed.
 struct ClaimedRequest {
     open: Open,
     id_claim: RequestIdClaim,
 }
 
 impl Frontend {
-    /// Goes on with a connection that an older process has handed off.
+    /// Relays a connection that an older process has handed off.
     pub async fn adopt_connection(
         self,
         established: EstablishedConnection,
@@ -37,7 +38,8 @@
         let client = LineConnection::resume(client, established.to_server.read_ahead);
         let server = LineConnection::resume(server, established.to_client.read_ahead);
         let Some(ClaimedRequest { open, id_claim }) = self.claim(established.open_line) else {
-            // Cannot come from a process that read the line and held the id; the client is owed an answer.
+            // Not expected, as the older process parsed the line and had claimed the id. The client must
+            // receive an answer all the same.
             return self
                 .finish_client(client, &complete_line(established.to_client.line_remainder, MOVE))
                 .await;
@@ -70,7 +72,7 @@
         Some(ClaimedRequest { open, id_claim })
     }
 
-    /// Tells the event loop of an adopted connection; its commands.
+    /// Reports an adopted connection to the event loop, and returns the queue of its commands.
     async fn report_adoption(
         &self,
         id: RequestId,
@@ -86,8 +88,8 @@
 }
 
 impl Session {
-    /// Hands the connection off to the successor as it is. Where there is none or it does not take the connection, the
-    /// client is told to move.
+    /// Hands the connection off to the successor, with its partly written and unread bytes. If there is no
+    /// successor or the handoff fails, `MOVE` is sent to the client.
     pub(super) async fn hand_off(
         self,
         server_name: String,
--- a/src/net/session/mod.rs
+++ b/src/net/session/mod.rs
@@ -1,8 +1,8 @@
-//! One client of the line protocol, from its first line to its end.
+//! Sessions of the line protocol: one client each, from its first line to the end of its connection.
 //!
-//! - `frontend`: what all clients share.
-//! - `admission`: the way of one client up to its session.
-//! - `first_line`: what a client asks for.
+//! - `frontend`: state shared by all clients.
+//! - `admission`: the first line, the admission checks and the start of the session.
+//! - `first_line`: reading and validating the first line.
 //! - `attempt`: a request that waits for a connection to a server.
 //! - `relay`: an established connection, copied in both directions.
 //! - `handoff`: established connections passed between processes.
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -1,5 +1,5 @@
-//! An established connection: lines are copied in both directions until either side ends, or the event loop has the
-//! client migrate or the connection handed off.
+//! The relay of an established connection. It copies lines in both directions until either side ends or the
+//! event loop commands a migration or a handoff.
 
 use ashtide_protocol::{LineError, MOVE, ServerEvent, ServerSide};
 use bytes::Bytes;
@@ -13,26 +13,26 @@
 use crate::metrics::Counter;
 use crate::net::messages::{RequestCommand, SessionCommand, SessionEvent};
 
-/// What is still to be written, and how far each side has come.
+/// Bytes still to be written to each side, and the progress of both sides.
 struct RelayState {
     server_side: ServerSide,
     to_client: Bytes,
     to_server: Bytes,
-    /// The server's last line has been read.
+    /// Whether the server's last line has been read.
     server_finished: bool,
-    /// The client reads nothing more, but what it sent before is still on its way.
+    /// Whether writing to the client has failed. Lines that it sent before may still be unread.
     client_gone: bool,
-    /// The client has read that the connection is established.
+    /// Whether the `UP` line has been written to the client completely.
     client_informed: bool,
 }
 
-/// Why copying stops.
+/// Reason for which copying stops.
 enum RelayStop {
     Ended(RelayEnd),
     HandOff { server: String },
 }
 
-/// How a relay ended.
+/// End of a relay that is not handed off.
 enum RelayEnd {
     ClientClosed,
     ClientReset,
@@ -41,7 +41,7 @@
 }
 
 impl RelayEnd {
-    /// What is reported of the connection; nothing where the event loop has ended it.
+    /// Returns the outcome to report for the connection, or `None` if the event loop has ended it.
     fn outcome(&self) -> Option<Outcome> {
         match self {
             Self::ClientClosed | Self::ClientReset => Some(Outcome::Cancelled),
@@ -76,7 +76,7 @@
     fn handle_command(&self, command: Option<RequestCommand>) -> Option<RelayStop> {
         match command.map(|command| command.command) {
             Some(SessionCommand::Migrate) | None => Some(RelayStop::Ended(RelayEnd::Migrated)),
-            // The server has sent its last line: there is nothing to hand off.
+            // The server has sent its last line, so the connection needs no handoff.
             Some(SessionCommand::HandOff { .. }) if self.server_finished => Some(self.server_ended()),
             Some(SessionCommand::HandOff { server }) => Some(RelayStop::HandOff { server }),
             Some(_) => None,
@@ -85,7 +85,8 @@
 }
 
 impl Session {
-    /// Relays until either side ends. `client_informed` where the client knows that the connection is established.
+    /// Relays until either side ends or the event loop ends the relay. `client_informed` states whether the
+    /// client has received the `UP` line already.
     pub(super) async fn relay(mut self, attempt: u32, server: EstablishedServer, client_informed: bool) {
         let EstablishedServer { connection: mut server, side, accept_line } = server;
         self.side.up();
@@ -101,7 +102,7 @@
             if state.server_finished && state.to_client.is_empty() {
                 break state.server_ended();
             }
-            let reads_server = state.to_client.is_empty() && !state.server_finished && !state.client_gone;
+            let can_read_server = state.to_client.is_empty() && !state.server_finished && !state.client_gone;
             let stop = tokio::select! {
                 written = self.client.writer.write_buf(&mut state.to_client), if !state.to_client.is_empty() => {
                     self.handle_client_write(&mut state, written.is_ok());
@@ -110,7 +111,7 @@
                 written = server.writer.write_buf(&mut state.to_server), if !state.to_server.is_empty() => {
                     self.handle_server_write(&state, written.is_ok()).await
                 }
-                line = server.lines.next(), if reads_server => self.handle_server_line(&mut state, line).await,
+                line = server.lines.next(), if can_read_server => self.handle_server_line(&mut state, line).await,
                 line = self.client.lines.next(), if state.to_server.is_empty() => state.handle_client_line(line),
                 command = self.commands.recv() => state.handle_command(command),
             };
@@ -170,9 +171,9 @@
         None
     }
 
-    /// Ends both sides. The server's side goes first, before another request may have the id and before the event loop
-    /// is told. Where the server may have sent something that is not read any more, the sending side is shut down first:
-    /// a reset would discard the client's last line.
+    /// Ends both sides. The server's side is ended first, before the id becomes available to another request
+    /// and before the end is reported to the event loop. If the server may have sent data that is no longer
+    /// read, only the sending side is shut down at first, as a reset would discard the client's last line.
     async fn end_relay(self, attempt: u32, mut server: LineConnection, state: RelayState, end: RelayEnd) {
         let Self { id, client, frontend, id_claim, .. } = self;
         let draining = match end {
@@ -203,7 +204,7 @@
                 drop(client);
                 return drain_server.await;
             }
-            // The client of a server that died is told to move, and comes back soon.
+            // If the server failed, `MOVE` makes the client reconnect soon.
             RelayEnd::ServerEnded(outcome) if !state.server_finished && outcome != Outcome::Ok => MOVE,
             RelayEnd::ServerEnded(_) => b"",
             RelayEnd::Migrated => MOVE,
