--- a/src/net/event_loop/cordons.rs
+++ b/src/net/event_loop/cordons.rs
@@ -1,5 +1,5 @@
-//! Servers that are out of service: by an operator's cordon here or at a sibling process, or as the gateways together
-//! have settled for maintenance.
+//! Cordoned servers: by an operator, at this process or a sibling, or by a maintenance decision of the
+//! gateways.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,8 @@
 use crate::net::messages::ServerObservations;
 
 impl EventLoop {
-    /// Carries an operator's request out. To set a cordon twice, or to lift it twice, succeeds; a name that was never on
-    /// the list is an error.
+    /// Executes an operator's request. Cordoning a cordoned server and uncordoning an uncordoned one succeed;
+    /// a name that was never on the endpoint list is an error.
     pub(super) fn handle_cordon_request(&mut self, request: CordonRequest) {
         let CordonRequest { server, cordon, reply } = request;
         let result = if self.names.servers.find(&server).is_some() {
@@ -24,11 +24,11 @@
             Err(format!("no server '{server}'"))
         };
         self.update_gauges(self.now());
-        // A caller that has gone has no use for the answer.
+        // Sending fails only if the caller no longer waits for the answer.
         let _ = reply.send(result);
     }
 
-    /// Sets the cordons that were recorded before the start.
+    /// Applies the cordons that were recorded before the start.
     pub(super) fn restore_cordons(&mut self) {
         let cordoned: Vec<String> =
             self.sibling_link.cordons().cordoned_servers().map(str::to_owned).collect();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes in what other processes of this balancer hold, and the cordons that were set there.
+    /// Applies the connections and permits that the sibling processes report, and the cordons set at them.
     pub(super) fn handle_sibling_state(
         &mut self,
         now: Time,
@@ -56,28 +56,28 @@
 
     fn set_operator_cordon(&mut self, now: Time, server: &str, cordoned: bool) {
         info!("operator: {server} is {}", if cordoned { "out" } else { "back" });
-        let out = cordoned || self.under_maintenance.contains(server);
-        self.set_cordon(now, server, out);
+        let effective = cordoned || self.under_maintenance.contains(server);
+        self.set_cordon(now, server, effective);
     }
 
-    /// Takes a server out for maintenance, or back unless an operator here wants it out.
+    /// Cordons a server for maintenance, or uncordons it unless an operator's cordon remains.
     pub(super) fn set_maintenance_cordon(&mut self, now: Time, server: String, cordoned: bool) {
         if cordoned {
             self.under_maintenance.insert(server.clone());
         } else {
             self.under_maintenance.remove(&server);
         }
-        let out = cordoned || self.sibling_link.cordons().is_cordoned(&server);
-        self.set_cordon(now, &server, out);
+        let effective = cordoned || self.sibling_link.cordons().is_cordoned(&server);
+        self.set_cordon(now, &server, effective);
     }
 
-    fn set_cordon(&mut self, now: Time, server: &str, out: bool) {
+    fn set_cordon(&mut self, now: Time, server: &str, cordoned: bool) {
         let server = ServerId(self.names.servers.intern(server));
-        self.engine.set_cordon(now, server, out, &mut self.commands);
+        self.engine.set_cordon(now, server, cordoned, &mut self.commands);
     }
 
-    /// What this gateway observes: servers that are ready by the list and not cordoned here, and the connections with
-    /// those that are named.
+    /// Returns the servers that are serving according to the endpoint list and not cordoned by an operator,
+    /// and the number of connections with each of the named servers.
     pub(super) fn observe_servers(&self, names: Vec<String>) -> ServerObservations {
         let cordons = self.sibling_link.cordons();
         let is_ready = |(name, endpoint): &(&String, &Endpoint)| {
--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it stands, and what follows from it: names, addresses and start times of servers.
+//! The current endpoint list, and the names, addresses and start times of servers that are derived from it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,35 +13,35 @@
 use crate::quic::load_balancing::server_id_for_name;
 use crate::settings::NameTables;
 
-/// Servers whose names are remembered; further new ones are ignored.
+/// Maximum number of servers whose names are stored. Further new servers are ignored.
 const MAX_KNOWN_SERVERS: usize = 4096;
 
 /// The servers on the list, by name.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     pub(super) entries: BTreeMap<String, Endpoint>,
-    /// The list's version.
+    /// The version of the list.
     pub(super) index: u64,
-    /// Whether discovery has told this process any of it.
+    /// Whether this process has received a list update from discovery.
     pub(super) updated_by_discovery: bool,
     pub(super) start_times: StartTimes,
-    /// Addresses of all servers that were ever listed.
+    /// Addresses of all servers that have ever been listed, also of deleted ones.
     addresses: HashMap<ServerId, SocketAddr>,
     published_addresses: watch::Sender<BTreeMap<String, SocketAddr>>,
 }
 
 impl ServerDirectory {
-    /// The address of a server that was listed before.
+    /// Returns the address of a server that is or was listed.
     pub(super) fn address(&self, server: ServerId) -> SocketAddr {
         self.addresses[&server]
     }
 
-    /// The listed servers and their addresses, as they change.
+    /// Returns a receiver of the listed servers' addresses by name, updated with each change.
     pub(super) fn subscribe(&self) -> watch::Receiver<BTreeMap<String, SocketAddr>> {
         self.published_addresses.subscribe()
     }
 
-    /// The complete list.
+    /// Returns the complete list.
     fn snapshot(&self) -> EndpointList {
         EndpointList {
             index: self.index,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes a list or changes in; the entries as the engine takes them.
+    /// Applies a snapshot or a delta, and returns its entries in the engine's form.
     fn apply(
         &mut self,
         now: Time,
@@ -59,7 +59,7 @@
         names: &mut NameTables,
     ) -> Vec<EndpointEntry> {
         self.index = list.index;
-        // What a cached list says is not known to be new.
+        // A server that is first seen in a cached list is not necessarily new.
         let unlisted_until = match kind {
             ListUpdate::Cached => None,
             _ => self.start_times.earliest_new_start(now),
@@ -77,7 +77,7 @@
         entries
     }
 
-    /// Takes one endpoint in; nothing where too many servers are known.
+    /// Applies one endpoint. Returns `None` for a new server beyond [`MAX_KNOWN_SERVERS`].
     fn apply_endpoint(
         &mut self,
         now: Time,
@@ -88,7 +88,9 @@
         let is_known = names.servers.find(&endpoint.name).is_some();
         if !is_known && names.servers.names().len() >= MAX_KNOWN_SERVERS {
             let name = &endpoint.name;
-            info!("list: {MAX_KNOWN_SERVERS} servers are known already; ignoring new server '{name}'");
+            info!(
+                "list: the limit of {MAX_KNOWN_SERVERS} known servers is reached; ignoring new server '{name}'"
+            );
             return None;
         }
         let server = ServerId(names.servers.intern(&endpoint.name));
@@ -122,14 +124,15 @@
 }
 
 impl EventLoop {
-    /// Takes in what discovery has told.
+    /// Applies a list update from discovery.
     pub(super) fn handle_list_update(&mut self, update: EndpointList) {
         self.endpoints.updated_by_discovery = true;
         let kind = if update.snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta };
         self.apply_list(update, kind);
     }
 
-    /// Takes in the list of another process. What discovery itself has told goes before it.
+    /// Applies the list of a sibling process if it is newer. It is ignored once discovery has sent a list
+    /// update to this process.
     pub(super) fn handle_sibling_list(&mut self, list: EndpointList) {
         if !self.endpoints.updated_by_discovery && list.index > self.endpoints.index {
             self.apply_list(list, ListUpdate::Cached);
@@ -148,13 +151,13 @@
         self.update_gauges(now);
     }
 
-    /// The watch is in step behind all list updates that came with it: the lease on the list is renewed.
+    /// Renews the lease on the list, as the watch has delivered all list updates so far.
     pub(super) fn handle_watch_synced(&mut self, now: Time) {
         self.endpoints.start_times.record_watch_synced(now);
         self.engine.renew_list_lease(now, &mut self.commands);
     }
 
-    /// A watch has ended; the list was last in step at `last_synced_at`.
+    /// Handles the end of a watch; the list was last known to be current at `last_synced_at`.
     pub(super) fn handle_watch_ended(
         &mut self,
         now: Time,
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -1,11 +1,12 @@
-//! The task that owns the engine: drivers send it events, and it sends sessions commands.
+//! The event loop: the task that owns the engine, receives events from drivers and sends commands to
+//! sessions.
 //!
 //! - `sessions`: requests, their attempts and their connections.
-//! - `endpoint_list`: the list of servers, and the names and addresses that follow from it.
-//! - `cordons`: servers that operators or the gateways together have taken out.
-//! - `shared_state`: what the gateways share, and quotas; off unless configured.
-//! - `observability`: metrics, and the log of faults and broken invariants.
-//! - `shutdown`: the end of the process.
+//! - `endpoint_list`: the endpoint list, and the names, addresses and start times derived from it.
+//! - `cordons`: servers cordoned by operators or for maintenance.
+//! - `shared_state`: observations shared among the gateways, and quotas; both are off unless configured.
+//! - `observability`: metrics, and the log of faults and violated invariants.
+//! - `shutdown`: the shutdown of the process.
 
 mod cordons;
 mod endpoint_list;
@@ -25,7 +26,7 @@
 
 use self::endpoint_list::ServerDirectory;
 use self::sessions::SessionTable;
-use self::shared_state::QuotaGate;
+use self::shared_state::QuotaAdmission;
 use self::shutdown::Shutdown;
 use super::admin::{AdminContext, CordonRequest, Health};
 use super::fleet::shared_state::SharedState;
@@ -40,27 +41,27 @@
 use crate::metrics::Metrics;
 use crate::settings::NameTables;
 
-/// Events that may be queued before drivers have to wait.
+/// Capacity of the event queue. Drivers wait while it is full.
 const EVENT_QUEUE: usize = 1024;
 
-/// The engine and its driver.
+/// The engine, the state that accompanies it, and the queues that connect it with drivers and sessions.
 pub struct EventLoop {
     engine: Engine,
-    /// What the engine's time counts from, and when that was.
+    /// Reference point that maps the runtime's instants to the engine's time.
     epoch: MonotonicEpoch,
     names: NameTables,
-    /// What the engine has decided and is not carried out yet.
+    /// Commands of the engine that have not been executed yet.
     commands: Vec<Command>,
     events: mpsc::Receiver<DriverEvent>,
-    /// Operators' requests; they go before all events.
+    /// Operators' requests, which have precedence over all events.
     cordon_requests: mpsc::Receiver<CordonRequest>,
     handle: EventLoopHandle,
     sessions: SessionTable,
     endpoints: ServerDirectory,
-    /// Servers that the gateways together have taken out.
+    /// Servers that the gateways have taken out of service for maintenance.
     under_maintenance: BTreeSet<String>,
-    quota: QuotaGate,
-    /// The longest wait that a rejected client may be told.
+    quota: QuotaAdmission,
+    /// Upper limit of the Retry-After value sent to a rejected client.
     max_retry_after: Span,
     shared_state: Option<Arc<SharedState>>,
     sibling_link: SiblingLink,
@@ -69,27 +70,28 @@
     drivers: DriverQueues,
 }
 
-/// Where what the engine asks of drivers goes.
+/// Queues and settings for the engine's requests to drivers.
 struct DriverQueues {
-    /// Asks for a watch of the endpoint list.
+    /// Requests for a watch of the endpoint list.
     watch_requests: mpsc::Sender<()>,
-    /// Datagrams to other gateways.
+    /// Permit datagrams to other gateways.
     datagrams: mpsc::Sender<PermitDatagram>,
     health_check_timeout: Duration,
 }
 
-/// An event loop that does not run yet, and what others hold of it.
+/// An event loop that has not been started, and the handles to it.
 pub struct EventLoopParts {
     /// The event loop.
     pub event_loop: EventLoop,
-    /// What drivers hold.
+    /// The handle through which drivers send events.
     pub handle: EventLoopHandle,
-    /// What the admin endpoint answers from.
+    /// The state from which the admin endpoint answers.
     pub admin: AdminContext,
 }
 
 impl EventLoop {
-    /// An event loop for this configuration; `watch_requests` asks discovery's driver to watch.
+    /// Creates an event loop for a configuration. Through `watch_requests` it requests a watch from the
+    /// driver of discovery.
     pub fn create(
         config: &Config,
         watch_requests: mpsc::Sender<()>,
@@ -116,7 +118,7 @@
             sessions: SessionTable::default(),
             endpoints: ServerDirectory::default(),
             under_maintenance: BTreeSet::new(),
-            quota: QuotaGate::default(),
+            quota: QuotaAdmission::default(),
             shared_state: None,
             sibling_link,
             health: admin.health.clone(),
@@ -130,17 +132,18 @@
         EventLoopParts { event_loop, handle, admin }
     }
 
-    /// The servers on the list and their addresses, as they change.
+    /// Returns a receiver of the listed servers' addresses by name, updated with each change.
     pub fn server_addresses(&self) -> watch::Receiver<BTreeMap<String, SocketAddr>> {
         self.endpoints.subscribe()
     }
 
-    /// Whether the process is about to end, after all that wait to be accepted.
+    /// Returns a receiver that becomes true when the process is about to exit and no longer accepts clients.
     pub fn closing(&self) -> watch::Receiver<bool> {
         self.shutdown.subscribe()
     }
 
-    /// Serves until the process is to end, at first by the list that is known already.
+    /// Runs the event loop until the process is to exit. `known_list` is the cached endpoint list, if there
+    /// is one.
     pub async fn run(mut self, known_list: Option<EndpointList>) {
         self.restore_cordons();
         let no_list = EndpointList { index: 0, snapshot: true, endpoints: Vec::new() };
@@ -203,7 +206,7 @@
                 self.set_maintenance_cordon(now, server, cordoned);
             }
             DriverEvent::InspectServers { names, reply } => {
-                // Whoever asked may have given up.
+                // Sending fails only if the requester no longer waits for the answer.
                 let _ = reply.send(self.observe_servers(names));
             }
             DriverEvent::QuotasReloaded { settings } => self.quota.reload(*settings),
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Carries out what the engine has decided, in order.
+    /// Executes the engine's pending commands in order.
     fn execute_commands(&mut self) {
         for command in std::mem::take(&mut self.commands) {
             self.execute(command);
@@ -234,9 +237,9 @@
                 self.send_last_command(id, SessionCommand::HandOff { server });
             }
             Command::CheckHealth { server } => self.start_health_check(server),
-            // A full queue means that the driver has been asked already.
+            // A full queue already contains a request for a watch.
             Command::Subscribe => _ = self.drivers.watch_requests.try_send(()),
-            // With a full queue it is lost, as on any network.
+            // If the queue is full the datagram is dropped, as it may be on the network.
             Command::SendDatagram(datagram) => _ = self.drivers.datagrams.try_send(datagram),
         }
     }
@@ -252,12 +255,14 @@
 }
 
 fn engine_settings(config: &Config, names: &NameTables) -> Settings {
-    // Gateways that are allowed and have no address cannot be asked: each then has permits of its own.
+    // Permits are requested from other gateways only if the peers' addresses are configured. Otherwise each
+    // gateway has permits of its own.
     Settings { fleet_permits: config.peers.is_some(), ..config.settings.balancer_settings(names) }
 }
 
-/// A list that is pushed comes from an agent of this machine, which has to be watched all the same; the decision module
-/// asks only where the list is one service for all.
+/// Returns the commands to execute at the start. A pushed list comes from an agent on this machine, which
+/// needs a watch as well, but the decision module requests one only if the list comes from a discovery
+/// service.
 fn initial_commands(settings: &Settings) -> Vec<Command> {
     match settings.discovery {
         DiscoveryMode::Pushed => vec![Command::Subscribe],
@@ -265,7 +270,7 @@
     }
 }
 
-/// Sleeps until then, or for ever where there is no such time.
+/// Sleeps until the deadline, or forever if it is `None`.
 async fn sleep_until_some(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => sleep_until(deadline).await,
--- a/src/net/event_loop/observability.rs
+++ b/src/net/event_loop/observability.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the log of faults and broken invariants.
+//! Metrics, and the log of faults and violated invariants.
 
 use tracing::info;
 
@@ -15,7 +15,7 @@
 static REQUEST_VIOLATIONS: RateLimitedLog = RateLimitedLog::new("request");
 
 impl EventLoop {
-    /// Logs and counts violations of the invariants of requests. A debug build ends.
+    /// Logs and counts violations of the request invariants. A debug build panics.
     pub(super) fn report_violations(&mut self) {
         let RequestViolations { recent: violations, total } = self.engine.take_request_violations();
         for violation in &violations {
@@ -28,14 +28,14 @@
         debug_assert!(violations.is_empty(), "an invariant is violated: {violations:?}");
     }
 
-    /// Checks what this gateway may grant others.
+    /// Checks the invariants of the permits that this gateway grants, and logs a violation.
     pub(super) fn check_permits(&self) {
         if let Err(violation) = self.engine.check_permits() {
             PERMIT_VIOLATIONS.log(format_args!("invariant violated: {violation}; {}", violation.help()));
         }
     }
 
-    /// Logs that new connections are rejected, where the lease on the list has just expired.
+    /// Logs that new connections are rejected if the lease on the endpoint list has expired.
     pub(super) fn log_list_expiry(&self) {
         if self.engine.list_expired() {
             let seconds = MAX_LIST_STALENESS.as_micros() / 1_000_000;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Publishes gauges and what siblings have to know.
+    /// Publishes the gauges, and this process's readiness and server usage to its siblings.
     pub(super) fn update_gauges(&mut self, now: Time) {
         let metrics = self.handle.metrics();
         metrics.set_gauge(Gauge::InProgress, self.engine.open_request_count());
@@ -63,7 +63,7 @@
         self.sibling_link.publish(self.health.is_ready(), usage);
     }
 
-    /// Logs that an attempt or a connection at a server ended badly.
+    /// Logs the outcome of a failed attempt or connection with its server's name.
     pub(super) fn log_server_fault(&self, id: RequestId, attempt: u32, outcome: Outcome) {
         if let Some(server) = self.engine.server_of(id) {
             let name = &self.names.servers.names()[server.0 as usize];
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes in a datagram of another gateway; logs one that cannot be used.
+    /// Handles a permit datagram of another gateway, and logs an invalid one.
     pub(super) fn handle_datagram(&mut self, now: Time, from: GatewayId, payload: &[u8]) {
         if let Err(error) = self.engine.handle_datagram(now, from, payload, &mut self.commands) {
             DATAGRAM_ERRORS.log(format_args!("datagram of gateway {}: {error}; {}", from.0, error.help()));
--- a/src/net/event_loop/sessions.rs
+++ b/src/net/event_loop/sessions.rs
@@ -1,4 +1,4 @@
-//! Requests, their attempts and their connections, as front ends report them.
+//! Handling of the events of sessions: requests, attempts and connections.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 };
 use crate::settings::group_id;
 
-/// The number of the one attempt that a connection from before the start makes.
+/// The number of the only attempt made to restore a connection that existed before the start.
 const RESTORE_ATTEMPT: u32 = 0;
 
-/// Where the commands of each request go.
+/// The command queues of all sessions, by request.
 #[derive(Default)]
 pub(super) struct SessionTable {
     senders: BTreeMap<RequestId, CommandSender>,
@@ -38,7 +38,7 @@
     pub(super) fn send(&self, id: RequestId, command: SessionCommand) {
         let Some(sender) = self.senders.get(&id) else { return };
         if let Err(error) = sender.try_send(RequestCommand { id, command }) {
-            // A closed queue is that of a session that has just ended; its event is on the way.
+            // A closed queue belongs to a session that has just ended, whose last event is still queued.
             if matches!(error, mpsc::error::TrySendError::Full(_)) {
                 info!("session: command queue of request {} is full; the command is dropped", id.0);
             }
@@ -46,7 +46,8 @@
     }
 }
 
-/// A request that held a connection before, as the engine knows it.
+/// The request and the server of a connection that existed before this process reported it, in the engine's
+/// form.
 struct KnownConnection {
     request: Request,
     server: ServerId,
@@ -141,20 +142,22 @@
             self.quota.record_rejection();
         }
         self.engine.handle_attempt_end(now, id, attempt, outcome, &mut self.commands);
-        // A connection that has ended has no use for commands; a request that was just answered does.
-        if !self.engine.has_request(id) && !self.answers(id) {
+        // An ended connection needs no more commands, but a request whose final answer is pending needs that
+        // one.
+        if !self.engine.has_request(id) && !self.has_pending_answer(id) {
             self.remove_session(id);
         }
     }
 
-    /// Whether a final answer to this request is still to be sent.
-    fn answers(&self, id: RequestId) -> bool {
+    /// Checks whether a final answer to this request is still to be sent.
+    fn has_pending_answer(&self, id: RequestId) -> bool {
         let is_answer =
             |command: &Command| matches!(command, Command::Answer { id: answered, .. } if *answered == id);
         self.commands.iter().any(is_answer)
     }
 
-    /// Notes where the commands of a connection from before go; the connection, if its class and server are known here.
+    /// Registers the command queue of a restored or adopted connection. Returns the connection in the
+    /// engine's form, or `None` if its class or server is not known to this process.
     fn register_connection(
         &mut self,
         id: RequestId,
@@ -181,13 +184,13 @@
         })
     }
 
-    /// Forgets a request that is answered, or whose connection has ended or gone elsewhere.
+    /// Removes a request that has been answered, or whose connection has ended, migrated or been handed off.
     pub(super) fn remove_session(&mut self, id: RequestId) {
         self.sessions.remove(id);
         self.quota.release(id);
     }
 
-    /// Sends the last command of a request.
+    /// Sends the last command of a request, and removes the request.
     pub(super) fn send_last_command(&mut self, id: RequestId, command: SessionCommand) {
         self.sessions.send(id, command);
         self.remove_session(id);
--- a/src/net/event_loop/shared_state.rs
+++ b/src/net/event_loop/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the gateways share, and the quotas of partners. Both are off unless configured.
+//! Observations shared among the gateways, and the quotas of partners. Both are off unless configured.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::net::messages::ConnectionRequest;
 use crate::net::rate_limited_log::RateLimitedLog;
 
-/// After a server has rejected a connection, nothing beyond a quota is admitted for this time.
+/// Time after a server's rejection of a connection during which no connection beyond a quota is admitted.
 const REJECTION_COOLDOWN: Duration = Duration::from_secs(2);
 
 static VIOLATIONS: RateLimitedLog = RateLimitedLog::new("state");
 
-/// Admits connections by the quotas of their partners; admits all where there are none.
+/// Admission of connections by the quotas of their partners. All are admitted if no quotas are configured.
 #[derive(Default)]
-pub(super) struct QuotaGate {
+pub(super) struct QuotaAdmission {
     active: Option<ActiveQuota>,
     server_rejected_at: Option<Instant>,
 }
@@ -34,12 +34,12 @@
     next_tick_at: Instant,
 }
 
-impl QuotaGate {
+impl QuotaAdmission {
     pub(super) fn enable(&mut self, service: Arc<QuotaService>) {
         self.active = Some(ActiveQuota { service, next_tick_at: Instant::now() });
     }
 
-    /// When time has to pass for quotas.
+    /// Returns the time of the next tick of the quota service, or `None` if quotas are off.
     pub(super) fn next_tick_at(&self) -> Option<Instant> {
         self.active.as_ref().map(|active| active.next_tick_at)
     }
@@ -62,11 +62,11 @@
         self.server_rejected_at = Some(Instant::now());
     }
 
-    /// Whether the quota of its partner allows a request: all its attempts are one.
+    /// Checks whether the quota of its partner allows a request. The attempts of a request count once.
     ///
     /// # Errors
     ///
-    /// Says how long its client is to wait.
+    /// Returns the time that the client of a rejected request is to wait.
     pub(super) fn admit(&self, id: RequestId, requested: &ConnectionRequest) -> Result<(), Duration> {
         let Some(active) = &self.active else { return Ok(()) };
         let Some(tenant) = &requested.tenant else { return Ok(()) };
@@ -82,14 +82,14 @@
             .with(|admission, now, exchange| admission.admit((now, exchange), id, tenant, kind, has_capacity))
     }
 
-    /// Counts an established connection for its partner, whatever the quota.
+    /// Counts an established connection for its partner, even beyond the quota.
     pub(super) fn adopt_connection(&self, id: RequestId, requested: &ConnectionRequest) {
         if let (Some(active), Some(tenant)) = (&self.active, &requested.tenant) {
             active.service.with(|admission, _, exchange| admission.adopt_connection(exchange, id, tenant));
         }
     }
 
-    /// A request, or its connection, has ended.
+    /// Releases the quota of a request that has ended or whose connection has ended.
     pub(super) fn release(&self, id: RequestId) {
         if let Some(active) = &self.active {
             active.service.with(|admission, _, exchange| admission.release(exchange, id));
@@ -98,7 +98,8 @@
 }
 
 impl EventLoop {
-    /// Has the gateways share what they observe from now on; with `report_outcomes`, the outcomes of attempts, too.
+    /// Enables sharing this gateway's observations with the other gateways; with `report_outcomes`, also the
+    /// outcomes of attempts.
     pub fn enable_shared_state(&mut self, shared_state: Arc<SharedState>, report_outcomes: bool) {
         self.shared_state = Some(shared_state);
         if report_outcomes {
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Has the quotas of partners apply from now on.
+    /// Enables the quotas of partners.
     pub fn enable_quota(&mut self, service: Arc<QuotaService>) {
         self.quota.enable(service);
     }
 
-    /// Feeds what the gateways share with what is observed here, and carries out what follows from it.
+    /// Passes this gateway's observations to the shared state, and applies the decision that results.
     pub(super) fn update_shared_state(&mut self, now: Time) {
         let Some(shared_state) = self.shared_state.clone() else { return };
         let EstablishedCounts { by_server, by_tenant } = self.engine.established_counts();
--- a/src/net/event_loop/shutdown.rs
+++ b/src/net/event_loop/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of the process: established connections are handed off or migrated, what waits is answered, and what has
-//! been answered is given the time to be written.
+//! Shutdown of the process: established connections are handed off or migrated, waiting requests are
+//! answered, and the process waits until the answers have been written.
 
 use std::time::Duration;
 
@@ -12,37 +12,38 @@
 use crate::engine::{Command, TimerEvent};
 use crate::net::messages::to_span;
 
-/// Time kept free for closing, twice: before the process is killed, and before that for last answers.
+/// Time reserved for closing. It is reserved twice: from the exit to the time at which the process is killed,
+/// and from the last answers to the exit.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
-/// Clients keep coming for a while after the signal to stop.
+/// Minimum time from the signal to stop to the exit, as clients continue to connect for a while.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(900);
-/// Limit on writing final answers.
+/// Duration of one flush, in which final answers are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Whether, and until when, the process is shutting down.
+/// State of the process's shutdown.
 #[derive(Default)]
 pub(super) struct Shutdown {
     limits: Option<ShutdownLimits>,
-    /// Whether only final answers are still written, and nobody is accepted any more.
+    /// Whether only final answers are still written, and no client is accepted any more.
     closing: watch::Sender<bool>,
 }
 
 struct ShutdownLimits {
-    /// No exit before.
+    /// Time before which the process does not exit.
     earliest_exit_at: Instant,
-    /// Exit then, whatever is left.
+    /// Time at which the process exits, even with open sessions.
     latest_exit_at: Instant,
 }
 
 impl Shutdown {
-    /// Whether the process is about to end, as it changes.
+    /// Returns a receiver that becomes true when the process is about to exit.
     pub(super) fn subscribe(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 }
 
 impl EventLoop {
-    /// Begins to shut down, within the time until the process is killed.
+    /// Begins the shutdown; `grace` is the time until the process is killed.
     pub(super) fn begin_shutdown(&mut self, now: Time, grace: Duration) {
         self.health.mark_draining();
         let exit_limit = grace.saturating_sub(CLOSE_MARGIN);
@@ -62,16 +63,17 @@
         });
     }
 
-    /// When the process is to end, where it is shutting down.
+    /// Returns the time at which the process is to exit, or `None` if it is not shutting down.
     pub(super) fn exit_at(&self) -> Option<Instant> {
         let limits = self.shutdown.limits.as_ref()?;
         let is_idle = self.sessions.is_empty() && self.sibling_link.pending_clients.sockets_in_use() == 0;
         Some(if is_idle { limits.earliest_exit_at } else { limits.latest_exit_at })
     }
 
-    /// Answers what is still open, and waits until answers and handed-off connections have been written.
+    /// Answers all open requests, and waits until the answers and the handed-off connections have been
+    /// written.
     pub(super) async fn finish_shutdown(&mut self) {
-        // What is still open is answered here, also where the timer comes late.
+        // Requests that are still open are answered here, even if the engine's timer fires late.
         self.handle_timer(TimerEvent::ShutdownDeadline);
         self.execute_commands();
         self.shutdown.closing.send_replace(true);
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Gives final answers the time to be written. Requests that come meanwhile are rejected.
+    /// Handles events for [`FLUSH_TIMEOUT`], so that final answers are written. Requests that arrive
+    /// meanwhile are rejected.
     async fn flush(&mut self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         while let Ok(Some(event)) = timeout_at(deadline, self.events.recv()).await {
