--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the event loop and what runs beside it: events to the event loop, commands to sessions. Drivers
-//! import this module and not each other.
+//! Messages between the event loop and the tasks around it: events to the event loop, and commands to
+//! sessions. Drivers depend on this module and not on each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,237 +17,241 @@
 use crate::handover::{Cordons, ServerUsage};
 use crate::metrics::{CloseReason, Counter, Metrics};
 
-/// Commands that may be queued for one session: more than all attempts of a request need.
+/// Capacity of one session's command queue, which is more than all attempts of a request need.
 pub const SESSION_COMMAND_QUEUE: usize = 32;
 
-/// What a client asks for, by the names that its front end uses.
+/// A client's request for a connection, with the class, tenant and group by name.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionRequest {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// The tenant's name.
+    /// Name of the tenant, if the client has one.
     pub tenant: Option<String>,
-    /// The group's name.
+    /// Name of the group, if the client has one.
     pub group: Option<String>,
-    /// How long the client waits.
+    /// Time for which the client waits for a connection.
     pub client_timeout: Span,
-    /// Expected load, as the settings count it.
+    /// Expected load, in the unit of the settings.
     pub expected_load: Option<f64>,
-    /// The client repeats a request that was rejected or failed.
+    /// Whether the client repeats a request that was rejected or failed.
     pub is_retry: bool,
-    /// The client comes back after its connection was migrated or broke.
+    /// Whether the client reconnects after its connection was migrated or lost.
     pub is_reconnect: bool,
 }
 
-/// What the event loop asks of a session.
+/// A command of the event loop to a session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionCommand {
-    /// Start an attempt.
+    /// Starts an attempt.
     StartAttempt {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
-        /// The server's address.
+        /// Address of the server.
         address: SocketAddr,
-        /// How long the event loop waits for it.
+        /// Time for which the event loop waits for the attempt's result.
         timeout: Span,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     CancelAttempt {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// The attempt's connection may be used: its first byte is written at once or not at all.
+    /// Permits use of the attempt's connection. Its first byte is written immediately or not at all.
     SendFirstLine {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// The attempt's connection counts as established: the server's line may go to the client.
+    /// Confirms that the attempt's connection is established. The server's line may be sent to the client.
     ConfirmEstablished {
-        /// Its number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Give the final answer.
+    /// Sends the final answer to the client.
     Answer(FinalAnswer),
-    /// Tell the client of the established connection to move.
+    /// Sends `MOVE` to the client of the established connection and ends the connection.
     Migrate,
-    /// Hand the established connection off to the successor.
+    /// Hands the established connection off to the successor.
     HandOff {
-        /// The name of the server that holds it.
+        /// Name of the connection's server.
         server: String,
     },
 }
 
-/// A command, and the request that it is for: one queue may serve many requests.
+/// A command with the request to which it applies, as one queue may serve many requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestCommand {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// What is to be done.
+    /// The command.
     pub command: SessionCommand,
 }
 
-/// The queue in which a front end takes its commands.
+/// The sender of the queue from which a front end receives its commands.
 pub type CommandSender = mpsc::Sender<RequestCommand>;
 
-/// What front ends report of requests and connections.
+/// An event of a request or connection, reported by a front end.
 #[derive(Debug)]
 pub enum SessionEvent {
-    /// A client asks for a connection.
+    /// A client requests a connection.
     ConnectionRequested {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// What is asked for.
+        /// The client's request.
         request: ConnectionRequest,
-        /// Where its commands go.
+        /// Sender of the session's commands.
         commands: CommandSender,
     },
-    /// A client asks for a connection that the named server held before the start.
+    /// A client requests to restore a connection that it had with the named server before the start.
     RestoreRequested {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// What is asked for.
+        /// The client's request.
         request: ConnectionRequest,
-        /// The server's name.
+        /// Name of the server.
         server: String,
-        /// Where its commands go.
+        /// Sender of the session's commands.
         commands: CommandSender,
     },
-    /// An established connection with the named server was taken over from an older process.
+    /// An established connection with the named server was adopted from an older process.
     ConnectionAdopted {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// What was asked for.
+        /// The client's request, as sent to the older process.
         request: ConnectionRequest,
-        /// The server's name.
+        /// Name of the server.
         server: String,
-        /// Where its commands go.
+        /// Sender of the session's commands.
         commands: CommandSender,
     },
-    /// An attempt has connected. The front end writes nothing before `SendFirstLine`; `CancelAttempt` comes where it
-    /// may not write, as much may have changed since the attempt was started.
+    /// An attempt has connected. The front end writes nothing before `SendFirstLine`. It receives
+    /// `CancelAttempt` if it may not write, as the server's state may have changed since the attempt was
+    /// started.
     AttemptConnected {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// A server has accepted an attempt. The front end waits for `ConfirmEstablished` or `CancelAttempt`, as the event
-    /// loop may just have cancelled it.
+    /// A server has accepted an attempt. The front end waits for `ConfirmEstablished` or `CancelAttempt`, as
+    /// the event loop may have cancelled the attempt at the same moment.
     AttemptEstablished {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
     },
     /// An attempt or an established connection has ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt or connection.
         outcome: Outcome,
     },
-    /// The client has gone.
+    /// The client has closed or reset its connection before its request was answered.
     ClientLeft {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// A message was forwarded to the server.
+    /// A message of the client was forwarded to the server.
     MessageForwarded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Whether the server's answer is due at once.
+        /// Whether the server is expected to answer immediately.
         answer_due: bool,
     },
-    /// The server sent something.
+    /// The server sent a message.
     ServerResponded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// The server told the connection's load.
+    /// The server reported the load of the connection.
     LoadReported {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Microseconds of work a second, or as the settings count it.
+        /// Load in microseconds of work per second, or in the unit of the settings.
         load: f64,
     },
 }
 
-/// What the event loop takes in.
+/// An event sent to the event loop.
 #[derive(Debug)]
 pub enum DriverEvent {
-    /// Of a request or its connection.
+    /// An event of a request or its connection.
     Session(SessionEvent),
-    /// The endpoint list, or changes of it.
+    /// A list update from discovery.
     ListUpdated {
-        /// The number of the watch that it came on.
+        /// Number of the watch that received the update.
         watch: u64,
-        /// The list or the changes.
+        /// The snapshot or delta.
         update: EndpointList,
     },
-    /// The endpoint list as another process of this balancer has it.
+    /// The endpoint list of a sibling process.
     SiblingList {
         /// The complete list.
         list: EndpointList,
     },
-    /// What other processes of this balancer hold, and the cordons that operators have set there.
+    /// The connections, permits and operators' cordons of the sibling processes.
     SiblingState {
-        /// Connections and permits, by the server's name.
+        /// Connections and permits by server name.
         usage: BTreeMap<String, ServerUsage>,
-        /// The cordons.
+        /// Cordons set by operators at the sibling processes.
         cordons: Cordons,
     },
-    /// Discovery has answered on a watch, behind all that came with the answer: no change is missed any longer.
+    /// A watch has delivered all list changes so far: discovery has answered, and the updates sent with the
+    /// answer precede this event.
     WatchSynced {
-        /// The watch's number.
+        /// Number of the watch.
         watch: u64,
     },
-    /// A call or watch has ended.
+    /// A discovery call or watch has ended.
     WatchEnded {
-        /// Since when the list may have changed unseen: the last complete list or heartbeat of any watch, or the start.
+        /// Time during which list changes may have been missed: since the last complete list or heartbeat of
+        /// any watch, or since the start.
         since_synced: Duration,
-        /// How it ended.
+        /// Reason for the end.
         end: WatchEnd,
-        /// Whether the event loop is to ask for another watch: not where one is asked for already.
+        /// Whether the event loop is to request another watch; false if one has been requested already.
         resubscribe: bool,
     },
-    /// A datagram of another gateway.
+    /// A permit datagram of another gateway was received.
     DatagramReceived {
-        /// The gateway.
+        /// Id of the sending gateway.
         from: GatewayId,
-        /// The datagram.
+        /// Content of the datagram.
         payload: Bytes,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The server.
+        /// Id of the checked server.
         server: ServerId,
-        /// Whether it answered as it should.
+        /// Whether the server passed the check.
         healthy: bool,
     },
-    /// The gateways together take a server out for maintenance, or back. An operator's cordon is something else.
+    /// The gateways have decided to cordon or uncordon a server for maintenance. Operators' cordons are
+    /// separate.
     MaintenanceCordon {
-        /// The server's name.
+        /// Name of the server.
         server: String,
-        /// Whether it is out.
+        /// Whether the server is cordoned.
         cordoned: bool,
     },
-    /// Asks what this gateway observes.
+    /// Requests the observations of this gateway.
     InspectServers {
-        /// Servers whose connections are asked for.
+        /// Names of the servers whose connections are to be counted.
         names: Vec<String>,
-        /// Where the answer goes.
+        /// Sender of the reply.
         reply: oneshot::Sender<ServerObservations>,
     },
-    /// The quotas' file was read again.
+    /// The quota file was reloaded.
     QuotasReloaded {
-        /// What it says now.
+        /// The new quota settings.
         settings: Box<crate::fleet::quota::Settings>,
     },
-    /// The process is to shut down.
+    /// Shutdown of the process was requested.
     ShutdownRequested {
-        /// The time until it is killed.
+        /// Time until the process is killed.
         grace: Duration,
     },
 }
@@ -258,16 +262,17 @@
     }
 }
 
-/// What this gateway observes for itself.
+/// This gateway's own observations of servers.
 #[derive(Debug)]
 pub struct ServerObservations {
-    /// Servers that are ready by the list, and not cordoned by an operator here.
+    /// Names of the servers that are serving according to the endpoint list and not cordoned by an operator.
     pub ready: BTreeSet<String>,
-    /// Open connections with the servers that were asked about.
+    /// Number of open connections with each requested server.
     pub open_connections: BTreeMap<String, u32>,
 }
 
-/// What drivers hold of the event loop.
+/// A handle through which drivers send events to the event loop, count metrics and number requests and
+/// watches.
 #[derive(Clone)]
 pub struct EventLoopHandle {
     metrics: Arc<Metrics>,
@@ -277,27 +282,27 @@
 }
 
 impl EventLoopHandle {
-    /// A handle whose events go into this queue.
+    /// Creates a handle that sends events into a queue.
     pub fn new(metrics: Arc<Metrics>, events: mpsc::Sender<DriverEvent>) -> Self {
         Self { metrics, events, request_ids: Arc::new(AtomicU32::new(1)), current_watch: Arc::default() }
     }
 
-    /// The metrics that all handles count into.
+    /// Returns the metrics shared by all handles.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The id of a new request.
+    /// Returns the id for a new request.
     pub fn next_request_id(&self) -> RequestId {
         RequestId(self.request_ids.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The number of a watch that begins: queued events of earlier ones are stale from now on.
+    /// Returns the number of a new watch. Queued events of earlier watches are stale from then on.
     pub fn start_watch(&self) -> u64 {
         self.current_watch.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Whether an event came on a watch before the current one.
+    /// Checks whether an event was received on a watch before the current one.
     pub fn is_stale(&self, event: &DriverEvent) -> bool {
         let current = self.current_watch.load(Ordering::Relaxed);
         match event {
@@ -311,24 +316,26 @@
         self.metrics.increment(counter, class);
     }
 
-    /// Counts a client whose connection was closed without an answer to a request.
+    /// Counts a client whose connection was closed before its request was answered, or that did not read its
+    /// answer.
     pub fn count_closed(&self, reason: CloseReason) {
         self.metrics.record_close(reason);
     }
 
-    /// Sends an event; waits while the queue is full.
+    /// Sends an event, and waits while the queue is full.
     pub async fn send(&self, event: impl Into<DriverEvent>) {
-        // The event loop only ends with the process.
+        // Sending fails only when the event loop has ended, which ends the process.
         let _ = self.events.send(event.into()).await;
     }
 }
 
-/// A span of the engine as the runtime's duration; zero where it is negative.
+/// Converts a span of the engine into a duration of the runtime. A negative span results in zero.
 pub fn to_duration(span: Span) -> Duration {
     Duration::from_micros(u64::try_from(span.as_micros()).unwrap_or_default())
 }
 
-/// A runtime's duration as the engine's span.
+/// Converts a duration of the runtime into a span of the engine. A duration out of range results in the
+/// maximum.
 pub fn to_span(duration: Duration) -> Span {
     Span::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
--- a/src/net/pending_clients.rs
+++ b/src/net/pending_clients.rs
@@ -1,6 +1,7 @@
-//! Clients without a session: those that have not sent their first line, and those that wait for the end after an
-//! error. They share the descriptors that sessions leave. Where there are too many, the oldest that has sent nothing is
-//! evicted, and only then the oldest that has begun to send.
+//! Pending clients, which have no session: those that have not sent their first line, and those whose
+//! connection is being closed after an error. They share the descriptors that sessions do not use. If there
+//! are too many, the oldest client that has sent nothing is evicted, and only if there is none, the oldest
+//! that has begun to send.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,70 +11,72 @@
 
 use crate::config::Capacity;
 
-/// Evicted clients whose end is waited for, at most. Their descriptors are beyond the capacity, so that they keep nobody
-/// out, and come from those that the process reserves for itself.
+/// Maximum number of evicted clients that are closed gracefully at a time. Their descriptors are not part of
+/// the capacity, so that they do not block new clients; they are among those that the process reserves for
+/// itself.
 const MAX_GRACEFUL_CLOSES: usize = 8;
 
-/// Clients without a session, and the number of those with one. Clones are handles to the same one.
+/// The set of pending clients, and the number of clients with a session. Clones are handles to the same set.
 #[derive(Clone)]
 pub struct PendingClients {
     capacity: Capacity,
     state: Arc<Mutex<State>>,
-    /// Whether clients may no longer name the server that held their connection before the start.
+    /// Whether the restore phase has ended, in which clients may name the server of their earlier connection.
     restore_phase_over: Arc<AtomicBool>,
     graceful_closes: Arc<Semaphore>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Whether new clients are evicted at once.
+    /// Whether new clients are evicted immediately.
     closed: bool,
-    /// Clients with a session.
+    /// Number of clients with a session.
     sessions: usize,
-    /// Descriptors that another process of this balancer uses: the limit is for both.
+    /// Number of descriptors used by a sibling process. The limit applies to both processes together.
     sibling_sockets: usize,
+    /// Number of the client that was added last.
     last_arrival: u64,
-    /// Clients that have not sent a byte, by arrival.
+    /// Senders that evict the clients that have not sent a byte, by arrival number.
     silent: BTreeMap<u64, oneshot::Sender<()>>,
-    /// Clients that have, by arrival.
-    speaking: BTreeMap<u64, oneshot::Sender<()>>,
+    /// Senders that evict the clients that have sent at least one byte, by arrival number.
+    sending: BTreeMap<u64, oneshot::Sender<()>>,
 }
 
 impl State {
     fn pending(&self) -> usize {
-        self.silent.len() + self.speaking.len()
+        self.silent.len() + self.sending.len()
     }
 
-    /// Evicts the oldest client, of those that have not sent a byte if there are any.
+    /// Evicts the oldest client that has not sent a byte, or else the oldest that has.
     fn evict_oldest(&mut self) {
-        if let Some((_, oldest)) = self.silent.pop_first().or_else(|| self.speaking.pop_first()) {
+        if let Some((_, oldest)) = self.silent.pop_first().or_else(|| self.sending.pop_first()) {
             let _ = oldest.send(());
         }
     }
 }
 
-/// A client's slot. It is released when dropped.
+/// The slot of one pending client. The slot is released when dropped.
 pub struct PendingSlot {
     pending_clients: PendingClients,
     arrival: u64,
     evicted: oneshot::Receiver<()>,
 }
 
-/// The permit for one session. It is released when dropped.
+/// The permit for one session. The permit is released when dropped.
 pub struct SessionPermit {
     pending_clients: PendingClients,
 }
 
-/// A client that was added.
+/// The result of adding a client.
 pub struct AddedClient {
-    /// Its slot.
+    /// Slot of the added client.
     pub slot: PendingSlot,
-    /// Whether others were evicted for it.
+    /// Whether other clients were evicted to make capacity for it.
     pub evicted_others: bool,
 }
 
 impl PendingClients {
-    /// No clients yet, and at most as many as this capacity allows.
+    /// Creates an empty set with the given capacity.
     pub fn new(capacity: Capacity) -> Self {
         Self {
             capacity,
@@ -87,7 +90,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A permit for a session, unless all are in use.
+    /// Returns a permit for a session, or `None` if the limit is reached.
     pub fn try_acquire_session(&self) -> Option<SessionPermit> {
         let mut state = self.state();
         if state.sessions >= self.capacity.session_limit(state.sibling_sockets) {
@@ -98,8 +101,8 @@
         Some(SessionPermit { pending_clients: self.clone() })
     }
 
-    /// A permit for a session of another process of this balancer. Its descriptors are counted there until that process
-    /// reports again, so a permit is always available.
+    /// Returns a permit for a session adopted from a sibling process. A permit is always available, as the
+    /// session's descriptors are already counted for the sibling, until it reports its number again.
     pub fn adopt_session(&self) -> SessionPermit {
         let mut state = self.state();
         state.sessions += 1;
@@ -108,7 +111,7 @@
         SessionPermit { pending_clients: self.clone() }
     }
 
-    /// Adds a client; others are evicted where there are too many.
+    /// Adds a client, and evicts others if the capacity is exceeded.
     pub fn add(&self) -> AddedClient {
         let (sender, evicted) = oneshot::channel();
         let mut state = self.state();
@@ -130,7 +133,7 @@
         AddedClient { slot, evicted_others }
     }
 
-    /// Evicts the oldest clients, where the system has no descriptor left whatever the limits say.
+    /// Evicts the oldest clients when the system has no free descriptor although the limits are observed.
     pub fn evict_for_descriptors(&self) {
         let mut state = self.state();
         for _ in 0..MAX_GRACEFUL_CLOSES {
@@ -138,75 +141,77 @@
         }
     }
 
-    /// A permit to wait for the end of an evicted client, unless that is done for many already.
+    /// Returns a permit to close an evicted client gracefully, or `None` if all are in use.
     pub fn try_acquire_graceful_close(&self) -> Option<OwnedSemaphorePermit> {
         self.graceful_closes.clone().try_acquire_owned().ok()
     }
 
-    /// Evicts all clients, and those that are added from now on: this process ends.
+    /// Evicts all clients, and those that are added later, as this process exits.
     pub fn close(&self) {
         let mut state = self.state();
         state.closed = true;
         let silent = std::mem::take(&mut state.silent);
-        let speaking = std::mem::take(&mut state.speaking);
-        for client in silent.into_values().chain(speaking.into_values()) {
+        let sending = std::mem::take(&mut state.sending);
+        for client in silent.into_values().chain(sending.into_values()) {
             let _ = client.send(());
         }
     }
 
-    /// Whether it has been closed.
+    /// Checks whether the set has been closed.
     pub fn is_closed(&self) -> bool {
         self.state().closed
     }
 
-    /// Another process of this balancer uses so many descriptors.
+    /// Sets the number of descriptors that a sibling process uses.
     pub fn set_sibling_sockets(&self, sockets: usize) {
         self.state().sibling_sockets = sockets;
     }
 
-    /// Descriptors that clients use.
+    /// Returns the number of descriptors that clients and the servers of their sessions use.
     pub fn sockets_in_use(&self) -> usize {
         let state = self.state();
         2 * state.sessions + state.pending()
     }
 
-    /// Ends the time in which clients may name the server that held their connection before the start (`at=`). It ends
-    /// with the first new connection: such a request goes past all decisions, so nobody may make one for ever.
+    /// Ends the restore phase, in which clients may name the server of their connection before the start
+    /// (`at=`). It ends with the first new connection. Its end is necessary because such a request bypasses
+    /// all balancing decisions.
     pub fn end_restore_phase(&self) {
         self.restore_phase_over.store(true, Ordering::Relaxed);
     }
 
-    /// Whether that time has ended.
+    /// Checks whether the restore phase has ended.
     pub fn restore_phase_is_over(&self) -> bool {
         self.restore_phase_over.load(Ordering::Relaxed)
     }
 }
 
-/// Tells that the client of a slot has begun to send.
+/// Records that the client of a slot has begun to send.
 pub struct ActivityNotifier {
     pending_clients: PendingClients,
     arrival: u64,
 }
 
 impl ActivityNotifier {
-    /// The client has sent a byte: good clients may need seconds for their line, but all begin at once.
+    /// Records that the client has sent a byte. Valid clients may need seconds to send their line, but all
+    /// begin to send it immediately.
     pub fn mark_speaking(&self) {
         let mut state = self.pending_clients.state();
         if let Some(sender) = state.silent.remove(&self.arrival) {
-            state.speaking.insert(self.arrival, sender);
+            state.sending.insert(self.arrival, sender);
         }
     }
 }
 
 impl PendingSlot {
-    /// What tells that the slot's client has begun to send.
+    /// Returns a notifier that records that the slot's client has begun to send.
     pub fn activity_notifier(&self) -> ActivityNotifier {
         ActivityNotifier { pending_clients: self.pending_clients.clone(), arrival: self.arrival }
     }
 
     /// Waits until the client is evicted.
     pub async fn evicted(&mut self) {
-        // The sender is only dropped with the slot.
+        // The sender is dropped without sending only when the slot is dropped.
         let _ = (&mut self.evicted).await;
     }
 }
@@ -215,7 +220,7 @@
     fn drop(&mut self) {
         let mut state = self.pending_clients.state();
         state.silent.remove(&self.arrival);
-        state.speaking.remove(&self.arrival);
+        state.sending.remove(&self.arrival);
     }
 }
 
