--- a/src/net/pending_clients.rs
+++ b/src/net/pending_clients.rs
@@ -195,7 +195,7 @@
 impl ActivityNotifier {
     /// Records that the client has sent a byte. Valid clients may need seconds to send their line, but all
     /// begin to send it immediately.
-    pub fn mark_speaking(&self) {
+    pub fn mark_sending(&self) {
         let mut state = self.pending_clients.state();
         if let Some(sender) = state.silent.remove(&self.arrival) {
             state.sending.insert(self.arrival, sender);
--- a/src/net/session/first_line.rs
+++ b/src/net/session/first_line.rs
@@ -58,7 +58,7 @@
     let deadline = Instant::now() + FIRST_LINE_TIMEOUT;
     let mut answered_ping = false;
     if timeout_at(deadline, client.readable()).await.is_ok() {
-        activity.mark_speaking();
+        activity.mark_sending();
     }
     loop {
         let line = timeout_at(deadline, client.lines.next()).await;
--- a/tests/pending_clients.rs
+++ b/tests/pending_clients.rs
@@ -8,15 +8,15 @@
 fn those_that_have_sent_nothing_go_first_and_limits_are_joint() {
     let pending_clients = PendingClients::new(Capacity { descriptors: 3, max_sessions: 1 });
     let AddedClient { slot: mut slow, evicted_others } = pending_clients.add();
-    slow.activity_notifier().mark_speaking();
+    slow.activity_notifier().mark_sending();
     let mut silent = pending_clients.add().slot;
     let late = pending_clients.add().slot;
     assert!(!evicted_others && silent.evicted().now_or_never().is_none());
     let AddedClient { slot: last, evicted_others } = pending_clients.add();
     assert!(evicted_others && silent.evicted().now_or_never().is_some(), "the oldest that is silent");
     assert!(slow.evicted().now_or_never().is_none(), "a slow one that has begun stays");
-    last.activity_notifier().mark_speaking();
-    late.activity_notifier().mark_speaking();
+    last.activity_notifier().mark_sending();
+    late.activity_notifier().mark_sending();
     let _next = pending_clients.add();
     assert!(slow.evicted().now_or_never().is_some(), "the oldest, where all have begun");
 
