--- a/src/net/event_loop/sessions.rs
+++ b/src/net/event_loop/sessions.rs
@@ -46,8 +46,7 @@
     }
 }
 
-/// The request and the server of a connection that existed before this process reported it, in the engine's
-/// form.
+/// The request and the server of a restored or adopted connection, in the engine's form.
 struct KnownConnection {
     request: Request,
     server: ServerId,
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -149,7 +149,8 @@
         /// Outcome of the attempt or connection.
         outcome: Outcome,
     },
-    /// The client has closed or reset its connection before its request was answered.
+    /// The request ended without an answer of the event loop: the client left or sent invalid input, or the
+    /// session's commands ended.
     ClientLeft {
         /// Id of the request.
         id: RequestId,
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -25,8 +25,8 @@
 use crate::net::messages::{RequestCommand, SessionCommand, SessionEvent, to_duration};
 use crate::net::rate_limited_log::RateLimitedLog;
 
-/// Time limit for restoring a connection that existed before the start. A connection that is not established
-/// by then is lost.
+/// Time limit for restoring a connection that existed before the start, unless the client waits longer. A
+/// connection that is not established by then is lost.
 pub(super) const RESTORE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Delay between two attempts to reach the server of a connection that is being restored.
 const RESTORE_RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -307,7 +307,7 @@
 ///
 /// A client that closes, half-closes or resets its connection has left. The protocol requires a client to
 /// wait for its answer and has no half-closed connections, and a close cannot be distinguished from a
-/// half-close before something is written. This is the only place that decides so.
+/// half-close before something is written. No other code makes this decision.
 async fn watch_client(lines: &mut Lines, side: &mut ClientSide) -> ClientActivity {
     match lines.next().await {
         Some(Ok(line)) => match side.line(line) {
