--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Idle clients use all descriptors while discovery is down: the daemon reserves those that it needs itself.
+//! Idle clients use all descriptors while discovery is unavailable. The daemon must reserve those that it
+//! needs itself, or it could not reach discovery and its servers again.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -12,15 +13,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The daemon's limit of open files, below the one in its settings.
+/// The daemon's limit of open file descriptors, which is below the one in its settings.
 const DESCRIPTORS: usize = 100;
-/// Idle clients that reconnect whenever they are closed.
+/// Number of idle clients, which reconnect whenever their connection is closed.
 const IDLE_CLIENTS: usize = 200;
-/// A client is served within this time after discovery is back; requests are at most 3 s apart.
+/// Time limit for serving clients after discovery is available again. The daemon calls discovery at most 3 s
+/// after a failed call.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A client that sends no request.
+/// Connects repeatedly as a client that sends no request.
 async fn run_idle_client(daemon: std::net::SocketAddr) {
     loop {
         if let Ok(mut client) = TcpStream::connect(daemon).await {
@@ -30,7 +32,7 @@
     }
 }
 
-/// A discovery service that sends the list to all requests.
+/// Runs a mock discovery service that sends the list in answer to each call, and heartbeats after it.
 async fn serve_list(listener: TcpListener, list: String) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let list = list.clone();
@@ -49,7 +51,7 @@
     }
 }
 
-/// Writes a script that runs the daemon with a limit of open files.
+/// Writes a script that runs the daemon with a limit of open file descriptors, and returns its path.
 fn write_limited_program(folder: &Path) -> PathBuf {
     let program = folder.join("limited");
     let ashtide = env!("CARGO_BIN_EXE_ashtide");
@@ -59,7 +61,7 @@
     program
 }
 
-/// Opens clients until five are connected.
+/// Connects clients until five have an established connection.
 async fn connect_clients(daemon: &Daemon, recovered_at: Instant) -> Vec<LineClient> {
     let mut connections = Vec::new();
     let mut answers = Vec::new();
@@ -80,9 +82,9 @@
 async fn idle_clients_block_neither_discovery_nor_servers_nor_the_admin_endpoint() {
     let mut fleet = Fleet::start(2).await.expect("a fleet");
     let list = fleet.known().to_string();
-    let down = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    fleet.discovery = down.local_addr().expect("bound");
-    drop(down);
+    let unused_port = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    fleet.discovery = unused_port.local_addr().expect("bound");
+    drop(unused_port);
     let folder = std::env::temp_dir().join(format!("ashtide-descriptors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let program = write_limited_program(&folder);
@@ -94,11 +96,12 @@
     let mut daemon = Daemon::start(&program, &fleet, &options).await.expect("a daemon");
     let idle_clients: Vec<_> =
         (0..IDLE_CLIENTS).map(|_| tokio::spawn(run_idle_client(daemon.lines))).collect();
-    // Wait until they use the daemon's whole capacity.
-    daemon.says("discovery: ").await.expect("a call that failed");
+    // Waits until the idle clients use the daemon's entire capacity.
+    daemon.says("discovery: ").await.expect("a failed call");
     sleep(Duration::from_millis(1500)).await;
-    let health = timeout(RECOVERY_TIMEOUT, daemon.call("health")).await.expect("an answer at the door");
-    assert!(health.expect("answered").contains("not ready"), "it has no list");
+    let health =
+        timeout(RECOVERY_TIMEOUT, daemon.call("health")).await.expect("an answer of the admin endpoint");
+    assert!(health.expect("answered").contains("not ready"), "not ready without an endpoint list");
 
     let listener = TcpListener::bind(fleet.discovery).await.expect("the same port");
     let recovered_at = Instant::now();
@@ -106,7 +109,7 @@
     let mut connections = connect_clients(&daemon, recovered_at).await;
     assert!(daemon.call("health").await.expect("answered").contains("ready"));
     for client in &mut connections {
-        assert!(client.echoes("still here").await.expect("an echo"), "whoever comes");
+        assert!(client.echoes("still here").await.expect("an echo"), "established connections remain usable");
     }
     assert!(daemon.runs());
     idle_clients.iter().chain([&discovery]).for_each(tokio::task::JoinHandle::abort);
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,4 +1,5 @@
-//! A connection to a server that is established late: the daemon applies list changes made meanwhile.
+//! A connection to a server that is established late, after its server was reported as draining: the daemon
+//! must apply the list updates received meanwhile before it writes to the connection.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,21 +14,23 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A step that takes longer has failed.
+/// Time limit for each step of the test.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection that isn't established by then finds the accept queue full.
+/// Time after which a connection that is not established shows that the accept queue is full. It is also the
+/// interval of heartbeats and the time for the daemon to act on an event.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery service with one watch.
-struct StubDiscovery {
+/// A mock discovery service that serves one watch.
+struct MockDiscovery {
     address: SocketAddr,
-    /// Sends the second list.
+    /// Triggers sending the second list.
     send_update: oneshot::Sender<()>,
 }
 
-/// Sends the first list to the watch, and the second when requested.
-async fn start_discovery(first_list: Value, second_list: Value) -> StubDiscovery {
+/// Starts a discovery service that sends the first list to its watch, heartbeats, and the second list when
+/// triggered.
+async fn start_discovery(first_list: Value, second_list: Value) -> MockDiscovery {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (send_update, update_requested) = oneshot::channel();
@@ -38,14 +41,14 @@
             head.push(stream.read_u8().await.expect("a call"));
         }
         let first = format!("{RESPONSE_HEAD}{}", chunk(&format!("{first_list}\n")));
-        stream.write_all(first.as_bytes()).await.expect("read");
+        stream.write_all(first.as_bytes()).await.expect("sent");
         tokio::pin!(update_requested);
         loop {
             let text = match timeout(CONNECT_TIMEOUT, &mut update_requested).await {
                 Ok(_) => break,
                 Err(_) => chunk("\n"),
             };
-            stream.write_all(text.as_bytes()).await.expect("read");
+            stream.write_all(text.as_bytes()).await.expect("sent");
         }
         let mut text = chunk(&format!("{second_list}\n"));
         while stream.write_all(text.as_bytes()).await.is_ok() {
@@ -53,19 +56,20 @@
             tokio::time::sleep(CONNECT_TIMEOUT).await;
         }
     });
-    StubDiscovery { address, send_update }
+    MockDiscovery { address, send_update }
 }
 
-/// A listener with a full accept queue: connections are established only after it is emptied.
+/// A listener with a full accept queue. Further connections are established only after the queue is emptied.
 struct FullListener {
     listener: TcpListener,
+    /// The connections that fill the queue.
     fillers: Vec<TcpStream>,
 }
 
 async fn listen_with_full_queue() -> FullListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let listener = socket.listen(1).expect("listens");
+    let listener = socket.listen(1).expect("a listener");
     let address = listener.local_addr().expect("bound");
     let mut fillers = Vec::new();
     while let Ok(Ok(filler)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
@@ -74,7 +78,7 @@
     FullListener { listener, fillers }
 }
 
-/// An endpoint of the list with its status.
+/// An endpoint entry of the list.
 struct ListedServer<'a> {
     name: &'a str,
     address: SocketAddr,
@@ -90,7 +94,8 @@
     json!({"index": index, "snapshot": true, "endpoints": entries})
 }
 
-/// Opens clients until the other server accepts one, so that the second list has been applied.
+/// Connects clients until the other server accepts one, which shows that the daemon has applied the second
+/// list.
 async fn expect_placement(daemon: &Daemon) {
     let mut placed = false;
     for number in 10..200 {
@@ -100,20 +105,21 @@
             break;
         }
     }
-    assert!(placed, "the other takes what comes");
+    assert!(placed, "the other server accepts new clients");
 }
 
-/// Empties the accept queue and accepts the connection that is established then.
-async fn accept_after_fillers(late: &TcpListener, fillers: Vec<TcpStream>) -> TcpStream {
+/// Empties the accept queue, and accepts the connection that is established afterwards.
+async fn accept_after_fillers(listener: &TcpListener, fillers: Vec<TcpStream>) -> TcpStream {
     for _ in &fillers {
-        drop(timeout(STEP_TIMEOUT, late.accept()).await.expect("one that filled the queue").expect("there"));
+        drop(timeout(STEP_TIMEOUT, listener.accept()).await.expect("a queued connection").expect("accepted"));
     }
     drop(fillers);
-    let (connection, _) = timeout(STEP_TIMEOUT, late.accept()).await.expect("it comes up").expect("there");
+    let (connection, _) =
+        timeout(STEP_TIMEOUT, listener.accept()).await.expect("the late connection").expect("accepted");
     connection
 }
 
-/// A class that isn't idempotent, and a short grace period for draining servers.
+/// Returns settings with a class that is not idempotent and a short grace period for draining servers.
 fn config() -> Value {
     json!({"settings": {
         "limits": {"connectTimeout": 5.0},
@@ -125,8 +131,8 @@
 #[tokio::test]
 async fn a_connection_established_after_its_server_was_drained_carries_no_byte() {
     let mut fleet = Fleet::start(1).await.expect("a fleet");
-    let FullListener { listener: late, fillers } = listen_with_full_queue().await;
-    let late_address = late.local_addr().expect("bound");
+    let FullListener { listener: late_listener, fillers } = listen_with_full_queue().await;
+    let late_address = late_listener.local_addr().expect("bound");
     let other_address = fleet.servers[0].address;
     let list = |index, late_status, other_status| {
         let late = ListedServer { name: "late", address: late_address, status: late_status };
@@ -141,21 +147,22 @@
     let options = Options { known: Some(first_list), config: config(), ..Options::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
     let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
-    daemon.says("discovery: ").await.expect("it watches");
+    daemon.says("discovery: ").await.expect("a watch");
 
-    let mut client = LineClient::connect(daemon.lines).await.expect("taken");
+    let mut client = LineClient::connect(daemon.lines).await.expect("accepted");
     client.say("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("sent");
     tokio::time::sleep(CONNECT_TIMEOUT).await;
     discovery.send_update.send(()).expect("a watch");
     tokio::time::sleep(CONNECT_TIMEOUT).await;
     expect_placement(&daemon).await;
-    // After the grace period the queue is emptied; the kernel's next attempt establishes the first connection.
+    // The queue is emptied after the grace period. The kernel's next retransmission then establishes the
+    // connection of the first attempt.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let mut connection = accept_after_fillers(&late, fillers).await;
+    let mut connection = accept_after_fillers(&late_listener, fillers).await;
     let mut bytes = Vec::new();
     let _ = timeout(STEP_TIMEOUT, connection.read_to_end(&mut bytes)).await.expect("an end");
-    assert_eq!(String::from_utf8_lossy(&bytes), "", "sent to a server that drains, past the grace");
-    // The request wasn't sent, so the other server serves it although it isn't idempotent.
+    assert_eq!(String::from_utf8_lossy(&bytes), "", "sent to a draining server after the grace period");
+    // The request was not sent, so the other server may serve it although it is not idempotent.
     let answer = client.next().await.expect("an answer");
     assert!(answer.as_deref().is_some_and(|line| line.starts_with("UP ")), "{answer:?}");
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown of the daemon with clients in every state.
+//! Graceful shutdown of the daemon with clients in every state: each must be migrated or answered before
+//! SIGKILL.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// The earliest SIGKILL after SIGTERM, with the daemon's deadline of 3 s.
+/// Earliest time of SIGKILL after SIGTERM, with the daemon's deadline of 3 s.
 const KILL_DELAY: Duration = Duration::from_millis(3700);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -24,13 +25,13 @@
     format!("OPEN {id:016x} {id:016x} c=meter,d=3000,g={id:x}")
 }
 
-/// A client whose request has reached a server.
+/// Connects a client, and waits until its request has reached a server.
 async fn connect_with_request(fleet: &Fleet, daemon: &Daemon, id: u32) -> LineClient {
-    let before = fleet.ledger.arrivals().len();
-    let mut client = LineClient::connect(daemon.lines).await.expect("taken");
+    let arrivals_before = fleet.ledger.arrivals().len();
+    let mut client = LineClient::connect(daemon.lines).await.expect("accepted");
     client.say(&open_line(id)).await.expect("sent");
     let arrival = async {
-        while fleet.ledger.arrivals().len() == before {
+        while fleet.ledger.arrivals().len() == arrivals_before {
             sleep(POLL_INTERVAL).await;
         }
     };
@@ -38,7 +39,7 @@
     client
 }
 
-/// A client and the beginning of the lines that it should receive.
+/// A client and the beginning of the lines that it must receive, joined by commas.
 struct ExpectedEnd {
     expected: &'static str,
     client: LineClient,
@@ -48,7 +49,7 @@
     ExpectedEnd { expected, client }
 }
 
-/// The lines of a client until its connection ended.
+/// The lines that a client received until its connection ended.
 struct ReceivedLines {
     lines: Vec<String>,
     ended_at: Instant,
@@ -62,7 +63,7 @@
     Ok(ReceivedLines { lines, ended_at: Instant::now() })
 }
 
-/// Opens 12 clients, half of them at servers whose answers are partial.
+/// Connects 12 clients, half of them to servers that have sent a partial line after their answer.
 async fn connect_clients(fleet: &Fleet, daemon: &Daemon) -> Vec<ExpectedEnd> {
     let mut clients = Vec::new();
     let mut established = 0;
@@ -77,25 +78,25 @@
     clients
 }
 
-/// Connects clients with requests and without ones at fixed times after SIGTERM.
+/// Connects clients at fixed times after SIGTERM, with and without a request.
 async fn connect_during_shutdown(
     fleet: &Fleet,
     daemon: &Daemon,
     clients: &mut Vec<ExpectedEnd>,
     terminated_at: Instant,
 ) {
-    for (id, after) in [(200, 0), (201, 150), (202, 350)] {
-        sleep(Duration::from_millis(after).saturating_sub(terminated_at.elapsed())).await;
+    for (id, delay_ms) in [(200, 0), (201, 150), (202, 350)] {
+        sleep(Duration::from_millis(delay_ms).saturating_sub(terminated_at.elapsed())).await;
         clients.push(expect_end("UP, MOVE", connect_with_request(fleet, daemon, id).await));
     }
-    let silent = LineClient::connect(daemon.lines).await.expect("taken");
+    let silent = LineClient::connect(daemon.lines).await.expect("accepted");
     clients.push(expect_end("ERR", silent));
     sleep(Duration::from_millis(1500).saturating_sub(terminated_at.elapsed())).await;
-    let later = LineClient::connect(daemon.lines).await.expect("taken");
-    clients.push(expect_end("BUSY 1000", later));
+    let silent_later = LineClient::connect(daemon.lines).await.expect("accepted");
+    clients.push(expect_end("BUSY 1000", silent_later));
 }
 
-/// Reads all clients to their ends, and checks their lines and that they end in time.
+/// Reads from all clients until their connections end, and checks the lines and the time of each end.
 async fn expect_lines(clients: &mut [ExpectedEnd], terminated_at: Instant) {
     let ends = clients.iter_mut().map(|ExpectedEnd { expected, client }| async move {
         let received = read_to_end(client).await.expect("an end");
@@ -106,44 +107,44 @@
             lines.iter().map(|line| line.split_once("UP ").map_or(line.as_str(), |_| "UP")).collect();
         assert!(kinds.join(", ").starts_with(expected), "expected {expected}, received {lines:?}");
         let delay = ended_at - terminated_at;
-        assert!(delay < KILL_DELAY, "{lines:?} came {delay:?} after SIGTERM");
+        assert!(delay < KILL_DELAY, "connection with {lines:?} ended {delay:?} after SIGTERM");
     }
 }
 
 #[tokio::test]
-async fn a_graceful_shutdown_moves_or_answers_all_clients_in_time() {
+async fn a_graceful_shutdown_migrates_or_answers_all_clients_in_time() {
     let fleet = Fleet::start(3).await.expect("a fleet");
     let daemon = start_daemon(&fleet, Options::default()).await;
     let set_mood = |mood| fleet.servers.iter().for_each(|server| server.mood(mood));
-    // The first client is moved first and hasn't read anything by then.
+    // This client is migrated first, and has read only the beginning of its server's output by then.
     set_mood(Mood::Talks);
-    let mut stuffed = TcpStream::connect(daemon.lines).await.expect("taken");
-    stuffed.write_all(format!("{}\r\n", open_line(300)).as_bytes()).await.expect("sent");
-    stuffed.read_exact(&mut [0; 12]).await.expect("up");
+    let mut slow_reader = TcpStream::connect(daemon.lines).await.expect("accepted");
+    slow_reader.write_all(format!("{}\r\n", open_line(300)).as_bytes()).await.expect("sent");
+    slow_reader.read_exact(&mut [0; 12]).await.expect("an UP line");
     let mut clients = connect_clients(&fleet, &daemon).await;
     set_mood(Mood::Silent);
     clients.push(expect_end("BUSY", connect_with_request(&fleet, &daemon, 100).await));
     set_mood(Mood::Late);
     clients.push(expect_end("UP, MOVE", connect_with_request(&fleet, &daemon, 101).await));
-    let mut partial = LineClient::connect(daemon.lines).await.expect("taken");
+    let mut partial = LineClient::connect(daemon.lines).await.expect("accepted");
     partial.begin("OPEN 1 2 c=me").await.expect("sent");
     clients.push(expect_end("ERR", partial));
 
     let terminated_at = Instant::now();
-    daemon.terminate().expect("it runs");
+    daemon.terminate().expect("a running daemon");
     connect_during_shutdown(&fleet, &daemon, &mut clients, terminated_at).await;
 
     sleep(Duration::from_millis(2400).saturating_sub(terminated_at.elapsed())).await;
     let mut received = String::new();
-    stuffed.read_to_string(&mut received).await.expect("no reset");
+    slow_reader.read_to_string(&mut received).await.expect("no reset");
     assert!(
         received.ends_with("x\r\nMOVE\r\n"),
-        "cut off: {:?}",
+        "expected a complete line and MOVE at the end, received {:?}",
         &received[received.len().saturating_sub(12)..]
     );
 
     expect_lines(&mut clients, terminated_at).await;
-    let (status, _) = daemon.end().await.expect("it ends");
+    let (status, _) = daemon.end().await.expect("the daemon exits");
     assert!(
         status.success() && terminated_at.elapsed() < KILL_DELAY,
         "{status} after {:?}",
@@ -155,20 +156,24 @@
 async fn clients_that_connect_during_a_graceful_shutdown_are_answered() {
     let fleet = Fleet::start(1).await.expect("a fleet");
     let daemon = start_daemon(&fleet, Options::default()).await;
-    daemon.terminate().expect("it runs");
+    daemon.terminate().expect("a running daemon");
     sleep(Duration::from_millis(500)).await;
-    let mut ends = Vec::new();
+    let mut clients = Vec::new();
     for id in 0.. {
         let Ok(mut client) = LineClient::connect(daemon.lines).await else { break };
-        ends.push(tokio::spawn(async move {
-            // The process may end before it accepts this client.
+        clients.push(tokio::spawn(async move {
+            // The process may exit before it accepts this client.
             let _ = client.say(&open_line(id)).await;
             let line = client.next().await.ok().flatten();
             line.is_some_and(|line| line.starts_with("BUSY") || line.starts_with("UP "))
         }));
         sleep(POLL_INTERVAL).await;
     }
-    let ends = futures_util::future::join_all(ends).await;
-    let dropped = ends.iter().filter(|end| !matches!(end, Ok(true))).count();
-    assert!(ends.len() > 40 && dropped <= 3, "{dropped} of {} closed without an answer", ends.len());
+    let answered = futures_util::future::join_all(clients).await;
+    let unanswered = answered.iter().filter(|answered| !matches!(answered, Ok(true))).count();
+    assert!(
+        answered.len() > 40 && unanswered <= 3,
+        "{unanswered} of {} closed without an answer",
+        answered.len()
+    );
 }
