--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -88,9 +88,7 @@
         let is_known = names.servers.find(&endpoint.name).is_some();
         if !is_known && names.servers.names().len() >= MAX_KNOWN_SERVERS {
             let name = &endpoint.name;
-            info!(
-                "list: the limit of {MAX_KNOWN_SERVERS} known servers is reached; ignoring new server '{name}'"
-            );
+            info!("list: limit of {MAX_KNOWN_SERVERS} known servers reached; ignoring new server '{name}'");
             return None;
         }
         let server = ServerId(names.servers.intern(&endpoint.name));
