--- a/src/decision/interface/actions.rs
+++ b/src/decision/interface/actions.rs
@@ -1,61 +1,61 @@
-//! What the module asks of the gateway.
+//! Actions: what the decision module requests of the gateway.
 
 use super::{RequestId, ServerId, Span, Time, TimerToken};
 
-/// What the module asks of the gateway.
+/// An action that the gateway has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect the request to a server.
+    /// Begins an attempt: connects the request to a server.
     Attempt {
-        /// Which request.
+        /// The request to connect.
         id: RequestId,
-        /// Which server.
+        /// The server to connect to.
         server: ServerId,
-        /// Time after which the attempt fails.
+        /// The time after which the attempt times out.
         timeout: Span,
     },
-    /// Final answer: rejected; trying again does no harm.
+    /// Sends the final answer "rejected": the client may safely send the request again.
     Reject {
-        /// Which request.
+        /// The rejected request.
         id: RequestId,
-        /// The wait before the client tries again; zero where none is stated.
+        /// The wait before the client tries again; zero if no wait is sent.
         retry_after: Span,
     },
-    /// Final answer: failed; it may have been executed.
+    /// Sends the final answer "failed": the request may have been executed.
     Fail {
-        /// Which request.
+        /// The failed request.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     CancelAttempt {
-        /// Which request.
+        /// The request of the attempt.
         id: RequestId,
-        /// Which of its attempts.
+        /// The index of the attempt among those of the request; the first is 0.
         attempt: u32,
     },
-    /// Ask the client of an open connection to reconnect.
+    /// Asks the client of an established connection to reconnect.
     Migrate {
-        /// Which request.
+        /// The request from which the connection was established.
         id: RequestId,
     },
-    /// Set a timer, which comes back as [`Event::Timer`](super::Event::Timer).
+    /// Sets a timer, which is returned as [`Event::Timer`](super::Event::Timer) when it is due.
     SetTimer {
-        /// Returned with the event.
+        /// The token returned with the event.
         token: TimerToken,
-        /// When.
+        /// The time at which the timer is due.
         due_at: Time,
     },
-    /// Request a permit to send one connection to a warming server;
-    /// [`Event::PermitReply`](super::Event::PermitReply) always follows, soon.
+    /// Requests a permit to send one connection to a warming server.
+    /// [`Event::PermitReply`](super::Event::PermitReply) always follows soon.
     RequestPermit {
-        /// The server.
+        /// The warming server.
         server: ServerId,
     },
-    /// Check a server's health. The module requests none so far: slow responses show overload at no price.
+    /// Checks a server's health. The module doesn't request health checks: slow responses reveal overload at no cost.
     CheckHealth {
-        /// Which server.
+        /// The server to check.
         server: ServerId,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
 }
--- a/src/decision/interface/events.rs
+++ b/src/decision/interface/events.rs
@@ -1,247 +1,248 @@
-//! What the gateway tells the module.
+//! Events: what the gateway reports to the decision module.
 
 use super::{
     CellId, ClassId, GroupId, KindId, RequestId, ServerId, Span, TenantId, Time, TimerToken, ZoneId,
 };
 
-/// A server's state in the endpoint list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It accepts new connections.
+    /// The server accepts new connections.
     #[default]
     Ready,
-    /// It finishes its work; nothing new may be sent.
+    /// The server finishes its established connections. No new connection may be sent to it.
     Draining,
-    /// It was removed from the list.
+    /// The server was removed from the list.
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// Entry of one server in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which server.
+    /// Id of the server.
     pub server: ServerId,
-    /// A hash of its name, the same at all gateways.
+    /// Hash of the server's name; equal at all gateways.
     pub hash_key: u32,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// Machine kind of the server.
     pub machine_kind: KindId,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: CellId,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its weight; see [`WeightMode`](super::WeightMode).
+    /// Weight of the server, whose meaning [`WeightMode`](super::WeightMode) defines.
     pub weight: f64,
-    /// When it last started; `None` if long ago.
+    /// Time of the server's last start; `None` if the start was long ago.
     pub started_at: Option<Time>,
 }
 
 impl EndpointEntry {
-    /// Returns a ready server of `zone` about which nothing else is known.
+    /// Returns the entry of a ready server in `zone`, with defaults for all other fields.
     pub fn ready(server: ServerId, zone: ZoneId) -> Self {
         Self { server, hash_key: server.0, zone, weight: 1.0, ..Self::default() }
     }
 }
 
-/// A load report. A field is `None` where the site does not report it.
+/// Load report of a server. A field is `None` if the deployment doesn't report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requested load divided by capacity.
+    /// Requested load divided by the server's capacity.
     pub load_ratio: Option<f64>,
-    /// Share of its cores in use.
+    /// Share of the server's cores in use, from 0 to 1.
     pub utilisation: Option<f64>,
 }
 
 /// A client's request for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// Tenant of the client; `None` if the request belongs to no tenant.
     pub tenant: Option<TenantId>,
-    /// The group of connections it shares work with, if any.
+    /// Group of connections that share work on one server; `None` if the request belongs to no group.
     pub group: Option<GroupId>,
     /// Time until the client gives up.
     pub time_left: Span,
-    /// Expected load, in seconds of standard-core work a second; `None` where unknown.
+    /// Expected load in seconds of standard-core work per second; `None` if unknown.
     pub load: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt or of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The request was served, or its connection ended regularly.
     Ok,
     /// The server returned an error; it may have executed the request.
     Failed,
-    /// The server rejected it unread.
+    /// The server rejected the request without reading it.
     QueueFull,
-    /// No answer in time; the server may have executed it, or do so later.
+    /// No answer arrived in time. The server may have executed the request, or may execute it later.
     TimedOut,
-    /// No connection could be made; it was not executed.
+    /// No connection could be established. The request was not executed.
     ConnectError,
     /// The connection was reset; the server may have executed the request.
     Reset,
-    /// The attempt was cancelled; the server may have executed it.
+    /// The gateway cancelled the attempt; the server may have executed the request.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// This machine had no port, descriptor or buffer: it was not executed, and says nothing of the server.
+    /// The gateway's machine had no free port, file descriptor or buffer. The request was not executed, and the outcome
+    /// is no evidence about the server.
     LocalFailure,
 }
 
 impl Outcome {
-    /// Whether the server cannot have executed the attempt.
+    /// Checks whether the outcome proves that the server has not executed the request.
     pub const fn proves_not_executed(self) -> bool {
         matches!(self, Outcome::QueueFull | Outcome::ConnectError | Outcome::NotSent | Outcome::LocalFailure)
     }
 }
 
-/// What kind of list update arrived.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only the entries that changed.
+    /// The update contains only the entries that changed.
     Delta,
-    /// The complete list; what it lacks has been removed.
+    /// The update contains the complete list. Servers that are missing from it have been removed.
     Snapshot,
-    /// The complete list as cached before a restart, perhaps out of date.
+    /// The update contains the complete list as cached before a restart, which may be out of date.
     Cached,
-    /// A poll failed or the subscription broke; the earlier list remains.
+    /// A poll failed or the subscription broke. The previous list remains in use.
     WatchFailed,
 }
 
-/// The reply to a request for a permit to send one connection to a warming server.
+/// Reply to a request for a permit to send one connection to a warming server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PermitReply {
-    /// One may be sent.
+    /// The permit is granted: one connection may be sent.
     Granted {
-        /// Until when.
+        /// Time at which the permit expires.
         expires_at: Time,
-        /// Whether the server holds fewer connections of the fleet than others.
+        /// Whether the server has fewer connections from the fleet than other servers have.
         below_fair_share: bool,
     },
-    /// None may be sent now.
+    /// The permit is denied: no connection may be sent now.
     Denied {
-        /// The wait before the next request.
+        /// Wait before the next permit request for this server.
         retry_after: Span,
-        /// As above.
+        /// Whether the server has fewer connections from the fleet than other servers have.
         below_fair_share: bool,
     },
-    /// No gateway that could grant one answers.
+    /// None of the gateways that could grant the permit answers.
     NoReply,
 }
 
-/// What one process of a gateway has to tell the others about a server.
+/// State of one server that a gateway process reports to its siblings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SiblingState {
-    /// Its open connections, attempts included.
+    /// Number of the process's open connections to the server, attempts included.
     pub open_connections: u32,
-    /// Connections that it may still send while the server recovers.
+    /// Number of connections that the process may still send while the server recovers.
     pub recovery_tokens: f64,
-    /// The last of the gateway's own numbered permits that it has used.
+    /// Number of the last of the gateway's own permits that the process has used.
     pub last_used_permit: u64,
 }
 
-/// What the gateway tells the module.
+/// An event that the gateway reports to the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list was updated, or could not be.
+    /// The endpoint list was updated, or an update failed.
     EndpointList {
-        /// What kind of update.
+        /// Kind of the update.
         update: ListUpdate,
-        /// The entries.
+        /// Entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// A client requests a connection; it gets exactly one final answer.
+    /// A client requests a connection. The request receives exactly one final answer.
     Request(Request),
-    /// A connection was already open when this module started.
+    /// A connection was already open when the decision module started.
     ExistingConnection {
-        /// The request it came from.
+        /// Request from which the connection was established.
         request: Request,
-        /// Its server.
+        /// Server of the connection.
         server: ServerId,
     },
-    /// An attempt's connection is established; neither timeout nor deadline applies any more.
+    /// The connection of an attempt is established. Neither timeout nor deadline applies any more.
     Established {
-        /// Which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt among those of the request; the first is 0.
         attempt: u32,
         /// Time since the attempt began.
         elapsed: Span,
     },
     /// An attempt or a connection has ended.
     AttemptEnded {
-        /// Which request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt among those of the request; the first is 0.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt or connection.
         outcome: Outcome,
-        /// Whether the request is done with it, or was before.
+        /// Whether the request is done, by this outcome or before.
         request_done: bool,
     },
-    /// The client left, or the answer was overdue; none is due any more.
+    /// The client left, or the final answer was overdue. No answer is due any more.
     ClientLeft {
-        /// Which request.
+        /// Request of the client.
         id: RequestId,
     },
-    /// A server's responses take long.
+    /// A report of how long a server's responses take.
     SlowResponses {
-        /// The server.
+        /// Server whose responses were measured.
         server: ServerId,
-        /// Time until a message is answered.
+        /// Time until the server answers a message.
         response_time: Span,
     },
-    /// A server has sent nothing for long on any connection of this gateway, though responses were due.
+    /// A server has long sent nothing on any connection of this gateway, although responses were due.
     ServerSilent {
-        /// The server.
+        /// The silent server.
         server: ServerId,
     },
-    /// Operators have put a cordoned server back. It may have been restarted meanwhile.
+    /// Operators have uncordoned a server, which may have been restarted while it was cordoned.
     Uncordoned {
-        /// The server.
+        /// The uncordoned server.
         server: ServerId,
     },
-    /// Another process of this gateway, as in an upgrade, reports its state.
+    /// A sibling process of this gateway reports its state, for example during an upgrade.
     SiblingState {
-        /// The server.
+        /// Server that the report is about.
         server: ServerId,
-        /// Its state there.
+        /// State of that server at the sibling.
         state: SiblingState,
     },
-    /// A connection's load has changed.
+    /// The load of a connection has changed.
     LoadChanged {
-        /// Which request.
+        /// Request from which the connection was established.
         id: RequestId,
-        /// Its load now, in seconds of standard-core work a second.
+        /// Current load of the connection, in seconds of standard-core work per second.
         load: f64,
     },
     /// A health check was answered.
     HealthChecked {
-        /// Which server.
+        /// Server that was checked.
         server: ServerId,
         /// Whether the answer was valid.
         healthy: bool,
-        /// The load report, if it has one.
+        /// Load report in the answer; `None` if the answer has no report.
         report: Option<LoadReport>,
     },
     /// A timer is due.
     Timer(TimerToken),
-    /// The reply to [`Action::RequestPermit`](super::Action::RequestPermit).
+    /// A reply to [`Action::RequestPermit`](super::Action::RequestPermit) arrived.
     PermitReply {
-        /// For which server.
+        /// Server that the permit was requested for.
         server: ServerId,
-        /// The reply.
+        /// Reply to the permit request.
         reply: PermitReply,
     },
 }
 
 impl Event {
-    /// The server whose state this reports, if any.
+    /// Returns the server whose state the event reports; `None` for events that report no server's state.
     pub(crate) const fn reported_server(&self) -> Option<ServerId> {
         match self {
             Event::SlowResponses { server, .. }
--- a/src/decision/interface/ids.rs
+++ b/src/decision/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Ids of all that the module decides about.
+//! Ids of the objects that the decision module handles.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,31 +9,33 @@
 }
 
 ids! {
-    /// A server, numbered by the embedder in the order in which its gateway first knew of it.
+    /// Id of a server. The embedder numbers servers in the order in which its gateway first learns of them.
     ServerId(u32);
-    /// A request, and the connection that comes of it. Never used twice by one gateway.
+    /// Id of a request and of the connection established from it. A gateway uses each id only once.
     RequestId(u32);
-    /// A zone; only "the same or not" has a meaning.
+    /// Id of a zone, which may only be compared for equality.
     ZoneId(u32);
-    /// A kind of machine; only "the same or not" has a meaning.
+    /// Id of a machine kind, which may only be compared for equality.
     KindId(u32);
-    /// A small group of servers that share which idempotency keys they have seen.
+    /// Id of a cell: a small group of servers that share the idempotency keys they have seen.
     CellId(u32);
-    /// A request class: its index in [`Settings::classes`](super::Settings::classes).
+    /// Id of a request class: the index of the class in [`Settings::classes`](super::Settings::classes).
     ClassId(u32);
-    /// A tenant: its index in [`Settings::tenants`](super::Settings::tenants).
+    /// Id of a tenant: the index of the tenant in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u32);
-    /// A group of connections that share work on their server.
+    /// Id of a group of connections that share work on their server.
     GroupId(u32);
-    /// A gateway of the fleet.
+    /// Id of a gateway in the fleet.
     GatewayId(u32);
-    /// A timer's token, chosen by the module.
+    /// Token of a timer, chosen by the decision module.
     TimerToken(u64);
 }
 
 impl GroupId {
-    /// Returns the group's weight of the server of this hash, for rendezvous hashing: the same at all gateways, whatever
-    /// they are built with. The finalizer of SplitMix64.
+    /// Returns the group's weight for the server with this hash, for rendezvous hashing.
+    ///
+    /// The weight is computed with the finalizer of SplitMix64, so that it is equal at all gateways, independent of the
+    /// compiler and libraries they are built with.
     pub fn rendezvous_hash(self, server_hash: u32, round: u32) -> u64 {
         let salt = u64::from(round).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mixed = ((u64::from(self.0) << 32) | u64::from(server_hash)) ^ salt;
--- a/src/decision/interface/settings.rs
+++ b/src/decision/interface/settings.rs
@@ -5,50 +5,51 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated on any server.
+    /// The request may be repeated on any server.
     Idempotent,
-    /// Some servers recognise a repeat by its idempotency key, for a while, and drop it.
+    /// The request has an idempotency key. Some servers recognise a repeat by the key for a limited time, and drop it.
     WithKey {
-        /// Which servers do.
+        /// Servers that recognise the key.
         scope: DeduplicationScope,
-        /// For how long, from the sending of the first attempt that may have been executed.
+        /// Idempotency window: the time for which they recognise the key, from the sending of the first attempt that may
+        /// have been executed.
         remembered_for: Span,
     },
-    /// It must not be repeated once an attempt may have been executed.
+    /// The request must not be repeated once an attempt may have been executed.
     NotIdempotent,
 }
 
-/// The servers that recognise an idempotency key.
+/// Servers that recognise the idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
     All,
-    /// Those of the zone of the first server.
+    /// The servers in the zone of the first server that may have executed the request.
     Zone,
-    /// Those of the cell of the first server.
+    /// The servers in the cell of the first server that may have executed the request.
     Cell,
 }
 
-/// A class of requests.
+/// Class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// Time within which a connection is to be established.
     pub latency_objective: Span,
-    /// Time within which a message on it is to be answered; zero where none is stated.
+    /// Time within which a message on the connection is to be answered; zero if the class states no objective.
     pub message_latency_objective: Span,
-    /// Priority of a request, or of a second of its connection, relative to other classes.
+    /// Priority weight of a request, or of one second of its connection, relative to other classes.
     pub priority_weight: f64,
-    /// Whether it may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// A tenant that shares the fleet with others. Only the sum of quotas is used, to estimate how many connections fill a
-/// server.
+/// Tenant that shares the fleet with others. Only the sum of all quotas is used, to estimate the number of connections
+/// that fill a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all gateways.
+    /// Quota of requests per second over all gateways.
     pub quota_per_s: f64,
-    /// Open connections within its quota, over all gateways; zero where none is stated.
+    /// Quota of open connections over all gateways; zero if the tenant has no such quota.
     pub quota_connections: f64,
 }
 
@@ -61,54 +62,54 @@
     OnRequest,
 }
 
-/// What a server's listed weight means.
+/// Meaning of a server's weight in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMode {
-    /// Nothing: it is always the same.
+    /// Weights have no meaning: all are equal.
     Off,
-    /// Registered or approximate capacity.
+    /// The weight is the server's registered or approximate capacity.
     Nominal,
-    /// Capacity divided by one plus the requests in progress a core, a little late.
+    /// The weight is the server's capacity divided by one plus its requests in progress per core, with a short delay.
     Live,
 }
 
-/// What the simulator subtracts from a day's result for each action, as a share of the whole.
+/// Prices that the simulator subtracts from the result of a run for each action, as a share of the total result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For each attempt that crosses zones, per first attempt.
+    /// Price of each attempt that crosses zones, per first attempt.
     pub cross_zone: f64,
-    /// For each health check, per first attempt.
+    /// Price of each health check, per first attempt.
     pub health_check: f64,
-    /// For each migrated connection, per first attempt.
+    /// Price of each migrated connection, per first attempt.
     pub migration: f64,
 }
 
-/// The settings of a gateway.
+/// Settings of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many gateways the fleet has.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
-    /// The number of this one among them.
+    /// Id of this gateway within the fleet.
     pub gateway_id: GatewayId,
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     pub zone: ZoneId,
-    /// How list changes arrive.
+    /// How changes of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// What listed weights mean.
+    /// Meaning of the weights in the endpoint list.
     pub weights: WeightMode,
-    /// The classes of requests.
+    /// Request classes, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<RequestClass>,
-    /// The tenants, if there are any.
+    /// Tenants, indexed by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// Whether a connection's priority already grows with its load.
+    /// Whether the priority of a connection already grows with its load.
     pub priority_scales_with_load: bool,
-    /// The shortest time between two batches of events.
+    /// Minimum time between two batches of events.
     pub batch_interval: Span,
     /// Prices of actions.
     pub prices: Prices,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Longest Retry-After that a rejected client follows; zero where none is followed.
+    /// Longest Retry-After that rejected clients follow; zero if they follow none.
     pub max_retry_after: Span,
     /// Whether [`Action::CheckHealth`](super::Action::CheckHealth) is allowed.
     pub health_checks: bool,
@@ -116,25 +117,26 @@
     pub fleet_permits: bool,
     /// Whether [`Action::CancelAttempt`](super::Action::CancelAttempt) is allowed.
     pub cancellation: bool,
-    /// After the client's deadline, how long a final answer still counts.
+    /// Time after the client's deadline within which a final answer still counts.
     pub answer_slack: Span,
-    /// A gateway without a subscription has to know all that was listed this long ago.
+    /// Maximum age of the endpoint list at a gateway without a subscription: the gateway must know every change that
+    /// was listed at least this long ago.
     pub list_poll_limit: Span,
-    /// A server that is draining or removed must get nothing new this long after that was known.
+    /// Time after which a server that is known to be draining or removed must receive no new connections.
     pub drain_grace: Span,
-    /// The share of its capacity that a server starts with, at least.
+    /// Minimum share of its capacity that a server has at its start, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// A server has all of its capacity this long after its start, at most.
+    /// Maximum time from a server's start until it has its full capacity.
     pub warm_up_time: Span,
-    /// A warming server is overloaded when sent more than this multiple of its present capacity...
+    /// Multiple of its present capacity above which a warming server is overloaded, if sent for `overload_window`.
     pub overload_factor: f64,
-    /// ...for this long.
+    /// Time after which a warming server that is sent more than `overload_factor` allows is overloaded.
     pub overload_window: Span,
 }
 
 impl Settings {
-    /// Returns settings of a single gateway in `zone` without limits, prices or classes: a base for embedders and tests
-    /// to fill in.
+    /// Returns settings of a single gateway in `zone`, without limits, prices or classes, as a base for embedders and
+    /// tests.
     pub fn for_zone(zone: ZoneId) -> Self {
         Self {
             gateways: 1,
--- a/src/decision/interface/time.rs
+++ b/src/decision/interface/time.rs
@@ -1,17 +1,17 @@
-//! Points and spans of time, in microseconds.
+//! Points in time and durations, in microseconds.
 
 use std::ops::{Add, Sub};
 
-/// A point on the gateway's monotonic clock, in microseconds from an arbitrary origin.
+/// Point in time on the gateway's monotonic clock, in microseconds from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(i64);
 
-/// A length of time in microseconds.
+/// Duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(i64);
 
 impl Time {
-    /// Returns the point `us` microseconds after the clock's origin.
+    /// Returns the point in time `us` microseconds after the clock's origin.
     pub const fn from_micros(us: i64) -> Self {
         Self(us)
     }
@@ -19,28 +19,28 @@
     pub const fn as_micros(self) -> i64 {
         self.0
     }
-    /// Returns the time passed since `earlier`, zero if `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0).max(0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// Duration of zero microseconds.
     pub const ZERO: Span = Span(0);
-    /// Returns a span of `us` microseconds.
+    /// Returns a duration of `us` microseconds.
     pub const fn from_micros(us: i64) -> Self {
         Self(us)
     }
-    /// Returns the span in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
-    /// Returns the span in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// Multiplies the span by a ratio; saturates, and returns zero where the ratio is not a number.
+    /// Multiplies the duration by `ratio`. The result saturates at the bounds of the type, and is zero if `ratio` is NaN.
     pub fn scale(self, ratio: f64) -> Span {
         Span((self.0 as f64 * ratio) as i64)
     }
