--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,27 +1,30 @@
-//! Admission of requests: how many connects may be in flight, and the queue of those that have to wait.
+//! Admission of requests: the limit of connects in flight, and the queue of the requests that have to wait.
 
 use super::Balancer;
 use super::interface::{Request, RequestId, ServerId, Span, Time};
 use super::request::PendingRequest;
 use super::timer::Timer;
 
-/// Connects in flight to begin with, and at most: ample, until the first sign of congestion.
+/// Initial and maximum size of the connect window, in connects in flight. The size is ample, since there is
+/// no congestion until the first slow connect.
 const INITIAL_CONNECT_WINDOW: f64 = 64.0;
-/// The window grows by one for each window of fast connects, and shrinks to this share with each slow one.
+/// Factor by which the connect window shrinks with each slow connect. With each window of fast connects it
+/// grows by one.
 const CONNECT_WINDOW_DECREASE: f64 = 0.9;
-/// Connects are slow everywhere once the window has shrunk to this share.
+/// Share of its initial size below which the connect window indicates slow connects on all servers.
 const CONGESTED_WINDOW_SHARE: f64 = 0.5;
-/// A connect is fast within this share of the class's latency objective.
+/// Time below which a connect counts as fast, as a share of the class's latency objective.
 const FAST_CONNECT_SHARE: f64 = 0.5;
 
-/// Share of its time for which a request may be queued. The rest lets the client go elsewhere.
+/// Longest time for which a request is queued, as a share of the time from its arrival to its deadline. The
+/// rest of the time lets the client try another gateway.
 const MAX_QUEUE_TIME_SHARE: f64 = 0.5;
-/// How often the queue is looked through, as a share of the shortest latency objective.
+/// Interval at which queued requests are tried again, as a share of the shortest latency objective.
 const QUEUE_RETRY_SHARE: f64 = 0.1;
 
-/// Limits the connects in flight: additive increase, multiplicative decrease.
+/// Limit of the connects in flight, with additive increase and multiplicative decrease.
 ///
-/// Connects share a store behind all servers, which fails more of them the more it is asked.
+/// All servers use a common store for connects. The more connects it has to handle, the more of them fail.
 pub(super) struct ConnectWindow {
     size: f64,
     in_flight: u32,
@@ -32,7 +35,7 @@
         Self { size: INITIAL_CONNECT_WINDOW, in_flight: 0 }
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         f64::from(self.in_flight) < self.size
     }
 
@@ -44,7 +47,7 @@
         self.in_flight += 1;
     }
 
-    /// Takes out a connect that says nothing of congestion.
+    /// Removes a connect from the window without changing the window's size.
     pub(super) fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -58,12 +61,12 @@
     }
 }
 
-/// Whether a connect that took this long counts as fast for a class of this latency objective.
+/// Checks whether a connect that took `elapsed` counts as fast for a class with this latency objective.
 pub(super) fn is_fast_connect(objective: Span, elapsed: Span) -> bool {
     elapsed < objective.scale(FAST_CONNECT_SHARE)
 }
 
-/// Requests that wait for a server, oldest first.
+/// Queue of the requests that wait for a server, oldest first.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     ids: Vec<RequestId>,
@@ -79,7 +82,7 @@
         std::mem::take(&mut self.ids)
     }
 
-    /// Notes that the timer is set; returns whether it was not set before.
+    /// Records that the queue timer is set; returns `true` if it was not set before.
     fn arm_timer(&mut self) -> bool {
         !std::mem::replace(&mut self.timer_set, true)
     }
@@ -89,14 +92,16 @@
     }
 }
 
-/// What came of placing a request.
+/// Result of placing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Placement {
-    /// An attempt has begun, or a permit for one has been requested.
+    /// An attempt has begun, or a permit for an attempt has been requested.
     Started,
-    /// Queued for a reason of its own: others may still be placed.
+    /// The request was queued for a reason that applies to this request only. Other requests may still be
+    /// placed.
     Postponed,
-    /// Queued, as others would be: no connect may begin, or no server is eligible.
+    /// The request was queued for a reason that applies to all requests: the connect window is full, or no
+    /// server is eligible.
     Blocked,
 }
 
@@ -115,7 +120,7 @@
         _ = self.place(now, id);
     }
 
-    /// Counts a connection that was open before this module started.
+    /// Records a connection that was open before the decision module started.
     pub(super) fn handle_existing_connection(&mut self, now: Time, request: Request, server: ServerId) {
         let existing = PendingRequest::existing(now, &request, server);
         if self.is_listed(server) && self.requests.insert(request.id, existing).is_none() {
@@ -123,9 +128,10 @@
         }
     }
 
-    /// Begins an attempt on a selected server, or queues the request.
+    /// Selects a server for a request, and begins an attempt or requests a permit for it. Queues the request
+    /// if neither is possible now.
     pub(super) fn place(&mut self, now: Time, id: RequestId) -> Placement {
-        if !self.connect_window.has_room() {
+        if !self.connect_window.has_capacity() {
             self.enqueue(now, id);
             return Placement::Blocked;
         }
@@ -133,7 +139,7 @@
             self.enqueue(now, id);
             return Placement::Postponed;
         }
-        // Taken out meanwhile, as it would be looked up for each sample.
+        // The request is moved out of the map during the selection, to avoid a look-up for each sample.
         let request = std::mem::take(self.request_mut(id));
         let selected = self.select_server(now, &request);
         let is_restricted = request.may_have_been_executed();
@@ -164,8 +170,9 @@
         self.place_queued(now);
     }
 
-    /// Tries queued requests again. Those that have waited for long are answered while the client still has time to go
-    /// elsewhere. Once one is blocked, the others are not tried: there may be many.
+    /// Tries to place queued requests. Requests that have waited too long receive their final answer while
+    /// the client still has time to try another gateway. Once one request is blocked, the others are not
+    /// tried, since there may be many.
     pub(super) fn place_queued(&mut self, now: Time) {
         let mut is_blocked = false;
         for id in self.queue.take_all() {
@@ -181,7 +188,8 @@
         }
     }
 
-    /// Takes a connect out of the window. A slow one on a server that stands out says nothing of the others.
+    /// Removes a connect from the connect window and adjusts the window's size. A slow connect to an avoided
+    /// server is no sign of congestion at the other servers, so it counts like a fast one.
     pub(super) fn record_connect(&mut self, now: Time, server: ServerId, is_fast: bool) {
         self.connect_window.end();
         if is_fast || self.is_avoided(now, server) {
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -1,5 +1,7 @@
-//! Which servers hold connections of a group. Each server that holds some of a group pays for the whole group, so that
-//! further ones are better sent there.
+//! Affinity of groups to servers: the servers that have connections of each group.
+//!
+//! A server that has any connections of a group bears the cost of the entire group. Therefore further
+//! connections of the group are preferably sent to the same server.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +13,14 @@
     server: ServerId,
 }
 
-/// A server and how many connections of a group it holds.
+/// Server, and the number of its connections that belong to a group.
 #[derive(Clone, Copy)]
 pub(super) struct GroupShare {
     pub(super) server: ServerId,
     pub(super) connections: u32,
 }
 
-/// How many connections of each group this gateway holds on each server.
+/// Number of this gateway's connections by group and server.
 #[derive(Default)]
 pub(super) struct GroupConnections {
     counts: BTreeMap<GroupOnServer, u32>,
@@ -39,7 +41,7 @@
         }
     }
 
-    /// The servers that hold connections of the group, in the order of their ids.
+    /// Returns the servers that have connections of the group, in the order of their ids.
     pub(super) fn servers_of(&self, group: GroupId) -> impl Iterator<Item = GroupShare> {
         let first = GroupOnServer { group, server: ServerId(0) };
         let last = GroupOnServer { group, server: ServerId(u32::MAX) };
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,11 +1,11 @@
-//! Attempts and the connections that come of them, from the begin to the end, and their counts.
+//! Attempts and the connections established by them, from beginning to end, and the connection counts.
 
 use super::Balancer;
 use super::admission::is_fast_connect;
 use super::interface::{Action, GroupId, Outcome, RequestId, ServerId, Span, Time};
 
 impl Balancer {
-    /// Sends a request to a server.
+    /// Begins an attempt: sends a request to a server.
     pub(super) fn begin_attempt(&mut self, now: Time, id: RequestId, server: ServerId) {
         let timeout = self.attempt_timeout(now, &self.requests[&id]);
         let permit = self.next_permit(now, server);
@@ -18,7 +18,7 @@
         self.actions.push(Action::Attempt { id, server, timeout });
     }
 
-    /// Counts an attempt as established; the request is answered by it.
+    /// Records that the connection of an attempt is established, which answers the request.
     pub(super) fn handle_established(&mut self, now: Time, id: RequestId, attempt: u32, elapsed: Span) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(server) = request.establish(attempt) else { return };
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Ends an attempt or connection: counts it out, judges its server, and retries the request if it is not done.
+    /// Ends an attempt or connection: updates the connection counts and the outlier state of the server, and
+    /// retries the request if it is not done.
     pub(super) fn handle_attempt_ended(
         &mut self,
         now: Time,
@@ -62,7 +63,8 @@
         self.place_queued(now);
     }
 
-    /// Takes a connect that failed out of the window. Only errors and timeouts are signs of congestion.
+    /// Removes a connect that was not successful from the connect window. Only failures and timeouts are
+    /// signs of congestion.
     fn record_failed_connect(&mut self, now: Time, server: ServerId, outcome: Outcome) {
         match outcome {
             Outcome::Failed | Outcome::TimedOut => self.record_connect(now, server, false),
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: its updates, the servers that may be used, and when to poll again after a failure.
+//! The endpoint list: its updates, the servers that may be used, and the time of the next poll after a
+//! failure.
 
 use rand::Rng;
 
@@ -7,25 +8,28 @@
 use super::server::Server;
 use super::timer::Timer;
 
-/// The first subscription after a start is spread over this share of the poll limit, as all gateways restart together.
+/// Maximum random delay of the first subscription after a start, as a share of the poll limit. The delay
+/// spreads the load, since all gateways may restart at the same time.
 const INITIAL_SUBSCRIBE_JITTER_SHARE: f64 = 0.1;
-/// First wait after a failure, as a share of the longest; doubles each time.
+/// First wait after a failed poll, as a share of the longest wait. The wait doubles with each failure.
 const POLL_BACKOFF_BASE_SHARE: f64 = 0.1;
+/// Maximum number of doublings of the wait after a failed poll.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 6;
-/// Part of the time in which a change has to be known here that may pass before the next poll.
+/// Longest wait before the next poll, as a share of the time within which a change must be known at the
+/// gateway.
 pub const MAX_POLL_WAIT_SHARE: f64 = 0.5;
-/// Longest wait between two polls: a call may take another 3 s before the list is too old to be used
-/// (`discovery::MAX_LIST_STALENESS`).
+/// Longest wait between two polls. After this wait, a call may take another 3 s before the list is too old to
+/// be used (`discovery::MAX_LIST_STALENESS`).
 pub const MAX_POLL_WAIT: Span = Span::from_micros(3_000_000);
 
-/// All servers that a list has ever named, and which of them may be used.
+/// State of all servers that have ever been in the endpoint list, and the subsets that may be used.
 #[derive(Default)]
 pub(super) struct ServerRecords {
-    /// By the number of their ids.
+    /// Servers, indexed by the number of their ids.
     servers: Vec<Option<Server>>,
-    /// Those listed as ready, in the order of their ids.
+    /// Servers that are listed as ready, in the order of their ids.
     ready: Vec<ServerId>,
-    /// Those of them that are warming up.
+    /// Ready servers that are warming up, in the order of their ids.
     warming: Vec<ServerId>,
     refreshed_at: Time,
     consecutive_failures: u32,
@@ -36,21 +40,25 @@
         self.servers.get(id.0 as usize).is_some_and(Option::is_some)
     }
 
+    /// Returns the state of a server.
+    ///
     /// # Panics
     ///
-    /// Panics if no list has named the server.
+    /// Panics if the server has never been in the endpoint list.
     pub(super) fn server(&self, id: ServerId) -> &Server {
-        self.servers[id.0 as usize].as_ref().expect("servers in use have been listed")
+        self.servers[id.0 as usize].as_ref().expect("servers in use have been in the endpoint list")
     }
 
+    /// Returns the mutable state of a server.
+    ///
     /// # Panics
     ///
-    /// Panics if no list has named the server.
+    /// Panics if the server has never been in the endpoint list.
     pub(super) fn server_mut(&mut self, id: ServerId) -> &mut Server {
-        self.servers[id.0 as usize].as_mut().expect("servers in use have been listed")
+        self.servers[id.0 as usize].as_mut().expect("servers in use have been in the endpoint list")
     }
 
-    /// All servers, in the order of their ids.
+    /// Returns all servers, in the order of their ids.
     pub(super) fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().flatten()
     }
@@ -73,7 +81,8 @@
         }
     }
 
-    /// Takes over an entry. A start time that was not known yet tells of a new process.
+    /// Applies an entry of the endpoint list. A start time that differs from the known one means a new
+    /// process.
     fn update(&mut self, now: Time, entry: EndpointEntry) {
         let index = entry.server.0 as usize;
         self.servers.resize_with(self.servers.len().max(index + 1), || None);
@@ -99,7 +108,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Counts a failure; returns the wait before the next poll, without jitter.
+    /// Counts a failed poll; returns the wait before the next poll, without jitter.
     fn record_failure(&mut self, longest: Span) -> Span {
         let doublings = self.consecutive_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         let share = (POLL_BACKOFF_BASE_SHARE * f64::from(1 << doublings)).min(1.0);
@@ -112,7 +121,7 @@
     pub(super) fn handle_list_update(&mut self, now: Time, update: ListUpdate, entries: Vec<EndpointEntry>) {
         match update {
             ListUpdate::WatchFailed => return self.handle_watch_failure(now),
-            // What a complete list lacks has been removed.
+            // Servers that are missing from a complete list have been removed.
             ListUpdate::Snapshot | ListUpdate::Cached => self.endpoints.mark_all_removed(),
             ListUpdate::Delta => {}
         }
@@ -126,13 +135,14 @@
         self.place_queued(now);
     }
 
-    /// Looks up which servers are ready, and which of them are warming up.
+    /// Updates the sets of ready servers and of those that are warming up.
     pub(super) fn refresh_ready(&mut self, now: Time) {
         let slow_start_time = self.slow_start_time();
         self.endpoints.refresh(now, slow_start_time);
     }
 
-    /// Spreads the first subscriptions: all gateways restart together, and the list service has one fixed capacity.
+    /// Schedules the first subscription with a random delay, because all gateways may restart at the same
+    /// time and the list service has a fixed capacity.
     pub(super) fn schedule_first_subscription(&mut self, now: Time) {
         if self.settings.discovery == DiscoveryMode::OnRequest {
             let share = INITIAL_SUBSCRIBE_JITTER_SHARE * self.rng.random::<f64>();
@@ -141,8 +151,8 @@
         }
     }
 
-    /// Polls again with backoff and jitter, often enough that an answer can come before a change counts as known. A
-    /// pushed change counts at once.
+    /// Schedules the next poll with backoff and jitter, early enough that its answer can arrive within the
+    /// time in which a change must be known. A pushed change counts as known at once.
     fn handle_watch_failure(&mut self, now: Time) {
         let limit = match self.settings.discovery {
             DiscoveryMode::Pushed => self.settings.drain_grace,
@@ -153,8 +163,8 @@
         self.set_timer(Timer::Subscribe, now + wait.scale(jitter));
     }
 
-    /// Starts the slow start of a server that operators have put back: the list may not tell of a restart. Permits
-    /// issued before are void, and the next request goes there.
+    /// Begins the slow start of a server that operators have uncordoned, because the endpoint list may not
+    /// show a restart. Permits issued before become void, and the next request is sent to the server.
     pub(super) fn handle_uncordoned(&mut self, now: Time, id: ServerId) {
         let known_start = self.server(id).started_at().filter(|_| self.is_warming_up(now, id));
         let started_at = known_start.unwrap_or(now);
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -1,8 +1,8 @@
 //! The interface of the decision module: ids, time, settings, events and actions.
 //!
-//! The interface contains data only, no decisions. Times are integer microseconds. Ids are opaque numbers that may only
-//! be compared for equality. Each numeric field of the settings states its unit in its name, its type or its
-//! documentation.
+//! The interface contains data only, no decisions. Times are integer microseconds. Ids are opaque numbers
+//! that may only be compared for equality. Each numeric field of the settings states its unit in its name,
+//! its type or its documentation.
 
 mod actions;
 mod events;
--- a/src/decision/interface/actions.rs
+++ b/src/decision/interface/actions.rs
@@ -51,7 +51,8 @@
         /// The warming server.
         server: ServerId,
     },
-    /// Checks a server's health. The module doesn't request health checks: slow responses reveal overload at no cost.
+    /// Checks a server's health. The module doesn't request health checks: slow responses reveal overload at
+    /// no cost.
     CheckHealth {
         /// The server to check.
         server: ServerId,
--- a/src/decision/interface/events.rs
+++ b/src/decision/interface/events.rs
@@ -89,8 +89,8 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The gateway's machine had no free port, file descriptor or buffer. The request was not executed, and the outcome
-    /// is no evidence about the server.
+    /// The gateway's machine had no free port, file descriptor or buffer. The request was not executed, and
+    /// the outcome is no evidence about the server.
     LocalFailure,
 }
 
--- a/src/decision/interface/ids.rs
+++ b/src/decision/interface/ids.rs
@@ -34,8 +34,8 @@
 impl GroupId {
     /// Returns the group's weight for the server with this hash, for rendezvous hashing.
     ///
-    /// The weight is computed with the finalizer of SplitMix64, so that it is equal at all gateways, independent of the
-    /// compiler and libraries they are built with.
+    /// The weight is computed with the finalizer of SplitMix64, so that it is equal at all gateways,
+    /// independent of the compiler and libraries they are built with.
     pub fn rendezvous_hash(self, server_hash: u32, round: u32) -> u64 {
         let salt = u64::from(round).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mixed = ((u64::from(self.0) << 32) | u64::from(server_hash)) ^ salt;
--- a/src/decision/interface/settings.rs
+++ b/src/decision/interface/settings.rs
@@ -7,12 +7,13 @@
 pub enum Idempotency {
     /// The request may be repeated on any server.
     Idempotent,
-    /// The request has an idempotency key. Some servers recognise a repeat by the key for a limited time, and drop it.
+    /// The request has an idempotency key. Some servers recognise a repeat by the key for a limited time, and
+    /// drop it.
     WithKey {
         /// Servers that recognise the key.
         scope: DeduplicationScope,
-        /// Idempotency window: the time for which they recognise the key, from the sending of the first attempt that may
-        /// have been executed.
+        /// Idempotency window: the time for which they recognise the key, from the sending of the first
+        /// attempt that may have been executed.
         remembered_for: Span,
     },
     /// The request must not be repeated once an attempt may have been executed.
@@ -35,7 +36,8 @@
 pub struct RequestClass {
     /// Time within which a connection is to be established.
     pub latency_objective: Span,
-    /// Time within which a message on the connection is to be answered; zero if the class states no objective.
+    /// Time within which a message on the connection is to be answered; zero if the class states no
+    /// objective.
     pub message_latency_objective: Span,
     /// Priority weight of a request, or of one second of its connection, relative to other classes.
     pub priority_weight: f64,
@@ -43,8 +45,8 @@
     pub idempotency: Idempotency,
 }
 
-/// Tenant that shares the fleet with others. Only the sum of all quotas is used, to estimate the number of connections
-/// that fill a server.
+/// Tenant that shares the fleet with others. Only the sum of all quotas is used, to estimate the number of
+/// connections that fill a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Quota of requests per second over all gateways.
@@ -69,11 +71,13 @@
     Off,
     /// The weight is the server's registered or approximate capacity.
     Nominal,
-    /// The weight is the server's capacity divided by one plus its requests in progress per core, with a short delay.
+    /// The weight is the server's capacity divided by one plus its requests in progress per core, with a
+    /// short delay.
     Live,
 }
 
-/// Prices that the simulator subtracts from the result of a run for each action, as a share of the total result.
+/// Prices that the simulator subtracts from the result of a run for each action, as a share of the total
+/// result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// Price of each attempt that crosses zones, per first attempt.
@@ -119,8 +123,8 @@
     pub cancellation: bool,
     /// Time after the client's deadline within which a final answer still counts.
     pub answer_slack: Span,
-    /// Maximum age of the endpoint list at a gateway without a subscription: the gateway must know every change that
-    /// was listed at least this long ago.
+    /// Maximum age of the endpoint list at a gateway without a subscription: the gateway must know every
+    /// change that was listed at least this long ago.
     pub list_poll_limit: Span,
     /// Time after which a server that is known to be draining or removed must receive no new connections.
     pub drain_grace: Span,
@@ -128,15 +132,16 @@
     pub initial_capacity_share: f64,
     /// Maximum time from a server's start until it has its full capacity.
     pub warm_up_time: Span,
-    /// Multiple of its present capacity above which a warming server is overloaded, if sent for `overload_window`.
+    /// Multiple of its present capacity above which a warming server is overloaded, if sent for
+    /// `overload_window`.
     pub overload_factor: f64,
     /// Time after which a warming server that is sent more than `overload_factor` allows is overloaded.
     pub overload_window: Span,
 }
 
 impl Settings {
-    /// Returns settings of a single gateway in `zone`, without limits, prices or classes, as a base for embedders and
-    /// tests.
+    /// Returns settings of a single gateway in `zone`, without limits, prices or classes, as a base for
+    /// embedders and tests.
     pub fn for_zone(zone: ZoneId) -> Self {
         Self {
             gateways: 1,
--- a/src/decision/interface/time.rs
+++ b/src/decision/interface/time.rs
@@ -40,7 +40,8 @@
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// Multiplies the duration by `ratio`. The result saturates at the bounds of the type, and is zero if `ratio` is NaN.
+    /// Multiplies the duration by `ratio`. The result saturates at the bounds of the type, and is zero if
+    /// `ratio` is NaN.
     pub fn scale(self, ratio: f64) -> Span {
         Span((self.0 as f64 * ratio) as i64)
     }
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -1,4 +1,4 @@
-//! Which established connections are moved off a server, and how many.
+//! Migration: which established connections are moved off a saturated server, and how many.
 
 use std::cmp::Ordering;
 
@@ -8,21 +8,25 @@
 use super::interface::{Action, RequestId, ServerId};
 use super::request::PendingRequest;
 
-/// Share of this gateway's connections to a saturated server that each report of it moves.
+/// Share of this gateway's connections to a server that is migrated with each report that the server is
+/// saturated.
 pub(super) const MIGRATION_SHARE: f64 = 0.1;
-/// Load of a connection where none is known of any, in seconds of standard-core work a second.
+/// Assumed load of a connection if the load of no connection is known, in seconds of standard-core work per
+/// second.
 const DEFAULT_LOAD: f64 = 1.0;
 
-/// An established connection that may be moved.
+/// Established connection that may be migrated.
 struct MigrationCandidate {
     id: RequestId,
-    /// Its priority for each unit of load.
+    /// Priority weight per unit of load.
     value: f64,
+    /// Load in seconds of standard-core work per second.
     load: f64,
 }
 
 impl MigrationCandidate {
-    /// The order in which connections are moved: those of least value first, and the heaviest of these.
+    /// Compares two candidates by the order of migration: lower value first, and of equal values the higher
+    /// load first.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_value = self.value.total_cmp(&other.value);
         by_value.then(other.load.total_cmp(&self.load)).then(self.id.cmp(&other.id))
@@ -30,7 +34,7 @@
 }
 
 impl Balancer {
-    /// This gateway's established connections on a server.
+    /// Returns this gateway's established connections to a server.
     pub(super) fn established_on(
         &self,
         server: ServerId,
@@ -39,8 +43,9 @@
         established.map(|(&id, request)| (id, request))
     }
 
-    /// Moves a small part of the connections off a saturated server, also where there is no other one, so that the rest
-    /// are served. A part of a connection is rounded at random.
+    /// Migrates a small share of the connections off a saturated server, so that the remaining ones are
+    /// served. This happens even if there is no other server. A fractional number of connections is rounded
+    /// at random.
     pub(super) fn migrate_share(&mut self, server: ServerId) {
         let share = MIGRATION_SHARE * f64::from(self.server(server).open_connections());
         let mut candidates = self.migration_candidates(server);
@@ -62,7 +67,7 @@
         candidates
     }
 
-    /// The mean of all connections whose load is known.
+    /// Returns the mean load of the connections whose load is known, or [`DEFAULT_LOAD`] if no load is known.
     fn mean_load(&self) -> f64 {
         let loads = || self.requests.values().filter_map(PendingRequest::load);
         let mean = loads().sum::<f64>() / loads().count() as f64;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,21 +1,27 @@
-//! The decisions of a gateway: events and the time come in, actions go out. No socket, no clock.
+//! The decision module of a gateway. Its input is events and the current time, its output is actions. It uses
+//! no socket and no clock.
 //!
 //! A request passes through these modules:
 //!
-//! 1. `admission` places a new request, or queues it while too many connects are in flight or no server is eligible.
-//! 2. `selection` draws two ready servers and takes the one with fewer of this gateway's own connections;
-//!    `affinity` keeps connections of a group together.
-//! 3. `permits` decides whether a server that is warming up can be sent a connection, by the numbers of
-//!    `slow_start`; `recovery` paces one that was saturated.
-//! 4. `attempts` sends the request, and follows the attempt and its connection until the end.
-//! 5. `retry` sends it to another server after a failure, or gives the final answer.
+//! 1. `admission` places a new request, or queues it while too many connects are in flight or no server is
+//!    eligible.
+//! 2. `selection` samples two ready servers and selects the one with fewer of this gateway's own connections.
+//!    `affinity` places connections of a group on the same server.
+//! 3. `permits` decides whether a server that is warming up can be sent a connection, by the schedules of
+//!    `slow_start`. `recovery` limits the rate of connections to a server that was saturated.
+//! 4. `attempts` sends the request, and tracks the attempt and its connection until they end.
+//! 5. `retry` sends the request to another server after a failure, or sends the final answer.
 //!
-//! Around it, `endpoint_list` follows the list of servers, `outlier` avoids those that do worse than others,
-//! `migration` moves connections off a saturated one, and `typical_load` knows how many a server holds usually.
-//! `server` and `request` keep the state; it changes by their methods only.
+//! The other modules do not handle individual requests:
 //!
-//! All random draws come from one generator: their order, and that of the actions, is part of the behaviour, as the
-//! simulator replays it from a seed.
+//! - `endpoint_list` applies updates of the endpoint list.
+//! - `outlier` detects servers that perform worse than others.
+//! - `migration` moves connections off a saturated server.
+//! - `typical_load` estimates the number of connections that a server typically has.
+//! - `server` and `request` contain the state, which changes only through their methods.
+//!
+//! All random numbers come from one generator. The order of draws and of actions is part of the behaviour,
+//! because the simulator replays runs from a seed.
 
 use std::collections::BTreeMap;
 
@@ -52,13 +58,13 @@
 use timer::Timer;
 use typical_load::TypicalLoad;
 
-/// The decisions of one gateway.
+/// Decision module of one gateway.
 pub struct Balancer {
     settings: Settings,
     rng: ChaCha8Rng,
-    /// When the first event came.
+    /// Time of the first event; `None` before it.
     started_at: Option<Time>,
-    /// What is to be done about the event at hand.
+    /// Actions in response to the event that is being handled.
     actions: Vec<Action>,
     endpoints: ServerRecords,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -69,7 +75,7 @@
 }
 
 impl Balancer {
-    /// Starts the decisions of a gateway; `seed` feeds all random draws.
+    /// Creates the decision module of a gateway. `seed` initialises the random number generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
@@ -85,7 +91,8 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in the order in which they are to be
+    /// carried out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
             self.started_at = Some(now);
@@ -96,7 +103,7 @@
     }
 
     fn dispatch(&mut self, now: Time, event: Event) {
-        // A report of a server that no list has named says nothing.
+        // A report about a server that has never been in the endpoint list is ignored.
         if event.reported_server().is_some_and(|server| !self.is_listed(server)) {
             return;
         }
@@ -134,18 +141,19 @@
         }
     }
 
-    /// Takes over what another process of this gateway reports: the two count as one.
+    /// Records the state that a sibling process reports. The connections of both processes count as those of
+    /// one gateway.
     fn handle_sibling_state(&mut self, now: Time, server: ServerId, state: &SiblingState) {
         self.record_sibling_permit(now, server, state.last_used_permit);
         self.server_mut(server).record_sibling(state);
     }
 
-    /// Returns how many connections of this gateway a server has, attempts included.
+    /// Returns the number of connections that this process has to a server, attempts included.
     pub fn open_connections(&self, server: ServerId) -> u32 {
         if self.is_listed(server) { self.server(server).open_connections() } else { 0 }
     }
 
-    /// Returns what another process of this gateway has to know of a server.
+    /// Returns the state of a server that is reported to sibling processes.
     pub fn sibling_state(&self, server: ServerId) -> SiblingState {
         if self.is_listed(server) { self.server(server).sibling_state() } else { SiblingState::default() }
     }
@@ -171,6 +179,6 @@
     }
 
     fn request_mut(&mut self, id: RequestId) -> &mut PendingRequest {
-        self.requests.get_mut(&id).expect("a request that is being placed is known")
+        self.requests.get_mut(&id).expect("a request that is being placed has a state")
     }
 }
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,4 +1,5 @@
-//! Servers that do worse than others: ejection after failures, slow and saturated responses, shedding, silence.
+//! Detection of outliers, servers that perform worse than others: ejection after failures, slow or saturated
+//! responses, load shedding, and silence.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -6,53 +7,59 @@
 use super::Balancer;
 use super::interface::{Action, Outcome, RequestId, ServerId, Span, Time};
 
-/// Failures in a row that eject a server.
+/// Number of consecutive failures that eject a server.
 const OUTLIER_CONSECUTIVE_FAILURES: u32 = 2;
-/// First ejection, as a share of the warm-up time; doubles with each [`OUTLIER_CONSECUTIVE_FAILURES`] further failures
-/// in a row, up to all of it.
+/// Duration of the first ejection, as a share of the warm-up time. The duration doubles with each
+/// [`OUTLIER_CONSECUTIVE_FAILURES`] further consecutive failures, up to the entire warm-up time.
 const INITIAL_EJECTION_SHARE: f64 = 0.1;
-/// Most doublings of an ejection, plus one.
+/// Maximum number of doublings of the ejection duration, plus one.
 const MAX_EJECTION_STEPS: u32 = 8;
 
-/// A server is slow when a response takes this share of the shortest objective for messages.
+/// Response time from which a server is slow, as a share of the shortest latency objective for messages.
 const SLOW_RESPONSE_SHARE: f64 = 0.34;
-/// A server is saturated when a response takes this share of it: one more connection there would be of no use.
+/// Response time from which a server is saturated, as a share of the shortest latency objective for messages.
+/// A further connection to a saturated server would be of no use.
 const SATURATED_RESPONSE_SHARE: f64 = 0.67;
-/// How often the response time of a slow server is reported.
+/// Interval between two reports of a slow server's response time.
 pub(super) const RESPONSE_TIME_INTERVAL: Span = Span::from_micros(1_000_000);
-/// Reports that must be missing before a slow server is used again; up to one more, at random.
+/// Number of report intervals without a report after which a slow server is used again. A random number from
+/// 0 to 1 is added.
 const SLOW_INTERVALS: f64 = 1.5;
 
-/// Connections that a server must drop within [`DROP_WINDOW`] to count as shedding load.
+/// Number of established connections that a server must drop within [`DROP_WINDOW`] to count as shedding
+/// load.
 const SHEDDING_DROPS: f64 = 3.0;
+/// Time within which dropped connections are counted.
 const DROP_WINDOW: Span = Span::from_micros(2_000_000);
-/// First time for which a shedding server is avoided, as a share of the warm-up time. It doubles each time that the
-/// server sheds again within a warm-up time.
+/// First time for which a shedding server is avoided, as a share of the warm-up time. The time doubles each
+/// time that the server sheds load again within a warm-up time.
 const INITIAL_SHEDDING_SHARE: f64 = 0.1;
 /// Longest time for which a shedding server is avoided, as a share of the warm-up time.
 const MAX_SHEDDING_SHARE: f64 = 0.5;
+/// Maximum number of doublings of the time for which a shedding server is avoided.
 const MAX_SHEDDING_DOUBLINGS: u32 = 8;
-/// Estimated capacity of a server that has shed connections, as a share of those that it held before.
+/// Capacity estimate of a server that has shed load, as a share of the connections that it had before.
 const CAPACITY_ESTIMATE_SHARE: f64 = 0.75;
-/// Time after which the estimated capacity has doubled.
+/// Time after which the capacity estimate has doubled.
 const CAPACITY_RECOVERY_TIME: Span = Span::from_micros(40_000_000);
 
-/// A factor between 0.75 and 1.25, so that gateways do not come back to a server together.
+/// Draws a factor between 0.75 and 1.25, so that gateways do not return to a server at the same time.
 fn draw_jitter(rng: &mut ChaCha8Rng) -> f64 {
     0.75 + 0.5 * rng.random::<f64>()
 }
 
-/// Ejection of a server after failures in a row.
+/// Ejection of a server after consecutive failures.
 #[derive(Default)]
 pub(super) struct Ejection {
     consecutive_failures: u32,
     ejected_until: Option<Time>,
-    /// It went silent and has not responded since: it gets one connection at a time.
+    /// Whether the server became silent and has not responded since. On probation it receives one connection
+    /// at a time.
     on_probation: bool,
 }
 
 impl Ejection {
-    /// Whether the server is ejected, given how many connections it has.
+    /// Checks whether the server is ejected, given the number of its open connections.
     pub(super) fn is_ejected(&self, now: Time, open_connections: u32) -> bool {
         (self.on_probation && open_connections > 0) || self.is_waiting(now)
     }
@@ -61,8 +68,9 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Counts failures, and ejects the server once there are enough: each time for longer, up to `longest`.
-    /// Failures of an ejected server are of attempts that began before.
+    /// Counts failures, and ejects the server once there are enough. Each ejection is longer than the one
+    /// before, up to `longest`. Failures of an ejected server are ignored, since their attempts began before
+    /// the ejection.
     fn record_failures(&mut self, now: Time, failures: u32, longest: Span, jitter: f64) {
         if self.is_waiting(now) {
             return;
@@ -77,7 +85,8 @@
         self.ejected_until = Some(now + time.scale(jitter));
     }
 
-    /// A server on probation has to respond: that it takes a connection is not enough.
+    /// Ends the ejection after a success, except on probation: then the server has to respond, and a mere
+    /// established connection is not enough.
     fn record_success(&mut self) {
         if !self.on_probation {
             self.consecutive_failures = 0;
@@ -94,20 +103,20 @@
     }
 }
 
-/// How long a server's responses take, by its last report.
+/// Level of a server's response time, by the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ResponseLevel {
     #[default]
     Normal,
-    /// It is used only if there is no better one.
+    /// The server is used only if there is no better one.
     Slow { until: Time },
-    /// Responses take longer than clients want to wait: it is not used at all.
+    /// Responses take longer than clients are willing to wait. The server receives no new connections.
     Saturated { until: Time },
 }
 
 impl ResponseLevel {
-    /// The level for a response time, where `objective` is the shortest one for messages. It holds until the
-    /// next report is overdue.
+    /// Returns the level of a response time, where `objective` is the shortest latency objective for
+    /// messages. The level applies until `until`, when the next report is overdue.
     fn classify(response_time: Span, objective: Span, until: Time) -> Self {
         if response_time >= objective.scale(SATURATED_RESPONSE_SHARE) {
             ResponseLevel::Saturated { until }
@@ -130,33 +139,34 @@
     }
 }
 
-/// The connections that a server can hold, as far as its shedding shows.
+/// Capacity estimate: the number of connections that a server can have, derived from its load shedding.
 struct CapacityEstimate {
     connections: f64,
-    made_at: Time,
+    estimated_at: Time,
 }
 
 impl CapacityEstimate {
     fn at(&self, now: Time) -> f64 {
-        self.connections * (1.0 + now.since(self.made_at).as_secs() / CAPACITY_RECOVERY_TIME.as_secs())
+        self.connections * (1.0 + now.since(self.estimated_at).as_secs() / CAPACITY_RECOVERY_TIME.as_secs())
     }
 }
 
-/// A server that drops established connections holds more than it can. Those it has dropped make its count the
-/// lowest, so that it would be selected first.
+/// Load shedding of a server. A server that drops established connections has more than its capacity. The
+/// drops lower its connection count, so that without this state the server would be selected first.
 #[derive(Default)]
 pub(super) struct Shedding {
+    /// Number of dropped connections, which decays to zero over [`DROP_WINDOW`].
     recent_drops: f64,
     drops_decayed_at: Time,
     consecutive_sheds: u32,
     shedding_until: Option<Time>,
-    connections_before: u32,
+    connections_before_drops: u32,
     capacity: Option<CapacityEstimate>,
 }
 
 impl Shedding {
-    /// Whether the server is avoided, given how many connections it has.
-    pub(super) fn is_shedding_or_full(&self, now: Time, connections: u32) -> bool {
+    /// Checks whether the server is avoided, given the number of its connections.
+    pub(super) fn is_shedding_or_at_capacity(&self, now: Time, connections: u32) -> bool {
         self.is_shedding(now) || self.is_at_capacity(now, connections)
     }
 
@@ -168,25 +178,27 @@
         self.capacity.as_ref().is_some_and(|capacity| f64::from(connections) >= capacity.at(now))
     }
 
-    /// Counts a dropped connection, of so many that there were, and avoids the server once there are enough drops.
+    /// Counts a dropped connection of a server that had `connections` before the drop, and avoids the server
+    /// once there are enough drops.
     fn record_drop(&mut self, now: Time, connections: u32, warm_up_time: Span, jitter: f64) {
         let decay = SHEDDING_DROPS * (now.since(self.drops_decayed_at).as_secs() / DROP_WINDOW.as_secs());
         if self.recent_drops <= decay {
-            self.connections_before = connections;
+            self.connections_before_drops = connections;
         }
         self.recent_drops = (self.recent_drops - decay).max(0.0) + 1.0;
         self.drops_decayed_at = now;
         if self.recent_drops < SHEDDING_DROPS {
             return;
         }
-        let connections = CAPACITY_ESTIMATE_SHARE * f64::from(self.connections_before);
-        self.capacity = Some(CapacityEstimate { connections, made_at: now });
+        let connections = CAPACITY_ESTIMATE_SHARE * f64::from(self.connections_before_drops);
+        self.capacity = Some(CapacityEstimate { connections, estimated_at: now });
         if !self.is_shedding(now) {
             self.begin(now, warm_up_time, jitter);
         }
     }
 
-    /// Avoids the server for a while, for longer if it shed load not long ago.
+    /// Avoids the server for a limited time, which is longer if the server shed load within the last warm-up
+    /// time.
     fn begin(&mut self, now: Time, warm_up_time: Span, jitter: f64) {
         let is_repeated = self.shedding_until.is_some_and(|until| now.since(until) < warm_up_time);
         self.consecutive_sheds =
@@ -196,14 +208,14 @@
         self.shedding_until = Some(now + time.scale(jitter));
     }
 
-    pub(super) fn end(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.shedding_until = None;
         self.capacity = None;
     }
 }
 
 impl Balancer {
-    /// Draws conclusions about a server from how an attempt or connection ended.
+    /// Updates the outlier state of a server by the outcome of an attempt or connection.
     pub(super) fn record_outcome(&mut self, now: Time, id: ServerId, outcome: Outcome, established: bool) {
         match outcome {
             Outcome::Ok => self.record_success(id),
@@ -234,7 +246,8 @@
         server.shedding.record_drop(now, connections, warm_up_time, jitter);
     }
 
-    /// A silent server serves nobody: it is ejected, and all connections of this gateway are moved off it at once.
+    /// Ejects a silent server, which serves no clients, and migrates all connections of this gateway off it
+    /// at once.
     pub(super) fn handle_silent_server(&mut self, now: Time, id: ServerId) {
         self.record_failures(now, id, OUTLIER_CONSECUTIVE_FAILURES);
         self.server_mut(id).ejection.begin_probation();
@@ -242,8 +255,9 @@
         self.actions.extend(affected.into_iter().map(|id| Action::Migrate { id }));
     }
 
-    /// A server with slow responses is overloaded: it is avoided until a better report comes, or none. A part of the
-    /// connections is moved off one that is saturated.
+    /// Records a report of a server's response time. A server with slow responses is overloaded, so it is
+    /// avoided until a better report arrives or the next report is overdue. A share of the connections is
+    /// migrated off a saturated server.
     pub(super) fn handle_slow_responses(&mut self, now: Time, id: ServerId, response_time: Span) {
         let classes = self.settings.classes.iter();
         let objective = classes.map(|class| class.message_latency_objective).min().unwrap_or_default();
@@ -256,7 +270,7 @@
         server.response_level = level;
         if matches!(level, ResponseLevel::Saturated { .. }) {
             let initial_tokens = self.rng.random::<f64>();
-            self.server_mut(id).saturate(now, initial_tokens);
+            self.server_mut(id).mark_saturated(now, initial_tokens);
             self.migrate_share(id);
         }
     }
--- a/src/decision/permits.rs
+++ b/src/decision/permits.rs
@@ -1,22 +1,27 @@
 //! Permits to send a connection to a server that is warming up.
 //!
-//! Such a server holds nothing, so it wins every comparison at every gateway. It gets what one of two kinds of permits
-//! admits. Where gateways answer each other, one permit a connection is requested from those that grant them for the
-//! whole fleet: a part of them for each gateway would be less than one connection, and unused where clients stay.
-//! Otherwise, and while nobody answers, each gateway uses its own numbered permits: all of them where there are no
-//! peers, and what `GRANTED_SHARE` of `slow_start` leaves where there are, which is the first permit of a server alone.
+//! A warming server has no connections at first, so that every gateway would select it. Therefore it receives
+//! only the connections that permits admit. There are two kinds of permits:
+//!
+//! - If gateways answer each other, a gateway requests one fleet permit per connection from the gateways that
+//!   grant permits for the entire fleet. A fixed share of the permits for each gateway would be less than one
+//!   connection, and would remain unused at gateways whose clients stay connected.
+//! - Otherwise, and while no grantor answers, each gateway uses its own numbered permits. If there are no
+//!   peers, these are all permits. If there are peers, they are the permits that `GRANTED_SHARE` in
+//!   `slow_start` leaves, which is only the first permit of a server.
 
 use super::Balancer;
 use super::interface::{Action, PermitReply, RequestId, ServerId, Span, Time};
 use super::selection::CandidateRank;
 use super::slow_start::{PermitHolder, PermitSchedule};
 
-/// For this long a gateway that nobody answers uses its own permits.
+/// Time for which a gateway uses its own permits after no grantor answered a request.
 const GRANTORS_UNREACHABLE_TIME: Span = Span::from_micros(1_000_000);
-/// Multiple of the warm-up time in which a server is paced; else all gateways would turn to it just after.
+/// Time after a server's start in which its new connections need permits, as a multiple of the warm-up time.
+/// If the time ended with the warm-up, all gateways would select the server at that moment.
 const SLOW_START_FACTOR: f64 = 2.0;
 
-/// This gateway's permit of the fleet for one server.
+/// State of this gateway's fleet permit for one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum FleetPermit {
     #[default]
@@ -27,15 +32,16 @@
     },
 }
 
-/// What this gateway may send a server that is warming up.
+/// Permits of this gateway for one server that is warming up.
 #[derive(Default)]
 pub(super) struct ServerPermits {
     fleet_permit: FleetPermit,
     next_request_at: Time,
     grantors_unreachable_until: Time,
-    /// Whether the fleet holds fewer connections there than on others, as its grantors say.
+    /// Whether the server has fewer connections from the fleet than other servers have, as reported by the
+    /// grantors.
     below_fair_share: bool,
-    /// The last numbered permit that this gateway has used.
+    /// Number of the last of its own permits that this gateway has used.
     last_used: u64,
 }
 
@@ -48,7 +54,7 @@
         self.last_used = permit;
     }
 
-    /// Whether a fleet permit can be requested now.
+    /// Checks whether a fleet permit can be requested now.
     pub(super) fn may_request(&self, now: Time) -> bool {
         self.fleet_permit != FleetPermit::Requested && now >= self.next_request_at
     }
@@ -61,7 +67,7 @@
         matches!(self.fleet_permit, FleetPermit::Granted { until } if now < until)
     }
 
-    fn drop_expired(&mut self, now: Time) {
+    fn release_if_expired(&mut self, now: Time) {
         if self.has_fleet_permit() && !self.has_valid_fleet_permit(now) {
             self.fleet_permit = FleetPermit::None;
         }
@@ -88,21 +94,22 @@
         }
     }
 
-    fn give_up_fleet_permit(&mut self) {
+    fn release_fleet_permit(&mut self) {
         if self.has_fleet_permit() {
             self.fleet_permit = FleetPermit::None;
         }
     }
 
-    /// Uses the fleet permit in hand, and this numbered one, if any.
+    /// Marks the granted fleet permit as used, and also the numbered permit, unless it is `None`.
     pub(super) fn use_permit(&mut self, numbered: Option<u64>) {
-        self.give_up_fleet_permit();
+        self.release_fleet_permit();
         self.last_used = numbered.unwrap_or(self.last_used);
     }
 
-    /// Starts over for a new process of the server. Numbered permits used remain so if it is the one known already.
+    /// Resets the permits for a new process of the server. If the start of that process was known before
+    /// (`is_same_start`), numbered permits that were used remain used.
     pub(super) fn restart(&mut self, now: Time, is_same_start: bool) {
-        self.give_up_fleet_permit();
+        self.release_fleet_permit();
         self.next_request_at = now;
         self.below_fair_share = true;
         if !is_same_start {
@@ -112,7 +119,7 @@
 }
 
 impl Balancer {
-    /// For how long after its start a server is paced.
+    /// Returns the time after a server's start in which its new connections need permits.
     pub(super) fn slow_start_time(&self) -> Span {
         self.settings.warm_up_time.scale(SLOW_START_FACTOR)
     }
@@ -121,31 +128,32 @@
         self.server(id).is_warming_up(now, self.slow_start_time())
     }
 
-    /// Whether a server can be sent a connection now, or a permit for one be requested.
+    /// Checks whether a connection to the server can be sent now, or a permit for one can be requested.
     pub(super) fn admits_connection(&mut self, now: Time, id: ServerId) -> bool {
         if self.uses_fleet_permits(now, id) {
             let permits = &mut self.server_mut(id).permits;
-            permits.drop_expired(now);
+            permits.release_if_expired(now);
             return permits.has_fleet_permit() || permits.may_request(now);
         }
         let has_permit = !self.is_warming_up(now, id) || self.next_permit(now, id).is_some();
         has_permit && self.recovery_admits(now, id)
     }
 
-    /// Whether connections to a server need permits of the fleet.
+    /// Checks whether connections to the server need fleet permits.
     fn uses_fleet_permits(&self, now: Time, id: ServerId) -> bool {
         self.settings.fleet_permits
             && now >= self.server(id).permits.grantors_unreachable_until
             && self.is_warming_up(now, id)
     }
 
-    /// Whether a fleet permit has to be requested before a connection to this server.
+    /// Checks whether a fleet permit has to be requested before a connection to the server is sent.
     pub(super) fn needs_fleet_permit(&self, now: Time, id: ServerId) -> bool {
         self.uses_fleet_permits(now, id) && !self.server(id).permits.has_fleet_permit()
     }
 
-    /// This gateway's next numbered permit for a server that is warming up. All gateways number them by the server's
-    /// age, so that no two have the same.
+    /// Returns this gateway's next numbered permit for a server that is warming up; `None` if it has no
+    /// permit now or the server needs none. All gateways number the permits by the server's age, so that no
+    /// two gateways use the same one.
     pub(super) fn next_permit(&self, now: Time, id: ServerId) -> Option<u64> {
         let server = self.server(id);
         let server_started_at = server.started_at().filter(|_| self.is_warming_up(now, id))?;
@@ -156,14 +164,14 @@
         schedule.next_permit(now, server_started_at, self.last_fleet_connections_when_full(), holder).ok()
     }
 
-    /// How many numbered permits have been issued for a server that started then.
+    /// Returns the number of numbered permits issued so far for a server that started at `started_at`.
     pub(super) fn permits_issued(&mut self, now: Time, started_at: Time) -> u64 {
         let schedule = PermitSchedule::ungranted_permits(&self.settings);
         let age = now.since(started_at);
         schedule.permits_issued(age, self.fleet_connections_when_full(now)) as u64
     }
 
-    /// Counts a numbered permit that another process of this gateway has used as used here.
+    /// Records a numbered permit that a sibling process has used as used in this process, too.
     pub(super) fn record_sibling_permit(&mut self, now: Time, id: ServerId, reported: u64) {
         let schedule = PermitSchedule::ungranted_permits(&self.settings);
         let connections_when_full = self.fleet_connections_when_full(now);
@@ -180,7 +188,8 @@
         self.actions.push(Action::RequestPermit { server });
     }
 
-    /// The request that waits for this permit goes there, or elsewhere without it.
+    /// Handles the reply to a permit request. The request that waits for the permit is sent to the server if
+    /// the permit was granted and is usable, and is placed anew otherwise.
     pub(super) fn handle_permit_reply(&mut self, now: Time, server: ServerId, reply: PermitReply) {
         self.server_mut(server).permits.handle_reply(now, reply);
         let mut waiting = self.requests.iter().filter(|(_, request)| request.awaits_permit_from(server));
@@ -196,7 +205,7 @@
         }
     }
 
-    /// Whether a warming server holds fewer connections than others, as far as is known here.
+    /// Checks whether a warming server has fewer connections than others, as far as this gateway knows.
     pub(super) fn is_below_fair_share(&self, now: Time, id: ServerId) -> bool {
         if self.uses_fleet_permits(now, id) {
             self.server(id).permits.below_fair_share
--- a/src/decision/recovery.rs
+++ b/src/decision/recovery.rs
@@ -1,18 +1,20 @@
-//! Recovery of a server that was saturated: what it is sent is paced by a token bucket.
+//! Recovery ramp of a server that was saturated: a token bucket limits the rate of new connections to it.
 //!
-//! The connections that all gateways moved off it wait to come back at once; they would saturate it again.
+//! Without the limit, the connections that all gateways migrated off the server would return at once and
+//! saturate it again.
 
 use super::Balancer;
 use super::interface::{ServerId, Time};
 use super::migration::MIGRATION_SHARE;
 use super::outlier::RESPONSE_TIME_INTERVAL;
 
-/// Pace of the connections that come back, as a share of the pace at which they were moved off.
+/// Rate of new connections during the recovery, as a share of the rate at which connections were migrated
+/// off.
 const RECOVERY_RATE_SHARE: f64 = 0.5;
-/// Capacity of the bucket, as a share of what the rate gives within the overload window.
+/// Capacity of the bucket, as a share of the tokens that are added within the overload window.
 const RECOVERY_BURST_SHARE: f64 = 0.25;
 
-/// Connections that a recovering server may be sent now.
+/// Token bucket of a recovering server. One token admits one connection.
 #[derive(Default)]
 pub(super) struct RecoveryBucket {
     tokens: f64,
@@ -24,7 +26,8 @@
         self.tokens
     }
 
-    /// Adds what has come since the last refill, up to `burst`. `rate` is in connections a second.
+    /// Adds the tokens due since the last refill, up to `burst` tokens in total. `rate` is in tokens per
+    /// second.
     fn refill(&mut self, now: Time, rate: f64, burst: f64) {
         let elapsed = now.since(self.refilled_at).as_secs();
         self.tokens = (self.tokens + rate * elapsed).min(burst);
@@ -35,7 +38,7 @@
         self.tokens >= 1.0
     }
 
-    pub(super) fn take(&mut self) {
+    pub(super) fn take_token(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
@@ -50,7 +53,8 @@
 }
 
 impl Balancer {
-    /// Whether a server that may be recovering can be sent a connection now.
+    /// Checks whether the recovery ramp admits a connection to the server now. A server that is not
+    /// recovering is always admitted.
     pub(super) fn recovery_admits(&mut self, now: Time, id: ServerId) -> bool {
         if !self.is_recovering(now, id) {
             return true;
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,38 +1,39 @@
-//! What is kept of one request.
+//! State of one request.
 
 use super::interface::{ClassId, GroupId, Outcome, Request, ServerId, Span, Time};
 
-/// An attempt or a connection that has not ended.
+/// Attempt or connection that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptInFlight {
     pub(super) server: ServerId,
     pub(super) established: bool,
 }
 
-/// The first attempt that the server may have executed.
+/// First attempt of a request that a server may have executed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PossibleExecution {
     pub(super) server: ServerId,
     pub(super) sent_at: Time,
 }
 
-/// A request from its arrival until it is answered and its last attempt has ended.
+/// State of a request, from its arrival until it is answered and its last attempt has ended.
 #[derive(Default)]
 pub(super) struct PendingRequest {
     pub(super) class: ClassId,
     pub(super) group: Option<GroupId>,
     arrived_at: Time,
     deadline: Time,
-    /// Whether the final answer has been given, or is no longer due.
+    /// Whether the final answer has been sent, or is no longer due.
     answered: bool,
     attempts: u32,
     attempt_in_flight: Option<AttemptInFlight>,
     attempted_servers: Vec<ServerId>,
     first_execution: Option<PossibleExecution>,
     last_sent_at: Time,
-    /// Its load, where known: expected at first, then as reported.
+    /// Load in seconds of standard-core work per second: the expected load at first, then the reported load;
+    /// `None` if unknown.
     load: Option<f64>,
-    /// No further attempt before this.
+    /// Earliest time of the next attempt.
     retry_at: Time,
     awaiting_permit_from: Option<ServerId>,
 }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A connection that was open before this module started.
+    /// Returns the state of a connection that was open before the decision module started.
     pub(super) fn existing(now: Time, request: &Request, server: ServerId) -> Self {
         Self {
             answered: true,
@@ -88,7 +89,7 @@
         self.first_execution
     }
 
-    /// Whether a server may have executed one of its attempts.
+    /// Checks whether a server may have executed one of the request's attempts.
     pub(super) fn may_have_been_executed(&self) -> bool {
         self.first_execution.is_some()
     }
@@ -101,7 +102,7 @@
         self.attempt_in_flight.is_some_and(|attempt| attempt.established && attempt.server == server)
     }
 
-    /// Whether it waits for an attempt to begin.
+    /// Checks whether the request is unanswered and has no attempt in flight.
     pub(super) fn awaits_attempt(&self) -> bool {
         !self.answered && !self.has_attempt_in_flight()
     }
@@ -110,15 +111,15 @@
         self.awaiting_permit_from == Some(server) && !self.answered
     }
 
-    /// Whether the backoff after its last attempt is over.
+    /// Checks whether the backoff after the last attempt is over.
     pub(super) fn is_retry_due(&self, now: Time) -> bool {
         now >= self.retry_at
     }
 
-    /// Whether it has waited for this share of the time that its client gave it.
+    /// Checks whether the request has waited for this share of the time from its arrival to its deadline.
     pub(super) fn has_waited(&self, now: Time, share: f64) -> bool {
-        let patience = self.deadline.since(self.arrived_at);
-        now >= self.arrived_at + patience.scale(share)
+        let time_allowed = self.deadline.since(self.arrived_at);
+        now >= self.arrived_at + time_allowed.scale(share)
     }
 
     pub(super) fn begin_attempt(&mut self, now: Time, server: ServerId) {
@@ -128,8 +129,8 @@
         self.attempt_in_flight = Some(AttemptInFlight { server, established: false });
     }
 
-    /// Marks this attempt as established and the request as answered; returns its server, or nothing where it is not
-    /// the attempt in flight.
+    /// Marks the attempt as established and the request as answered. Returns the server of the attempt, or
+    /// `None` if it is not the attempt in flight.
     pub(super) fn establish(&mut self, attempt: u32) -> Option<ServerId> {
         if self.attempts != attempt + 1 {
             return None;
@@ -140,7 +141,7 @@
         Some(in_flight.server)
     }
 
-    /// Ends this attempt and returns it, or nothing where it is not the attempt in flight.
+    /// Ends the attempt and returns it, or `None` if it is not the attempt in flight.
     pub(super) fn end_attempt(&mut self, attempt: u32, outcome: Outcome) -> Option<AttemptInFlight> {
         if self.attempts != attempt + 1 {
             return None;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Time until its client gives up.
+    /// Returns the time until the client gives up.
     pub(super) fn time_left(&self, now: Time) -> Span {
         self.deadline.since(now)
     }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,4 +1,5 @@
-//! Retries: where a request may be attempted again, when, and its final answer.
+//! Retries: the servers on which a request may be attempted again, the time of the next attempt, and the
+//! final answer.
 
 use rand::Rng;
 
@@ -6,17 +7,21 @@
 use super::interface::{Action, DeduplicationScope, Idempotency, Outcome, RequestId, ServerId, Span, Time};
 use super::request::PendingRequest;
 
-/// Timeout of an attempt, as a share of the time left: as much remains for a second server.
+/// Timeout of an attempt, as a share of the time left. The same time remains for an attempt on a second
+/// server.
 const ATTEMPT_TIMEOUT_SHARE: f64 = 0.5;
-/// First wait before a retry, as a share of the class's latency objective; doubles each time.
-const RETRY_BACKOFF_BASE: f64 = 0.2;
+/// First wait before a retry, as a share of the class's latency objective. The wait doubles with each
+/// attempt.
+const RETRY_BACKOFF_BASE_SHARE: f64 = 0.2;
+/// Maximum number of doublings of the wait before a retry.
 const MAX_RETRY_BACKOFF_DOUBLINGS: u32 = 6;
-/// Share of `answer_slack`, after the deadline, at which the final answer is given at the latest.
+/// Latest time after the deadline at which the final answer is sent, as a share of `answer_slack`.
 const ANSWER_MARGIN_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Whether a request may be sent to a server now. Once it may have been executed, one with an idempotency key may
-    /// be sent only to servers that recognise the key, while they do, and one that is not idempotent nowhere.
+    /// Checks whether a request may be sent to a server now. After a request may have been executed, it may
+    /// be sent to any server if it is idempotent, and to no server if it is not. If it has an idempotency
+    /// key, it may be sent to servers that recognise the key, within the idempotency window.
     pub(super) fn may_execute_on(&self, now: Time, request: &PendingRequest, server: ServerId) -> bool {
         let Some(first) = request.first_execution() else {
             return true;
@@ -31,7 +36,7 @@
         }
     }
 
-    /// Whether a server recognises the idempotency keys that another one has seen.
+    /// Checks whether the server `other` recognises the idempotency keys that the server `first` has seen.
     fn shares_keys(&self, scope: DeduplicationScope, first: ServerId, other: ServerId) -> bool {
         let first = &self.server(first).endpoint;
         let other = &self.server(other).endpoint;
@@ -42,7 +47,8 @@
         }
     }
 
-    /// Whether the attempt in flight may begin now: the servers may have forgotten its key since it was selected.
+    /// Checks whether the attempt in flight may begin now. The idempotency window may have ended since its
+    /// server was selected.
     pub fn may_begin_attempt(&self, now: Time, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let attempt = request.attempt_in_flight();
@@ -50,7 +56,8 @@
         })
     }
 
-    /// Whether trying again does no harm, whatever has been executed: only then may the request be rejected.
+    /// Checks whether the client may send the request again without harm, whatever has been executed so far.
+    /// Only then may the request be rejected.
     pub fn is_safe_to_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         match self.class(request.class).idempotency {
@@ -61,8 +68,9 @@
         }
     }
 
-    /// How long the next attempt of a request may take. It leaves time for a second server, except on the last attempt,
-    /// and while connects are slow everywhere, when a retry would only add to it.
+    /// Returns the timeout of the next attempt of a request. The timeout leaves time for an attempt on a
+    /// second server, with three exceptions: on the last attempt, for requests that are not idempotent, and
+    /// while connects are slow on all servers, since a retry would add to the congestion.
     pub(super) fn attempt_timeout(&self, now: Time, request: &PendingRequest) -> Span {
         let time_left = request.time_left(now);
         let class = self.class(request.class);
@@ -73,12 +81,14 @@
         class.latency_objective.max(time_left.scale(ATTEMPT_TIMEOUT_SHARE)).min(time_left)
     }
 
-    /// After a failed attempt, tries another server if the rules and the time allow it; else answers the request.
+    /// Handles the end of an attempt that was not successful: tries to place the request again if its
+    /// idempotency, the attempts left and the deadline allow a retry, and sends the final answer otherwise.
     pub(super) fn retry_or_answer(&mut self, now: Time, id: RequestId, outcome: Outcome) {
         if !self.may_retry(now, id, outcome) {
             return self.reject_or_fail(id);
         }
-        // Other failures than of a connect may be common to all servers.
+        // The cause of any other failure than a connect error may affect all servers, so the retry is
+        // delayed.
         if outcome != Outcome::ConnectError {
             let backoff = self.draw_retry_backoff(id);
             self.request_mut(id).postpone_until(now + backoff);
@@ -90,26 +100,26 @@
         let request = &self.requests[&id];
         let has_attempts_left =
             request.attempts() < self.settings.max_attempts && outcome != Outcome::NotSent;
-        let is_harmful = request.may_have_been_executed()
+        let may_execute_twice = request.may_have_been_executed()
             && self.class(request.class).idempotency == Idempotency::NotIdempotent;
-        has_attempts_left && !is_harmful && now < request.deadline()
+        has_attempts_left && !may_execute_twice && now < request.deadline()
     }
 
-    /// A wait that doubles with each attempt, with jitter.
+    /// Draws the wait before a retry, which doubles with each attempt and has jitter.
     fn draw_retry_backoff(&mut self, id: RequestId) -> Span {
         let request = &self.requests[&id];
-        let base = self.class(request.class).latency_objective.scale(RETRY_BACKOFF_BASE);
+        let base = self.class(request.class).latency_objective.scale(RETRY_BACKOFF_BASE_SHARE);
         let doublings = (request.attempts() - 1).min(MAX_RETRY_BACKOFF_DOUBLINGS);
         let backoff = base.scale(f64::from(1 << doublings));
         backoff.scale(0.5 + self.rng.random::<f64>())
     }
 
-    /// After the client's deadline, for how long an answer is still waited for.
+    /// Returns the time after the client's deadline for which the result of an attempt is still awaited.
     pub(super) fn answer_margin(&self) -> Span {
         self.settings.answer_slack.scale(ANSWER_MARGIN_SHARE)
     }
 
-    /// Answers a request that is still open just past its deadline.
+    /// Sends the final answer to a request that is still unanswered shortly after its deadline.
     pub(super) fn handle_deadline(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered()) else {
             return;
@@ -121,8 +131,9 @@
         self.reject_or_fail(id);
     }
 
-    /// Gives the final answer to a request that was not served: a rejection where trying again does no harm, with a
-    /// random time to wait; else a failure, which promises nothing.
+    /// Sends the final answer to a request that was not served. If the client may send the request again
+    /// without harm, the answer is a rejection with a random Retry-After. Otherwise it is a failure, which
+    /// leaves open whether the request was executed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered()) else {
             return;
@@ -138,7 +149,8 @@
         self.finish_request(id);
     }
 
-    /// Closes a request. Its record stays while an attempt is in flight, as that is still counted.
+    /// Marks a request as answered. Its state is retained while an attempt is in flight, since the attempt
+    /// still counts as a connection.
     pub(super) fn finish_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.mark_answered();
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -1,6 +1,8 @@
-//! Selection of a server: of two drawn at random, the one with fewer of this gateway's own connections.
+//! Selection of a server: of two servers sampled at random, the one with fewer of this gateway's own
+//! connections.
 //!
-//! The method is that of Luczak and McDiarmid, "On the power of two choices: balls and bins in continuous time" (2005).
+//! The method is that of Luczak and McDiarmid, "On the power of two choices: balls and bins in continuous
+//! time" (2005).
 
 use std::cmp::Reverse;
 
@@ -11,44 +13,52 @@
 use super::request::PendingRequest;
 use super::server::Server;
 
-/// Samples taken in search of an eligible server before the whole list is walked.
+/// Number of samples taken in search of an eligible server before the entire endpoint list is searched.
 const MAX_SAMPLES: u32 = 6;
-/// A server that holds connections of the group is kept up to this multiple of the other candidate's load.
+/// Multiple of the other candidate's load up to which a server with affinity to the request's group is
+/// preferred.
 const AFFINITY_LOAD_FACTOR: f64 = 2.0;
-/// Where fewer connections of this gateway fill a server, groups are placed by rendezvous hashing: drawn by each gateway
-/// on its own, a group would spread over all servers.
+/// Number of this gateway's connections that fill a server, below which groups are placed by rendezvous
+/// hashing. With so few connections, a group would spread over all servers if each gateway sampled servers
+/// independently.
 const MAX_CONNECTIONS_FOR_HASHING: f64 = 2.0;
-/// A server of another zone counts as this much fuller, where crossing zones has a price.
+/// Factor by which the load of a server in another zone is multiplied in comparisons, if crossing zones has a
+/// price.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 1.25;
 
-/// How good a candidate a ready server is for a request; the first is the best.
+/// Rank of a ready server as a candidate for a request, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CandidateRank {
+    /// No reason to avoid the server is known.
     Preferred,
-    /// Its responses are slow, or it sheds load.
+    /// The server's responses are slow, it sheds load, or it is at capacity.
     Loaded,
-    /// The request has been attempted there.
+    /// The request has been attempted on the server before.
     AlreadyTried,
-    /// Used where nothing better is there.
+    /// The server is ejected. It is used only if there is no better candidate.
     Ejected,
-    /// Never used: the request is queued, and rejected in the end, so that those placed there are served.
+    /// The server is saturated and is never used. If there is no other server, the request is queued and in
+    /// the end rejected, so that the connections already on the server are served.
     Saturated,
 }
 
+/// Set of servers from which samples are taken.
 #[derive(Clone, Copy)]
 enum Pool {
+    /// All ready servers.
     Ready,
     /// Ready servers that are warming up.
     Warming,
 }
 
-/// The two servers that are compared.
+/// Pair of servers whose loads are compared.
 struct Candidates {
     first: ServerId,
     second: ServerId,
 }
 
-/// Numbers of the samples, by which rendezvous hashing tells them apart.
+/// Range of round numbers for the samples of one candidate. Rendezvous hashing takes the round number as
+/// input, so that different rounds yield different samples.
 #[derive(Clone, Copy)]
 enum SampleRounds {
     First,
@@ -65,11 +75,13 @@
 }
 
 impl Balancer {
-    /// Selects a server for a request; none where no server is eligible.
+    /// Selects a server for a request; returns `None` if no server is eligible.
     ///
-    /// Of two eligible servers drawn with replacement, the less loaded one is taken, and the first of equal ones. A
-    /// warming server that is admitted a connection takes the place of one of them: most counts may be zero, and nothing
-    /// else sets it apart. Samples are drawn from all zones: the only server of the own zone would get most of all.
+    /// Two eligible servers are sampled with replacement. The less loaded one is selected, or the first one
+    /// if both have the same load. A warming server to which a connection is admitted replaces one of the two
+    /// samples, because its low connection count alone does not distinguish it if most servers have a count
+    /// of zero. Samples are taken from all zones: with a preference for the gateway's own zone, the only
+    /// server of a zone would receive most requests.
     pub(super) fn select_server(&mut self, now: Time, request: &PendingRequest) -> Option<ServerId> {
         self.update_typical_load(now);
         if let Some(uncordoned) = self.uncordoned_server(now, request) {
@@ -94,14 +106,16 @@
         Some(if is_second_better { second } else { first })
     }
 
-    /// A server that was uncordoned and has had no connection since.
+    /// Returns a server that was uncordoned and has had no connection since; `None` if there is no such
+    /// server.
     fn uncordoned_server(&self, now: Time, request: &PendingRequest) -> Option<ServerId> {
         let mut warming = self.endpoints.warming().iter().copied();
         warming
-            .find(|&id| self.server(id).wants_first_connection(now) && self.may_execute_on(now, request, id))
+            .find(|&id| self.server(id).is_due_first_connection(now) && self.may_execute_on(now, request, id))
     }
 
-    /// Samples servers until one is of the best rank and admitted a connection.
+    /// Samples servers of a pool until one has the best rank and admits a connection. Returns `None` after
+    /// [`MAX_SAMPLES`] samples.
     fn sample_candidate(
         &mut self,
         now: Time,
@@ -134,7 +148,7 @@
         None
     }
 
-    /// The request's group, where servers are sampled by its hash.
+    /// Returns the request's group if its servers are sampled by rendezvous hashing, and `None` otherwise.
     fn hashed_group(&self, request: &PendingRequest) -> Option<GroupId> {
         let is_hashed = self.typical_load.connections_when_full() < MAX_CONNECTIONS_FOR_HASHING;
         request.group.filter(|_| is_hashed)
@@ -144,7 +158,8 @@
         group.rendezvous_hash(self.server(server).endpoint.hash_key, round)
     }
 
-    /// The eligible server that holds most of this gateway's connections of the request's group.
+    /// Returns the eligible server with most of this gateway's connections of the request's group; `None` if
+    /// there is no such server or it does not admit a connection.
     fn affinity_server(&mut self, now: Time, request: &PendingRequest) -> Option<ServerId> {
         let shares = self.groups.servers_of(request.group?);
         let eligible = shares.filter(|share| {
@@ -157,7 +172,8 @@
         self.admits_connection(now, largest).then_some(largest)
     }
 
-    /// Draws two servers from all that are eligible, or the second one where there is a first.
+    /// Draws two servers at random from all eligible ones, or only the second one if `first` is given.
+    /// Returns `None` if no server is eligible.
     fn draw_eligible(
         &mut self,
         now: Time,
@@ -173,8 +189,9 @@
         Some(Candidates { first, second })
     }
 
-    /// The servers of the best rank there is that can be sent the request now. One that is only not admitted a connection
-    /// yet keeps the request from ejected ones: it is queued for that one.
+    /// Returns the servers of the best available rank to which the request can be sent now. While a better
+    /// server doesn't admit a connection yet, ejected servers are not eligible: the request is queued for the
+    /// better server.
     fn eligible_servers(&mut self, now: Time, request: &PendingRequest) -> Vec<ServerId> {
         let mut best = CandidateRank::Saturated;
         let mut eligible = Vec::new();
@@ -197,6 +214,7 @@
         eligible
     }
 
+    /// Returns the rank of a ready server as a candidate for a request.
     pub(super) fn candidate_rank(
         &self,
         now: Time,
@@ -210,7 +228,7 @@
         } else if request.was_attempted_on(server.endpoint.server) {
             CandidateRank::AlreadyTried
         } else if server.response_level.is_slow(now)
-            || server.shedding.is_shedding_or_full(now, server.total_connections())
+            || server.shedding.is_shedding_or_at_capacity(now, server.total_connections())
         {
             CandidateRank::Loaded
         } else {
@@ -218,8 +236,9 @@
         }
     }
 
-    /// What selection compares: own connections, and one more, against the listed weight. A live weight also follows,
-    /// seconds late, what all gateways hold there, which decides where most own counts are equal.
+    /// Returns the load by which candidates are compared: this gateway's own connections plus one, divided by
+    /// the weight in the endpoint list. A live weight also reflects, some seconds late, the connections of
+    /// all gateways, which is decisive if most of the own counts are equal.
     fn relative_load(&self, id: ServerId) -> f64 {
         let server = self.server(id);
         let load = f64::from(server.total_connections() + 1) / server.endpoint.weight;
@@ -227,7 +246,7 @@
         load * if is_priced { CROSS_ZONE_LOAD_FACTOR } else { 1.0 }
     }
 
-    /// Whether a ready server gets nothing while others are eligible.
+    /// Checks whether a ready server receives no connections while others are eligible.
     pub fn is_avoided(&self, now: Time, server: ServerId) -> bool {
         self.is_listed(server)
             && self.candidate_rank(now, &PendingRequest::default(), self.server(server))
--- a/src/decision/server.rs
+++ b/src/decision/server.rs
@@ -1,29 +1,29 @@
-//! What this gateway knows of one server.
+//! State of one server at this gateway.
 
 use super::interface::{EndpointEntry, ServerState, SiblingState, Span, Time};
 use super::outlier::{Ejection, ResponseLevel, Shedding};
 use super::permits::ServerPermits;
 use super::recovery::RecoveryBucket;
 
-/// A server as this gateway knows it.
+/// State of a server at this gateway.
 #[derive(Default)]
 pub(super) struct Server {
-    /// Its entry in the endpoint list.
+    /// The server's entry in the endpoint list.
     pub(super) endpoint: EndpointEntry,
-    /// This gateway's own connections to it, attempts included.
+    /// Number of this process's connections to the server, attempts included.
     open_connections: u32,
-    /// Connections of another process of this gateway, once that has reported them.
+    /// Number of connections of a sibling process to the server; `None` until the sibling has reported it.
     sibling_connections: Option<u32>,
-    /// When it started, as far as is known here, if it may still be warming up.
+    /// Start of the server, as far as this gateway knows it; `None` if the start was long ago.
     started_at: Option<Time>,
-    /// Whether it has been uncordoned and waits for its first connection.
-    needs_first_connection: bool,
+    /// Whether the server has been uncordoned and has had no connection since.
+    awaits_first_connection: bool,
     pub(super) permits: ServerPermits,
     pub(super) recovery: RecoveryBucket,
     pub(super) ejection: Ejection,
     pub(super) response_level: ResponseLevel,
     pub(super) shedding: Shedding,
-    /// When its responses last took longer than clients want to wait.
+    /// Last time at which the server was reported as saturated; `None` if it was not, since its last start.
     saturated_at: Option<Time>,
 }
 
@@ -32,7 +32,7 @@
         self.open_connections
     }
 
-    /// Connections of all processes of this gateway.
+    /// Returns the number of connections of all processes of this gateway.
     pub(super) fn total_connections(&self) -> u32 {
         self.open_connections + self.sibling_connections.unwrap_or(0)
     }
@@ -45,7 +45,7 @@
         self.saturated_at
     }
 
-    /// Whether it started less than this time ago, as far as is known here.
+    /// Checks whether the server started less than `slow_start_time` ago, as far as this gateway knows.
     pub(super) fn is_warming_up(&self, now: Time, slow_start_time: Span) -> bool {
         self.started_at.is_some_and(|started_at| now.since(started_at) < slow_start_time)
     }
@@ -54,12 +54,12 @@
         self.endpoint.state == ServerState::Ready
     }
 
-    /// Whether the next request goes to it, as the first one after it was uncordoned.
-    pub(super) fn wants_first_connection(&self, now: Time) -> bool {
-        self.needs_first_connection && self.permits.may_request(now)
+    /// Checks whether the next request is to be sent to the server, as its first one since it was uncordoned.
+    pub(super) fn is_due_first_connection(&self, now: Time) -> bool {
+        self.awaits_first_connection && self.permits.may_request(now)
     }
 
-    /// What another process of this gateway has to know.
+    /// Returns the state of the server that is reported to sibling processes.
     pub(super) fn sibling_state(&self) -> SiblingState {
         SiblingState {
             open_connections: self.open_connections,
@@ -76,15 +76,16 @@
         self.open_connections = self.open_connections.saturating_sub(1);
     }
 
-    /// Accounts for an attempt that is sent now, with the numbered permit that it uses, if any.
+    /// Records an attempt that is sent now, and the numbered permit that it uses; `None` if it uses no
+    /// numbered permit.
     pub(super) fn begin_attempt(&mut self, permit: Option<u64>) {
-        self.needs_first_connection = false;
+        self.awaits_first_connection = false;
         self.permits.use_permit(permit);
-        self.recovery.take();
+        self.recovery.take_token();
     }
 
-    /// Takes over what another process of this gateway reports. Its first report limits what may be sent during a
-    /// recovery, so that it is not sent by both.
+    /// Records the state that a sibling process reports. The first report limits the recovery tokens, so that
+    /// the two processes do not each send what only one of them may send.
     pub(super) fn record_sibling(&mut self, sibling: &SiblingState) {
         if self.sibling_connections.is_none() {
             self.recovery.limit_to(sibling.recovery_tokens);
@@ -92,25 +93,26 @@
         self.sibling_connections = Some(sibling.open_connections);
     }
 
-    /// Forgets what was known of the server's previous process.
+    /// Resets the state that belongs to the server's previous process.
     pub(super) fn restart(&mut self, now: Time, started_at: Option<Time>) {
         self.ejection = Ejection::default();
         self.response_level = ResponseLevel::Normal;
         self.saturated_at = None;
-        self.shedding.end();
+        self.shedding.reset();
         self.permits.restart(now, self.started_at == started_at);
         self.started_at = started_at;
     }
 
-    /// Starts anew because it was uncordoned; permits up to this one count as used.
+    /// Resets the state of a server that was uncordoned. Permits up to `last_permit` count as used.
     pub(super) fn uncordon(&mut self, now: Time, started_at: Time, last_permit: u64) {
         self.restart(now, Some(started_at));
         self.permits.set_last_used(last_permit);
-        self.needs_first_connection = true;
+        self.awaits_first_connection = true;
     }
 
-    /// Paces what it is sent from now on, beginning with this part of a connection.
-    pub(super) fn saturate(&mut self, now: Time, initial_tokens: f64) {
+    /// Records that the server is saturated, and resets its recovery tokens to `initial_tokens`, a fraction
+    /// of a connection.
+    pub(super) fn mark_saturated(&mut self, now: Time, initial_tokens: f64) {
         self.saturated_at = Some(now);
         self.recovery.reset(now, initial_tokens);
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,60 +1,72 @@
-//! Slow start: how many connections a server may be sent while it warms up, and who may send them.
+//! Slow start: how many connections a server may be sent while it warms up, and which gateways may send them.
 //!
-//! A server is overloaded when more than N + 2 x root of N + 2 requests of mean work come within the overload window, N
-//! being what the settings allow it at its age ([`SlowStartConfig::overload_threshold`]). No gateway sees what the others
-//! send. So permits for one connection are numbered: permit n is issued when as many are due at the server's age, each has
-//! one holder, who may use it once, and one that is not used in time expires. Whoever has sent nothing for a while has one
-//! permit at most, like all others, and all that can be used within any window stand between the oldest that has not
-//! expired when it begins and the newest that has been issued when it ends. No socket, no clock and no state.
+//! Let N be the number of requests that the settings allow a server at its age within the overload window.
+//! The server is overloaded when more than N + 2 sqrt(N) + 2 requests of mean work arrive within the window
+//! ([`SlowStartConfig::overload_threshold`]). A gateway doesn't know what the other gateways send.
+//!
+//! Therefore connections need permits. Each permit admits one connection, has a number and has one holder,
+//! which may use it once. Permit n is issued when the server's age allows n permits. A permit that is not
+//! used in time expires, so that a holder that has sent nothing for a while has at most one permit, like any
+//! other holder. All permits that can be used within a window have numbers between the oldest permit that is
+//! unexpired at the beginning of the window and the newest permit issued by its end.
+//!
+//! The module has no state and uses no socket and no clock.
 
 use super::interface::{Settings, Span, Time};
 
-/// The share of the overload threshold that goes to permits granted for the whole fleet, where gateways answer each other;
-/// the rest goes to those of gateways that nobody answers. Both may be used at once, so the two add up to one. Of permits
-/// kept for the unanswered most would expire (`docs/design/fleet.md`).
+/// Share of the overload threshold for permits that are granted for the entire fleet, in fleets whose
+/// gateways answer each other. The rest is for the own permits of gateways that receive no answer. Both kinds
+/// may be used at the same time, so that the two shares add up to one. Most permits reserved for gateways
+/// without an answer would expire unused (`docs/design/fleet.md`).
 const GRANTED_SHARE: f64 = 1.0;
 
-/// How many of a window's permits are issued within it. The others may be used late.
+/// Rate at which permits are issued: the number issued per overload window, relative to the overload
+/// threshold. The rest of the threshold is for permits that were issued before the window and are used late.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Paces {
+struct IssueRate {
     /// Multiple of N.
     requests: f64,
-    /// Multiple of the 2 x root of N + 1 that the threshold adds for chance.
+    /// Multiple of 2 sqrt(N) + 1, the variance allowance that the threshold adds to N.
     variance_allowance: f64,
 }
 
-/// Slow, as gateways that see a client every few seconds use their permits late.
-const OWN_PERMIT_PACES: Paces = Paces { requests: 0.8, variance_allowance: 0.0 };
-/// Fast, as those who grant permits are asked for all of them.
-const GRANTED_PERMIT_PACES: Paces = Paces { requests: 0.72, variance_allowance: 0.72 };
-/// Permits by which the clocks of two processes of one holder may differ.
+/// Issue rate of the gateways' own permits. The rate is low, because gateways that receive a client only
+/// every few seconds use their permits late.
+const OWN_PERMIT_RATE: IssueRate = IssueRate { requests: 0.8, variance_allowance: 0.0 };
+/// Issue rate of permits granted for the fleet. The rate is high, because all of the grantors' permits are
+/// requested.
+const GRANTED_PERMIT_RATE: IssueRate = IssueRate { requests: 0.72, variance_allowance: 0.72 };
+/// Number of permits by which the counts of two processes of one holder may differ, since their clocks
+/// differ.
 const CLOCK_SKEW_PERMITS: f64 = 1.0;
-/// More than any settings allow; keeps what follows finite where servers need no warm-up.
+/// Upper limit of N, larger than any settings allow. It keeps the computations finite if servers need no
+/// warm-up.
 const MAX_REQUESTS: f64 = 1e9;
 
-/// What the settings allow a server that is warming up.
+/// Settings that limit what a warming server may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartConfig {
-    /// It is overloaded when sent more than this multiple of its capacity...
+    /// Multiple of its present capacity above which a warming server is overloaded, if sent for
+    /// `overload_window`.
     pub overload_factor: f64,
-    /// ...for this long.
+    /// Time after which a warming server that is sent more than `overload_factor` allows is overloaded.
     pub overload_window: Span,
-    /// It starts with this share of its capacity at least...
+    /// Minimum share of its capacity that a server has at its start, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// ...and has all of it this long after its start at most.
+    /// Maximum time from a server's start until it has its full capacity.
     pub warm_up_time: Span,
 }
 
-/// The additions to the threshold that have come up to some age, in requests.
+/// Allowances accumulated from a server's start to some age, in requests.
 struct Allowance {
-    /// The sum of N.
+    /// Sum of N.
     requests: f64,
-    /// The sum of 2 x root of N + 1.
+    /// Sum of 2 sqrt(N) + 1.
     variance_allowance: f64,
 }
 
 impl SlowStartConfig {
-    /// Takes what these settings tell.
+    /// Copies the slow-start settings from the settings of a gateway.
     pub const fn new(settings: &Settings) -> Self {
         Self {
             overload_factor: settings.overload_factor,
@@ -64,8 +76,9 @@
         }
     }
 
-    /// N: requests within the overload window that the settings allow a server of this age which so many connections fill.
-    /// It is taken to accept no more than fills it over its warm-up.
+    /// Returns N: the number of requests within the overload window that the settings allow a server of this
+    /// age, if `connections_when_full` connections fill the server. The server is assumed to accept, over its
+    /// warm-up time, no more connections than fill it.
     pub fn allowed_requests(&self, age: Span, connections_when_full: f64) -> f64 {
         let warm_up = self.warm_up_time.as_secs().max(f64::MIN_POSITIVE);
         let progress = (age.as_secs() / warm_up).clamp(0.0, 1.0);
@@ -74,13 +87,15 @@
         (self.overload_factor * share * connections_when_full / warm_up * window).clamp(0.0, MAX_REQUESTS)
     }
 
-    /// More requests than this within the overload window overload the server.
+    /// Returns N + 2 sqrt(N) + 2, the overload threshold: more requests within the overload window overload
+    /// the server.
     pub fn overload_threshold(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowed = self.allowed_requests(age, connections_when_full);
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// The integrals of N and of 2 x root of N + 1 from the start to this age, in windows.
+    /// Returns the integrals of N and of 2 sqrt(N) + 1 from the server's start to this age, with time in
+    /// overload windows.
     fn integrals(&self, age: Span, connections_when_full: f64) -> Allowance {
         let warming = age.min(self.warm_up_time);
         let ramp_secs = warming.as_secs();
@@ -88,58 +103,63 @@
         let first = self.allowed_requests(Span::ZERO, connections_when_full);
         let last = self.allowed_requests(warming, connections_when_full);
         let requests = (first + last) / 2.0 * ramp_secs + last * flat_secs;
-        let last_root = last.sqrt();
-        let mean_root = mean_root_of_linear(first.sqrt(), last_root);
-        let variance_allowance = (2.0 * mean_root + 1.0) * ramp_secs + (2.0 * last_root + 1.0) * flat_secs;
+        let last_sqrt = last.sqrt();
+        let mean_sqrt = mean_sqrt_of_linear(first.sqrt(), last_sqrt);
+        let variance_allowance = (2.0 * mean_sqrt + 1.0) * ramp_secs + (2.0 * last_sqrt + 1.0) * flat_secs;
         let window = self.overload_window.as_secs().max(f64::MIN_POSITIVE);
         Allowance { requests: requests / window, variance_allowance: variance_allowance / window }
     }
 
-    /// The permits that are granted for the whole fleet, each used within `lease`.
+    /// Returns the schedule of the permits that are granted for the entire fleet, each to be used within
+    /// `lease`.
     pub const fn granted_permits(self, lease: Span) -> PermitSchedule {
-        PermitSchedule { config: self, share: GRANTED_SHARE, paces: GRANTED_PERMIT_PACES, lease }
+        PermitSchedule { config: self, share: GRANTED_SHARE, issue_rate: GRANTED_PERMIT_RATE, lease }
     }
 }
 
-/// The mean root of what grows linearly, from its first and last root.
-fn mean_root_of_linear(first_root: f64, last_root: f64) -> f64 {
-    if last_root > 0.0 {
-        let squares = first_root * first_root + first_root * last_root + last_root * last_root;
-        squares / (first_root + last_root) * 2.0 / 3.0
+/// Returns the mean of the square root of a linear function, given the square roots of its first and last
+/// value.
+fn mean_sqrt_of_linear(first_sqrt: f64, last_sqrt: f64) -> f64 {
+    if last_sqrt > 0.0 {
+        let squares = first_sqrt * first_sqrt + first_sqrt * last_sqrt + last_sqrt * last_sqrt;
+        squares / (first_sqrt + last_sqrt) * 2.0 / 3.0
     } else {
         0.0
     }
 }
 
-/// Whose permits are looked for.
+/// Holder of permits: it holds every permit whose number leaves the remainder `index` when divided by
+/// `holders`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitHolder {
-    /// Its permits are those with this remainder...
+    /// Remainder that identifies the holder's permits.
     pub index: u32,
-    /// ...when divided by the number of holders.
+    /// Number of holders.
     pub holders: u32,
-    /// When its process started: permits issued before were an earlier process's.
+    /// Start of the holder's process. Permits issued earlier belonged to a previous process.
     pub started_at: Time,
-    /// The last permit it has used.
+    /// Number of the last permit that the holder has used.
     pub last_used_permit: u64,
 }
 
 impl PermitHolder {
-    /// The gateway of these settings, for its own permits at the server of this hash key.
+    /// Returns the gateway with these settings as the holder of its own permits for the server with this hash
+    /// key.
     pub const fn for_gateway(
         settings: &Settings,
         hash_key: u32,
         started_at: Time,
         last_used_permit: u64,
     ) -> Self {
-        // Spread, so that servers with keys in a row do not have their permits with the same gateways.
+        // Multiplicative hashing spreads the first holders, so that servers with consecutive hash keys do not
+        // issue their permits to the same gateways.
         let holders = settings.gateways;
         let first = hash_key.wrapping_mul(0x9e37_79b9);
         let index = (settings.gateway_id.0 + holders - first % holders) % holders;
         Self { index, holders, started_at, last_used_permit }
     }
 
-    /// The first permit of this holder after one of any holder.
+    /// Returns the first permit of this holder with a higher number than `permit`, which may be any holder's.
     fn first_permit_after(&self, permit: u64) -> u64 {
         let holders = u64::from(self.holders.max(1));
         let next = permit + 1;
@@ -147,37 +167,41 @@
     }
 }
 
-/// The permits for a share of the overload threshold.
+/// Schedule by which permits for a share of the overload threshold are issued and expire.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitSchedule {
     config: SlowStartConfig,
     share: f64,
-    paces: Paces,
+    issue_rate: IssueRate,
     lease: Span,
 }
 
 impl PermitSchedule {
-    /// The permits of gateways that nobody grants any: all there are, or what is left by those that are granted, if any.
+    /// Returns the schedule of the gateways' own permits. Their share is the entire overload threshold, or
+    /// the part that granted permits leave, if the fleet grants any.
     pub const fn ungranted_permits(settings: &Settings) -> Self {
         let share = if settings.fleet_permits { 1.0 - GRANTED_SHARE } else { 1.0 };
         let config = SlowStartConfig::new(settings);
-        Self { config, share, paces: OWN_PERMIT_PACES, lease: Span::ZERO }
+        Self { config, share, issue_rate: OWN_PERMIT_RATE, lease: Span::ZERO }
     }
 
-    /// How many permits have been issued at this age. The first is issued at the start.
+    /// Returns the number of permits issued up to this age of the server. The first is issued at the server's
+    /// start.
     pub fn permits_issued(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowance = self.config.integrals(age, connections_when_full);
-        let paced = self.paces.requests * allowance.requests
-            + self.paces.variance_allowance * allowance.variance_allowance;
-        1.0 + self.share * paced
+        let issued_after_first = self.issue_rate.requests * allowance.requests
+            + self.issue_rate.variance_allowance * allowance.variance_allowance;
+        1.0 + self.share * issued_after_first
     }
 
-    /// Permits up to this one have expired at this age, and stay so.
+    /// Returns the number of the last permit that has expired at this age of the server. The number never
+    /// decreases.
     ///
-    /// In a window that begins at age a, permits are used that are issued before its end and had not expired a lease before
-    /// it, so that `min_expired(a)` is the least that has to have expired by then. It is convex while the server warms up
-    /// (the pace grows, what the threshold adds to it shrinks) and grows afterwards, so its greatest value so far is its
-    /// first or its last.
+    /// The permits used in a window that begins at age a are issued before its end and had not expired one
+    /// lease before its beginning. Therefore `min_expired(a)` is the minimum number of permits that must have
+    /// expired one lease before age a. The function is convex while the server warms up, since the issue rate
+    /// grows and the part that the threshold adds to it shrinks. Afterwards the function grows. Its maximum
+    /// up to any age is thus its first or its last value.
     pub fn permits_expired(&self, age: Span, connections_when_full: f64) -> f64 {
         let min_expired = |age: Span| {
             let issued = self.permits_issued(age + self.config.overload_window, connections_when_full);
@@ -186,8 +210,8 @@
         min_expired(Span::ZERO).max(min_expired(age + self.lease))
     }
 
-    /// The last permit used by another process of the holder, as reported; none where it has not been issued yet: then
-    /// it is of the server's previous process.
+    /// Returns the last permit used by another process of the holder, as reported. Returns zero if the permit
+    /// has not been issued yet, since then it was a permit for the server's previous process.
     pub fn accept_reported_permit(
         &self,
         now: Time,
@@ -201,12 +225,13 @@
         if last_used_permit as f64 <= issued { last_used_permit } else { 0 }
     }
 
-    /// The oldest of a holder's permits for a server that started then that has been issued and is neither used nor
-    /// expired.
+    /// Returns the oldest permit of a holder that has been issued and is neither used nor expired, for a
+    /// server that started at `server_started_at`.
     ///
     /// # Errors
     ///
-    /// Fails with the time until the next is issued, by the present pace.
+    /// If there is no such permit, returns the time until the holder's next permit is issued at the present
+    /// rate.
     pub fn next_permit(
         &self,
         now: Time,
@@ -221,12 +246,13 @@
         if missing <= 0.0 {
             return Ok(permit);
         }
-        let wait = self.config.overload_window.scale(missing / self.pace(age, connections_when_full));
+        let wait =
+            self.config.overload_window.scale(missing / self.permits_per_window(age, connections_when_full));
         Err(wait.max(Span::from_micros(1)))
     }
 
-    /// The last permit that is used, expired, or was an earlier process's. The first is issued with the server, also where
-    /// the holder's process is older.
+    /// Returns the last permit that is used, is expired or belonged to a previous process of the holder. The
+    /// first permit is issued at the server's start, also if the holder's process is older than the server.
     fn last_unavailable_permit(
         &self,
         server_started_at: Time,
@@ -243,11 +269,12 @@
         holder.last_used_permit.max(issued_before.max(expired).max(0.0) as u64)
     }
 
-    /// Permits issued within a window at this age.
-    fn pace(&self, age: Span, connections_when_full: f64) -> f64 {
+    /// Returns the number of permits issued per overload window at this age of the server.
+    fn permits_per_window(&self, age: Span, connections_when_full: f64) -> f64 {
         let allowed = self.config.allowed_requests(age, connections_when_full);
-        let chance = 2.0 * allowed.sqrt() + 1.0;
-        let pace = self.share * (self.paces.requests * allowed + self.paces.variance_allowance * chance);
-        pace.max(f64::MIN_POSITIVE)
+        let variance_allowance = 2.0 * allowed.sqrt() + 1.0;
+        let rate = self.share
+            * (self.issue_rate.requests * allowed + self.issue_rate.variance_allowance * variance_allowance);
+        rate.max(f64::MIN_POSITIVE)
     }
 }
--- a/src/decision/timer.rs
+++ b/src/decision/timer.rs
@@ -1,4 +1,4 @@
-//! The module's timers and the tokens by which they come back.
+//! Timers of the decision module, and the tokens that identify them when they are due.
 
 use super::interface::{RequestId, TimerToken};
 
@@ -6,14 +6,14 @@
 const SUBSCRIBE_TOKEN: u64 = 1;
 const FIRST_DEADLINE_TOKEN: u64 = 2;
 
-/// What a timer was set for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// Queued requests are tried again.
+    /// Try to place queued requests again.
     PlaceQueued,
-    /// The endpoint list is subscribed to.
+    /// Subscribe to the endpoint list.
     Subscribe,
-    /// The time to answer this request has passed.
+    /// Answer this request, since its deadline has passed.
     Deadline(RequestId),
 }
 
--- a/src/decision/typical_load.rs
+++ b/src/decision/typical_load.rs
@@ -1,23 +1,26 @@
-//! How many of this gateway's connections a server holds typically, and how many fill it.
+//! Typical load: the number of this gateway's connections that a server typically has, and the number that
+//! fills it.
 
 use super::Balancer;
 use super::interface::{Settings, Time};
 use super::outlier::RESPONSE_TIME_INTERVAL;
 
-/// How often the ready servers are looked up between list updates, as a share of the warm-up time.
+/// Interval at which the ready servers are looked up between list updates, as a share of the warm-up time.
 const READY_REFRESH_SHARE: f64 = 0.25;
-/// How often connections are counted, as a share of [`RESPONSE_TIME_INTERVAL`].
+/// Interval at which connections are counted, as a share of [`RESPONSE_TIME_INTERVAL`].
 const TYPICAL_LOAD_REFRESH_SHARE: f64 = 0.1;
-/// Share of the tenants' quotas that is taken to be in use at least.
+/// Minimum share of the tenants' quotas that is assumed to be in use.
 const MIN_QUOTA_USE: f64 = 0.5;
 
-/// This gateway's connections, counted at one time.
+/// Counts of this gateway's connections at one point in time.
 struct ConnectionCounts {
-    total: f64,
+    /// Connections to all servers, whatever their state.
+    total_connections: f64,
     ready_servers: usize,
-    /// Those of ready servers that are not warming up.
-    settled: f64,
-    settled_servers: usize,
+    /// Connections to ready servers that are not warming up.
+    warmed_up_connections: f64,
+    /// Number of ready servers that are not warming up.
+    warmed_up_servers: usize,
 }
 
 impl ConnectionCounts {
@@ -25,14 +28,15 @@
         connections / servers.max(1) as f64
     }
 
-    /// Connections of a server: the mean of those that are not warming up, or of all where that is more.
+    /// Returns the typical number of connections of a server: the mean over the servers that are not warming
+    /// up, or the mean over all ready servers if that is larger.
     fn typical(&self) -> f64 {
-        let settled = Self::mean(self.settled, self.settled_servers);
-        Self::mean(self.total, self.ready_servers).max(settled)
+        let warmed_up_mean = Self::mean(self.warmed_up_connections, self.warmed_up_servers);
+        Self::mean(self.total_connections, self.ready_servers).max(warmed_up_mean)
     }
 }
 
-/// The typical load of a server, in connections of this gateway.
+/// Typical load of a server, in connections of this gateway.
 #[derive(Default)]
 pub(super) struct TypicalLoad {
     connections: f64,
@@ -42,12 +46,12 @@
 }
 
 impl TypicalLoad {
-    /// Connections that a server holds typically.
+    /// Returns the number of connections that a server typically has.
     pub(super) fn connections(&self) -> f64 {
         self.connections
     }
 
-    /// Connections that fill a server.
+    /// Returns the number of connections that fill a server.
     pub(super) fn connections_when_full(&self) -> f64 {
         self.connections_when_full
     }
@@ -57,19 +61,22 @@
         self.updated_at.is_some_and(|updated_at| now.since(updated_at) < interval)
     }
 
-    /// Follows a higher count at once. A lower one is followed over a warm-up time only, as in a deploy or after a
-    /// crash the connections are about to come back.
+    /// Updates the typical load from new counts. A higher count applies at once. A lower count applies
+    /// gradually over one warm-up time, because the connections lost in a deployment or a crash are likely to
+    /// return.
     fn update(&mut self, now: Time, counts: &ConnectionCounts, settings: &Settings) {
         self.peak_ready_servers = self.peak_ready_servers.max(counts.ready_servers);
-        let full = Self::connections_within_quotas(settings, self.peak_ready_servers);
+        let quota_connections = Self::connections_within_quotas(settings, self.peak_ready_servers);
         let elapsed = now.since(self.updated_at.unwrap_or(now)).as_secs();
-        let remaining = self.connections * (1.0 - elapsed / settings.warm_up_time.as_secs());
-        self.connections = counts.typical().max(remaining).max(MIN_QUOTA_USE * full);
-        self.connections_when_full = if full > 0.0 { full } else { self.connections };
+        let decayed = self.connections * (1.0 - elapsed / settings.warm_up_time.as_secs());
+        self.connections = counts.typical().max(decayed).max(MIN_QUOTA_USE * quota_connections);
+        self.connections_when_full =
+            if quota_connections > 0.0 { quota_connections } else { self.connections };
         self.updated_at = Some(now);
     }
 
-    /// A server's part of the connections that the tenants' quotas allow this gateway; zero where none are stated.
+    /// Returns one server's part of the connections that the tenants' quotas allow this gateway; zero if no
+    /// quotas are configured.
     fn connections_within_quotas(settings: &Settings, servers: usize) -> f64 {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_connections).sum();
         ConnectionCounts::mean(quotas / f64::from(settings.gateways), servers)
@@ -77,13 +84,13 @@
 }
 
 impl Balancer {
-    /// Returns about how many connections of all gateways fill a server.
+    /// Returns an estimate of the number of connections, over all gateways, that fill a server.
     pub fn fleet_connections_when_full(&mut self, now: Time) -> f64 {
         self.update_typical_load(now);
         self.last_fleet_connections_when_full()
     }
 
-    /// The same as of the last update.
+    /// Returns the last estimate of the number of connections, over all gateways, that fill a server.
     pub(super) fn last_fleet_connections_when_full(&self) -> f64 {
         self.typical_load.connections_when_full() * f64::from(self.settings.gateways)
     }
@@ -102,12 +109,18 @@
 
     fn count_connections(&self) -> ConnectionCounts {
         let warming = self.endpoints.warming();
-        let settled = || self.endpoints.ready().iter().filter(|id| !warming.contains(id));
+        let warmed_up_servers = || self.endpoints.ready().iter().filter(|id| !warming.contains(id));
         ConnectionCounts {
-            total: self.endpoints.servers().map(|server| f64::from(server.total_connections())).sum(),
+            total_connections: self
+                .endpoints
+                .servers()
+                .map(|server| f64::from(server.total_connections()))
+                .sum(),
             ready_servers: self.endpoints.ready().len(),
-            settled: settled().map(|&id| f64::from(self.server(id).total_connections())).sum(),
-            settled_servers: settled().count(),
+            warmed_up_connections: warmed_up_servers()
+                .map(|&id| f64::from(self.server(id).total_connections()))
+                .sum(),
+            warmed_up_servers: warmed_up_servers().count(),
         }
     }
 }
