--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Permits for a warming server: what all their holders can use within a window, each at the worst moment, against the
-//! rule as the page states it.
+//! Permits for a warming server. The number of permits that all holders together can use within a window,
+//! each at the worst moment, is compared with the overload threshold, which the test computes independently.
 
 use ashtide::decision::slow_start::{PermitHolder, PermitSchedule, SlowStartConfig};
 use ashtide::fleet::permits::PERMIT_LIFETIME;
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 
-const STEP: i64 = 20_000;
+/// Step of the server's age in which permits are looked for, in microseconds.
+const AGE_STEP_US: i64 = 20_000;
 
 fn secs(seconds: f64) -> Span {
     Span::from_micros((seconds * 1e6) as i64)
@@ -32,72 +33,91 @@
     }
 }
 
-/// N + 2 x root of N + 2, N what the settings allow at this age. Not the code under test.
-fn overload_threshold(settings: &Settings, age: Span, full: f64) -> f64 {
-    let warm = settings.warm_up_time.as_secs();
+/// Returns N + 2 sqrt(N) + 2, where N is the number of requests per overload window that the settings allow
+/// at this age. The computation is independent of the code under test.
+fn overload_threshold(settings: &Settings, age: Span, connections_when_full: f64) -> f64 {
+    let warm_up = settings.warm_up_time.as_secs();
     let share = settings.initial_capacity_share
-        + (1.0 - settings.initial_capacity_share) * (age.as_secs() / warm).min(1.0);
-    let allowed = settings.overload_factor * share * full / warm * settings.overload_window.as_secs();
+        + (1.0 - settings.initial_capacity_share) * (age.as_secs() / warm_up).min(1.0);
+    let window = settings.overload_window.as_secs();
+    let allowed = settings.overload_factor * share * connections_when_full / warm_up * window;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// Whether permits that are not used expire; if they are kept, the rule is broken.
+/// Whether unused permits expire. If they never expire, the permits exceed the overload threshold.
 #[derive(Clone, Copy, PartialEq)]
-enum Unused {
+enum UnusedPermits {
     Expire,
     NeverExpire,
 }
 
-/// When a permit can be used first and last, in microseconds of the server's age.
-struct Usable {
-    first: i64,
-    last: i64,
+/// Period within which a permit can be used, in microseconds of the server's age.
+struct UsablePeriod {
+    begin: i64,
+    end: i64,
 }
 
-/// When each permit can be used: from its issue until it has expired and a lease has passed.
-fn usable(schedule: PermitSchedule, full: f64, until: Span, lease: Span, unused: Unused) -> Vec<Usable> {
-    let mut permits = Vec::new();
+/// Returns the usable period of each permit: from its issue until one lease after it expired.
+fn usable_periods(
+    schedule: PermitSchedule,
+    connections_when_full: f64,
+    until: Span,
+    lease: Span,
+    unused: UnusedPermits,
+) -> Vec<UsablePeriod> {
+    let mut periods = Vec::new();
     let mut expired = 0;
-    for micros in (0..until.as_micros()).step_by(STEP as usize) {
-        let age = Span::from_micros(micros);
-        let issued = schedule.permits_issued(age, full).floor().max(0.0) as usize;
-        let count = permits.len().max(issued).min(20_000);
-        permits.resize_with(count, || Usable { first: micros, last: i64::MAX });
-        let last_expired = schedule.permits_expired(age, full).max(0.0) as usize;
-        for number in expired..last_expired.min(permits.len()).max(expired) {
-            let permit = &mut permits[number];
-            permit.last = match unused {
-                Unused::Expire => (micros + lease.as_micros()).max(permit.first),
-                Unused::NeverExpire => i64::MAX,
+    for age_us in (0..until.as_micros()).step_by(AGE_STEP_US as usize) {
+        let age = Span::from_micros(age_us);
+        let issued = schedule.permits_issued(age, connections_when_full).floor().max(0.0) as usize;
+        let count = periods.len().max(issued).min(20_000);
+        periods.resize_with(count, || UsablePeriod { begin: age_us, end: i64::MAX });
+        let last_expired = schedule.permits_expired(age, connections_when_full).max(0.0) as usize;
+        for number in expired..last_expired.min(periods.len()).max(expired) {
+            let period = &mut periods[number];
+            period.end = match unused {
+                UnusedPermits::Expire => (age_us + lease.as_micros()).max(period.begin),
+                UnusedPermits::NeverExpire => i64::MAX,
             };
         }
-        expired = expired.max(last_expired.min(permits.len()));
+        expired = expired.max(last_expired.min(periods.len()));
     }
-    // One that expired before it was issued is nobody's.
-    permits.retain(|permit| {
-        permit.last > permit.first + lease.as_micros() || lease == Span::ZERO && permit.last > permit.first
+    // A permit that expired before it was issued cannot be used.
+    periods.retain(|period| {
+        period.end > period.begin + lease.as_micros() || lease == Span::ZERO && period.end > period.begin
     });
-    permits
+    periods
 }
 
-/// How much the worst window has more than the rule allows it, if any.
-fn worst_excess(settings: &Settings, full: f64, until: Span, unused: Unused) -> f64 {
+/// Returns the largest difference over all windows between the permits that can be used and the overload
+/// threshold. A positive difference is a violation.
+fn worst_excess(settings: &Settings, connections_when_full: f64, until: Span, unused: UnusedPermits) -> f64 {
     let ungranted = PermitSchedule::ungranted_permits(settings);
-    let mut permits = usable(ungranted, full, until, Span::ZERO, unused);
+    let mut periods = usable_periods(ungranted, connections_when_full, until, Span::ZERO, unused);
     if settings.fleet_permits {
         let granted = SlowStartConfig::new(settings).granted_permits(PERMIT_LIFETIME);
-        permits.extend(usable(granted, full, until, PERMIT_LIFETIME, unused));
+        periods.extend(usable_periods(granted, connections_when_full, until, PERMIT_LIFETIME, unused));
     }
     let window = settings.overload_window.as_micros();
-    // One step of slack on each side, as permits are looked for in steps.
-    let excess = |from: i64| {
-        let is_usable = |permit: &&Usable| permit.first < from + window - STEP && permit.last > from + STEP;
-        let count = permits.iter().filter(is_usable).count();
-        count as f64 - overload_threshold(settings, Span::from_micros(from), full)
+    // The window is shortened by one step at each end, because the periods are determined in steps.
+    let excess = |window_begin: i64| {
+        let is_usable = |period: &&UsablePeriod| {
+            period.begin < window_begin + window - AGE_STEP_US && period.end > window_begin + AGE_STEP_US
+        };
+        let count = periods.iter().filter(is_usable).count();
+        count as f64 - overload_threshold(settings, Span::from_micros(window_begin), connections_when_full)
     };
-    (0..until.as_micros() - window).step_by(5 * STEP as usize).map(excess).fold(f64::MIN, f64::max)
+    (0..until.as_micros() - window).step_by(5 * AGE_STEP_US as usize).map(excess).fold(f64::MIN, f64::max)
 }
 
+/// Settings of the tests with fixed numbers.
+fn example_settings(fleet_permits: bool) -> Settings {
+    settings(fleet_permits, 2.5, secs(2.0), 0.13, secs(24.0))
+}
+
+/// Number of connections that fill a server in the tests with fixed numbers.
+const CONNECTIONS_WHEN_FULL: f64 = 54.0;
+
 #[test]
 fn all_permits_together_never_exceed_the_overload_threshold() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[21; 32]);
@@ -105,69 +125,74 @@
         TestRunner::new_with_rng(Cases { cases: 160, failure_persistence: None, ..Cases::default() }, rng);
     let cases = (any::<bool>(), 0.5..4.0, 0.3..4.0, 0.01..1.0, 0.2..30.0, -2.0..3.5f64);
     runner
-        .run(&cases, |(peers, multiple, overload, cold_from, warm, full)| {
-            let settings = settings(peers, multiple, secs(overload), cold_from, secs(warm));
-            let full = 10f64.powf(full);
-            let until = secs(2.0 * warm + 2.0 * overload);
-            let excess = worst_excess(&settings, full, until, Unused::Expire);
-            prop_assert!(excess <= 0.0, "{excess} over the rule with {settings:?} filled by {full}");
+        .run(&cases, |(fleet_permits, overload_factor, window, initial_share, warm_up, full_log10)| {
+            let settings =
+                settings(fleet_permits, overload_factor, secs(window), initial_share, secs(warm_up));
+            let connections_when_full = 10f64.powf(full_log10);
+            let until = secs(2.0 * warm_up + 2.0 * window);
+            let excess = worst_excess(&settings, connections_when_full, until, UnusedPermits::Expire);
+            prop_assert!(
+                excess <= 0.0,
+                "permits exceed the threshold by {excess}: {settings:?}, full at {connections_when_full}"
+            );
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn permits_that_never_expire_break_the_rule() {
+fn permits_that_never_expire_exceed_the_overload_threshold() {
     for fleet_permits in [false, true] {
-        let settings = settings(fleet_permits, 2.5, secs(2.0), 0.13, secs(24.0));
-        assert!(worst_excess(&settings, 54.0, secs(48.0), Unused::Expire) <= 0.0);
+        let settings = example_settings(fleet_permits);
+        let excess = |unused| worst_excess(&settings, CONNECTIONS_WHEN_FULL, secs(48.0), unused);
+        assert!(excess(UnusedPermits::Expire) <= 0.0);
         assert!(
-            worst_excess(&settings, 54.0, secs(48.0), Unused::NeverExpire) > 0.0,
-            "the check finds nothing"
+            excess(UnusedPermits::NeverExpire) > 0.0,
+            "the check does not detect permits that never expire"
         );
     }
 }
 
 #[test]
-fn each_permit_has_one_holder_who_uses_it_once_and_none_of_an_earlier_process() {
-    let settings = settings(false, 2.5, secs(2.0), 0.13, secs(24.0));
+fn each_permit_is_used_once_by_its_holder_and_never_by_a_later_process() {
+    let settings = example_settings(false);
     let server_started_at = Time::from_micros(1_000_000);
     let schedule = PermitSchedule::ungranted_permits(&settings);
     let mut used = std::collections::BTreeMap::new();
-    for index in 0..30 {
+    for index in 0..settings.gateways {
         let gateway = Settings { gateway_id: GatewayId(index), ..settings.clone() };
         let mut started_at = Time::from_micros(0);
         let mut last_used = 0;
         for now in (1_000_000..60_000_000).step_by(100_000) {
             let now = Time::from_micros(now);
-            // Every third gateway is restarted every 7 s, and knows nothing of before.
+            // Every third gateway restarts every 7 s and loses its state.
             if index % 3 == 0 && now.as_micros() % 7_000_000 == 0 {
                 started_at = now;
                 last_used = 0;
             }
             let holder = PermitHolder::for_gateway(&gateway, 0x5be2_a07c, started_at, last_used);
-            if let Ok(permit) = schedule.next_permit(now, server_started_at, 54.0, holder) {
+            let next = schedule.next_permit(now, server_started_at, CONNECTIONS_WHEN_FULL, holder);
+            if let Ok(permit) = next {
                 last_used = permit;
                 assert_eq!(used.insert(permit, index), None, "permit {permit} is used twice");
-                assert!(permit as f64 <= schedule.permits_issued(now.since(server_started_at), 54.0));
+                let age = now.since(server_started_at);
+                assert!(permit as f64 <= schedule.permits_issued(age, CONNECTIONS_WHEN_FULL));
             }
         }
     }
-    let issued = schedule.permits_issued(secs(58.0), 54.0);
+    let issued = schedule.permits_issued(secs(58.0), CONNECTIONS_WHEN_FULL);
     assert!(used.len() as f64 > 0.9 * issued, "{} of {issued} permits used", used.len());
 }
 
 #[test]
-fn permit_reported_by_another_process_counts_unless_it_cannot_have_been_issued() {
-    let settings = settings(false, 2.5, secs(2.0), 0.13, secs(24.0));
+fn permit_reported_by_a_sibling_counts_unless_it_cannot_have_been_issued() {
+    let settings = example_settings(false);
     let schedule = PermitSchedule::ungranted_permits(&settings);
     let started_at = Time::from_micros(0);
     let now = Time::from_micros(10_000_000);
-    let issued = schedule.permits_issued(now.since(started_at), 54.0) as u64;
-    assert_eq!(schedule.accept_reported_permit(now, Some(started_at), 54.0, issued), issued);
-    assert_eq!(
-        schedule.accept_reported_permit(now, Some(started_at), 54.0, issued + 3),
-        0,
-        "it is of the server's previous process"
-    );
+    let issued = schedule.permits_issued(now.since(started_at), CONNECTIONS_WHEN_FULL) as u64;
+    let accepted =
+        |reported| schedule.accept_reported_permit(now, Some(started_at), CONNECTIONS_WHEN_FULL, reported);
+    assert_eq!(accepted(issued), issued);
+    assert_eq!(accepted(issued + 3), 0, "a permit for the server's previous process");
 }
