--- a/tests/decision_driver/mod.rs
+++ b/tests/decision_driver/mod.rs
@@ -1,9 +1,14 @@
-//! Drives one decision module by hand-written events.
+//! Driver for tests that send hand-written events to one decision module.
 
 use ashtide::*;
 
+/// One second in microseconds.
 pub const SECOND: i64 = 1_000_000;
 
+/// Id of the first connection that exists from the beginning in [`gateway_with_connections`].
+pub const FIRST_EXISTING_ID: u32 = 100_000;
+
+/// Returns the point in time `seconds` after the clock's origin.
 pub fn time_at(seconds: f64) -> Time {
     Time::from_micros((seconds * 1e6) as i64)
 }
@@ -41,19 +46,21 @@
     }
 }
 
-/// A module with all of its actions so far.
+/// Decision module of one gateway, with all of its actions so far.
 pub struct Gateway {
     pub module: Balancer,
     pub actions: Vec<Action>,
 }
 
 impl Gateway {
+    /// Creates a gateway whose endpoint list contains this number of ready servers.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut gateway = Self { module: Balancer::new(settings, 1), actions: Vec::new() };
         gateway.list(0.0, ListUpdate::Snapshot, (0..servers).map(endpoint).collect());
         gateway
     }
 
+    /// Sends an event at second `now`, and returns the actions in response.
     pub fn event(&mut self, now: f64, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.module.handle(time_at(now), event, &mut actions);
@@ -61,25 +68,30 @@
         actions
     }
 
+    /// Sends an update of the endpoint list, and returns the actions in response.
     pub fn list(&mut self, now: f64, update: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.event(now, Event::EndpointList { update, entries })
     }
 
+    /// Sends a request, and returns the server to which the module sends it; `None` if the request is queued.
     pub fn request(&mut self, now: f64, id: u32) -> Option<ServerId> {
         attempt(&self.event(now, Event::Request(request(id))))
     }
 
+    /// Reports the end of an attempt or connection, and returns the actions in response.
     pub fn ended(&mut self, now: f64, id: u32, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let request_done = outcome == Outcome::Ok;
         self.event(now, Event::AttemptEnded { id: RequestId(id), attempt, outcome, request_done })
     }
 
+    /// Reports that an attempt was established after 10 ms.
     pub fn established(&mut self, now: f64, id: u32, attempt: u32) {
         let elapsed = Span::from_micros(10_000);
         self.event(now, Event::Established { id: RequestId(id), attempt, elapsed });
     }
 }
 
+/// Returns the server of the first attempt among the actions; `None` if they contain no attempt.
 pub fn attempt(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Attempt { server, .. } => Some(*server),
@@ -87,17 +99,18 @@
     })
 }
 
-/// A gateway with `each` established connections on every server, placed at second `now`.
-pub fn filled(settings: Settings, servers: u32, each: u32, now: f64) -> Gateway {
+/// Returns a gateway that has `connections_per_server` established connections to every server from second `now` on.
+/// The ids of the connections begin at [`FIRST_EXISTING_ID`] and are assigned to the servers in turn.
+pub fn filled(settings: Settings, servers: u32, connections_per_server: u32, now: f64) -> Gateway {
     let mut gateway = Gateway::new(settings, servers);
-    for id in 0..servers * each {
-        let existing =
-            Event::ExistingConnection { request: request(100_000 + id), server: ServerId(id % servers) };
-        gateway.event(now, existing);
+    for index in 0..servers * connections_per_server {
+        let request = request(FIRST_EXISTING_ID + index);
+        gateway.event(now, Event::ExistingConnection { request, server: ServerId(index % servers) });
     }
     gateway
 }
 
+/// Returns a report that a server's responses take `response_ms` milliseconds.
 pub fn slow(server: u32, response_ms: i64) -> Event {
     Event::SlowResponses { server: ServerId(server), response_time: Span::from_micros(response_ms * 1_000) }
 }
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -91,7 +91,7 @@
 #[test]
 fn server_that_drops_connections_does_not_receive_them_all_again() {
     let mut gateway = filled(settings(Idempotency::Idempotent), 3, 8, 1.0);
-    let connection_of_server_0 = |number: u32| 100_000 + 3 * number;
+    let connection_of_server_0 = |number: u32| FIRST_EXISTING_ID + 3 * number;
     // A network fault may cause a single drop, so the server is not avoided yet.
     gateway.ended(2.0, connection_of_server_0(0), 0, Outcome::Reset);
     assert!((50..60).any(|id| gateway.request(2.0, id) == Some(ServerId(0))));
@@ -138,7 +138,7 @@
 /// Resets connections that existed from the beginning, given by their indices.
 fn reset_connections(gateway: &mut Gateway, indices: impl Iterator<Item = u32>) {
     for index in indices {
-        let id = RequestId(100_000 + index);
+        let id = RequestId(FIRST_EXISTING_ID + index);
         let outcome = Outcome::Reset;
         gateway.event(1.0, Event::AttemptEnded { id, attempt: 0, outcome, request_done: true });
     }
