--- a/tests/decision_driver/mod.rs
+++ b/tests/decision_driver/mod.rs
@@ -75,7 +75,7 @@
 
     /// Sends a request, and returns the server to which the module sends it; `None` if the request is queued.
     pub fn request(&mut self, now: f64, id: u32) -> Option<ServerId> {
-        attempt(&self.event(now, Event::Request(request(id))))
+        attempted_server(&self.event(now, Event::Request(request(id))))
     }
 
     /// Reports the end of an attempt or connection, and returns the actions in response.
@@ -92,7 +92,7 @@
 }
 
 /// Returns the server of the first attempt among the actions; `None` if they contain no attempt.
-pub fn attempt(actions: &[Action]) -> Option<ServerId> {
+pub fn attempted_server(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Attempt { server, .. } => Some(*server),
         _ => None,
@@ -101,7 +101,12 @@
 
 /// Returns a gateway that has `connections_per_server` established connections to every server from second `now` on.
 /// The ids of the connections begin at [`FIRST_EXISTING_ID`] and are assigned to the servers in turn.
-pub fn filled(settings: Settings, servers: u32, connections_per_server: u32, now: f64) -> Gateway {
+pub fn gateway_with_connections(
+    settings: Settings,
+    servers: u32,
+    connections_per_server: u32,
+    now: f64,
+) -> Gateway {
     let mut gateway = Gateway::new(settings, servers);
     for index in 0..servers * connections_per_server {
         let request = request(FIRST_EXISTING_ID + index);
@@ -111,6 +116,6 @@
 }
 
 /// Returns a report that a server's responses take `response_ms` milliseconds.
-pub fn slow(server: u32, response_ms: i64) -> Event {
+pub fn response_time_report(server: u32, response_ms: i64) -> Event {
     Event::SlowResponses { server: ServerId(server), response_time: Span::from_micros(response_ms * 1_000) }
 }
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -7,13 +7,13 @@
 
 #[test]
 fn slow_server_is_avoided_until_its_responses_are_fast() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 3, 5, 1.0);
-    gateway.event(2.0, slow(1, 50));
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 3, 5, 1.0);
+    gateway.event(2.0, response_time_report(1, 50));
     for id in 0..60 {
         assert_ne!(gateway.request(2.1, id), Some(ServerId(1)));
         gateway.established(2.1, id, 0);
     }
-    gateway.event(3.0, slow(1, 10));
+    gateway.event(3.0, response_time_report(1, 10));
     let sent = (100..200).filter(|&id| gateway.request(3.1, id) == Some(ServerId(1))).count();
     assert!(sent > 0);
 }
@@ -25,26 +25,26 @@
 
 #[test]
 fn saturated_server_loses_a_small_share_and_receives_no_new_connections() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 1, 100, 1.0);
-    let migrated = migrations(&gateway.event(2.0, slow(0, 200)));
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 1, 100, 1.0);
+    let migrated = migrations(&gateway.event(2.0, response_time_report(0, 200)));
     assert!((10..=11).contains(&migrated), "{migrated} of 100 connections migrated");
     assert_eq!(gateway.request(2.1, 1), None, "queued while the only server is saturated");
-    let mut with_slow_server = filled(settings(Idempotency::Idempotent), 1, 100, 1.0);
-    let actions = with_slow_server.event(2.0, slow(0, 40));
+    let mut with_slow_server = gateway_with_connections(settings(Idempotency::Idempotent), 1, 100, 1.0);
+    let actions = with_slow_server.event(2.0, response_time_report(0, 40));
     assert!(actions.is_empty(), "connections to a server that is only slow are not migrated");
 }
 
 #[test]
 fn new_connections_to_a_recovered_server_are_limited() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 2, 100, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 2, 100, 1.0);
     gateway.request(1.5, 1).expect("two servers are ready, and their connections are counted");
-    gateway.event(2.0, slow(0, 200));
-    gateway.event(2.0, slow(1, 200));
+    gateway.event(2.0, response_time_report(0, 200));
+    gateway.event(2.0, response_time_report(1, 200));
     for id in 10..210 {
         gateway.request(2.5, id);
     }
     let before = gateway.module.open_connections(ServerId(0));
-    gateway.event(3.0, slow(0, 0));
+    gateway.event(3.0, response_time_report(0, 0));
     for id in 300..400 {
         gateway.request(3.05, id);
     }
@@ -63,7 +63,7 @@
         let request = Request { class, load, ..request(id) };
         gateway.event(1.0, Event::ExistingConnection { request, server: ServerId(0) });
     }
-    let actions = gateway.event(2.0, slow(0, 300));
+    let actions = gateway.event(2.0, response_time_report(0, 300));
     assert_eq!(actions.first(), Some(&Action::Migrate { id: RequestId(4) }));
 }
 
@@ -76,7 +76,7 @@
         match gateway.request(now, id) {
             Some(ServerId(0)) => {
                 attempts += 1;
-                let retry = attempt(&gateway.ended(now, id, 0, Outcome::ConnectError));
+                let retry = attempted_server(&gateway.ended(now, id, 0, Outcome::ConnectError));
                 assert!(
                     retry.is_some_and(|server| server != ServerId(0)),
                     "request {id} is not retried on another server: {retry:?}"
@@ -90,7 +90,7 @@
 
 #[test]
 fn server_that_drops_connections_does_not_receive_them_all_again() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 3, 8, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 3, 8, 1.0);
     let connection_of_server_0 = |number: u32| FIRST_EXISTING_ID + 3 * number;
     // A network fault may cause a single drop, so the server is not avoided yet.
     gateway.ended(2.0, connection_of_server_0(0), 0, Outcome::Reset);
@@ -110,7 +110,7 @@
 
 #[test]
 fn silent_server_loses_all_connections_and_is_on_probation_until_it_responds() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 2, 5, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 2, 5, 1.0);
     let silent = ServerId(0);
     let open = gateway.module.open_connections(silent);
     let actions = gateway.event(2.0, Event::ServerSilent { server: silent });
@@ -128,7 +128,7 @@
         (300..320).all(|id| gateway.request(4.1, id) == Some(ServerId(1))),
         "an established connection does not end the probation"
     );
-    gateway.event(5.0, slow(0, 0));
+    gateway.event(5.0, response_time_report(0, 0));
     assert!(
         (400..420).any(|id| gateway.request(5.1, id) == Some(silent)),
         "an answered message ends the probation"
@@ -146,7 +146,7 @@
 
 #[test]
 fn server_that_shed_load_is_not_filled_beyond_its_estimated_capacity() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 3, 20, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 3, 20, 1.0);
     reset_connections(&mut gateway, (0..36).step_by(3));
     assert_eq!(gateway.module.open_connections(ServerId(0)), 8);
     // At second 5 the server is no longer avoided for its shedding.
@@ -160,7 +160,7 @@
 
 #[test]
 fn uncordoned_server_receives_the_next_request_despite_earlier_faults() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 3, 5, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 3, 5, 1.0);
     let entries = |state| vec![EndpointEntry { state, ..endpoint(2) }];
     reset_connections(&mut gateway, (2..15).step_by(3));
     gateway.list(1.0, ListUpdate::Delta, entries(ServerState::Draining));
@@ -177,7 +177,7 @@
 
 #[test]
 fn request_waits_for_a_warming_server_instead_of_using_an_ejected_one() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 2, 20, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 2, 20, 1.0);
     let warming = EndpointEntry { started_at: Some(time_at(1.0)), ..endpoint(1) };
     gateway.list(1.0, ListUpdate::Delta, vec![warming]);
     // Server 0 refuses connections, but the endpoint list still shows it as ready.
@@ -192,7 +192,7 @@
                 Some(ServerId(0)) => {
                     refused += 1;
                     let actions = gateway.ended(now, id, attempt_number, Outcome::ConnectError);
-                    selected = attempt(&actions);
+                    selected = attempted_server(&actions);
                 }
                 Some(_) => {
                     placed += 1;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -24,7 +24,7 @@
     let other = ServerId(1 - first.0);
     let draining = EndpointEntry { state: ServerState::Draining, ..endpoint(other.0) };
     gateway.list(1.1, ListUpdate::Delta, vec![draining]);
-    let retry = attempt(&gateway.ended(1.2, 1, 0, Outcome::Failed));
+    let retry = attempted_server(&gateway.ended(1.2, 1, 0, Outcome::Failed));
     assert_ne!(retry, Some(other));
     for id in 2..50 {
         assert_ne!(gateway.request(1.3, id), Some(other));
@@ -105,7 +105,7 @@
 
 #[test]
 fn restarted_server_is_warming_up_again() {
-    let mut gateway = filled(settings(Idempotency::Idempotent), 5, 4, 1.0);
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 5, 4, 1.0);
     let restarted = EndpointEntry { started_at: Some(time_at(20.0)), ..endpoint(0) };
     gateway.list(20.0, ListUpdate::Delta, vec![restarted]);
     let sent = (0..200).filter(|&id| gateway.request(20.1, id) == Some(ServerId(0))).count();
@@ -116,7 +116,7 @@
 fn errors_are_retried_with_backoff_and_shrink_the_connect_window() {
     let mut gateway = Gateway::new(settings(Idempotency::Idempotent), 4);
     gateway.request(1.0, 1).expect("ready");
-    assert_eq!(attempt(&gateway.ended(1.01, 1, 0, Outcome::Failed)), None, "it waits first");
+    assert_eq!(attempted_server(&gateway.ended(1.01, 1, 0, Outcome::Failed)), None, "it waits first");
     // A store that fails all connects: ever fewer are in flight.
     let mut out = 0;
     for id in 10..600 {
@@ -138,7 +138,7 @@
     let mut gateway = Gateway::new(settings(Idempotency::Idempotent), 0);
     assert_eq!(gateway.request(1.0, 1), None);
     let placed = gateway.list(1.2, ListUpdate::Delta, vec![endpoint(0)]);
-    assert_eq!(attempt(&placed), Some(ServerId(0)));
+    assert_eq!(attempted_server(&placed), Some(ServerId(0)));
 
     let mut gateway = Gateway::new(settings(Idempotency::Idempotent), 0);
     gateway.request(1.0, 1);
@@ -163,16 +163,18 @@
 #[test]
 fn groups_stay_together_while_load_allows() {
     let grouped = |id| Request { group: Some(GroupId(7)), ..request(id) };
-    let mut gateway = filled(settings(Idempotency::Idempotent), 20, 3, 1.0);
-    let affinity_server = attempt(&gateway.event(1.0, Event::Request(grouped(1)))).expect("ready");
+    let mut gateway = gateway_with_connections(settings(Idempotency::Idempotent), 20, 3, 1.0);
+    let affinity_server = attempted_server(&gateway.event(1.0, Event::Request(grouped(1)))).expect("ready");
     gateway.established(1.0, 1, 0);
     for id in 2..4 {
-        assert_eq!(attempt(&gateway.event(1.0, Event::Request(grouped(id)))), Some(affinity_server));
+        assert_eq!(attempted_server(&gateway.event(1.0, Event::Request(grouped(id)))), Some(affinity_server));
         gateway.established(1.0, id, 0);
     }
     let mut away = 0;
     for id in 4..40 {
-        away += u32::from(attempt(&gateway.event(1.0, Event::Request(grouped(id)))) != Some(affinity_server));
+        away += u32::from(
+            attempted_server(&gateway.event(1.0, Event::Request(grouped(id)))) != Some(affinity_server),
+        );
         gateway.established(1.0, id, 0);
     }
     assert!(away > 10, "past twice the others' load selection decides again, {away}");
@@ -210,7 +212,7 @@
     let near = placed.filter(|&server| server == ServerId(0)).count();
     assert!(near < 10, "{near} of 24");
     // Where it is slow, it gets nothing.
-    gateway.event(2.0, slow(0, 40));
+    gateway.event(2.0, response_time_report(0, 40));
     assert!((300..330).all(|id| gateway.request(2.0, id).is_some_and(|server| server.0 > 0)));
 }
 
@@ -223,7 +225,7 @@
         gateway.request(1.0, 1).expect("ready");
         let after = gateway.ended(1.1, 1, 0, outcome);
         assert_eq!(after.contains(&Action::Fail { id: RequestId(1) }), may_run, "{outcome:?}");
-        assert_eq!(attempt(&after).is_none(), may_run, "{outcome:?}");
+        assert_eq!(attempted_server(&after).is_none(), may_run, "{outcome:?}");
     }
 }
 
@@ -260,7 +262,7 @@
     let late = Request { time_left: Span::ZERO, ..request(1) };
     let actions = gateway.event(1.0, Event::Request(late.clone()));
     assert_eq!(final_answers(&actions, 1), 1);
-    assert_eq!(attempt(&actions), None);
+    assert_eq!(attempted_server(&actions), None);
 }
 
 #[test]
