--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -26,7 +26,9 @@
 ///
 /// All servers use a common store for connects. The more connects it has to handle, the more of them fail.
 pub(super) struct ConnectWindow {
+    /// Maximum number of connects in flight; not an integer, since it grows by fractions.
     size: f64,
+    /// Number of connects in flight.
     in_flight: u32,
 }
 
@@ -70,6 +72,7 @@
 #[derive(Default)]
 pub(super) struct RequestQueue {
     ids: Vec<RequestId>,
+    /// Whether a timer is set that tries the queued requests again.
     timer_set: bool,
 }
 
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -7,6 +7,7 @@
 
 use super::interface::{GroupId, ServerId};
 
+/// Key of a connection count: a group and a server that has connections of it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupOnServer {
     group: GroupId,
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -31,7 +31,9 @@
     ready: Vec<ServerId>,
     /// Ready servers that are warming up, in the order of their ids.
     warming: Vec<ServerId>,
+    /// Time at which `ready` and `warming` were last updated.
     refreshed_at: Time,
+    /// Number of polls that have failed since the last successful one.
     consecutive_failures: u32,
 }
 
@@ -109,11 +111,11 @@
     }
 
     /// Counts a failed poll; returns the wait before the next poll, without jitter.
-    fn record_failure(&mut self, longest: Span) -> Span {
+    fn record_failure(&mut self, max_wait: Span) -> Span {
         let doublings = self.consecutive_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         let share = (POLL_BACKOFF_BASE_SHARE * f64::from(1 << doublings)).min(1.0);
         self.consecutive_failures += 1;
-        longest.scale(share).min(MAX_POLL_WAIT)
+        max_wait.scale(share).min(MAX_POLL_WAIT)
     }
 }
 
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -47,9 +47,9 @@
     /// served. This happens even if there is no other server. A fractional number of connections is rounded
     /// at random.
     pub(super) fn migrate_share(&mut self, server: ServerId) {
-        let share = MIGRATION_SHARE * f64::from(self.server(server).open_connections());
+        let migrations = MIGRATION_SHARE * f64::from(self.server(server).open_connections());
         let mut candidates = self.migration_candidates(server);
-        let count = (share + self.rng.random::<f64>()) as usize;
+        let count = (migrations + self.rng.random::<f64>()) as usize;
         candidates.sort_unstable_by(MigrationCandidate::cmp);
         let migrated = candidates.iter().take(count);
         self.actions.extend(migrated.map(|candidate| Action::Migrate { id: candidate.id }));
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -67,9 +67,11 @@
     /// Actions in response to the event that is being handled.
     actions: Vec<Action>,
     endpoints: ServerRecords,
+    /// Requests that are unanswered, or that have an attempt or a connection.
     requests: BTreeMap<RequestId, PendingRequest>,
     queue: RequestQueue,
     connect_window: ConnectWindow,
+    /// Connection counts by group.
     groups: GroupConnections,
     typical_load: TypicalLoad,
 }
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -52,6 +52,7 @@
 #[derive(Default)]
 pub(super) struct Ejection {
     consecutive_failures: u32,
+    /// End of the last ejection; `None` if there was none since the last success.
     ejected_until: Option<Time>,
     /// Whether the server became silent and has not responded since. On probation it receives one connection
     /// at a time.
@@ -61,18 +62,18 @@
 impl Ejection {
     /// Checks whether the server is ejected, given the number of its open connections.
     pub(super) fn is_ejected(&self, now: Time, open_connections: u32) -> bool {
-        (self.on_probation && open_connections > 0) || self.is_waiting(now)
+        (self.on_probation && open_connections > 0) || self.is_ejection_running(now)
     }
 
-    fn is_waiting(&self, now: Time) -> bool {
+    fn is_ejection_running(&self, now: Time) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Counts failures, and ejects the server once there are enough. Each ejection is longer than the one
-    /// before, up to `longest`. Failures of an ejected server are ignored, since their attempts began before
+    /// before, up to `max_time`. Failures of an ejected server are ignored, since their attempts began before
     /// the ejection.
-    fn record_failures(&mut self, now: Time, failures: u32, longest: Span, jitter: f64) {
-        if self.is_waiting(now) {
+    fn record_failures(&mut self, now: Time, failures: u32, max_time: Span, jitter: f64) {
+        if self.is_ejection_running(now) {
             return;
         }
         self.consecutive_failures += failures;
@@ -81,7 +82,7 @@
         }
         let step = (self.consecutive_failures / OUTLIER_CONSECUTIVE_FAILURES).min(MAX_EJECTION_STEPS) - 1;
         let share = INITIAL_EJECTION_SHARE * f64::from(1 << step);
-        let time = longest.scale(share).min(longest);
+        let time = max_time.scale(share).min(max_time);
         self.ejected_until = Some(now + time.scale(jitter));
     }
 
@@ -106,6 +107,7 @@
 /// Level of a server's response time, by the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ResponseLevel {
+    /// Responses are fast, or no report has arrived.
     #[default]
     Normal,
     /// The server is used only if there is no better one.
@@ -141,11 +143,13 @@
 
 /// Capacity estimate: the number of connections that a server can have, derived from its load shedding.
 struct CapacityEstimate {
+    /// Number of connections at the time of the estimate.
     connections: f64,
     estimated_at: Time,
 }
 
 impl CapacityEstimate {
+    /// Returns the estimated number of connections at time `now`. The estimate grows with its age.
     fn at(&self, now: Time) -> f64 {
         self.connections * (1.0 + now.since(self.estimated_at).as_secs() / CAPACITY_RECOVERY_TIME.as_secs())
     }
@@ -157,10 +161,16 @@
 pub(super) struct Shedding {
     /// Number of dropped connections, which decays to zero over [`DROP_WINDOW`].
     recent_drops: f64,
+    /// Time at which `recent_drops` was last updated.
     drops_decayed_at: Time,
+    /// Number of times that the server shed load again within a warm-up time.
     consecutive_sheds: u32,
+    /// End of the last time for which the server was avoided; `None` if it has not shed load since its last
+    /// start.
     shedding_until: Option<Time>,
+    /// Number of the server's connections before the first of the recent drops.
     connections_before_drops: u32,
+    /// Capacity estimate; `None` if the server has not shed load since its last start.
     capacity: Option<CapacityEstimate>,
 }
 
@@ -193,13 +203,13 @@
         let connections = CAPACITY_ESTIMATE_SHARE * f64::from(self.connections_before_drops);
         self.capacity = Some(CapacityEstimate { connections, estimated_at: now });
         if !self.is_shedding(now) {
-            self.begin(now, warm_up_time, jitter);
+            self.begin_avoidance(now, warm_up_time, jitter);
         }
     }
 
     /// Avoids the server for a limited time, which is longer if the server shed load within the last warm-up
     /// time.
-    fn begin(&mut self, now: Time, warm_up_time: Span, jitter: f64) {
+    fn begin_avoidance(&mut self, now: Time, warm_up_time: Span, jitter: f64) {
         let is_repeated = self.shedding_until.is_some_and(|until| now.since(until) < warm_up_time);
         self.consecutive_sheds =
             if is_repeated { (self.consecutive_sheds + 1).min(MAX_SHEDDING_DOUBLINGS) } else { 0 };
@@ -234,8 +244,8 @@
 
     fn record_failures(&mut self, now: Time, id: ServerId, failures: u32) {
         let jitter = draw_jitter(&mut self.rng);
-        let longest = self.settings.warm_up_time;
-        self.server_mut(id).ejection.record_failures(now, failures, longest, jitter);
+        let max_time = self.settings.warm_up_time;
+        self.server_mut(id).ejection.record_failures(now, failures, max_time, jitter);
     }
 
     fn record_drop(&mut self, now: Time, id: ServerId) {
--- a/src/decision/permits.rs
+++ b/src/decision/permits.rs
@@ -24,19 +24,22 @@
 /// State of this gateway's fleet permit for one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum FleetPermit {
+    /// The gateway has no permit and has requested none.
     #[default]
     None,
+    /// The gateway has requested a permit, and the reply is outstanding.
     Requested,
-    Granted {
-        until: Time,
-    },
+    /// The gateway has a permit that it may use before `until`.
+    Granted { until: Time },
 }
 
 /// Permits of this gateway for one server that is warming up.
 #[derive(Default)]
 pub(super) struct ServerPermits {
     fleet_permit: FleetPermit,
+    /// Earliest time of the next permit request.
     next_request_at: Time,
+    /// End of the time for which the gateway uses its own permits, since no grantor answered.
     grantors_unreachable_until: Time,
     /// Whether the server has fewer connections from the fleet than other servers have, as reported by the
     /// grantors.
--- a/src/decision/recovery.rs
+++ b/src/decision/recovery.rs
@@ -53,8 +53,8 @@
 }
 
 impl Balancer {
-    /// Checks whether the recovery ramp admits a connection to the server now. A server that is not
-    /// recovering is always admitted.
+    /// Checks whether the recovery ramp admits a connection to the server now. It always admits connections
+    /// to a server that is not recovering.
     pub(super) fn recovery_admits(&mut self, now: Time, id: ServerId) -> bool {
         if !self.is_recovering(now, id) {
             return true;
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -25,16 +25,20 @@
     deadline: Time,
     /// Whether the final answer has been sent, or is no longer due.
     answered: bool,
+    /// Number of attempts begun so far.
     attempts: u32,
     attempt_in_flight: Option<AttemptInFlight>,
+    /// Servers of all attempts begun so far.
     attempted_servers: Vec<ServerId>,
-    first_execution: Option<PossibleExecution>,
+    first_possible_execution: Option<PossibleExecution>,
+    /// Time at which the last attempt was sent.
     last_sent_at: Time,
     /// Load in seconds of standard-core work per second: the expected load at first, then the reported load;
     /// `None` if unknown.
     load: Option<f64>,
     /// Earliest time of the next attempt.
     retry_at: Time,
+    /// Server for which the request waits for a permit; `None` if it waits for none.
     awaiting_permit_from: Option<ServerId>,
 }
 
@@ -85,13 +89,13 @@
         self.attempt_in_flight.is_some()
     }
 
-    pub(super) fn first_execution(&self) -> Option<PossibleExecution> {
-        self.first_execution
+    pub(super) fn first_possible_execution(&self) -> Option<PossibleExecution> {
+        self.first_possible_execution
     }
 
     /// Checks whether a server may have executed one of the request's attempts.
     pub(super) fn may_have_been_executed(&self) -> bool {
-        self.first_execution.is_some()
+        self.first_possible_execution.is_some()
     }
 
     pub(super) fn was_attempted_on(&self, server: ServerId) -> bool {
@@ -147,8 +151,8 @@
             return None;
         }
         let ended = self.attempt_in_flight.take()?;
-        if !outcome.proves_not_executed() && self.first_execution.is_none() {
-            self.first_execution =
+        if !outcome.proves_not_executed() && self.first_possible_execution.is_none() {
+            self.first_possible_execution =
                 Some(PossibleExecution { server: ended.server, sent_at: self.last_sent_at });
         }
         Some(ended)
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -23,7 +23,7 @@
     /// be sent to any server if it is idempotent, and to no server if it is not. If it has an idempotency
     /// key, it may be sent to servers that recognise the key, within the idempotency window.
     pub(super) fn may_execute_on(&self, now: Time, request: &PendingRequest, server: ServerId) -> bool {
-        let Some(first) = request.first_execution() else {
+        let Some(first) = request.first_possible_execution() else {
             return true;
         };
         match self.class(request.class).idempotency {
@@ -140,8 +140,7 @@
         };
         let has_attempt_in_flight = request.has_attempt_in_flight();
         if self.is_safe_to_retry(id) && !has_attempt_in_flight {
-            let longest = self.settings.max_retry_after;
-            let retry_after = longest.scale(self.rng.random());
+            let retry_after = self.settings.max_retry_after.scale(self.rng.random());
             self.actions.push(Action::Reject { id, retry_after });
         } else {
             self.actions.push(Action::Fail { id });
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Holder of permits: it holds every permit whose number leaves the remainder `index` when divided by
+/// Holder of permits. Its permits are those whose number leaves the remainder `index` when divided by
 /// `holders`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitHolder {
@@ -171,8 +171,10 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitSchedule {
     config: SlowStartConfig,
+    /// Share of the overload threshold, from 0 to 1.
     share: f64,
     issue_rate: IssueRate,
+    /// Time within which a granted permit is used.
     lease: Span,
 }
 
--- a/src/decision/typical_load.rs
+++ b/src/decision/typical_load.rs
@@ -39,9 +39,13 @@
 /// Typical load of a server, in connections of this gateway.
 #[derive(Default)]
 pub(super) struct TypicalLoad {
+    /// Number of connections that a server typically has.
     connections: f64,
+    /// Number of connections that fill a server.
     connections_when_full: f64,
+    /// Largest number of ready servers so far.
     peak_ready_servers: usize,
+    /// Time of the last update; `None` before the first one.
     updated_at: Option<Time>,
 }
 
