--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,7 +1,7 @@
-//! Requests, their attempts and the connections that come of them.
+//! Requests, their attempts and the connections that successful attempts establish.
 //!
-//! A request has at most one attempt in flight and gets at most one final answer, whatever the decision module or a
-//! frontend does.
+//! A request has at most one attempt in flight and gets at most one final answer, regardless of what the
+//! decision module or a front end does.
 
 use std::collections::BTreeMap;
 
@@ -13,37 +13,42 @@
 use super::timers::TimerEvent;
 use crate::decision::interface::{Event, Outcome, Request, RequestId, ServerId, Span, TenantId, Time};
 
-/// A message of the client that the server has not answered.
+/// A client message that the server has not answered yet.
 #[derive(Clone, Copy)]
 pub(super) struct UnansweredMessage {
+    /// When the message was forwarded to the server.
     pub(super) forwarded_at: Time,
-    /// Whether the server answers such a message at once.
+    /// Whether the server is expected to answer the message immediately.
     pub(super) is_prompt: bool,
 }
 
-/// The attempt of a request that is in flight, or the connection that came of it.
+/// The attempt of a request that is in flight, or the connection that the attempt established.
 pub(super) struct CurrentAttempt {
+    /// Number of the attempt within its request, from 0.
     pub(super) number: u32,
     pub(super) server: ServerId,
-    pub(super) sent_at: Time,
-    /// None once the attempt is established.
+    /// When the attempt was started; for an adopted connection, when it was adopted.
+    pub(super) started_at: Time,
+    /// Timer of the attempt's timeout; `None` once the connection is established.
     pub(super) timeout_timer: Option<Key>,
+    /// Whether the attempt has become an established connection.
     pub(super) established: bool,
+    /// The oldest client message without an answer.
     pub(super) oldest_unanswered: Option<UnansweredMessage>,
 }
 
 impl CurrentAttempt {
-    fn in_flight(number: u32, server: ServerId, sent_at: Time, timeout_timer: Key) -> Self {
+    fn in_flight(number: u32, server: ServerId, started_at: Time, timeout_timer: Key) -> Self {
         let timeout_timer = Some(timeout_timer);
-        Self { number, server, sent_at, timeout_timer, established: false, oldest_unanswered: None }
+        Self { number, server, started_at, timeout_timer, established: false, oldest_unanswered: None }
     }
 
-    /// A connection that was established by another process.
+    /// Creates the record of a connection that another process established.
     fn established_elsewhere(server: ServerId, now: Time) -> Self {
         Self {
             number: 0,
             server,
-            sent_at: now,
+            started_at: now,
             timeout_timer: None,
             established: true,
             oldest_unanswered: None,
@@ -51,24 +56,25 @@
     }
 }
 
-/// A request that is not over.
+/// State of an open request: one that awaits its answer or has an established connection.
 #[derive(Default)]
 pub(super) struct RequestRecord {
     tenant: Option<TenantId>,
+    /// Number of attempts started so far.
     attempts_made: u32,
     current_attempt: Option<CurrentAttempt>,
 }
 
-/// Established connections of this process.
+/// Numbers of established connections of this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EstablishedCounts {
-    /// By server.
+    /// Number of established connections of each server.
     pub by_server: BTreeMap<ServerId, u32>,
-    /// By tenant, where a request named one.
+    /// Number of established connections of each tenant; connections without a tenant are not included.
     pub by_tenant: BTreeMap<TenantId, u32>,
 }
 
-/// All requests that are not over.
+/// All open requests, including those with an established connection.
 #[derive(Default)]
 pub(super) struct RequestTable {
     records: BTreeMap<RequestId, RequestRecord>,
@@ -95,17 +101,17 @@
         self.records.get_mut(&id)?.current_attempt.as_mut()
     }
 
-    /// The current attempt, if it has this number.
+    /// Returns the current attempt if it has this number.
     pub(super) fn attempt_mut(&mut self, id: RequestId, number: u32) -> Option<&mut CurrentAttempt> {
         self.current_attempt_mut(id).filter(|attempt| attempt.number == number)
     }
 
-    /// The connection of a request, if it is established.
+    /// Returns the established connection of a request, if there is one.
     pub(super) fn established(&self, id: RequestId) -> Option<&CurrentAttempt> {
         self.current_attempt(id).filter(|attempt| attempt.established)
     }
 
-    /// All established connections, by request.
+    /// Returns all established connections with their request ids.
     pub(super) fn all_established(&self) -> impl Iterator<Item = (RequestId, &CurrentAttempt)> {
         self.records.iter().filter_map(|(&id, record)| {
             let attempt = record.current_attempt.as_ref().filter(|attempt| attempt.established)?;
@@ -134,7 +140,7 @@
         self.records.insert(id, RequestRecord { tenant, ..RequestRecord::default() });
     }
 
-    /// Adds a connection that another process has established.
+    /// Adds a connection that another process established.
     fn insert_established(&mut self, request: &Request, connection: CurrentAttempt) {
         let record =
             RequestRecord { tenant: request.tenant, attempts_made: 1, current_attempt: Some(connection) };
@@ -145,7 +151,7 @@
         self.records.remove(&id);
     }
 
-    /// Counts a further attempt of a request, and returns its number.
+    /// Counts a new attempt of a request and returns the number of this attempt.
     fn next_attempt_number(&mut self, id: RequestId) -> Option<u32> {
         let record = self.records.get_mut(&id)?;
         let number = record.attempts_made;
@@ -157,34 +163,35 @@
         self.records.entry(id).or_default().current_attempt = Some(attempt);
     }
 
-    /// Removes the current attempt, if it has this number.
+    /// Removes and returns the current attempt if it has this number.
     fn take_attempt(&mut self, id: RequestId, number: u32) -> Option<CurrentAttempt> {
         self.records.get_mut(&id)?.current_attempt.take_if(|attempt| attempt.number == number)
     }
 }
 
 impl Engine {
-    /// How many requests and connections are not over.
+    /// Returns the number of open requests, including those with an established connection.
     pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request or its connection is not over.
+    /// Checks whether a request is open, which includes having an established connection.
     pub fn has_request(&self, id: RequestId) -> bool {
         self.requests.contains(id)
     }
 
-    /// The server of a request's attempt in flight or established connection.
+    /// Returns the server of a request's attempt in flight or established connection.
     pub fn server_of(&self, id: RequestId) -> Option<ServerId> {
         self.requests.current_attempt(id).map(|attempt| attempt.server)
     }
 
-    /// Established connections by server and by tenant.
+    /// Returns the numbers of established connections by server and by tenant.
     pub fn established_counts(&self) -> EstablishedCounts {
         self.requests.established_counts()
     }
 
-    /// Handles a client's request for a connection. An id that is in use is ignored: its request would get two answers.
+    /// Handles a client's request for a connection. A request whose id is in use is ignored, because that id
+    /// would get two answers.
     pub fn handle_request(&mut self, now: Time, request: Request, commands: &mut Vec<Command>) {
         let id = request.id;
         if self.requests.contains(id) {
@@ -199,7 +206,7 @@
         self.handle_event(now, Event::Request(request), commands);
     }
 
-    /// Takes over a connection that was established at `server` before this process started.
+    /// Adopts a connection to `server` that was established before this process started.
     pub fn handle_existing_connection(
         &mut self,
         now: Time,
@@ -214,11 +221,12 @@
         self.handle_event(now, Event::ExistingConnection { request, server }, commands);
     }
 
-    /// Whether an attempt whose connection is open may send its first byte now.
+    /// Decides whether an attempt whose connection is open may send its first byte now.
     ///
-    /// This is the only place where a send is decided for good: since the server was chosen it may have been told to
-    /// drain, the list may have expired, and the time in which a retry is recognised may have passed. False if the
-    /// attempt is over; its frontend is told to close it.
+    /// This is the only place where the final decision to send is made. Since the server was chosen, the
+    /// server may have begun to drain, the endpoint list may have expired, and the idempotency window of a
+    /// retry may have ended. In these cases the attempt is ended, its front end is told to close it, and the
+    /// result is false. The result is also false for an attempt that has already ended.
     pub fn may_send_first_byte(
         &mut self,
         now: Time,
@@ -236,15 +244,16 @@
             return true;
         }
         commands.push(Command::Close { id, attempt });
-        // Another server may take what this one may not; what no server may take now is answered.
+        // If only this server is unavailable, the request may be retried on another one. If no attempt may
+        // begin now, the request is answered.
         let outcome = if allowed { Outcome::ConnectError } else { Outcome::NotSent };
         self.end_attempt(id, attempt, outcome);
         self.process_pending_events(now, commands);
         false
     }
 
-    /// Records that an attempt's connection is established, so that the client may be served with it. False if the
-    /// attempt is over; its frontend has been told to close it.
+    /// Records that an attempt's connection is established, so that the client may be served on it. Returns
+    /// false if the attempt has ended; its front end has been told to close it.
     pub fn handle_established(
         &mut self,
         now: Time,
@@ -259,7 +268,7 @@
         current.established = true;
         let timer = current.timeout_timer.take();
         let server = current.server;
-        let elapsed = now.since(current.sent_at);
+        let elapsed = now.since(current.started_at);
         self.invariants.release_request(id);
         self.timers.cancel(timer);
         self.servers.entry(server).or_default().response_times.record_message(now);
@@ -271,7 +280,8 @@
         true
     }
 
-    /// Records that an attempt, or the connection that came of it, has ended. Ignored for an attempt that is over.
+    /// Records that an attempt, or the connection that it established, has ended. Does nothing if the end of
+    /// the attempt was recorded before.
     pub fn handle_attempt_end(
         &mut self,
         now: Time,
@@ -284,7 +294,7 @@
         self.process_pending_events(now, commands);
     }
 
-    /// Records that the client has gone.
+    /// Records that the client has disconnected.
     pub fn handle_client_left(&mut self, now: Time, id: RequestId, commands: &mut Vec<Command>) {
         if !self.requests.contains(id) {
             return;
@@ -299,7 +309,7 @@
         self.process_pending_events(now, commands);
     }
 
-    /// Records that a connection reports its load, in microseconds of work a second.
+    /// Records the load that a connection reports, in microseconds of work per second.
     pub fn handle_load_report(
         &mut self,
         now: Time,
@@ -310,17 +320,17 @@
         self.handle_event(now, Event::LoadChanged { id, load: load_micros / 1e6 }, commands);
     }
 
-    /// Ends an attempt that has had its time.
+    /// Ends an attempt that has timed out.
     pub(super) fn time_out_attempt(&mut self, id: RequestId, attempt: u32, commands: &mut Vec<Command>) {
         let current = self.requests.attempt_mut(id, attempt).filter(|current| !current.established);
         let Some(current) = current else { return };
-        // The timer has fired: its key may belong to another by now.
+        // The timer has fired, and the timer queue may have reused its key for another timer.
         current.timeout_timer = None;
         commands.push(Command::Close { id, attempt });
         self.end_attempt(id, attempt, Outcome::TimedOut);
     }
 
-    /// Starts an attempt that the decision module asks for.
+    /// Starts an attempt that the decision module has requested.
     pub(super) fn start_attempt(
         &mut self,
         now: Time,
@@ -332,8 +342,8 @@
         let Some(attempt) = self.requests.next_attempt_number(id) else { return };
         if self.requests.current_attempt(id).is_some() {
             let outcome = Outcome::NotSent;
-            let refused = Event::AttemptEnded { id, attempt, outcome, request_done: false };
-            return self.pending_events.push_back(refused);
+            let not_sent = Event::AttemptEnded { id, attempt, outcome, request_done: false };
+            return self.pending_events.push_back(not_sent);
         }
         let timeout = timeout.max(Span::ZERO);
         let timer = self.timers.schedule(now + timeout, TimerEvent::AttemptTimeout { id, attempt });
@@ -341,7 +351,7 @@
         commands.push(Command::Attempt { id, attempt, server, timeout });
     }
 
-    /// Cancels an attempt that the decision module waits for no longer.
+    /// Cancels an attempt whose result the decision module no longer needs.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32, commands: &mut Vec<Command>) {
         if self.requests.attempt_mut(id, attempt).is_some_and(|current| !current.established) {
             commands.push(Command::Close { id, attempt });
@@ -349,7 +359,8 @@
         }
     }
 
-    /// Gives the final answer of a request, once: one that is over has no record, and one that is served needs none.
+    /// Sends the final answer of a request, at most once. A request that has ended has no record, and one
+    /// with an established connection needs no answer.
     pub(super) fn answer_request(
         &mut self,
         now: Time,
@@ -365,12 +376,13 @@
         commands.push(Command::Answer { id, answer });
     }
 
-    /// Removes a request that is not served, with the attempt that may be in flight.
+    /// Removes a request without an established connection, together with its attempt in flight, if there is
+    /// one.
     fn remove_unserved(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         if let Some(attempt) = self.requests.current_attempt(id).map(|current| current.number) {
             commands.push(Command::Close { id, attempt });
             self.end_attempt(id, attempt, Outcome::Cancelled);
-            // The request is over, so the decision module must not retry it when it learns of the end.
+            // The request has ended, so the decision module must not retry it when it handles this event.
             if let Some(Event::AttemptEnded { request_done, .. }) = self.pending_events.back_mut() {
                 *request_done = true;
             }
@@ -378,7 +390,7 @@
         self.requests.remove(id);
     }
 
-    /// Removes an attempt, and queues its end for the decision module.
+    /// Removes an attempt and queues the event of its end for the decision module.
     pub(super) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let Some(ended) = self.requests.take_attempt(id, attempt) else { return };
         self.invariants.record_attempt_end(id, attempt, outcome);
--- a/src/engine/command.rs
+++ b/src/engine/command.rs
@@ -1,21 +1,21 @@
-//! Commands that the engine returns for its drivers to carry out.
+//! Commands that the engine returns to its drivers for execution.
 
 use crate::decision::interface::{RequestId, ServerId, Span};
 use crate::fleet::permits::PermitDatagram;
 
-/// A final answer to a request that was not served.
+/// Final answer to a request for which no connection was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Rejected without having run; the client may retry after this long (zero: no advice).
+    /// Rejected without execution. The client may retry after this time; zero gives no advice.
     Rejected(Span),
-    /// Failed; it may have run.
+    /// Failed; the server may have executed the request.
     Failed,
 }
 
-/// What a frontend or a driver has to do.
+/// An instruction to a front end or a driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Make this attempt. The engine itself ends it after `timeout`.
+    /// Starts an attempt. The engine itself ends the attempt after `timeout`.
     Attempt {
         /// The request.
         id: RequestId,
@@ -23,42 +23,42 @@
         attempt: u32,
         /// The server to connect to.
         server: ServerId,
-        /// How long the engine waits for the outcome.
+        /// Time for which the engine waits for the outcome.
         timeout: Span,
     },
-    /// Abandon this attempt now: none of its bytes may be sent afterwards.
+    /// Closes an attempt immediately; none of its bytes may be sent afterwards.
     Close {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Send the client this final answer.
+    /// Sends the final answer to the client.
     Answer {
         /// The request.
         id: RequestId,
         /// The answer.
         answer: FinalAnswer,
     },
-    /// Ask the client of this established connection to reconnect, and close the connection.
+    /// Requests the client of an established connection to reconnect, and closes the connection.
     Migrate {
-        /// The request that the connection came from.
+        /// The request that opened the connection.
         id: RequestId,
     },
-    /// Pass this established connection to the successor process.
+    /// Hands an established connection off to the successor process.
     HandOff {
-        /// The request that the connection came from.
+        /// The request that opened the connection.
         id: RequestId,
-        /// The server at its other end.
+        /// The server of the connection.
         server: ServerId,
     },
-    /// Check the health of a server.
+    /// Sends a health check to a server.
     CheckHealth {
         /// The server.
         server: ServerId,
     },
-    /// Follow the endpoint list from now on.
+    /// Starts a watch on the endpoint list.
     Subscribe,
-    /// Send this datagram to another gateway.
+    /// Sends a datagram to another gateway.
     SendDatagram(PermitDatagram),
 }
--- a/src/engine/endpoint_list.rs
+++ b/src/engine/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as this gateway uses it: the entries of discovery, overridden by cordons, by ejections of the
-//! quorum and by an expired lease.
+//! The endpoint list as this gateway uses it: the entries from discovery, overridden by cordons, quorum
+//! ejections and the expiry of the list lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,36 +11,39 @@
     EndpointEntry, Event, ListUpdate, RequestId, ServerId, ServerState, Span, Time,
 };
 
-/// What the engine keeps of a server, listed or not.
+/// State of a server, including servers that are no longer on the endpoint list.
 #[derive(Default)]
 pub(super) struct ServerRecord {
-    /// By the list and by cordons.
+    /// State according to the endpoint list, with cordons applied.
     pub(super) state: ServerState,
     pub(super) response_times: ResponseTimes,
 }
 
-/// The endpoint list, and what overrides it.
+/// The endpoint list and its overrides.
 #[derive(Default)]
-pub(super) struct ListOverrides {
+pub(super) struct OverriddenList {
+    /// Entries as discovery sent them.
     entries: BTreeMap<ServerId, EndpointEntry>,
     cordoned: BTreeSet<ServerId>,
     ejected_by_quorum: BTreeSet<ServerId>,
+    /// Whether the lease of the list has ended.
     is_expired: bool,
 }
 
-/// An entry that is drained if it is ready and `drains` holds.
-fn with_drain_if(drains: bool, entry: EndpointEntry) -> EndpointEntry {
-    let drains = drains && entry.state == ServerState::Ready;
-    let state = if drains { ServerState::Draining } else { entry.state };
+/// Returns the entry with state `Draining` if `is_overridden` is set and the entry is ready; otherwise
+/// unchanged.
+fn with_drain_if(is_overridden: bool, entry: EndpointEntry) -> EndpointEntry {
+    let is_drained = is_overridden && entry.state == ServerState::Ready;
+    let state = if is_drained { ServerState::Draining } else { entry.state };
     EndpointEntry { state, ..entry }
 }
 
-impl ListOverrides {
+impl OverriddenList {
     pub(super) fn hash_key(&self, server: ServerId) -> Option<u32> {
         self.entries.get(&server).map(|entry| entry.hash_key)
     }
 
-    /// Whether the lease of the list has ended.
+    /// Checks whether the lease of the list has ended.
     pub(super) fn is_expired(&self) -> bool {
         self.is_expired
     }
@@ -49,30 +52,30 @@
         self.is_expired = is_expired;
     }
 
-    /// An entry of the list with cordons applied.
+    /// Returns an entry of the list with cordons applied.
     fn effective_entry(&self, entry: &EndpointEntry) -> EndpointEntry {
         with_drain_if(self.cordoned.contains(&entry.server), entry.clone())
     }
 
-    /// An effective entry as the decision module sees it: for it alone, all servers drain while the list is expired, and
-    /// ejected ones drain always.
-    fn as_decision_sees_it(&self, entry: EndpointEntry) -> EndpointEntry {
+    /// Returns an effective entry in the form that the decision module receives. There, and only there, all
+    /// ready servers are draining while the list is expired, and ejected ones are always draining.
+    fn decision_entry(&self, entry: EndpointEntry) -> EndpointEntry {
         with_drain_if(self.is_expired || self.ejected_by_quorum.contains(&entry.server), entry)
     }
 
-    /// All entries as the decision module sees them.
+    /// Returns all entries in the form that the decision module receives.
     pub(super) fn decision_entries(&self) -> Vec<EndpointEntry> {
         let entries = self.entries.values();
-        entries.map(|entry| self.as_decision_sees_it(self.effective_entry(entry))).collect()
+        entries.map(|entry| self.decision_entry(self.effective_entry(entry))).collect()
     }
 
-    /// Ready servers whose start is known: hash key and start.
+    /// Returns the hash keys and start times of ready servers whose start time is known.
     fn started_servers(&self) -> impl Iterator<Item = (u32, Time)> {
         let ready = self.entries.values().filter(|entry| entry.state == ServerState::Ready);
         ready.filter_map(|entry| Some((entry.hash_key, entry.started_at?)))
     }
 
-    /// Stores an update, and returns its entries with cordons applied.
+    /// Stores an update and returns its entries with cordons applied.
     fn store(&mut self, update: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
         if is_complete(update) {
             self.entries.values_mut().for_each(|entry| entry.state = ServerState::Removed);
@@ -85,11 +88,12 @@
         effective
     }
 
+    /// Sets or removes a cordon, and returns whether that was a change.
     fn set_cordoned(&mut self, server: ServerId, is_cordoned: bool) -> bool {
         if is_cordoned { self.cordoned.insert(server) } else { self.cordoned.remove(&server) }
     }
 
-    /// Replaces the ejected servers, and returns those that were or are ejected, but not both.
+    /// Replaces the ejected servers and returns those whose ejection was added or removed.
     fn replace_ejected(&mut self, hash_keys: &BTreeSet<u32>) -> Vec<ServerId> {
         let matching = self.entries.values().filter(|entry| hash_keys.contains(&entry.hash_key));
         let ejected: BTreeSet<ServerId> = matching.map(|entry| entry.server).collect();
@@ -98,7 +102,7 @@
     }
 }
 
-/// Whether an update replaces all entries.
+/// Checks whether an update replaces all entries.
 const fn is_complete(update: ListUpdate) -> bool {
     matches!(update, ListUpdate::Snapshot | ListUpdate::Cached)
 }
@@ -116,7 +120,8 @@
         self.apply_list_update(now, update, effective, commands);
     }
 
-    /// How many listed servers get nothing new for now, by their state or by decision.
+    /// Returns the number of listed servers that currently get no new connections, because of their state or
+    /// because the decision module avoids them.
     pub fn avoided_server_count(&self, now: Time) -> usize {
         let avoided = self.servers.iter().filter(|(server, record)| match record.state {
             ServerState::Ready => self.balancer.is_avoided(now, **server),
@@ -126,14 +131,14 @@
         avoided.count()
     }
 
-    /// Whether a server is ready by the list and not cordoned.
+    /// Checks whether a server is ready on the endpoint list and not cordoned.
     pub fn is_ready(&self, server: ServerId) -> bool {
         let entry = self.endpoints.entries.get(&server);
         entry.is_some_and(|entry| self.endpoints.effective_entry(entry).state == ServerState::Ready)
     }
 
-    /// Sets the servers, by hash key, that the gateways have ejected together. They get nothing new; established
-    /// connections stay.
+    /// Sets the servers, by hash key, that a quorum of gateways has ejected. They get no new connections;
+    /// established connections remain.
     pub fn set_quorum_ejections(
         &mut self,
         now: Time,
@@ -144,20 +149,21 @@
             return;
         }
         let changed = self.endpoints.replace_ejected(hash_keys);
-        // An expired list drains as it is, and is used again with these servers ejected.
+        // While the list is expired, all servers drain anyway. The renewal of the lease applies these
+        // ejections.
         if changed.is_empty() || self.endpoints.is_expired {
             return;
         }
         let changed = changed.iter().filter_map(|server| self.endpoints.entries.get(server));
         let entries = changed.map(|entry| {
             let effective = self.endpoints.effective_entry(entry);
-            self.endpoints.as_decision_sees_it(effective)
+            self.endpoints.decision_entry(effective)
         });
         let entries = entries.collect();
         self.handle_event(now, Event::EndpointList { update: ListUpdate::Delta, entries }, commands);
     }
 
-    /// Cordons a server, or lifts its cordon. A cordoned server drains, whatever the list says.
+    /// Cordons or uncordons a server. A cordoned server drains even if the endpoint list reports it as ready.
     pub fn set_cordon(
         &mut self,
         now: Time,
@@ -168,7 +174,8 @@
         let changed = self.endpoints.set_cordoned(server, is_cordoned);
         let entry = self.endpoints.entries.get(&server).filter(|_| changed);
         let Some(entry) = entry.filter(|entry| entry.state == ServerState::Ready).cloned() else { return };
-        // While the list is expired, a server that is uncordoned is used again with the others.
+        // While the list is expired, an uncordoned server stays draining until the lease is renewed, like all
+        // others.
         if self.endpoints.is_expired && !is_cordoned {
             return;
         }
@@ -179,7 +186,8 @@
         }
     }
 
-    /// Applies effective entries: to the checks, the permits, the decision module, and to established connections.
+    /// Applies effective entries to server states, invariants, permits, the decision module and established
+    /// connections.
     fn apply_list_update(
         &mut self,
         now: Time,
@@ -192,7 +200,7 @@
         if update != ListUpdate::WatchFailed {
             self.update_permits(&entries);
         }
-        let entries = entries.into_iter().map(|entry| self.endpoints.as_decision_sees_it(entry)).collect();
+        let entries = entries.into_iter().map(|entry| self.endpoints.decision_entry(entry)).collect();
         self.handle_event(now, Event::EndpointList { update, entries }, commands);
         self.migrate_from_unready_servers(now, &states_before);
     }
@@ -228,7 +236,8 @@
         permits.update_servers(self.endpoints.started_servers());
     }
 
-    /// Migrates connections from servers that have begun to drain or are gone: a server that stops would cut them off.
+    /// Migrates connections from servers that have begun to drain or were removed, as a server that exits
+    /// would reset them.
     fn migrate_from_unready_servers(&mut self, now: Time, states_before: &BTreeMap<ServerId, ServerState>) {
         self.migrate_from_servers_entering(
             now,
@@ -239,7 +248,7 @@
         self.migrate_from_servers_entering(now, ServerState::Removed, REMOVED_MIGRATION_SPAN, states_before);
     }
 
-    /// Migrates connections, over this span, from servers that are in this state now and were not before.
+    /// Migrates connections, over `span`, from servers that are in `state` now and were not before.
     fn migrate_from_servers_entering(
         &mut self,
         now: Time,
--- a/src/engine/health_check_budget.rs
+++ b/src/engine/health_check_budget.rs
@@ -1,18 +1,19 @@
-//! Limits health checks: each is work for a server, and all gateways of the fleet check the same servers. There is no I/O
-//! and no clock here.
+//! Rate limit of health checks. Each check is work for a server, and all gateways of the fleet check the same
+//! servers. This module does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
 use crate::decision::interface::{ServerId, Span, Time};
 
-/// Shortest time between two health checks of a server, by all gateways of the fleet together. Servers renew what they
-/// report every 0.5 to 1.5 s.
+/// Shortest mean time between two health checks of a server by all gateways of the fleet together. Servers
+/// update their load reports every 0.5 to 1.5 s.
 const HEALTH_CHECK_INTERVAL: Span = Span::from_micros(1_000_000);
 
-/// When each server may be checked next, and how many checks there were.
+/// The time from which each server may be checked again, and the numbers of checks.
 #[derive(Debug)]
 pub struct HealthCheckBudget {
     enabled: bool,
+    /// Shortest time between two checks of a server by this gateway.
     interval: Span,
     /// Delay of the first check of a server, as a fraction of the interval.
     phase: f64,
@@ -22,8 +23,9 @@
 }
 
 impl HealthCheckBudget {
-    /// The budget of one of `gateways` that share the servers; it allows nothing unless `enabled`. `phase`, from 0 to
-    /// 1, differs between gateways, which may all start at once.
+    /// Creates the budget of one of `gateways` gateways that share the servers. It allows no checks unless
+    /// `enabled`. `phase` is from 0 to 1 and differs between gateways, as all of them may start at the same
+    /// time.
     pub fn new(enabled: bool, gateways: u32, phase: f64) -> Self {
         Self {
             enabled,
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Whether this server may be checked now. Counts the check as sent or withheld.
+    /// Checks whether a server may be checked now, and counts the health check as sent or withheld.
     pub fn try_acquire(&mut self, now: Time, server: ServerId) -> bool {
         let first_at = now + self.interval.scale(self.phase);
         let next_allowed_at = self.next_allowed_at.entry(server).or_insert(first_at);
@@ -49,17 +51,17 @@
         is_allowed
     }
 
-    /// Forgets a server that is gone from the list.
+    /// Removes the record of a server that was removed from the endpoint list.
     pub fn forget(&mut self, server: ServerId) {
         self.next_allowed_at.remove(&server);
     }
 
-    /// Health checks sent since the start.
+    /// Returns the number of health checks sent since the start.
     pub fn sent(&self) -> usize {
         self.sent
     }
 
-    /// Health checks that were asked for and not allowed.
+    /// Returns the number of health checks that were requested but not allowed.
     pub fn withheld(&self) -> usize {
         self.withheld
     }
--- a/src/engine/invariants.rs
+++ b/src/engine/invariants.rs
@@ -1,8 +1,8 @@
 //! Invariants of requests, checked while the engine runs.
 //!
-//! The decision module says what may be sent, retried and answered. This module keeps an independent record of what the
-//! engine did, and names each violated rule of the protocol. It decides nothing, and there is no I/O and no clock here.
-//! The driver counts and logs violations; a debug build panics.
+//! The decision module determines what may be sent, retried and answered. This module records independently
+//! what the engine did and reports each violated rule of the protocol. It makes no decisions, does no I/O and
+//! reads no clock. The driver counts and logs violations; a debug build panics.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
     ServerState, Settings, Span, Time, ZoneId,
 };
 
-/// A final answer that comes later than this after its deadline counts as lost (STANDING).
+/// Time after its deadline (plus slack) from which a final answer counts as lost (STANDING).
 const LOST_ANSWER_DELAY: Span = Span::from_micros(500_000);
-/// Violations that are stored until they are taken, at most; further ones are only counted.
+/// Largest number of violations stored until they are taken; further ones are only counted.
 const MAX_STORED_VIOLATIONS: usize = 16;
 
-/// A violated rule, and the request concerned.
+/// A violated rule of the protocol and the request concerned.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// An attempt was started while another of the same request was in flight.
+    /// An attempt was started while another attempt of the same request was in flight.
     #[error("request {}: attempt {attempt} started while attempt {in_flight} is in flight", id.0)]
     ConcurrentAttempts {
         /// The request.
@@ -29,24 +29,28 @@
         /// The attempt that was in flight.
         in_flight: u32,
     },
-    /// An attempt was started for a request that had its answer, or whose client had left.
-    #[error("request {}: attempt {attempt} started after the request was over", id.0)]
+    /// An attempt was started for a request that had been answered or served, or whose client had
+    /// disconnected.
+    #[error("request {}: attempt {attempt} started after the request had ended", id.0)]
     AttemptAfterEnd {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// A request that may have run was retried although its class, its server or the time does not allow that.
-    #[error("request {}: attempt {attempt} retries what may have run", id.0)]
+    /// A request that may have been executed was retried although its class, the server or the elapsed time
+    /// forbids this.
+    #[error("request {}: attempt {attempt} is a forbidden retry, an earlier attempt may have been executed",
+        id.0)]
     ForbiddenRetry {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u32,
     },
-    /// An attempt was started at a server that has been draining, or gone, for longer than the grace.
-    #[error("request {}: attempt {attempt} started at server {} that drains since {} us", id.0, server.0, since.as_micros())]
+    /// An attempt was started at a server that had been draining or removed for longer than the grace period.
+    #[error("request {}: attempt {attempt} started at server {}, not ready for {} us",
+        id.0, server.0, not_ready_for.as_micros())]
     AttemptAtDrainingServer {
         /// The request.
         id: RequestId,
@@ -54,71 +58,74 @@
         attempt: u32,
         /// The server.
         server: ServerId,
-        /// For how long it has been draining or gone.
-        since: Span,
+        /// Time for which the server had been draining or removed.
+        not_ready_for: Span,
     },
-    /// A rejection promised that nothing had run, although an attempt may have.
-    #[error("request {}: rejected though an attempt may have run", id.0)]
+    /// A request was rejected, which promises that it was not executed, although an attempt may have been
+    /// executed.
+    #[error("request {}: rejected although an attempt may have been executed", id.0)]
     FalseRejection {
         /// The request.
         id: RequestId,
     },
-    /// A final answer came so late that the request is lost.
-    #[error("request {}: answered {} us after its deadline", id.0, late.as_micros())]
+    /// A final answer was sent so late that the request counts as lost.
+    #[error("request {}: answered {} us after its deadline and slack", id.0, delay.as_micros())]
     LateAnswer {
         /// The request.
         id: RequestId,
-        /// How long after the deadline.
-        late: Span,
+        /// Time from the deadline (plus slack) to the answer.
+        delay: Span,
     },
 }
 
 impl Violation {
-    /// What an operator can do about it.
+    /// Returns advice to the operator.
     pub fn help(&self) -> &'static str {
         match self {
             Self::LateAnswer { .. } => {
-                "see whether this process or its machine stalled; else report the line"
+                "check whether this process or its machine stalled; otherwise report this line"
             }
-            _ => "a fault of the program: report the line with those about the same request",
+            _ => "this is a bug: report this line and all others about the same request",
         }
     }
 }
 
-/// The first attempt that may have run.
+/// Place and time of an attempt that may have been executed.
 #[derive(Debug, Clone, Copy)]
 struct PossibleExecution {
     zone: ZoneId,
     cell: CellId,
+    /// When the first byte was allowed.
     started_at: Time,
 }
 
-/// An attempt whose first byte was allowed.
+/// An attempt that was allowed to send its first byte.
 #[derive(Debug, Clone, Copy)]
 struct StartedAttempt {
     attempt: u32,
     execution: PossibleExecution,
 }
 
-/// A request that has no answer yet.
+/// A request without an answer.
 #[derive(Debug)]
 struct OpenRequest {
     class: ClassId,
     deadline: Time,
     attempt_in_flight: Option<StartedAttempt>,
+    /// The first attempt that has ended and may have been executed.
     first_execution: Option<PossibleExecution>,
 }
 
-/// A server of the list.
+/// Location and state of a server on the endpoint list.
 #[derive(Debug)]
 struct ServerLocation {
     zone: ZoneId,
     cell: CellId,
-    /// Since when it accepts nothing new.
+    /// When the server stopped accepting new connections; `None` while it is ready.
     not_ready_since: Option<Time>,
 }
 
-/// The open requests of one gateway, and the violations found.
+/// The open requests of one gateway and the violations detected.
 #[derive(Debug)]
 pub struct RequestInvariants {
     idempotency_by_class: Vec<Idempotency>,
@@ -127,11 +134,12 @@
     servers: BTreeMap<ServerId, ServerLocation>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     recent_violations: Vec<Violation>,
-    violations_found: u64,
+    /// Number of violations since the start.
+    violation_count: u64,
 }
 
 impl RequestInvariants {
-    /// Creates an empty record.
+    /// Creates a record without servers and requests.
     pub fn new(settings: &Settings) -> Self {
         Self {
             idempotency_by_class: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -140,11 +148,11 @@
             servers: BTreeMap::new(),
             open_requests: BTreeMap::new(),
             recent_violations: Vec::new(),
-            violations_found: 0,
+            violation_count: 0,
         }
     }
 
-    /// Records an entry of the list, or a cordon.
+    /// Records an entry of the endpoint list or a cordon.
     pub fn record_listing(&mut self, now: Time, entry: &EndpointEntry) {
         let known = self.servers.get(&entry.server);
         let not_ready_since = match entry.state {
@@ -157,7 +165,7 @@
         self.servers.insert(entry.server, location);
     }
 
-    /// Records a complete list: it lacks all servers but those that are recorded next.
+    /// Records the start of a complete list. Servers that are not recorded again afterwards count as removed.
     pub fn record_snapshot(&mut self, now: Time) {
         for server in self.servers.values_mut() {
             server.not_ready_since.get_or_insert(now);
@@ -173,7 +181,7 @@
 
     /// Records that the first byte of an attempt may be sent now.
     pub fn record_first_byte(&mut self, now: Time, id: RequestId, attempt: u32, server: ServerId) {
-        self.check_server_accepts(now, id, attempt, server);
+        self.check_server_is_ready(now, id, attempt, server);
         let execution = self.execution_at(now, server);
         let Some(request) = self.open_requests.get_mut(&id) else {
             return self.record_violation(Violation::AttemptAfterEnd { id, attempt });
@@ -191,12 +199,12 @@
         }
     }
 
-    fn check_server_accepts(&mut self, now: Time, id: RequestId, attempt: u32, server: ServerId) {
+    fn check_server_is_ready(&mut self, now: Time, id: RequestId, attempt: u32, server: ServerId) {
         let known = self.servers.get(&server);
         let Some(not_ready_since) = known.and_then(|server| server.not_ready_since) else { return };
-        let since = now.since(not_ready_since);
-        if since > self.drain_grace {
-            self.record_violation(Violation::AttemptAtDrainingServer { id, attempt, server, since });
+        let not_ready_for = now.since(not_ready_since);
+        if not_ready_for > self.drain_grace {
+            self.record_violation(Violation::AttemptAtDrainingServer { id, attempt, server, not_ready_for });
         }
     }
 
@@ -224,47 +232,47 @@
         }
     }
 
-    /// Records the final answer of a request: a rejection, or else a failure.
+    /// Records the final answer of a request: a rejection if `rejected`, otherwise a failure.
     pub fn record_answer(&mut self, now: Time, id: RequestId, rejected: bool) {
         let Some(request) = self.open_requests.remove(&id) else { return };
-        let late = now.since(request.deadline + self.answer_slack);
-        if late > LOST_ANSWER_DELAY {
-            self.record_violation(Violation::LateAnswer { id, late });
+        let delay = now.since(request.deadline + self.answer_slack);
+        if delay > LOST_ANSWER_DELAY {
+            self.record_violation(Violation::LateAnswer { id, delay });
         }
-        let may_run_anywhere_again = matches!(
+        let may_repeat_anywhere = matches!(
             self.idempotency(request.class),
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
         );
-        let may_have_run = request.first_execution.is_some() || request.attempt_in_flight.is_some();
-        if rejected && may_have_run && !may_run_anywhere_again {
+        let may_have_been_executed = request.first_execution.is_some() || request.attempt_in_flight.is_some();
+        if rejected && may_have_been_executed && !may_repeat_anywhere {
             self.record_violation(Violation::FalseRejection { id });
         }
     }
 
-    /// Records that no answer is due: the request is served, or its client has gone.
+    /// Records that no answer is due because the request is served or its client has disconnected.
     pub fn release_request(&mut self, id: RequestId) {
         self.open_requests.remove(&id);
     }
 
-    /// The violations since the last call, as far as they were stored.
+    /// Returns the stored violations since the last call.
     pub fn take_violations(&mut self) -> Vec<Violation> {
         std::mem::take(&mut self.recent_violations)
     }
 
-    /// How many violations there were since the start.
+    /// Returns the number of violations since the start.
     pub fn violation_count(&self) -> u64 {
-        self.violations_found
+        self.violation_count
     }
 
     fn record_violation(&mut self, violation: Violation) {
-        self.violations_found += 1;
+        self.violation_count += 1;
         if self.recent_violations.len() < MAX_STORED_VIOLATIONS {
             self.recent_violations.push(violation);
         }
     }
 }
 
-/// Whether an attempt may follow one that may have run.
+/// Checks whether an attempt may follow an earlier one that may have been executed.
 fn may_retry(idempotency: Idempotency, first: PossibleExecution, next: PossibleExecution) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,12 +1,13 @@
-//! The core of a gateway: requests, attempts and their outcomes, whatever transport they come by.
+//! The core of a gateway: requests, attempts and their outcomes, independent of the transport.
 //!
-//! The engine owns the decision module and does the bookkeeping around it. Frontends report requests and the outcomes of
-//! attempts; the engine returns [`Command`]s for them to carry out. Whatever the decision module or a frontend does, a
-//! request gets one final answer and has at most one attempt in flight. The engine reads no clock: every call is told
-//! the time, and [`Engine::next_timer_event`] wakes the driver.
+//! The engine owns the decision module and records the state around it. Front ends report requests and the
+//! outcomes of attempts; the engine returns [`Command`]s for them to execute. Regardless of what the decision
+//! module or a front end does, a request gets one final answer and has at most one attempt in flight. The
+//! engine reads no clock: every call passes the time, and [`Engine::next_timer_event`] wakes the driver.
 //!
-//! A request's way: `handle_request`, [`Command::Attempt`], `may_send_first_byte`, `handle_established`, and
-//! `handle_attempt_end` when the connection ends; or [`Command::Answer`] if no attempt succeeds.
+//! A successful request passes through `handle_request`, [`Command::Attempt`], `may_send_first_byte`,
+//! `handle_established`, and `handle_attempt_end` when the connection ends. If no attempt succeeds, the
+//! request ends with [`Command::Answer`].
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -36,7 +37,7 @@
 
 use attempts::RequestTable;
 use drain::ShutdownPhase;
-use endpoint_list::{ListOverrides, ServerRecord};
+use endpoint_list::{OverriddenList, ServerRecord};
 use health_check_budget::HealthCheckBudget;
 use invariants::{RequestInvariants, Violation};
 use response_times::SWEEP_INTERVAL;
@@ -45,21 +46,22 @@
 /// Finest granularity of timers.
 const MIN_TIMER_GRANULARITY: Span = Span::from_micros(1_000);
 
-/// Health checks since the start.
+/// Numbers of health checks since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthCheckCounts {
-    /// Those that were sent.
+    /// Health checks that were sent.
     pub sent: usize,
-    /// Those that the decision module asked for and the budget did not allow.
+    /// Health checks that the decision module requested and the budget did not allow.
     pub withheld: usize,
 }
 
-/// Violated invariants of requests.
+/// Detected violations of request invariants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestViolations {
-    /// Violations since they were last taken; when there are many, the first ones.
+    /// Violations since the last call of [`Engine::take_request_violations`]; only the first ones if there
+    /// are many.
     pub recent: Vec<Violation>,
-    /// How many there were since the start.
+    /// Number of violations since the start.
     pub total: u64,
 }
 
@@ -68,17 +70,17 @@
     balancer: Balancer,
     requests: RequestTable,
     servers: BTreeMap<ServerId, ServerRecord>,
-    endpoints: ListOverrides,
+    endpoints: OverriddenList,
     list_lease: ListLease,
     timers: Timers,
-    /// Response time from which a server is slow; zero if none is.
+    /// Response time from which a server is slow; zero if no server is ever reported as slow.
     slow_threshold: Span,
-    /// Permits for new servers, if gateways can ask each other.
+    /// Permits for warming servers; `None` if gateways don't exchange permits.
     permits: Option<Permits>,
     servers_by_key: BTreeMap<ServerKey, ServerId>,
     health_check_budget: HealthCheckBudget,
     invariants: RequestInvariants,
-    /// Outcomes of attempts, if other gateways are told of them.
+    /// Outcomes of attempts for reports to other gateways; `None` if these are disabled.
     outcome_reporter: Option<OutcomeReporter>,
     next_sweep_at: Time,
     shutdown: ShutdownPhase,
@@ -87,9 +89,9 @@
 }
 
 impl Engine {
-    /// Creates an engine whose time runs from `epoch`.
+    /// Creates an engine whose time begins at `epoch`.
     ///
-    /// It must be created and used inside a tokio runtime with a timer.
+    /// The engine must be created and used inside a tokio runtime with a timer.
     pub fn new(settings: Settings, seed: u64, epoch: MonotonicEpoch) -> Self {
         let started_at = epoch.time;
         let granularity = settings.batch_interval.max(MIN_TIMER_GRANULARITY);
@@ -105,7 +107,7 @@
             balancer: Balancer::new(settings, seed),
             requests: RequestTable::default(),
             servers: BTreeMap::new(),
-            endpoints: ListOverrides::default(),
+            endpoints: OverriddenList::default(),
             list_lease: ListLease::new(started_at),
             timers: Timers::new(epoch, granularity),
             permits,
@@ -141,7 +143,7 @@
         self.process_pending_events(now, commands);
     }
 
-    /// Hands one event to the decision module, after those that wait.
+    /// Passes an event to the decision module after all pending events.
     fn handle_event(&mut self, now: Time, event: Event, commands: &mut Vec<Command>) {
         self.pending_events.push_back(event);
         self.process_pending_events(now, commands);
@@ -193,7 +195,7 @@
         self.handle_event(now, Event::HealthChecked { server, healthy, report: None }, commands);
     }
 
-    /// Health checks since the start.
+    /// Returns the numbers of health checks since the start.
     pub fn health_check_counts(&self) -> HealthCheckCounts {
         HealthCheckCounts {
             sent: self.health_check_budget.sent(),
@@ -201,24 +203,25 @@
         }
     }
 
-    /// Connections that the decision module counts on a server, attempts in flight included.
+    /// Returns the number of connections that the decision module counts on a server, including attempts in
+    /// flight.
     pub fn connections_on(&self, server: ServerId) -> u32 {
         self.balancer.open_connections(server)
     }
 
-    /// Records outcomes of attempts from now on.
+    /// Enables the recording of outcomes of attempts.
     pub fn enable_outcome_reports(&mut self) {
         self.outcome_reporter.get_or_insert_default();
     }
 
-    /// Recent outcomes of attempts, by the hash key of each server that has new ones.
+    /// Returns recent outcomes of attempts, with the hash key of each server that has new ones.
     pub fn take_outcome_reports(&mut self, now: Time) -> Vec<(u32, OutcomeReport)> {
         let Some(reporter) = &mut self.outcome_reporter else { return Vec::new() };
         let reports = reporter.take_reports(now).into_iter();
         reports.filter_map(|(server, report)| Some((self.endpoints.hash_key(server)?, report))).collect()
     }
 
-    /// Violated invariants of requests: those since the last call, and how many since the start.
+    /// Returns the violations of request invariants since the last call and their number since the start.
     pub fn take_request_violations(&mut self) -> RequestViolations {
         RequestViolations {
             recent: self.invariants.take_violations(),
--- a/src/engine/open_ids.rs
+++ b/src/engine/open_ids.rs
@@ -1,15 +1,15 @@
-//! The ids of requests that are open at this gateway, so that none is used twice at a time.
+//! The ids of requests that are open at this gateway, so that no two open requests have the same id.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use bytes::Bytes;
 
-/// The ids of requests and connections that are not over, for all clients of a gateway.
+/// The ids of open requests and connections of all clients of a gateway.
 #[derive(Debug, Clone, Default)]
 pub struct OpenIds(Arc<Mutex<HashSet<Bytes>>>);
 
-/// A claim of an id, which is released when this is dropped.
+/// A claim of a request id, released on drop.
 #[derive(Debug)]
 pub struct RequestIdClaim {
     ids: OpenIds,
@@ -17,12 +17,13 @@
 }
 
 impl OpenIds {
-    /// Claims an id; none if it is claimed already. To a server, a second request with an id is a copy of the first.
+    /// Claims an id; returns `None` if the id is already claimed. A server treats a second request with the
+    /// same id as a copy of the first.
     pub fn claim(&self, id: &[u8]) -> Option<RequestIdClaim> {
-        // Copied, so that the claim does not keep the whole line in memory.
+        // The copy prevents the claim from retaining the entire line in memory.
         let id = Bytes::copy_from_slice(id);
-        let is_free = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        is_free.then(|| RequestIdClaim { ids: self.clone(), id })
+        let is_unclaimed = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_unclaimed.then(|| RequestIdClaim { ids: self.clone(), id })
     }
 }
 
--- a/src/engine/permits.rs
+++ b/src/engine/permits.rs
@@ -1,5 +1,5 @@
-//! Permits for new servers: requests of the decision module, datagrams of other gateways, and the state of sibling
-//! processes.
+//! Permits for warming servers: requests from the decision module, datagrams from other gateways, and the
+//! state of sibling processes.
 
 use super::Engine;
 use super::command::Command;
@@ -9,11 +9,11 @@
 use crate::handover::ServerUsage;
 
 impl Engine {
-    /// Handles a datagram of another gateway.
+    /// Handles a datagram from another gateway.
     ///
     /// # Errors
     ///
-    /// Says why it is ignored; nothing has changed then.
+    /// Returns why the datagram was ignored; no state has changed in this case.
     pub fn handle_datagram(
         &mut self,
         now: Time,
@@ -30,7 +30,7 @@
         Ok(())
     }
 
-    /// Records what another process of this gateway holds on a server, has sent it and has granted.
+    /// Records the connections, recovery tokens and permits of a sibling process for a server.
     pub fn handle_sibling_state(
         &mut self,
         now: Time,
@@ -51,7 +51,7 @@
         self.handle_event(now, Event::SiblingState { server, state }, commands);
     }
 
-    /// What other processes of this gateway need to know of this one's use of a server.
+    /// Returns this process's use of a server, for its sibling processes.
     pub fn sibling_usage(&self, server: ServerId) -> ServerUsage {
         let state = self.balancer.sibling_state(server);
         let permits = self.permits.as_ref().zip(self.endpoints.hash_key(server));
@@ -68,12 +68,12 @@
     ///
     /// # Errors
     ///
-    /// Names the one that does not hold.
+    /// Returns the invariant that is violated.
     pub fn check_permits(&self) -> Result<(), PermitViolation> {
         self.permits.as_ref().map_or(Ok(()), Permits::check_invariants)
     }
 
-    /// Requests a permit for the decision module, which always gets a reply.
+    /// Requests a permit on behalf of the decision module, which always receives a reply event.
     pub(super) fn request_permit(&mut self, now: Time, server: ServerId, commands: &mut Vec<Command>) {
         let connections_when_full = self.balancer.fleet_connections_when_full(now);
         let hash_key = self.endpoints.hash_key(server);
@@ -85,7 +85,7 @@
         self.apply_permit_step(now, step, commands);
     }
 
-    /// Goes on without the reply of a grantor.
+    /// Handles a permit request to which the grantor has not replied in time.
     pub(super) fn handle_permit_timeout(
         &mut self,
         now: Time,
--- a/src/engine/response_times.rs
+++ b/src/engine/response_times.rs
@@ -1,4 +1,5 @@
-//! Response times of servers as the connections of this process show them: which servers are slow, which are silent.
+//! Response times of servers, measured on the connections of this process, and detection of slow and silent
+//! servers.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +11,23 @@
 use super::timers::TimerEvent;
 use crate::decision::interface::{Event, Outcome, RequestId, ServerId, Settings, Span, Time};
 
-/// A connection whose oldest message is unanswered for this long is migrated. The protocol allows 7 s after the
-/// last line returned, and clients send a line every 2 s.
+/// Time without an answer to its oldest message after which a connection is migrated. The protocol allows 7 s
+/// after the last line that the server returned, and clients send a line every 2 s.
 const SILENT_CONNECTION_TIMEOUT: Span = Span::from_micros(4_300_000);
-/// A server is silent if prompt answers are overdue for this long and it has sent nothing at all meanwhile.
+/// Time after which a prompt answer is overdue. A server with overdue prompt answers is silent if it has not
+/// sent anything on any connection in the meantime.
 const SILENT_SERVER_TIMEOUT: Span = Span::from_micros(1_000_000);
-/// Overdue connections that show a silent server; a single one has to wait twice as long.
-const SILENT_SERVER_MIN_WAITING: u32 = 2;
-/// Time between two checks of all established connections.
+/// Number of connections with an overdue prompt answer that shows a silent server. A smaller number suffices
+/// after twice [`SILENT_SERVER_TIMEOUT`].
+const SILENT_SERVER_MIN_OVERDUE: u32 = 2;
+/// Interval between checks of all established connections.
 pub(super) const SWEEP_INTERVAL: Span = Span::from_micros(250_000);
 /// Shortest time between two reports of a slow server to the decision module.
 const SLOW_REPORT_INTERVAL: Span = Span::from_micros(1_000_000);
-/// Responses are slow from this fraction of the shortest message latency objective on.
+/// Fraction of the shortest message latency objective from which a response is slow.
 const SLOW_FRACTION_OF_OBJECTIVE: f64 = 1.0 / 3.0;
 
-/// Response time from which a server is slow; zero if no class has an objective.
+/// Returns the response time from which a server is slow; zero if no class has an objective.
 pub(super) fn slow_threshold(settings: &Settings) -> Span {
     let objectives = settings.classes.iter().map(|class| class.message_latency_objective);
     let shortest = objectives.filter(|&objective| objective > Span::ZERO).min();
@@ -34,31 +37,34 @@
 /// Response times of one server.
 #[derive(Default)]
 pub(super) struct ResponseTimes {
-    /// The shortest since the last report.
-    shortest_answer: Option<Span>,
+    /// The shortest response time since the last report.
+    shortest_response: Option<Span>,
+    /// When a response time of this server was last reported.
     reported_at: Option<Time>,
-    is_slow: bool,
+    /// Whether the last report showed a slow server.
+    reported_slow: bool,
     /// When the server last sent anything on any connection.
     last_message_at: Option<Time>,
 }
 
 impl ResponseTimes {
-    /// The server has sent something.
+    /// Records that the server has sent something.
     pub(super) fn record_message(&mut self, now: Time) {
         self.last_message_at = Some(now);
     }
 
-    /// The server has answered a message after this long.
+    /// Records that the server has answered a message after `elapsed`.
     fn record_answer(&mut self, elapsed: Span) {
-        let shortest = self.shortest_answer.map_or(elapsed, |shortest| shortest.min(elapsed));
-        self.shortest_answer = Some(shortest);
+        let shortest = self.shortest_response.map_or(elapsed, |shortest| shortest.min(elapsed));
+        self.shortest_response = Some(shortest);
     }
 
     fn is_silent_since(&self, time: Time) -> bool {
         self.last_message_at.is_none_or(|last_message_at| last_message_at <= time)
     }
 
-    /// The response time to report now: once an interval while the server is slow, and once more when it no longer is.
+    /// Returns the response time to report now, and records it as reported. A slow server is reported once
+    /// per [`SLOW_REPORT_INTERVAL`], and once more when it is no longer slow.
     fn take_slow_report(&mut self, now: Time, threshold: Span, longest_wait: Span) -> Option<Span> {
         let is_due =
             self.reported_at.is_none_or(|reported_at| now.since(reported_at) >= SLOW_REPORT_INTERVAL);
@@ -66,16 +72,16 @@
             return None;
         }
         let outstanding = (longest_wait > Span::ZERO).then_some(longest_wait);
-        let measured = self.shortest_answer.take().or(outstanding)?;
-        // A message that is unanswered for long says more than the last answer.
+        let measured = self.shortest_response.take().or(outstanding)?;
+        // A message that has been unanswered for an entire report interval outweighs the last answers.
         let response_time =
             if longest_wait >= SLOW_REPORT_INTERVAL { measured.max(longest_wait) } else { measured };
         let is_slow = response_time >= threshold;
-        if !is_slow && !self.is_slow {
+        if !is_slow && !self.reported_slow {
             return None;
         }
         self.reported_at = Some(now);
-        self.is_slow = is_slow;
+        self.reported_slow = is_slow;
         Some(response_time)
     }
 }
@@ -83,8 +89,9 @@
 /// Messages that one server has not answered.
 #[derive(Default)]
 struct OutstandingMessages {
+    /// Time since the oldest message was forwarded.
     longest_wait: Span,
-    /// How many prompt answers are overdue.
+    /// Number of prompt answers that are overdue.
     overdue_prompt_answers: u32,
     /// When the oldest message that expects a prompt answer was forwarded.
     oldest_prompt_at: Option<Time>,
@@ -102,19 +109,20 @@
         }
     }
 
-    /// Since when the server owes prompt answers, if these suffice to call it silent.
+    /// Returns the time from which prompt answers are due, if enough of them are overdue for a silent server.
     fn silent_since(&self, now: Time) -> Option<Time> {
         let since = self.oldest_prompt_at?;
-        let suffices = self.overdue_prompt_answers >= SILENT_SERVER_MIN_WAITING
+        let suffices = self.overdue_prompt_answers >= SILENT_SERVER_MIN_OVERDUE
             || now.since(since) >= SILENT_SERVER_TIMEOUT + SILENT_SERVER_TIMEOUT;
         (self.overdue_prompt_answers > 0 && suffices).then_some(since)
     }
 }
 
-/// What all established connections wait for.
+/// Unanswered messages of all established connections.
 #[derive(Default)]
 struct OutstandingSurvey {
     by_server: BTreeMap<ServerId, OutstandingMessages>,
+    /// Connections without an answer for at least [`SILENT_CONNECTION_TIMEOUT`].
     silent_connections: Vec<RequestId>,
 }
 
@@ -137,7 +145,8 @@
 }
 
 impl Engine {
-    /// Records that a message of the client was forwarded to the server. `is_prompt`: its answer is due at once.
+    /// Records that a client message was forwarded to the server. If `is_prompt`, the server is expected to
+    /// answer it immediately.
     pub fn handle_client_message(&mut self, now: Time, id: RequestId, is_prompt: bool) {
         if let Some(current) = self.requests.current_attempt_mut(id) {
             current.oldest_unanswered.get_or_insert(UnansweredMessage { forwarded_at: now, is_prompt });
@@ -154,9 +163,10 @@
         }
     }
 
-    /// Migrates connections that are silent, and reports silent and slow servers to the decision module.
+    /// Migrates silent connections and reports silent and slow servers to the decision module.
     pub(super) fn sweep_established(&mut self, now: Time, commands: &mut Vec<Command>) {
-        // After a stall of this process, answers may lie unread in sockets: no server is blamed for them.
+        // After a stall of this process, answers may be unread in sockets, so no server is reported as
+        // silent.
         let has_stalled = now.since(self.next_sweep_at) >= SWEEP_INTERVAL;
         self.next_sweep_at = now + SWEEP_INTERVAL;
         self.timers.schedule(self.next_sweep_at, TimerEvent::Sweep);
@@ -192,7 +202,8 @@
         }
     }
 
-    /// Migrates connections without reporting their ends: a silent server was reported before.
+    /// Migrates connections without reporting their ends as outcomes, as silent servers are reported
+    /// separately.
     fn migrate_silent_connections(&mut self, silent: Vec<RequestId>, commands: &mut Vec<Command>) {
         let reporter = self.outcome_reporter.take();
         for id in silent {
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the engine, on the runtime's clock but in the engine's time.
+//! Timers of the engine. They are set in engine time and run on the clock of the tokio runtime.
 
 use std::future::poll_fn;
 use std::task::Poll;
@@ -11,7 +11,7 @@
 use crate::decision::interface::{RequestId, Span, Time, TimerToken};
 use crate::fleet::permits::ServerKey;
 
-/// Longest wait of a timer; the queue cannot hold arbitrarily distant instants.
+/// Longest wait of a timer; the timer queue doesn't support arbitrarily distant instants.
 const MAX_TIMER_WAIT: Span = Span::from_micros(86_400_000_000);
 
 /// Simultaneous readings of the engine's time and of the runtime's clock.
@@ -24,7 +24,7 @@
 }
 
 impl MonotonicEpoch {
-    /// The engine's time at this instant; the epoch itself for an earlier one.
+    /// Returns the engine's time at this instant; an instant before the epoch gives the time of the epoch.
     pub fn time_at(&self, instant: Instant) -> Time {
         let elapsed = instant.saturating_duration_since(self.instant);
         self.time + Span::from_micros(i64::try_from(elapsed.as_micros()).unwrap_or(i64::MAX))
@@ -35,32 +35,32 @@
     }
 }
 
-/// A timer that is due. Drivers pass it on to [`Engine::handle_timer`](super::Engine::handle_timer).
+/// A timer that is due. Drivers pass it to [`Engine::handle_timer`](super::Engine::handle_timer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// A timer that the decision module has set.
+    /// A timer set by the decision module.
     Decision(TimerToken),
-    /// An attempt has had its time.
+    /// Timeout of an attempt.
     AttemptTimeout {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// An established connection is to be migrated.
+    /// Migration of an established connection.
     Migrate(RequestId),
-    /// The established connections are to be checked for silence and slowness.
+    /// Periodic check of established connections for silent and slow servers.
     Sweep,
-    /// The lease of the endpoint list may have ended.
+    /// Possible end of the endpoint list's lease.
     ListExpired,
-    /// The grantor that was sent this permit request has had its time to reply.
+    /// Timeout of a grantor's reply to a permit request.
     PermitReplyTimeout {
-        /// The server that the permit is for.
+        /// The server for which the permit was requested.
         server: ServerKey,
         /// Number of the permit request.
         request_number: u16,
     },
-    /// The process shuts down: no request may stay open any longer.
+    /// Deadline of the shutdown, after which no request may be open.
     ShutdownDeadline,
 }
 
@@ -68,9 +68,9 @@
 pub(super) struct Timers {
     queue: DelayQueue<TimerEvent>,
     epoch: MonotonicEpoch,
-    /// Timers fire on multiples of this.
+    /// Timers fire at multiples of this time.
     granularity: Span,
-    /// The latest time that the engine was told.
+    /// The latest time passed to the engine.
     latest_time: Time,
 }
 
@@ -79,7 +79,7 @@
         Self { queue: DelayQueue::new(), epoch, granularity, latest_time: epoch.time }
     }
 
-    /// Notes the engine's time, which never goes back.
+    /// Sets the engine's time, which never decreases.
     pub(super) fn advance_to(&mut self, now: Time) {
         self.latest_time = self.latest_time.max(now);
     }
@@ -102,7 +102,7 @@
         self.queue.insert_at(event, self.epoch.instant_after(rounded))
     }
 
-    /// Cancels a timer, if it is still pending.
+    /// Cancels a timer if it is still pending.
     pub(super) fn cancel(&mut self, timer: Option<Key>) {
         if let Some(key) = timer {
             self.queue.try_remove(&key);
--- a/tests/request_invariants.rs
+++ b/tests/request_invariants.rs
@@ -125,7 +125,12 @@
     invariants.record_first_byte(at(2_001), ID, 0, ServerId(0));
     assert_eq!(
         invariants.take_violations(),
-        [Violation::AttemptAtDrainingServer { id: ID, attempt: 0, server: ServerId(0), since: ms(2_001) }]
+        [Violation::AttemptAtDrainingServer {
+            id: ID,
+            attempt: 0,
+            server: ServerId(0),
+            not_ready_for: ms(2_001)
+        }]
     );
 
     let mut invariants = with_request(UNSAFE);
@@ -140,5 +145,5 @@
 
     let mut invariants = with_request(SAFE);
     invariants.record_answer(at(3_521), ID, true);
-    assert_eq!(invariants.take_violations(), [Violation::LateAnswer { id: ID, late: ms(501) }]);
+    assert_eq!(invariants.take_violations(), [Violation::LateAnswer { id: ID, delay: ms(501) }]);
 }
