--- a/src/discovery/endpoints.rs
+++ b/src/discovery/endpoints.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list, as discovery sends them in JSON.
+//! The JSON format in which discovery sends entries of the endpoint list.
 
 use std::net::SocketAddr;
 
@@ -7,44 +7,44 @@
 
 use crate::decision::interface::ServerState;
 
-/// One entry of the list.
-// `expecting` keeps the type names of published error texts.
+/// One entry of the endpoint list.
+// The `expecting` attributes retain the type names that published error texts contain.
 #[serde_inline_default]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Entry")]
 pub struct Endpoint {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// The address at which this gateway reaches it.
+    /// Address at which this gateway reaches the server.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine kind of the server.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// Number of the server's cell.
     #[serde(default, rename = "group")]
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub status: EndpointStatus,
-    /// Its size.
+    /// Relative capacity of the server.
     #[serde_inline_default(1.0)]
     pub weight: f64,
-    /// Its last start, in milliseconds of Unix time; 0 means long ago.
+    /// Time of the server's last start, in milliseconds of Unix time; 0 if the server started long ago.
     #[serde(default)]
     pub since_ms: f64,
 }
 
-/// The state of a server on the list.
+/// State of a server on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE", expecting = "enum Status")]
 pub enum EndpointStatus {
-    /// It accepts new connections.
+    /// The server accepts new connections.
     Serving,
-    /// It finishes the connections it has.
+    /// The server accepts no new connections, and its established connections are migrated.
     Draining,
-    /// It is off the list.
+    /// The server was removed from the list.
     Deleted,
 }
 
@@ -58,19 +58,19 @@
     }
 }
 
-/// The complete list, or changes to it.
+/// An endpoint list update: the complete list, or changes to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "News")]
 pub struct EndpointList {
     /// Version of the list.
     pub index: u64,
-    /// Whether this is the complete list.
+    /// Whether this update is the complete list.
     pub snapshot: bool,
-    /// The entries.
+    /// Entries of the complete list, or only the changed entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// The JSON form of [`EndpointList`], under the name that published error texts give it.
+/// The JSON format of [`EndpointList`], under the type name that published error texts contain.
 #[derive(Deserialize)]
 struct News {
     #[serde(default)]
@@ -87,8 +87,9 @@
 }
 
 impl EndpointList {
-    /// Whether it can be applied to a list of this version: a snapshot always, changes unless they are older. A service
-    /// that restarts counts its versions anew, and what it changed before these changes is unknown.
+    /// Checks whether this update can be applied to a list of this version. A snapshot always applies;
+    /// changes apply unless their version is older. Older changes show that discovery has restarted its
+    /// version numbers, so that earlier changes may have been missed.
     pub fn applies_to(&self, version: u64) -> bool {
         self.snapshot || self.index >= version
     }
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -1,71 +1,74 @@
-//! The HTTP of a watch: its request, and the chunked body of the answer.
+//! The HTTP messages of a watch: the request, and the chunked body of the response.
 
 use bytes::{Buf, BytesMut};
 
-/// Longest head of an answer.
+/// Largest size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Most headers of an answer.
+/// Largest number of response headers.
 const MAX_HEADERS: usize = 32;
-/// Longest chunk-size line, its extension included.
+/// Largest size of a chunk-size line including its extension, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 const LINE_BREAK: &[u8] = b"\r\n";
 
-/// Why an answer cannot be read.
+/// Reason why a response is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The head is no HTTP.
+    /// The head is not valid HTTP.
     #[error("not a chunked HTTP answer: no HTTP")]
     NotHttp,
     /// The body is not chunked.
     #[error("not a chunked HTTP answer: no chunks")]
     NotChunked,
-    /// Discovery rejects the request with this status.
+    /// Discovery rejected the request with this HTTP status.
     #[error("status {0}")]
     Status(u16),
-    /// The chunks do not follow HTTP.
+    /// The chunked encoding is invalid.
     #[error("bad chunk")]
     InvalidChunk,
-    /// The head is too long.
+    /// The head exceeds the largest accepted size.
     #[error("over-long head")]
     HeadTooLong,
 }
 
-/// The request for a watch on what changed after version `after`.
+/// Returns the HTTP request for a watch on the changes after version `after`.
 pub fn watch_request(host: &str, after: u64) -> String {
     format!(
         "GET /v1/endpoints?watch=1&after={after} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
     )
 }
 
+/// The part of the response that is parsed next.
 #[derive(Debug, Default)]
 enum State {
     #[default]
     Head,
     ChunkSize,
-    /// So many bytes of the chunk are missing.
+    /// Chunk content, with the number of bytes still to be received.
     ChunkData(u64),
+    /// The line break after a chunk.
     ChunkEnd,
+    /// The body is complete.
     Finished,
 }
 
-/// Reads an answer, and returns the content of its chunks.
+/// Decoder of the content of a chunked response.
 #[derive(Debug, Default)]
 pub(super) struct ChunkedBody {
     state: State,
 }
 
 impl ChunkedBody {
-    /// The next part of the body; none if more bytes are needed, or if the body is complete.
+    /// Returns the next part of the body; `None` if more bytes are needed or the body is complete.
     ///
     /// # Errors
     ///
-    /// Says what does not follow HTTP.
+    /// Returns why the response is not accepted.
     pub(super) fn next_data(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpError> {
         loop {
             let has_advanced = match self.state {
                 State::Head => self.read_head(buffer)?,
                 State::ChunkSize => self.read_chunk_size(buffer)?,
-                State::ChunkData(missing) => return Ok(self.read_chunk_data(missing, buffer)),
+                State::ChunkData(remaining) => return Ok(self.read_chunk_data(remaining, buffer)),
                 State::ChunkEnd => self.read_chunk_end(buffer)?,
                 State::Finished => {
                     buffer.clear();
@@ -80,8 +83,8 @@
 
     fn read_head(&mut self, buffer: &mut BytesMut) -> Result<bool, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut answer = httparse::Response::new(&mut headers);
-        let length = match answer.parse(buffer) {
+        let mut response = httparse::Response::new(&mut headers);
+        let length = match response.parse(buffer) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
                 return Err(HttpError::HeadTooLong);
@@ -89,11 +92,11 @@
             Ok(httparse::Status::Partial) => return Ok(false),
             Err(_) => return Err(HttpError::NotHttp),
         };
-        let status = answer.code.unwrap_or_default();
+        let status = response.code.unwrap_or_default();
         if status != 200 {
             return Err(HttpError::Status(status));
         }
-        if !answer.headers.iter().any(is_chunked_encoding) {
+        if !response.headers.iter().any(is_chunked_encoding) {
             return Err(HttpError::NotChunked);
         }
         buffer.advance(length);
@@ -113,13 +116,13 @@
         }
     }
 
-    fn read_chunk_data(&mut self, missing: u64, buffer: &mut BytesMut) -> Option<BytesMut> {
+    fn read_chunk_data(&mut self, remaining: u64, buffer: &mut BytesMut) -> Option<BytesMut> {
         if buffer.is_empty() {
             return None;
         }
-        let length = usize::try_from(missing).unwrap_or(usize::MAX).min(buffer.len());
-        let missing = missing - length as u64;
-        self.state = if missing == 0 { State::ChunkEnd } else { State::ChunkData(missing) };
+        let length = usize::try_from(remaining).unwrap_or(usize::MAX).min(buffer.len());
+        let remaining = remaining - length as u64;
+        self.state = if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
         Some(buffer.split_to(length))
     }
 
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Discovery: the endpoint list, and the watch by which its changes come. There is no I/O and no clock here.
+//! Discovery: the endpoint list and the watch that transmits its changes. This module does no I/O and reads
+//! no clock.
 
 use std::time::Duration;
 
@@ -14,14 +15,15 @@
 pub use http::{HttpError, watch_request};
 pub use watch::{WatchCodec, WatchEnd, WatchError, WatchEvent};
 
-/// A watch on which nothing changes sends a heartbeat this often (PROTOCOL, "Discovery").
+/// Interval of heartbeats on a watch without changes (PROTOCOL, "Discovery").
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
-/// A watch without a complete object or heartbeat for this long is silent, whatever bytes come. Less than two
-/// intervals: a list expires [`MAX_LIST_STALENESS`] after the silence began, and the next call may take 3 s.
+/// Time without a complete object or heartbeat after which a watch is silent, even if other bytes are
+/// received. It is shorter than two heartbeat intervals, because a list expires [`MAX_LIST_STALENESS`] after
+/// the last message and the next call may take 3 s.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A call has failed unless something complete has come this long after its start. Discovery itself fails a call
-/// after 3 s.
+/// Time from the start of a call after which it has failed if no complete object or heartbeat was received.
+/// Discovery itself ends a failing call after 3 s.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(3500);
-/// A gateway counts as told of a change this long after discovery had it and could be reached (STANDING, "One clock
-/// for silence").
+/// Time after which a gateway counts as notified of a change, measured from when discovery had the change and
+/// was reachable (STANDING, "One clock for silence").
 pub const MAX_LIST_STALENESS: Span = Span::from_micros(6_000_000);
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! What a watch sends: lists, changes and heartbeats, and how it ends.
+//! The messages of a watch (lists, changes and heartbeats), and how a watch ends.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,34 +10,36 @@
 use super::endpoints::EndpointList;
 use super::http::{ChunkedBody, HttpError};
 
-/// Longest object, however it is broken into lines; enough for thousands of entries.
+/// Largest size of an object on one or several lines, in bytes. It is sufficient for thousands of entries.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
 
-/// How a call or watch ended, as far as it bears on changes that may have been missed.
+/// The way a call or watch ended, which determines whether changes may have been missed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// A watch in sync was closed, reset or left: what was written before its end has come.
+    /// A watch in sync was closed, reset or abandoned; everything written before its end was received.
     Closed,
-    /// Nothing listens where discovery should be.
+    /// The connection was refused: no process listens at the address of discovery.
     ConnectionRefused,
-    /// Anything else: silence, or a call that got a 503, was reset, given up or not understood.
+    /// Any other end: a silent watch, or a call that got a 503, was reset, cancelled or got an invalid
+    /// answer.
     Failed,
 }
 
-/// Why a watch is over.
+/// Reason why a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The answer is not the chunked HTTP that is expected.
+    /// The answer is not the expected chunked HTTP response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// An object is no list.
+    /// An object is not a valid endpoint list.
     #[error("bad list: {0}")]
     InvalidList(#[from] serde_json::Error),
-    /// Nothing complete has come for this long, though a heartbeat is due every
+    /// No complete object or heartbeat was received for this time, although a heartbeat is due every
     /// [`HEARTBEAT_INTERVAL`](super::HEARTBEAT_INTERVAL).
     #[error("silent for {0:?}")]
     Silent(Duration),
-    /// Changes are older than the list: discovery has started its versions anew.
+    /// Changes have an older version than the list, which shows that discovery has restarted its version
+    /// numbers.
     #[error("changes of version {index} to a list of version {had}")]
     StaleChanges {
         /// Version of the list.
@@ -45,7 +47,7 @@
         /// Version of the changes.
         index: u64,
     },
-    /// An object is too long.
+    /// An object exceeds the largest accepted size.
     #[error("over-long object")]
     ObjectTooLong,
     /// The socket failed.
@@ -54,7 +56,8 @@
 }
 
 impl WatchError {
-    /// What it shows of discovery. `in_sync`: the watch had sent something complete.
+    /// Returns the kind of watch end that this error represents. `in_sync` is whether the watch had sent a
+    /// complete object or heartbeat.
     pub fn watch_end(&self, in_sync: bool) -> WatchEnd {
         match self {
             Self::Io(error) if !in_sync && error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -66,30 +69,32 @@
     }
 }
 
-/// What a watch sends.
+/// A message of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchEvent {
-    /// The list or changes to it.
+    /// The complete endpoint list, or changes to it.
     List(EndpointList),
-    /// Nothing has changed, and discovery is still there.
+    /// A heartbeat, which shows that discovery is reachable and the list is unchanged.
     Heartbeat,
 }
 
-/// Reads a watch's answer: the objects in its chunks, each on one line or several, and empty lines as heartbeats.
+/// Decoder of a watch's answer. The chunks contain objects, each on one or several lines, and empty lines as
+/// heartbeats.
 #[derive(Debug, Default)]
 pub struct WatchCodec {
     body: ChunkedBody,
     /// Content that is not a complete object yet.
     text: BytesMut,
-    /// The next line break ends an object, and is no heartbeat.
+    /// Whether the next line break ends the line of an object and is not a heartbeat.
     object_ended: bool,
+    /// Decoded events that were not returned yet.
     ready_events: VecDeque<WatchEvent>,
-    /// An error behind the ready events, which come before it all the same.
+    /// An error that is returned after the ready events.
     pending_error: Option<WatchError>,
 }
 
 impl WatchCodec {
-    /// Takes content, line by line, until it is used up or does not parse.
+    /// Parses content line by line until its end or an error.
     fn read_content(&mut self, content: &[u8]) -> Result<(), WatchError> {
         for line in content.split_inclusive(|&byte| byte == b'\n') {
             self.text.extend_from_slice(line);
@@ -98,8 +103,8 @@
         Ok(())
     }
 
-    /// Takes complete objects off the text; at the end of a line, an empty text is a heartbeat. A text that cannot be
-    /// complete is not parsed: an object ends with its brace.
+    /// Removes complete objects from the text. At the end of a line, an empty text is a heartbeat. A text
+    /// that can't be complete is not parsed, as an object ends with a closing brace.
     fn take_objects(&mut self, at_line_end: bool) -> Result<(), WatchError> {
         let text = self.text.trim_ascii();
         if text.is_empty() {
@@ -124,7 +129,7 @@
         Ok(())
     }
 
-    /// Parses objects until one is incomplete, and returns the length of those before it.
+    /// Parses objects up to the first incomplete one and returns the length of the complete ones, in bytes.
     fn parse_objects(&mut self) -> Result<usize, WatchError> {
         let mut objects = serde_json::Deserializer::from_slice(&self.text).into_iter();
         let mut parsed_length = 0;
