--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -40,12 +40,12 @@
     Silent(Duration),
     /// Changes have an older version than the list, which shows that discovery has restarted its version
     /// numbers.
-    #[error("changes of version {index} to a list of version {had}")]
+    #[error("changes of version {changes_version} to a list of version {list_version}")]
     StaleChanges {
         /// Version of the list.
-        had: u64,
+        list_version: u64,
         /// Version of the changes.
-        index: u64,
+        changes_version: u64,
     },
     /// An object exceeds the largest accepted size.
     #[error("over-long object")]
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -204,7 +204,7 @@
             return Ok(());
         }
         // These entries are true, but what changed before them is unknown: that takes a complete list.
-        Err(WatchError::StaleChanges { had, index })
+        Err(WatchError::StaleChanges { list_version: had, changes_version: index })
     }
 
     /// Logs the end of a watch, and returns what it shows of discovery.
--- a/tests/compatibility_discovery.rs
+++ b/tests/compatibility_discovery.rs
@@ -371,7 +371,7 @@
     ];
     lines.extend(io_errors.map(|kind| error(&WatchError::Io(io::Error::new(kind, "by the test")))));
     lines.push(error(&WatchError::Silent(Duration::from_millis(2_500))));
-    lines.push(error(&WatchError::StaleChanges { had: 7, index: 3 }));
+    lines.push(error(&WatchError::StaleChanges { list_version: 7, changes_version: 3 }));
     compare(&lines, include_str!("fixtures/compatibility/discovery/watch.txt"));
 }
 
