--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -1,6 +1,8 @@
-//! The engine does what it did: random calls from twenty seeds, and a hash of all that it returned, as recorded.
+//! Guards the behaviour of the engine: a hash of everything that it returns to random calls from twenty seeds
+//! has to match the recorded one.
 //!
-//! Everything is encoded by explicit matches, never by `Debug`, so that names may change and nothing else.
+//! All values are encoded by explicit matches, never by `Debug`, so that names may change but behaviour may
+//! not.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write;
@@ -30,13 +32,20 @@
 
 const RECORDED: &str = include_str!("fixtures/compatibility/engine/runs.txt");
 const SEEDS: u64 = 20;
+/// Number of random calls in a run.
 const STEPS: u32 = 900;
 const SERVERS: u32 = 6;
 const GATEWAYS: u32 = 5;
+/// Step of the simulated time, in milliseconds.
 const TICK_MS: i64 = 5;
-
-/// What all runs together have to show at least once, or they record too little.
-const KINDS: [&str; 25] = [
+/// First byte of a permit request.
+const PERMIT_REQUEST_TYPE: u8 = 18;
+/// First byte of a permit reply.
+const PERMIT_REPLY_TYPE: u8 = 19;
+
+/// Commands, timers and results that each occur at least once in all runs together, so that the runs cover
+/// enough.
+const REQUIRED_KINDS: [&str; 25] = [
     "attempt closed",
     "attempt timer",
     "decision timer",
@@ -69,19 +78,19 @@
 }
 
 fn settings(rng: &mut ChaCha8Rng) -> Settings {
-    let keyed = |group, window| ashtide::Idempotency::WithKey { scope: group, remembered_for: ms(window) };
+    let with_key = |scope, window_ms| ashtide::Idempotency::WithKey { scope, remembered_for: ms(window_ms) };
     let classes = [
         (400, ashtide::Idempotency::Idempotent),
-        (500, keyed(DeduplicationScope::All, 600)),
-        (600, keyed(DeduplicationScope::Zone, 800)),
-        (700, keyed(DeduplicationScope::Cell, 700)),
+        (500, with_key(DeduplicationScope::All, 600)),
+        (600, with_key(DeduplicationScope::Zone, 800)),
+        (700, with_key(DeduplicationScope::Cell, 700)),
         (300, ashtide::Idempotency::NotIdempotent),
     ];
-    let class = |(aim, effect)| RequestClass {
-        latency_objective: ms(aim),
+    let class = |(objective_ms, idempotency)| RequestClass {
+        latency_objective: ms(objective_ms),
         message_latency_objective: ms(50),
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
     };
     Settings {
         gateways: GATEWAYS,
@@ -105,22 +114,29 @@
     }
 }
 
-/// A client as its frontend would know it.
+/// State of a client as its front end would record it.
 #[derive(Clone, Copy, Default)]
 struct Client {
+    /// Number of the current attempt.
     attempt: Option<u32>,
-    begun: bool,
+    /// Whether the current attempt was allowed to send its first byte.
+    first_byte_sent: bool,
+    /// Whether the current attempt is an established connection.
     established: bool,
+    /// Number of attempts started.
     attempts: u32,
 }
 
+/// A run of random calls from one seed, with the record of the engine's results.
 struct RandomRun {
     rng: ChaCha8Rng,
     engine: Engine,
     now: Time,
     hash: Sha256,
     commands: Vec<Command>,
-    returned: u32,
+    /// Number of commands that the engine has returned.
+    command_count: u32,
+    /// Kinds of commands, timers and results that have occurred.
     kinds: BTreeSet<&'static str>,
     clients: BTreeMap<RequestId, Client>,
     next_id: u32,
@@ -152,7 +168,7 @@
             now,
             hash: Sha256::new(),
             commands: Vec::new(),
-            returned: 0,
+            command_count: 0,
             kinds: BTreeSet::new(),
             clients: BTreeMap::new(),
             next_id: 0,
@@ -191,19 +207,19 @@
             17..=18 => self.add_existing_connection(),
             19..=38 => self.finish_connect(),
             39..=50 => self.advance_attempt(),
-            51..=55 => self.client_leaves(),
-            56..=57 => self.report_late_event(),
+            51..=55 => self.disconnect_client(),
+            56..=57 => self.report_outdated_event(),
             58..=65 => (0..4).for_each(|_| self.exchange_message()),
             66..=71 => self.update_list(),
             72..=73 => self.change_cordon(),
             74 => self.change_quorum_ejections(),
             75..=76 => self.change_watch(),
-            77 => self.share_sibling_state(),
+            77 => self.update_sibling_state(),
             78..=84 => self.receive_datagram(),
             85 => {
                 let server = self.random_server();
-                let ok = self.rng.random();
-                self.engine.handle_health_check(self.now, server, ok, &mut self.commands);
+                let healthy = self.rng.random();
+                self.engine.handle_health_check(self.now, server, healthy, &mut self.commands);
             }
             86 => {
                 let span = self.rng.random_range(1_000..2_500);
@@ -221,9 +237,11 @@
         ServerId(self.rng.random_range(0..SERVERS))
     }
 
-    fn pick_client(&mut self, wanted: impl Fn(&Client) -> bool) -> Option<(RequestId, Client)> {
-        let fit: Vec<_> = self.clients.iter().filter(|it| wanted(it.1)).map(|it| (*it.0, *it.1)).collect();
-        (!fit.is_empty()).then(|| fit[self.rng.random_range(0..fit.len())])
+    /// Returns a random client to which the predicate applies.
+    fn pick_client(&mut self, predicate: impl Fn(&Client) -> bool) -> Option<(RequestId, Client)> {
+        let clients = self.clients.iter().map(|(&id, &client)| (id, client));
+        let matching: Vec<_> = clients.filter(|(_, client)| predicate(client)).collect();
+        (!matching.is_empty()).then(|| matching[self.rng.random_range(0..matching.len())])
     }
 
     fn new_request(&mut self) -> Request {
@@ -245,7 +263,7 @@
             self.engine.handle_request(self.now, request.clone(), &mut self.commands);
             self.record_commands();
             if self.rng.random_bool(0.05) {
-                // The same id a second time.
+                // A second request with the same id is ignored.
                 self.engine.handle_request(self.now, request, &mut self.commands);
             }
         }
@@ -253,7 +271,7 @@
 
     fn add_existing_connection(&mut self) {
         let (request, server) = (self.new_request(), self.random_server());
-        let client = Client { attempt: Some(0), begun: true, established: true, attempts: 1 };
+        let client = Client { attempt: Some(0), first_byte_sent: true, established: true, attempts: 1 };
         self.clients.insert(request.id, client);
         if self.rng.random() {
             self.engine.handle_existing_connection(self.now, request, server, &mut self.commands);
@@ -262,31 +280,42 @@
         }
     }
 
-    /// The connection of an attempt is established, or not.
+    /// Reports that the connection of an attempt is open or has failed.
     fn finish_connect(&mut self) {
-        let Some((id, client)) = self.pick_client(|it| it.attempt.is_some() && !it.begun) else { return };
-        let attempt = client.attempt.expect("picked for it");
+        let Some((id, client)) =
+            self.pick_client(|client| client.attempt.is_some() && !client.first_byte_sent)
+        else {
+            return;
+        };
+        let attempt = client.attempt.expect("a client with an attempt");
         if self.rng.random_bool(0.1) {
             return self.end_attempt(id, attempt, Outcome::ConnectError);
         }
         if self.rng.random_bool(0.03) {
             return self.end_attempt(id, attempt, Outcome::LocalFailure);
         }
-        let begins = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
-        self.record_byte(u8::from(begins));
-        if begins {
-            self.clients.get_mut(&id).expect("a client").begun = true;
+        let may_send = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
+        self.record_byte(u8::from(may_send));
+        if may_send {
+            self.clients.get_mut(&id).expect("a client").first_byte_sent = true;
         } else {
             self.kinds.insert("first byte denied");
         }
     }
 
+    /// Ends an established connection with a probability of 0.4, or reports the outcome of an attempt in
+    /// flight.
     fn advance_attempt(&mut self) {
-        let Some((id, client)) = self.pick_client(|it| it.begun && it.attempt.is_some()) else { return };
-        let attempt = client.attempt.expect("picked for it");
+        let Some((id, client)) =
+            self.pick_client(|client| client.first_byte_sent && client.attempt.is_some())
+        else {
+            return;
+        };
+        let attempt = client.attempt.expect("a client with an attempt");
         if client.established {
-            let ends = [Outcome::Ok, Outcome::Reset, Outcome::Failed, Outcome::QueueFull, Outcome::Cancelled];
-            let outcome = ends[self.rng.random_range(0..ends.len())];
+            let outcomes =
+                [Outcome::Ok, Outcome::Reset, Outcome::Failed, Outcome::QueueFull, Outcome::Cancelled];
+            let outcome = outcomes[self.rng.random_range(0..outcomes.len())];
             if self.rng.random_bool(0.4) {
                 self.end_attempt(id, attempt, outcome);
             }
@@ -295,8 +324,8 @@
         match self.rng.random_range(0..10) {
             0..=5 => {
                 self.clients.get_mut(&id).expect("a client").established = true;
-                let up = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
-                self.record_byte(u8::from(up));
+                let is_current = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(is_current));
             }
             6 | 7 => self.end_attempt(id, attempt, Outcome::QueueFull),
             8 => self.end_attempt(id, attempt, Outcome::Reset),
@@ -306,17 +335,17 @@
 
     fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         if let Some(client) = self.clients.get_mut(&id) {
-            let over = client.established || outcome == Outcome::Ok;
+            let request_done = client.established || outcome == Outcome::Ok;
             client.attempt = None;
-            client.begun = false;
-            if over {
+            client.first_byte_sent = false;
+            if request_done {
                 self.clients.remove(&id);
             }
         }
         self.engine.handle_attempt_end(self.now, id, attempt, outcome, &mut self.commands);
     }
 
-    fn client_leaves(&mut self) {
+    fn disconnect_client(&mut self) {
         let Some((id, _)) = self.pick_client(|_| true) else { return };
         self.clients.remove(&id);
         self.engine.handle_client_left(self.now, id, &mut self.commands);
@@ -324,11 +353,11 @@
         self.clients.remove(&id);
     }
 
-    /// Reports an event of an attempt that was abandoned, or of a finished request.
-    fn report_late_event(&mut self) {
+    /// Reports an event of an attempt that was cancelled, or of a request that has ended.
+    fn report_outdated_event(&mut self) {
         let id = RequestId(self.rng.random_range(0..self.next_id + 2));
-        let attempts = self.clients.get(&id).map_or(1, |it| it.attempts);
-        let current = self.clients.get(&id).and_then(|it| it.attempt);
+        let attempts = self.clients.get(&id).map_or(1, |client| client.attempts);
+        let current = self.clients.get(&id).and_then(|client| client.attempt);
         let attempt = self.rng.random_range(0..attempts.max(1));
         if current == Some(attempt) {
             return;
@@ -336,23 +365,23 @@
         match self.rng.random_range(0..4) {
             0 => self.engine.handle_attempt_end(self.now, id, attempt, Outcome::Reset, &mut self.commands),
             1 => {
-                let up = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
-                self.record_byte(u8::from(up));
+                let is_current = self.engine.handle_established(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(is_current));
             }
             2 => {
-                let begins = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
-                self.record_byte(u8::from(begins));
+                let may_send = self.engine.may_send_first_byte(self.now, id, attempt, &mut self.commands);
+                self.record_byte(u8::from(may_send));
             }
             _ => self.engine.handle_server_message(self.now, id),
         }
     }
 
     fn exchange_message(&mut self) {
-        let Some((id, _)) = self.pick_client(|it| it.established) else { return };
+        let Some((id, _)) = self.pick_client(|client| client.established) else { return };
         match self.rng.random_range(0..6) {
             0..=3 => {
-                let prompt = self.rng.random_bool(0.7);
-                self.engine.handle_client_message(self.now, id, prompt);
+                let is_prompt = self.rng.random_bool(0.7);
+                self.engine.handle_client_message(self.now, id, is_prompt);
             }
             4 => self.engine.handle_server_message(self.now, id),
             _ => {
@@ -363,34 +392,34 @@
     }
 
     fn update_list(&mut self) {
-        let at = self.rng.random_range(0..self.servers.len());
+        let index = self.rng.random_range(0..self.servers.len());
         let state = [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Removed]
             [self.rng.random_range(0..4)];
-        self.servers[at].state = state;
+        self.servers[index].state = state;
         if state == ServerState::Ready && self.rng.random() {
-            self.servers[at].started_at = Some(self.now);
+            self.servers[index].started_at = Some(self.now);
         }
-        let whole: Vec<EndpointEntry> =
-            self.servers.iter().filter(|it| it.state != ServerState::Removed).cloned().collect();
-        let (news, entries) = match self.rng.random_range(0..10) {
-            0..=5 => (ListUpdate::Delta, vec![self.servers[at].clone()]),
-            6 | 7 => (ListUpdate::Snapshot, whole),
-            8 => (ListUpdate::Cached, whole),
+        let listed = self.servers.iter().filter(|server| server.state != ServerState::Removed);
+        let complete_list: Vec<EndpointEntry> = listed.cloned().collect();
+        let (update, entries) = match self.rng.random_range(0..10) {
+            0..=5 => (ListUpdate::Delta, vec![self.servers[index].clone()]),
+            6 | 7 => (ListUpdate::Snapshot, complete_list),
+            8 => (ListUpdate::Cached, complete_list),
             _ => (ListUpdate::WatchFailed, Vec::new()),
         };
-        self.engine.handle_list_update(self.now, news, entries, &mut self.commands);
+        self.engine.handle_list_update(self.now, update, entries, &mut self.commands);
     }
 
     fn change_cordon(&mut self) {
-        let (server, out) = (self.random_server(), self.rng.random());
-        self.engine.set_cordon(self.now, server, out, &mut self.commands);
+        let (server, is_cordoned) = (self.random_server(), self.rng.random());
+        self.engine.set_cordon(self.now, server, is_cordoned, &mut self.commands);
     }
 
     fn change_quorum_ejections(&mut self) {
         let count = self.rng.random_range(0..3);
-        let keys: BTreeSet<u32> =
+        let hash_keys: BTreeSet<u32> =
             (0..count).map(|_| self.servers[self.rng.random_range(0..self.servers.len())].hash_key).collect();
-        self.engine.set_quorum_ejections(self.now, &keys, &mut self.commands);
+        self.engine.set_quorum_ejections(self.now, &hash_keys, &mut self.commands);
     }
 
     fn change_watch(&mut self) {
@@ -399,46 +428,47 @@
         }
         let end =
             [WatchEnd::Closed, WatchEnd::ConnectionRefused, WatchEnd::Failed][self.rng.random_range(0..3)];
-        let since = self.now - ms(self.rng.random_range(0..2_500));
-        self.engine.handle_watch_end(self.now, since, end);
+        let last_synced_at = self.now - ms(self.rng.random_range(0..2_500));
+        self.engine.handle_watch_end(self.now, last_synced_at, end);
     }
 
-    fn share_sibling_state(&mut self) {
+    fn update_sibling_state(&mut self) {
         let server = self.random_server();
-        let share = ServerUsage {
+        let usage = ServerUsage {
             open_connections: self.rng.random_range(0..8),
             recovery_tokens: f64::from(self.rng.random_range(0..30)) / 4.0,
             last_used_permit: self.rng.random_range(0..6),
             last_granted_permit: self.rng.random_range(0..6),
         };
-        self.engine.handle_sibling_state(self.now, server, share, &mut self.commands);
+        self.engine.handle_sibling_state(self.now, server, usage, &mut self.commands);
     }
 
     fn receive_datagram(&mut self) {
-        let key = self.servers[self.rng.random_range(0..self.servers.len())].hash_key;
+        let hash_key = self.servers[self.rng.random_range(0..self.servers.len())].hash_key;
         let from = GatewayId(self.rng.random_range(0..GATEWAYS + 1));
-        let number: u16 = self.rng.random();
-        let ask = [&[18][..], &number.to_be_bytes(), &key.to_be_bytes()].concat();
+        let request_number: u16 = self.rng.random();
+        let request =
+            [&[PERMIT_REQUEST_TYPE][..], &request_number.to_be_bytes(), &hash_key.to_be_bytes()].concat();
         match self.rng.random_range(0..8) {
-            0..=2 => self.deliver_datagram(from, &ask),
+            0..=2 => self.deliver_datagram(from, &request),
             3..=6 => {
-                let Some((peer, ask)) = self.permit_requests.pop_front() else {
-                    return self.deliver_datagram(from, &ask);
+                let Some((peer, own_request)) = self.permit_requests.pop_front() else {
+                    return self.deliver_datagram(from, &request);
                 };
                 let flags = self.rng.random_range(0..4);
                 let steps = if flags & 1 == 0 { self.rng.random_range(0..60) } else { 0 };
-                let answer = [&[19], &ask[1..], &[flags, steps]].concat();
-                self.deliver_datagram(peer, &answer);
+                let reply = [&[PERMIT_REPLY_TYPE], &own_request[1..], &[flags, steps]].concat();
+                self.deliver_datagram(peer, &reply);
                 if self.rng.random() {
-                    // Its second copy.
-                    self.deliver_datagram(peer, &answer);
+                    // Replies are sent twice.
+                    self.deliver_datagram(peer, &reply);
                 }
             }
             _ => {
                 let length = self.rng.random_range(0..12);
                 let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.random()).collect();
                 if let Some(first) = bytes.first_mut() {
-                    *first = self.rng.random_range(18..20);
+                    *first = self.rng.random_range(PERMIT_REQUEST_TYPE..=PERMIT_REPLY_TYPE);
                 }
                 self.deliver_datagram(from, &bytes);
             }
@@ -446,8 +476,8 @@
     }
 
     fn deliver_datagram(&mut self, from: GatewayId, bytes: &[u8]) {
-        let heard = self.engine.handle_datagram(self.now, from, bytes, &mut self.commands);
-        let (code, kind) = match heard {
+        let result = self.engine.handle_datagram(self.now, from, bytes, &mut self.commands);
+        let (code, kind) = match result {
             Ok(()) => (0, None),
             Err(DecodeError::Malformed(_)) => (1, Some("malformed datagram")),
             Err(DecodeError::UnknownSender) => (2, Some("unknown sender")),
@@ -468,8 +498,8 @@
         self.record_commands();
     }
 
-    async fn advance(&mut self, span: i64) {
-        for _ in 0..(span + TICK_MS - 1) / TICK_MS {
+    async fn advance(&mut self, span_ms: i64) {
+        for _ in 0..(span_ms + TICK_MS - 1) / TICK_MS {
             tokio::time::advance(Duration::from_millis(TICK_MS.unsigned_abs())).await;
             self.now = self.now + ms(TICK_MS);
             while let Some(due) = self.engine.next_timer_event().now_or_never() {
@@ -480,7 +510,7 @@
         }
     }
 
-    // ---- What is recorded -------------------------------------------------------------------
+    // ---- Records ----------------------------------------------------------------------------
 
     fn record_byte(&mut self, byte: u8) {
         self.hash.update([byte]);
@@ -500,8 +530,8 @@
             TimerEvent::Migrate(id) => self.record_timer_kind("migration timer", 22, [u64::from(id.0)]),
             TimerEvent::Sweep => self.record_timer_kind("sweep timer", 23, []),
             TimerEvent::ListExpired => self.record_timer_kind("list expiry timer", 24, []),
-            TimerEvent::PermitReplyTimeout { server: key, request_number: number } => {
-                self.record_timer_kind("reply timer", 25, [u64::from(key), u64::from(number)])
+            TimerEvent::PermitReplyTimeout { server, request_number } => {
+                self.record_timer_kind("reply timer", 25, [u64::from(server), u64::from(request_number)])
             }
             TimerEvent::ShutdownDeadline => self.record_timer_kind("shutdown deadline", 26, []),
         }
@@ -514,7 +544,7 @@
 
     fn record_commands(&mut self) {
         for command in std::mem::take(&mut self.commands) {
-            self.returned += 1;
+            self.command_count += 1;
             self.record_command(command);
         }
     }
@@ -534,15 +564,15 @@
                 self.record_numbers(2, [u64::from(id.0), u64::from(attempt)]);
                 if let Some(client) = self.clients.get_mut(&id) {
                     client.attempt = None;
-                    client.begun = false;
+                    client.first_byte_sent = false;
                 }
             }
             Command::Answer { id, answer } => {
                 let id_number = u64::from(id.0);
                 match answer {
-                    FinalAnswer::Rejected(wait) => {
+                    FinalAnswer::Rejected(retry_after) => {
                         self.kinds.insert("rejected");
-                        self.record_numbers(3, [id_number, wait.as_micros().unsigned_abs()]);
+                        self.record_numbers(3, [id_number, retry_after.as_micros().unsigned_abs()]);
                     }
                     FinalAnswer::Failed => {
                         self.kinds.insert("failed");
@@ -568,7 +598,7 @@
             }
             Command::SendDatagram(datagram) => {
                 let bytes = datagram.bytes().to_vec();
-                let is_request = bytes[0] == 18;
+                let is_request = bytes[0] == PERMIT_REQUEST_TYPE;
                 self.kinds.insert(if is_request { "permit request" } else { "permit reply" });
                 self.record_numbers(9, [u64::from(datagram.to.0), bytes.len() as u64]);
                 self.hash.update(&bytes);
@@ -579,55 +609,57 @@
         }
     }
 
-    /// Records what the engine's getters return.
+    /// Records the results of the engine's getters.
     fn record_state(&mut self) {
         let now = self.now;
-        let unvouched = self.engine.list_expired();
-        if unvouched {
+        let is_expired = self.engine.list_expired();
+        if is_expired {
             self.kinds.insert("list expired");
         }
         let open = self.engine.open_request_count() as u64;
         let avoided = self.engine.avoided_server_count(now) as u64;
         let HealthCheckCounts { sent, withheld } = self.engine.health_check_counts();
-        self.record_numbers(30, [open, avoided, u64::from(unvouched), sent as u64, withheld as u64]);
+        self.record_numbers(30, [open, avoided, u64::from(is_expired), sent as u64, withheld as u64]);
         for server in (0..SERVERS).map(ServerId) {
-            let ServerUsage {
-                open_connections: open,
-                recovery_tokens: budget,
-                last_used_permit: spent,
-                last_granted_permit: granted,
-            } = self.engine.sibling_usage(server);
+            let ServerUsage { open_connections, recovery_tokens, last_used_permit, last_granted_permit } =
+                self.engine.sibling_usage(server);
             let ready = u64::from(self.engine.is_ready(server));
             let connections = u64::from(self.engine.connections_on(server));
-            self.record_numbers(31, [ready, connections, u64::from(open), budget.to_bits(), spent, granted]);
+            let open = u64::from(open_connections);
+            let tokens = recovery_tokens.to_bits();
+            self.record_numbers(
+                31,
+                [ready, connections, open, tokens, last_used_permit, last_granted_permit],
+            );
         }
-        let EstablishedCounts { by_server: servers, by_tenant: tenants } = self.engine.established_counts();
-        servers
+        let EstablishedCounts { by_server, by_tenant } = self.engine.established_counts();
+        by_server
             .iter()
             .for_each(|(server, &count)| self.record_numbers(32, [u64::from(server.0), u64::from(count)]));
-        tenants
+        by_tenant
             .iter()
             .for_each(|(tenant, &count)| self.record_numbers(33, [u64::from(tenant.0), u64::from(count)]));
-        for (key, sight) in self.engine.take_outcome_reports(now) {
-            let [failing, silent, overrun] = sight.observations.map(u64::from);
+        for (hash_key, report) in self.engine.take_outcome_reports(now) {
+            let [failing, silent, saturated] = report.observations.map(u64::from);
             for (kind, count) in
-                [("failing server", failing), ("silent server", silent), ("saturated server", overrun)]
+                [("failing server", failing), ("silent server", silent), ("saturated server", saturated)]
             {
                 self.kinds.extend((count > 0).then_some(kind));
             }
-            self.record_numbers(34, [u64::from(key), u64::from(sight.attempts), failing, silent, overrun]);
+            let attempts = u64::from(report.attempts);
+            self.record_numbers(34, [u64::from(hash_key), attempts, failing, silent, saturated]);
         }
         let id = RequestId(self.rng.random_range(0..self.next_id + 1));
         let server = self.engine.server_of(id).map_or(u64::MAX, |server| u64::from(server.0));
-        let holds = u64::from(self.engine.has_request(id));
-        self.record_numbers(35, [holds, server]);
+        let is_open = u64::from(self.engine.has_request(id));
+        self.record_numbers(35, [is_open, server]);
         self.record_violations();
     }
 
     fn record_violations(&mut self) {
-        let RequestViolations { recent: found, total: count } = self.engine.take_request_violations();
-        self.record_numbers(36, [count, u64::from(self.engine.check_permits().is_ok())]);
-        for violation in found {
+        let RequestViolations { recent, total } = self.engine.take_request_violations();
+        self.record_numbers(36, [total, u64::from(self.engine.check_permits().is_ok())]);
+        for violation in recent {
             let code = match violation {
                 Violation::ConcurrentAttempts { .. } => 1,
                 Violation::AttemptAfterEnd { .. } => 2,
@@ -642,21 +674,21 @@
 }
 
 #[test]
-fn the_engine_returns_what_was_recorded() {
+fn the_engine_returns_the_recorded_results() {
     let mut kinds = BTreeSet::new();
     let mut lines = String::new();
     for seed in 0..SEEDS {
-        let (digest, returned, seen) = with_time(async {
+        let (digest, command_count, run_kinds) = with_time(async {
             let mut run = RandomRun::new(seed);
-            (run.run_random_calls().await, run.returned, run.kinds)
+            (run.run_random_calls().await, run.command_count, run.kinds)
         });
-        writeln!(lines, "{seed} {returned} {digest}").expect("written to a string");
-        kinds.extend(seen);
+        writeln!(lines, "{seed} {command_count} {digest}").expect("written to a string");
+        kinds.extend(run_kinds);
     }
-    let missing: Vec<_> = KINDS.iter().filter(|kind| !kinds.contains(*kind)).collect();
-    assert!(missing.is_empty(), "never returned: {missing:?}");
-    for (is, was) in lines.lines().zip(RECORDED.lines()) {
-        assert_eq!(is, was, "seed, commands returned, hash of all of it");
+    let missing: Vec<_> = REQUIRED_KINDS.iter().filter(|kind| !kinds.contains(*kind)).collect();
+    assert!(missing.is_empty(), "kinds that occur in no run: {missing:?}");
+    for (actual, recorded) in lines.lines().zip(RECORDED.lines()) {
+        assert_eq!(actual, recorded, "seed, number of commands, hash of all results");
     }
     assert_eq!(lines, RECORDED);
 }
--- a/tests/health_check_budget.rs
+++ b/tests/health_check_budget.rs
@@ -1,14 +1,15 @@
-//! Health checks stay within their budget however many gateways ask for them.
+//! The rate of health checks stays within the budget, regardless of the number of gateways.
 
 use ashtide::engine::health_check_budget::HealthCheckBudget;
 use ashtide::{ServerId, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Duration of the run, in seconds.
 const SECONDS: usize = 600;
 
-/// Health checks that one server gets in each second from so many gateways, all of which start at once and ask for a
-/// check ten times a second.
+/// Returns the number of health checks that one server gets in each second. All gateways start at the same
+/// time and request a check ten times per second.
 fn checks_per_second(gateways: u32) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let phase = |_| HealthCheckBudget::new(true, gateways, rng.random());
@@ -28,12 +29,12 @@
 fn a_server_is_checked_about_once_a_second_whatever_the_number_of_gateways() {
     for gateways in [1, 3, 100, 300] {
         let seconds = checks_per_second(gateways);
-        let sum = seconds.iter().sum::<usize>();
-        let worst = seconds.iter().max().copied().unwrap_or(0);
-        // Each gateway has one more, for its phase is less than an interval.
-        let most = SECONDS + gateways as usize;
-        assert!(sum <= most && sum >= SECONDS / 2, "{gateways} gateways: {sum} in {SECONDS} s");
-        assert!(worst <= 8, "{gateways} gateways: {worst} in one second");
+        let total = seconds.iter().sum::<usize>();
+        let largest = seconds.iter().max().copied().unwrap_or(0);
+        // Each gateway may send one additional check, as its phase is shorter than an interval.
+        let limit = SECONDS + gateways as usize;
+        assert!(total <= limit && total >= SECONDS / 2, "{gateways} gateways: {total} in {SECONDS} s");
+        assert!(largest <= 8, "{gateways} gateways: {largest} in one second");
     }
 }
 
--- a/tests/request_invariants.rs
+++ b/tests/request_invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant of a request detects its violation, and accepts what is allowed.
+//! Each request invariant detects its violation and accepts allowed sequences.
 
 use ashtide::engine::invariants::{RequestInvariants, Violation};
 use ashtide::{
@@ -24,16 +24,17 @@
     EndpointEntry { state, cell: CellId(server), ..EndpointEntry::ready(ServerId(server), ZoneId(zone)) }
 }
 
-/// Servers 0 and 1 in one zone and 2 in another, and a request of this class with 3 s until its deadline.
-fn with_request(class: ClassId) -> RequestInvariants {
-    let class_of = |effect| RequestClass {
+/// Returns a record with servers 0 and 1 in one zone, server 2 in another, and a request of this class with 3
+/// s until its deadline.
+fn invariants_with_request(class: ClassId) -> RequestInvariants {
+    let class_of = |idempotency| RequestClass {
         latency_objective: ms(400),
         message_latency_objective: ms(50),
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
     };
-    let by_zone = Idempotency::WithKey { scope: DeduplicationScope::Zone, remembered_for: ms(800) };
-    let classes = [Idempotency::Idempotent, Idempotency::NotIdempotent, by_zone].map(class_of).to_vec();
+    let key_per_zone = Idempotency::WithKey { scope: DeduplicationScope::Zone, remembered_for: ms(800) };
+    let classes = [Idempotency::Idempotent, Idempotency::NotIdempotent, key_per_zone].map(class_of).to_vec();
     let settings = Settings { classes, answer_slack: ms(20), ..Settings::for_zone(ZoneId(0)) };
     let mut invariants = RequestInvariants::new(&settings);
     for (server, zone) in [(0, 0), (1, 0), (2, 1)] {
@@ -43,53 +44,58 @@
     invariants
 }
 
-/// The violations after a first attempt at 100 ms with this outcome, and a second one at this time and server.
+/// Returns the violations after a first attempt at 100 ms with this outcome and a second attempt at
+/// `second_at_ms` to `server`.
 fn violations_of_two_attempts(
     class: ClassId,
     outcome: Outcome,
-    second: i64,
+    second_at_ms: i64,
     server: ServerId,
 ) -> Vec<Violation> {
-    let mut invariants = with_request(class);
+    let mut invariants = invariants_with_request(class);
     invariants.record_first_byte(at(100), ID, 0, ServerId(0));
     invariants.record_attempt_end(ID, 0, outcome);
-    invariants.record_first_byte(at(second), ID, 1, server);
+    invariants.record_first_byte(at(second_at_ms), ID, 1, server);
     invariants.take_violations()
 }
 
 #[test]
-fn what_the_protocol_allows_is_no_violation() {
-    let near = ServerId(1);
+fn sequences_that_the_protocol_allows_are_no_violations() {
+    let same_zone = ServerId(1);
     assert_eq!(violations_of_two_attempts(SAFE, Outcome::Reset, 300, OTHER_ZONE), []);
-    assert_eq!(violations_of_two_attempts(KEYED_BY_ZONE, Outcome::TimedOut, 899, near), []);
-    for never_ran in [Outcome::QueueFull, Outcome::ConnectError, Outcome::LocalFailure] {
-        assert_eq!(violations_of_two_attempts(UNSAFE, never_ran, 2_900, OTHER_ZONE), [], "{never_ran:?}");
+    assert_eq!(violations_of_two_attempts(KEYED_BY_ZONE, Outcome::TimedOut, 899, same_zone), []);
+    for not_executed in [Outcome::QueueFull, Outcome::ConnectError, Outcome::LocalFailure] {
+        assert_eq!(
+            violations_of_two_attempts(UNSAFE, not_executed, 2_900, OTHER_ZONE),
+            [],
+            "{not_executed:?}"
+        );
     }
-    let mut invariants = with_request(UNSAFE);
+    let mut invariants = invariants_with_request(UNSAFE);
     invariants.record_first_byte(at(100), ID, 0, ServerId(0));
     invariants.record_attempt_end(ID, 0, Outcome::Reset);
     invariants.record_answer(at(3_510), ID, false);
     assert_eq!(
         (invariants.take_violations(), invariants.violation_count()),
         (Vec::new(), 0),
-        "a failure promises nothing, and half a second is allowed"
+        "a failure makes no promise, and an answer may be up to half a second late"
     );
-    let mut invariants = with_request(UNSAFE);
+    let mut invariants = invariants_with_request(UNSAFE);
     invariants.record_listing(at(0), &listing(0, 0, ServerState::Draining));
     invariants.record_listing(at(1_900), &listing(0, 0, ServerState::Draining));
     invariants.record_first_byte(at(2_000), ID, 0, ServerId(0));
     invariants.release_request(ID);
-    assert_eq!(invariants.take_violations(), [], "within the grace");
+    assert_eq!(invariants.take_violations(), [], "within the grace period");
 }
 
 #[test]
 fn a_forbidden_retry_is_detected_by_class_by_server_and_by_time() {
     let forbidden = [Violation::ForbiddenRetry { id: ID, attempt: 1 }];
-    for may_have_run in [Outcome::Failed, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for may_have_been_executed in [Outcome::Failed, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         assert_eq!(
-            violations_of_two_attempts(UNSAFE, may_have_run, 300, ServerId(0)),
+            violations_of_two_attempts(UNSAFE, may_have_been_executed, 300, ServerId(0)),
             forbidden,
-            "{may_have_run:?}"
+            "{may_have_been_executed:?}"
         );
     }
     assert_eq!(
@@ -100,13 +106,13 @@
     assert_eq!(
         violations_of_two_attempts(KEYED_BY_ZONE, Outcome::Reset, 900, ServerId(1)),
         forbidden,
-        "the window is over"
+        "the idempotency window has ended"
     );
 }
 
 #[test]
 fn each_other_violation_is_reported_once_and_counted() {
-    let mut invariants = with_request(SAFE);
+    let mut invariants = invariants_with_request(SAFE);
     invariants.record_first_byte(at(100), ID, 0, ServerId(0));
     invariants.record_first_byte(at(200), ID, 1, ServerId(1));
     assert_eq!(
@@ -118,8 +124,8 @@
     assert_eq!(invariants.take_violations(), [Violation::AttemptAfterEnd { id: ID, attempt: 2 }]);
     assert_eq!((invariants.take_violations(), invariants.violation_count()), (Vec::new(), 2));
 
-    // A snapshot without a server removes it, and a second one does not restart the grace.
-    let mut invariants = with_request(SAFE);
+    // A snapshot without a server removes the server, and a second one does not restart the grace period.
+    let mut invariants = invariants_with_request(SAFE);
     invariants.record_snapshot(at(0));
     invariants.record_snapshot(at(1_000));
     invariants.record_first_byte(at(2_001), ID, 0, ServerId(0));
@@ -133,17 +139,25 @@
         }]
     );
 
-    let mut invariants = with_request(UNSAFE);
+    let mut invariants = invariants_with_request(UNSAFE);
     invariants.record_first_byte(at(100), ID, 0, ServerId(0));
     invariants.record_answer(at(200), ID, true);
-    assert_eq!(invariants.take_violations(), [Violation::FalseRejection { id: ID }], "it is in flight");
-    let mut invariants = with_request(KEYED_BY_ZONE);
+    assert_eq!(
+        invariants.take_violations(),
+        [Violation::FalseRejection { id: ID }],
+        "the attempt is in flight"
+    );
+    let mut invariants = invariants_with_request(KEYED_BY_ZONE);
     invariants.record_first_byte(at(100), ID, 0, ServerId(0));
     invariants.record_attempt_end(ID, 0, Outcome::Reset);
     invariants.record_answer(at(200), ID, true);
-    assert_eq!(invariants.take_violations(), [Violation::FalseRejection { id: ID }], "it may have run");
+    assert_eq!(
+        invariants.take_violations(),
+        [Violation::FalseRejection { id: ID }],
+        "the ended attempt may have been executed"
+    );
 
-    let mut invariants = with_request(SAFE);
+    let mut invariants = invariants_with_request(SAFE);
     invariants.record_answer(at(3_521), ID, true);
     assert_eq!(invariants.take_violations(), [Violation::LateAnswer { id: ID, delay: ms(501) }]);
 }
