--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -44,7 +44,7 @@
     }
 
     /// Creates the record of a connection that another process established.
-    fn established_elsewhere(server: ServerId, now: Time) -> Self {
+    fn adopted(server: ServerId, now: Time) -> Self {
         Self {
             number: 0,
             server,
@@ -206,7 +206,7 @@
         self.handle_event(now, Event::Request(request), commands);
     }
 
-    /// Adopts a connection to `server` that was established before this process started.
+    /// Records a connection to `server` that was established before this process started.
     pub fn handle_existing_connection(
         &mut self,
         now: Time,
@@ -217,7 +217,7 @@
         if self.requests.contains(request.id) {
             return;
         }
-        self.requests.insert_established(&request, CurrentAttempt::established_elsewhere(server, now));
+        self.requests.insert_established(&request, CurrentAttempt::adopted(server, now));
         self.handle_event(now, Event::ExistingConnection { request, server }, commands);
     }
 
@@ -225,8 +225,8 @@
     ///
     /// This is the only place where the final decision to send is made. Since the server was chosen, the
     /// server may have begun to drain, the endpoint list may have expired, and the idempotency window of a
-    /// retry may have ended. In these cases the attempt is ended, its front end is told to close it, and the
-    /// result is false. The result is also false for an attempt that has already ended.
+    /// retry may have ended. In these cases the attempt ends with [`Command::Close`], and the result is false.
+    /// The result is also false for an attempt that has already ended.
     pub fn may_send_first_byte(
         &mut self,
         now: Time,
@@ -253,7 +253,7 @@
     }
 
     /// Records that an attempt's connection is established, so that the client may be served on it. Returns
-    /// false if the attempt has ended; its front end has been told to close it.
+    /// false if the attempt has ended, in which case [`Command::Close`] was returned before.
     pub fn handle_established(
         &mut self,
         now: Time,
--- a/src/engine/endpoint_list.rs
+++ b/src/engine/endpoint_list.rs
@@ -224,7 +224,7 @@
             self.invariants.record_listing(now, entry);
             let changed = states_before.get(&entry.server) != Some(&entry.state);
             if changed && entry.state == ServerState::Removed {
-                self.health_check_budget.forget(entry.server);
+                self.health_check_budget.remove_server(entry.server);
             }
             self.servers.entry(entry.server).or_default().state = entry.state;
         }
--- a/src/engine/health_check_budget.rs
+++ b/src/engine/health_check_budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Removes the record of a server that was removed from the endpoint list.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         self.next_allowed_at.remove(&server);
     }
 
--- a/src/engine/response_times.rs
+++ b/src/engine/response_times.rs
@@ -17,8 +17,8 @@
 /// Time after which a prompt answer is overdue. A server with overdue prompt answers is silent if it has not
 /// sent anything on any connection in the meantime.
 const SILENT_SERVER_TIMEOUT: Span = Span::from_micros(1_000_000);
-/// Number of connections with an overdue prompt answer that shows a silent server. A smaller number suffices
-/// after twice [`SILENT_SERVER_TIMEOUT`].
+/// Number of connections with an overdue prompt answer that shows a silent server. A single connection
+/// suffices after twice [`SILENT_SERVER_TIMEOUT`].
 const SILENT_SERVER_MIN_OVERDUE: u32 = 2;
 /// Interval between checks of all established connections.
 pub(super) const SWEEP_INTERVAL: Span = Span::from_micros(250_000);
--- a/tests/request_invariants.rs
+++ b/tests/request_invariants.rs
@@ -6,9 +6,9 @@
     ServerId, ServerState, Settings, Span, Time, ZoneId,
 };
 
-const ID: RequestId = RequestId(5);
-const SAFE: ClassId = ClassId(0);
-const UNSAFE: ClassId = ClassId(1);
+const REQUEST_ID: RequestId = RequestId(5);
+const IDEMPOTENT: ClassId = ClassId(0);
+const NOT_IDEMPOTENT: ClassId = ClassId(1);
 const KEYED_BY_ZONE: ClassId = ClassId(2);
 const OTHER_ZONE: ServerId = ServerId(2);
 
@@ -40,7 +40,7 @@
     for (server, zone) in [(0, 0), (1, 0), (2, 1)] {
         invariants.record_listing(at(0), &listing(server, zone, ServerState::Ready));
     }
-    invariants.record_request(at(0), ID, class, ms(3_000));
+    invariants.record_request(at(0), REQUEST_ID, class, ms(3_000));
     invariants
 }
 
@@ -53,47 +53,47 @@
     server: ServerId,
 ) -> Vec<Violation> {
     let mut invariants = invariants_with_request(class);
-    invariants.record_first_byte(at(100), ID, 0, ServerId(0));
-    invariants.record_attempt_end(ID, 0, outcome);
-    invariants.record_first_byte(at(second_at_ms), ID, 1, server);
+    invariants.record_first_byte(at(100), REQUEST_ID, 0, ServerId(0));
+    invariants.record_attempt_end(REQUEST_ID, 0, outcome);
+    invariants.record_first_byte(at(second_at_ms), REQUEST_ID, 1, server);
     invariants.take_violations()
 }
 
 #[test]
 fn sequences_that_the_protocol_allows_are_no_violations() {
     let same_zone = ServerId(1);
-    assert_eq!(violations_of_two_attempts(SAFE, Outcome::Reset, 300, OTHER_ZONE), []);
+    assert_eq!(violations_of_two_attempts(IDEMPOTENT, Outcome::Reset, 300, OTHER_ZONE), []);
     assert_eq!(violations_of_two_attempts(KEYED_BY_ZONE, Outcome::TimedOut, 899, same_zone), []);
     for not_executed in [Outcome::QueueFull, Outcome::ConnectError, Outcome::LocalFailure] {
         assert_eq!(
-            violations_of_two_attempts(UNSAFE, not_executed, 2_900, OTHER_ZONE),
+            violations_of_two_attempts(NOT_IDEMPOTENT, not_executed, 2_900, OTHER_ZONE),
             [],
             "{not_executed:?}"
         );
     }
-    let mut invariants = invariants_with_request(UNSAFE);
-    invariants.record_first_byte(at(100), ID, 0, ServerId(0));
-    invariants.record_attempt_end(ID, 0, Outcome::Reset);
-    invariants.record_answer(at(3_510), ID, false);
+    let mut invariants = invariants_with_request(NOT_IDEMPOTENT);
+    invariants.record_first_byte(at(100), REQUEST_ID, 0, ServerId(0));
+    invariants.record_attempt_end(REQUEST_ID, 0, Outcome::Reset);
+    invariants.record_answer(at(3_510), REQUEST_ID, false);
     assert_eq!(
         (invariants.take_violations(), invariants.violation_count()),
         (Vec::new(), 0),
         "a failure makes no promise, and an answer may be up to half a second late"
     );
-    let mut invariants = invariants_with_request(UNSAFE);
+    let mut invariants = invariants_with_request(NOT_IDEMPOTENT);
     invariants.record_listing(at(0), &listing(0, 0, ServerState::Draining));
     invariants.record_listing(at(1_900), &listing(0, 0, ServerState::Draining));
-    invariants.record_first_byte(at(2_000), ID, 0, ServerId(0));
-    invariants.release_request(ID);
+    invariants.record_first_byte(at(2_000), REQUEST_ID, 0, ServerId(0));
+    invariants.release_request(REQUEST_ID);
     assert_eq!(invariants.take_violations(), [], "within the grace period");
 }
 
 #[test]
 fn a_forbidden_retry_is_detected_by_class_by_server_and_by_time() {
-    let forbidden = [Violation::ForbiddenRetry { id: ID, attempt: 1 }];
+    let forbidden = [Violation::ForbiddenRetry { id: REQUEST_ID, attempt: 1 }];
     for may_have_been_executed in [Outcome::Failed, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         assert_eq!(
-            violations_of_two_attempts(UNSAFE, may_have_been_executed, 300, ServerId(0)),
+            violations_of_two_attempts(NOT_IDEMPOTENT, may_have_been_executed, 300, ServerId(0)),
             forbidden,
             "{may_have_been_executed:?}"
         );
@@ -112,52 +112,52 @@
 
 #[test]
 fn each_other_violation_is_reported_once_and_counted() {
-    let mut invariants = invariants_with_request(SAFE);
-    invariants.record_first_byte(at(100), ID, 0, ServerId(0));
-    invariants.record_first_byte(at(200), ID, 1, ServerId(1));
+    let mut invariants = invariants_with_request(IDEMPOTENT);
+    invariants.record_first_byte(at(100), REQUEST_ID, 0, ServerId(0));
+    invariants.record_first_byte(at(200), REQUEST_ID, 1, ServerId(1));
     assert_eq!(
         invariants.take_violations(),
-        [Violation::ConcurrentAttempts { id: ID, attempt: 1, in_flight: 0 }]
+        [Violation::ConcurrentAttempts { id: REQUEST_ID, attempt: 1, in_flight: 0 }]
     );
-    invariants.release_request(ID);
-    invariants.record_first_byte(at(300), ID, 2, ServerId(1));
-    assert_eq!(invariants.take_violations(), [Violation::AttemptAfterEnd { id: ID, attempt: 2 }]);
+    invariants.release_request(REQUEST_ID);
+    invariants.record_first_byte(at(300), REQUEST_ID, 2, ServerId(1));
+    assert_eq!(invariants.take_violations(), [Violation::AttemptAfterEnd { id: REQUEST_ID, attempt: 2 }]);
     assert_eq!((invariants.take_violations(), invariants.violation_count()), (Vec::new(), 2));
 
     // A snapshot without a server removes the server, and a second one does not restart the grace period.
-    let mut invariants = invariants_with_request(SAFE);
+    let mut invariants = invariants_with_request(IDEMPOTENT);
     invariants.record_snapshot(at(0));
     invariants.record_snapshot(at(1_000));
-    invariants.record_first_byte(at(2_001), ID, 0, ServerId(0));
+    invariants.record_first_byte(at(2_001), REQUEST_ID, 0, ServerId(0));
     assert_eq!(
         invariants.take_violations(),
         [Violation::AttemptAtDrainingServer {
-            id: ID,
+            id: REQUEST_ID,
             attempt: 0,
             server: ServerId(0),
             not_ready_for: ms(2_001)
         }]
     );
 
-    let mut invariants = invariants_with_request(UNSAFE);
-    invariants.record_first_byte(at(100), ID, 0, ServerId(0));
-    invariants.record_answer(at(200), ID, true);
+    let mut invariants = invariants_with_request(NOT_IDEMPOTENT);
+    invariants.record_first_byte(at(100), REQUEST_ID, 0, ServerId(0));
+    invariants.record_answer(at(200), REQUEST_ID, true);
     assert_eq!(
         invariants.take_violations(),
-        [Violation::FalseRejection { id: ID }],
+        [Violation::FalseRejection { id: REQUEST_ID }],
         "the attempt is in flight"
     );
     let mut invariants = invariants_with_request(KEYED_BY_ZONE);
-    invariants.record_first_byte(at(100), ID, 0, ServerId(0));
-    invariants.record_attempt_end(ID, 0, Outcome::Reset);
-    invariants.record_answer(at(200), ID, true);
+    invariants.record_first_byte(at(100), REQUEST_ID, 0, ServerId(0));
+    invariants.record_attempt_end(REQUEST_ID, 0, Outcome::Reset);
+    invariants.record_answer(at(200), REQUEST_ID, true);
     assert_eq!(
         invariants.take_violations(),
-        [Violation::FalseRejection { id: ID }],
+        [Violation::FalseRejection { id: REQUEST_ID }],
         "the ended attempt may have been executed"
     );
 
-    let mut invariants = invariants_with_request(SAFE);
-    invariants.record_answer(at(3_521), ID, true);
-    assert_eq!(invariants.take_violations(), [Violation::LateAnswer { id: ID, delay: ms(501) }]);
+    let mut invariants = invariants_with_request(IDEMPOTENT);
+    invariants.record_answer(at(3_521), REQUEST_ID, true);
+    assert_eq!(invariants.take_violations(), [Violation::LateAnswer { id: REQUEST_ID, delay: ms(501) }]);
 }
