--- a/src/engine/invariants.rs
+++ b/src/engine/invariants.rs
@@ -11,7 +11,7 @@
     ServerState, Settings, Span, Time, ZoneId,
 };
 
-/// Time after its deadline (plus slack) from which a final answer counts as lost (STANDING).
+/// Delay after the deadline and slack beyond which a final answer counts as lost (STANDING).
 const LOST_ANSWER_DELAY: Span = Span::from_micros(500_000);
 /// Largest number of violations stored until they are taken; further ones are only counted.
 const MAX_STORED_VIOLATIONS: usize = 16;
@@ -73,7 +73,7 @@
     LateAnswer {
         /// The request.
         id: RequestId,
-        /// Time from the deadline (plus slack) to the answer.
+        /// Time from the end of the deadline and slack to the answer.
         delay: Span,
     },
 }
