--- a/tests/crossings/front.rs
+++ b/tests/random_interleavings/frontend.rs
@@ -1,5 +1,7 @@
-//! The frontend of one client, as the session driver is (`src/net/session`): how it handles commands of the engine,
-//! and events of its server and its client. It knows no time, and returns actions for the simulation to perform.
+//! A model of the session driver (`src/net/session`): the front end of one client.
+//!
+//! It handles commands of the engine and events of its server and its client. It has no clock and does no
+//! I/O, but returns actions for the simulation to perform.
 
 use std::time::Duration;
 
@@ -11,7 +13,7 @@
 use super::faults::Fault;
 use super::history::ClientAnswer;
 
-/// A command of the engine to a frontend.
+/// A command from the engine to a front end.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendCommand {
     Attempt { attempt: u32, server: ServerId, timeout: Span },
@@ -23,42 +25,45 @@
     HandOff(ServerId),
 }
 
-/// What a frontend reports to its engine.
+/// An event that a front end reports to its engine. The numbers are those of attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendEvent {
     Connected(u32),
+    /// The server has accepted the request of this attempt with `UP`.
     Accepted(u32),
     Ended(u32, Outcome),
     ClientLeft,
     ClientMessage,
     ServerMessage,
+    /// A load report of the server.
     Load(f64),
 }
 
-/// What a frontend does.
+/// An action that the simulation performs for a front end. The numbers are those of attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendAction {
     Report(FrontendEvent),
     Connect(u32, ServerId),
     FirstByte(u32),
     LastByte(u32),
-    /// The server's socket is closed.
+    /// The front end closes the server's socket, with the outcome of the attempt or connection. The outcome
+    /// is `None` if the front end reports no end to the engine.
     Close(u32, Option<Outcome>),
     FinalAnswer(ClientAnswer),
     /// The connection is established.
     Established(u32),
-    /// The connection is passed on to the successor process.
+    /// The front end passes the connection to the successor process.
     HandOff(ServerId),
-    /// The client needs nothing more.
+    /// The session of the client has ended.
     Finished,
 }
 
-/// An event of the connection to a server.
+/// An event on the connection to a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConnectionEvent {
     Connected,
     Refused,
-    /// The last byte is written.
+    /// The last byte of the request is written.
     Written,
     /// The connection is reset.
     Reset,
@@ -71,7 +76,7 @@
     AwaitingPermission,
     Writing,
     Written,
-    /// The server has accepted, and the engine has not confirmed that yet.
+    /// The server has accepted the request, but the engine has not confirmed that yet.
     Accepted,
     Established,
 }
@@ -82,11 +87,11 @@
     server: ServerId,
     stage: ConnectionStage,
     side: ServerSide,
-    /// It was reset, which shows once it is written to or read.
+    /// Whether the connection was reset, which the front end detects at its next write or read.
     reset_pending: bool,
 }
 
-/// The frontend of one client.
+/// The simulated front end of one client.
 pub struct SimulatedFrontend {
     pub open: Open,
     side: ClientSide,
@@ -96,14 +101,15 @@
 }
 
 impl SimulatedFrontend {
-    /// The frontend of a client that has sent this line; none if it is no valid one.
+    /// Returns the front end of a client that has sent this line, or `None` if the line is not a valid `OPEN`
+    /// line.
     pub fn new(line: Bytes, fault: Option<Fault>) -> Option<Self> {
         let mut side = ClientSide::default();
         let ClientEvent::Open(open) = side.line(line) else { return None };
         Some(Self { open: *open, side, connection: None, finished: false, fault })
     }
 
-    /// The frontend of a connection that an older process has passed on.
+    /// Returns the front end of a connection that the predecessor process has handed off.
     pub fn established(open: Open, server: ServerId, fault: Option<Fault>) -> Self {
         let mut side = ClientSide::default();
         side.up();
@@ -117,7 +123,7 @@
         Self { open, side, connection: Some(connection), finished: false, fault }
     }
 
-    pub fn client_patience(&self) -> Duration {
+    pub fn client_timeout(&self) -> Duration {
         self.open.wait.unwrap_or_default()
     }
 
@@ -129,13 +135,13 @@
         self.connection.as_ref().is_some_and(|connection| connection.stage == ConnectionStage::Established)
     }
 
-    /// The attempt that has a socket, and its server.
+    /// Returns the number of the attempt that has a socket, and its server.
     pub fn current_attempt(&self) -> Option<(u32, ServerId)> {
         self.connection.as_ref().map(|connection| (connection.attempt, connection.server))
     }
 
-    /// Whether a line of the server would be read now.
-    pub fn reads_server(&self) -> bool {
+    /// Checks whether the front end reads lines of the server at present.
+    pub fn is_reading_from_server(&self) -> bool {
         self.connection.as_ref().is_some_and(|connection| connection.stage != ConnectionStage::Accepted)
     }
 
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Ends the attempt, or the connection that came of it, because of the server or the network.
+    /// Ends the attempt or its established connection because of the server, the network or the client.
     fn handle_connection_end(&mut self, outcome: Outcome, actions: &mut Vec<FrontendAction>) {
         let Some((attempt, _)) = self.current_attempt() else { return };
         let was_established = self.is_established();
@@ -173,8 +179,9 @@
         if self.finished {
             return;
         }
-        let current = self.connection.as_ref().map(|connection| (connection.attempt, connection.stage));
-        match (command, current) {
+        let current_attempt =
+            self.connection.as_ref().map(|connection| (connection.attempt, connection.stage));
+        match (command, current_attempt) {
             (FrontendCommand::Attempt { attempt, server, .. }, None) => {
                 let side = ServerSide::default();
                 self.connection = Some(ServerConnection {
@@ -208,7 +215,7 @@
             (FrontendCommand::ForwardAccepted { attempt }, Some((number, ConnectionStage::Accepted)))
                 if number == attempt =>
             {
-                let connection = self.connection.as_mut().expect("just seen");
+                let connection = self.connection.as_mut().expect("an accepted connection");
                 connection.stage = ConnectionStage::Established;
                 let is_reset = connection.reset_pending;
                 self.side.up();
@@ -233,13 +240,13 @@
                 actions.push(FrontendAction::HandOff(server));
                 self.finish(actions);
             }
-            // Commands for an attempt that is over are ignored.
+            // Commands for an attempt that has ended are ignored.
             _ => {}
         }
     }
 
     fn send_first_byte(&mut self, actions: &mut Vec<FrontendAction>) {
-        let connection = self.connection.as_mut().expect("there is a connection");
+        let connection = self.connection.as_mut().expect("an open connection");
         if connection.reset_pending {
             let outcome = connection.side.end().into();
             return self.handle_connection_end(outcome, actions);
@@ -248,7 +255,7 @@
         actions.push(FrontendAction::FirstByte(connection.attempt));
     }
 
-    /// Handles an event of the connection of this attempt.
+    /// Handles an event on the connection of this attempt.
     pub fn handle_connection_event(
         &mut self,
         attempt: u32,
@@ -318,7 +325,8 @@
                 actions.push(FrontendAction::Report(FrontendEvent::ClientMessage))
             }
             ClientEvent::Pass(_) => {}
-            // A client that does not wait for its answer gets none.
+            // A further `OPEN`, a ping or a malformed line before the answer ends the session: the request
+            // fails.
             ClientEvent::Bad(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
                 self.close_connection(None, actions);
                 actions.extend([
@@ -330,7 +338,7 @@
         }
     }
 
-    /// Handles that the client has gone.
+    /// Handles the departure of the client.
     pub fn handle_client_departure(&mut self, actions: &mut Vec<FrontendAction>) {
         if self.finished {
             return;
--- a/tests/crossings/history.rs
+++ b/tests/random_interleavings/history.rs
@@ -1,15 +1,17 @@
-//! What happened in a simulation, as a complete observer saw it.
+//! The history of a simulation, as recorded by an observer of all parts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ashtide::{Outcome, RequestClass, RequestId, ServerId, Settings, Span, Time};
 
-/// Longest time that a report or a command is on its way; by so much a first byte may follow its permission.
+/// The longest delivery time of a report or a command. A first byte follows its permission by at most this
+/// time.
 pub const MAX_DELIVERY_DELAY: Span = Span::from_micros(10_000);
-/// Longest delay of an answer: that of the client's line, of the engine's timer and of the answer itself.
+/// The longest delay of an answer: 10 ms each for the client's line, the engine's timer and the answer
+/// itself.
 const MAX_ANSWER_DELAY: Span = Span::from_micros(30_000);
 
-/// A client's final answer.
+/// The final answer to a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientAnswer {
     Served,
@@ -20,30 +22,30 @@
 /// An event of the simulation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Occurrence {
-    /// A client's line is complete at a frontend.
+    /// A front end has received the complete line of a client.
     Arrived {
         id: RequestId,
         class: usize,
         process: usize,
         time_left: Span,
     },
-    /// The request is reported to the engine.
+    /// The driver has passed the request to the engine.
     Admitted {
         id: RequestId,
     },
-    /// A process has been told the state of a server, by the list or by a cordon, and its start.
+    /// A process has received the state and the start time of a server, from the list or from a cordon.
     Listed {
         process: usize,
         server: ServerId,
         ready: bool,
-        started: Option<Time>,
+        started_at: Option<Time>,
     },
-    /// A process has been told that its watch has been silent since then.
+    /// A process has received the report that its watch has been closed or silent since then.
     WatchLost {
         process: usize,
-        since: Time,
+        silent_since: Time,
     },
-    /// A process has been told that its watch answers again.
+    /// A process has received the report that its watch is restored.
     WatchRestored {
         process: usize,
     },
@@ -54,19 +56,19 @@
         server: ServerId,
         timeout: Span,
     },
-    /// An engine has abandoned an attempt, because it timed out or for another reason.
+    /// An engine has closed an attempt, because it timed out or was cancelled.
     Abandoned {
         id: RequestId,
         attempt: u32,
         timed_out: bool,
     },
-    /// The end of an attempt was reported to the engine.
+    /// The driver has reported the end of an attempt to the engine.
     AttemptEndReported {
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
     },
-    /// An engine gives the final answer.
+    /// An engine has decided the final answer.
     AnswerDecided {
         id: RequestId,
     },
@@ -78,35 +80,36 @@
         id: RequestId,
         attempt: u32,
     },
-    /// The frontend's socket of the attempt is closed; the last outcome that the server showed.
+    /// The front end has closed the socket of the attempt, with its outcome, or `None` if it reports no end
+    /// to the engine.
     Closed {
         id: RequestId,
         attempt: u32,
         outcome: Option<Outcome>,
     },
-    /// The client has a final answer.
+    /// The front end has sent the final answer to the client.
     Answered {
         id: RequestId,
         answer: ClientAnswer,
     },
-    /// The client has gone.
+    /// The client has left before it was served.
     ClientLeft {
         id: RequestId,
     },
-    /// The departure of the client was reported to the engine.
+    /// The driver has reported the departure of the client to the engine.
     DepartureReported {
         id: RequestId,
     },
-    /// The process of the request has died.
-    ProcessDied {
+    /// The process of the request has exited.
+    ProcessExited {
         id: RequestId,
     },
-    /// Time has passed.
+    /// A tick has ended.
     TimeAdvanced,
 }
 
 impl Occurrence {
-    /// The request that it is about.
+    /// Returns the request that the occurrence concerns, if it concerns one.
     pub fn request_id(&self) -> Option<RequestId> {
         match *self {
             Self::Arrived { id, .. }
@@ -121,7 +124,7 @@
             | Self::Answered { id, .. }
             | Self::ClientLeft { id }
             | Self::DepartureReported { id }
-            | Self::ProcessDied { id } => Some(id),
+            | Self::ProcessExited { id } => Some(id),
             Self::Listed { .. }
             | Self::WatchLost { .. }
             | Self::WatchRestored { .. }
@@ -130,29 +133,37 @@
     }
 }
 
-/// When an attempt ended for the engine.
+/// The end of an attempt as the engine observes it.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptEnd {
     pub at: Time,
-    /// Whether a retry has to wait for its backoff.
+    /// Whether a retry after this end has to wait for its backoff.
     pub needs_backoff: bool,
 }
 
-/// One attempt.
+/// The record of one attempt.
 #[derive(Debug, Clone)]
 pub struct AttemptRecord {
     pub server: ServerId,
     pub first_byte_at: Option<Time>,
     pub last_byte_at: Option<Time>,
     pub closed: bool,
-    /// It was rejected, or closed before the server had received it completely.
-    pub never_ran: bool,
+    /// Whether the server cannot have executed the request: it rejected it, or the connection was closed
+    /// before the last byte.
+    pub not_executed: bool,
     pub end: Option<AttemptEnd>,
 }
 
 impl AttemptRecord {
     fn new(server: ServerId) -> Self {
-        Self { server, first_byte_at: None, last_byte_at: None, closed: false, never_ran: false, end: None }
+        Self {
+            server,
+            first_byte_at: None,
+            last_byte_at: None,
+            closed: false,
+            not_executed: false,
+            end: None,
+        }
     }
 
     fn record_end(&mut self, now: Time, needs_backoff: bool) {
@@ -161,11 +172,11 @@
 
     fn record_close(&mut self, outcome: Option<Outcome>) {
         self.closed = true;
-        self.never_ran = self.last_byte_at.is_none() || outcome == Some(Outcome::QueueFull);
+        self.not_executed = self.last_byte_at.is_none() || outcome == Some(Outcome::QueueFull);
     }
 }
 
-/// One request.
+/// The record of one request.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     pub class: usize,
@@ -175,11 +186,11 @@
     pub time_left: Span,
     pub attempts: Vec<AttemptRecord>,
     pub answers: Vec<ClientAnswer>,
-    /// Final answers of the engine.
+    /// The number of final answers that the engine has decided.
     pub answers_decided: u32,
-    pub left: bool,
+    pub client_left: bool,
     pub departure_reported: bool,
-    /// No answer is due any more.
+    /// Whether the request was answered or needs no answer because its client or process is gone.
     pub answer_not_required: bool,
 }
 
@@ -194,7 +205,7 @@
             attempts: Vec::new(),
             answers: Vec::new(),
             answers_decided: 0,
-            left: false,
+            client_left: false,
             departure_reported: false,
             answer_not_required: false,
         }
@@ -225,11 +236,11 @@
                 self.answer_not_required = true;
             }
             Occurrence::ClientLeft { .. } => {
-                self.left = true;
+                self.client_left = true;
                 self.answer_not_required = true;
             }
             Occurrence::DepartureReported { .. } => self.departure_reported = true,
-            Occurrence::ProcessDied { .. } => {
+            Occurrence::ProcessExited { .. } => {
                 self.answer_not_required = true;
                 self.attempts.iter_mut().for_each(|attempt| attempt.closed = true);
             }
@@ -241,41 +252,47 @@
         self.admitted_at + self.time_left
     }
 
-    /// The first attempt that may have run, by what the servers saw, of those before this one.
+    /// Returns the first attempt before this one that the server may have executed, judged by the received
+    /// bytes.
     pub fn first_possible_execution(&self, attempt: usize) -> Option<&AttemptRecord> {
-        self.attempts[..attempt].iter().find(|attempt| attempt.last_byte_at.is_some() && !attempt.never_ran)
+        self.attempts[..attempt]
+            .iter()
+            .find(|attempt| attempt.last_byte_at.is_some() && !attempt.not_executed)
     }
 }
 
 /// A watch that was lost.
 #[derive(Debug, Clone, Copy)]
 pub struct LostWatch {
-    /// Since when it was silent.
-    pub since: Time,
-    /// When that was reported.
+    /// The time since which the watch was closed or silent.
+    pub silent_since: Time,
+    /// The time at which the process received the report of that.
     pub reported_at: Time,
 }
 
-/// All that has happened, as far as an invariant needs it.
+/// The events of a run, as far as the invariants need them.
 pub struct History {
     pub settings: Settings,
+    /// The zone and the cell of each server.
     pub locations: BTreeMap<ServerId, (u32, u32)>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// Requests that need an answer, by the time at which it is due.
+    /// Unanswered requests, in the order of the times by which they need an answer.
     pub unanswered: BTreeSet<(Time, RequestId)>,
-    /// Since when a process knows that a server is not ready, and the server's start as it was told.
+    /// The time since which a process has the report that a server is not ready; `None` for a ready server.
     pub not_ready_since: BTreeMap<(usize, ServerId), Option<Time>>,
+    /// The start time of each server that was last reported to each process.
     pub started_at: BTreeMap<(usize, ServerId), Option<Time>>,
-    pub watch_lost: BTreeMap<usize, LostWatch>,
-    /// Attempts chosen for a server since its start.
+    /// The processes whose watch is lost.
+    pub lost_watches: BTreeMap<usize, LostWatch>,
+    /// The times at which attempts were placed on a server, by server and start time.
     pub attempts_since_start: BTreeMap<(ServerId, Time), Vec<Time>>,
-    /// Connections that fill a server, as the most generous gateway counts.
+    /// The number of connections at which a server is full, by the highest estimate of all gateways.
     pub connections_when_full: f64,
     pub now: Time,
 }
 
 impl History {
-    /// The history of a simulation with these settings, and with servers in these zones and cells.
+    /// Returns the empty history of a simulation with these settings and servers in these zones and cells.
     pub fn new(settings: Settings, locations: BTreeMap<ServerId, (u32, u32)>) -> Self {
         Self {
             settings,
@@ -284,14 +301,14 @@
             unanswered: BTreeSet::new(),
             not_ready_since: BTreeMap::new(),
             started_at: BTreeMap::new(),
-            watch_lost: BTreeMap::new(),
+            lost_watches: BTreeMap::new(),
             attempts_since_start: BTreeMap::new(),
             connections_when_full: 0.0,
             now: Time::default(),
         }
     }
 
-    /// Records an event.
+    /// Records an occurrence.
     pub fn record(&mut self, now: Time, occurrence: &Occurrence) {
         self.now = now;
         match *occurrence {
@@ -299,16 +316,16 @@
                 self.requests.insert(id, RequestRecord::new(class, process, now, time_left));
                 self.unanswered.insert((now + time_left + self.answer_slack(), id));
             }
-            Occurrence::Listed { process, server, ready, started } => {
+            Occurrence::Listed { process, server, ready, started_at } => {
                 let not_ready_since = self.not_ready_since.entry((process, server)).or_insert(None);
                 *not_ready_since = if ready { None } else { not_ready_since.or(Some(now)) };
-                self.started_at.insert((process, server), started);
+                self.started_at.insert((process, server), started_at);
             }
-            Occurrence::WatchLost { process, since } => {
-                self.watch_lost.entry(process).or_insert(LostWatch { since, reported_at: now });
+            Occurrence::WatchLost { process, silent_since } => {
+                self.lost_watches.entry(process).or_insert(LostWatch { silent_since, reported_at: now });
             }
             Occurrence::WatchRestored { process } => {
-                self.watch_lost.remove(&process);
+                self.lost_watches.remove(&process);
             }
             Occurrence::TimeAdvanced => {}
             _ => self.record_request_event(now, occurrence),
@@ -321,9 +338,9 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.record(now, occurrence);
         if let &Occurrence::Chosen { server, .. } = occurrence {
-            let started = self.started_at.get(&(request.process, server)).copied().flatten();
-            if let Some(started) = started {
-                self.attempts_since_start.entry((server, started)).or_default().push(now);
+            let started_at = self.started_at.get(&(request.process, server)).copied().flatten();
+            if let Some(started_at) = started_at {
+                self.attempts_since_start.entry((server, started_at)).or_default().push(now);
             }
         }
         if request.answer_not_required {
@@ -331,7 +348,7 @@
         }
     }
 
-    /// How long after its deadline an answer may come.
+    /// Returns how long after its deadline a request may be answered.
     fn answer_slack(&self) -> Span {
         self.settings.answer_slack + MAX_ANSWER_DELAY
     }
@@ -344,12 +361,12 @@
         &self.settings.classes[request.class]
     }
 
-    /// A request to a process that has no answer.
+    /// Returns a request to this process that still needs an answer, if there is one.
     pub fn unanswered_request(&self, process: usize) -> Option<RequestId> {
         self.unanswered.iter().map(|&(_, id)| id).find(|id| self.requests[id].process == process)
     }
 
-    /// The attempt that starts, if this occurrence is its first byte.
+    /// Returns the attempt that starts with this occurrence, or `None` if the occurrence is not a first byte.
     pub fn starting_attempt(&self, occurrence: &Occurrence) -> Option<StartingAttempt<'_>> {
         let &Occurrence::FirstByte { id, attempt } = occurrence else { return None };
         let request = self.request(id);
@@ -366,7 +383,7 @@
 }
 
 impl StartingAttempt<'_> {
-    /// The first earlier attempt of the request that may have run.
+    /// Returns the first earlier attempt of the request that a server may have executed.
     pub fn earlier_execution(&self) -> Option<&AttemptRecord> {
         self.request.first_possible_execution(self.number)
     }
--- a/tests/crossings/world.rs
+++ b/tests/random_interleavings/simulation.rs
@@ -1,9 +1,9 @@
-//! A simulation of some gateways with their frontends, servers, clients, discovery and the network between them, in
-//! virtual time and by one seed.
+//! A simulation of two to five gateways with their front ends, servers, clients, discovery and the network
+//! between them. It runs in virtual time, and one seed determines all random choices.
 //!
-//! Everything happens on ticks of 5 ms, so that rare coincidences are frequent: in each tick, timers that are due and
-//! messages that have arrived are handled in random order. Messages from one part to another keep their order, as in
-//! the queues of the driver.
+//! All events occur on ticks of 5 ms, which makes rare coincidences frequent. In each tick, due timers and
+//! delivered messages are handled in random order. Messages from one part to another are delivered in order,
+//! as in the queues of the driver.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -24,31 +24,32 @@
 use tokio::time::Instant;
 
 use super::faults::Fault;
-use super::front::{ConnectionEvent, FrontendAction, FrontendCommand, FrontendEvent, SimulatedFrontend};
+use super::frontend::{ConnectionEvent, FrontendAction, FrontendCommand, FrontendEvent, SimulatedFrontend};
 use super::history::{ClientAnswer, History, MAX_DELIVERY_DELAY, Occurrence};
 use super::invariants::{self, Invariant, Violation};
 
 mod clients;
 mod discovery;
-mod faults;
 mod processes;
+mod random_events;
 mod servers;
 
 const TICK_MS: i64 = 5;
-/// Steps in one tick, at most; more of them are a loop.
+/// The maximum number of steps in one tick. More steps mean an infinite loop.
 const MAX_STEPS_PER_TICK: u32 = 20_000;
-/// How long new clients arrive.
-const CLIENTS_ARRIVE_MS: i64 = 12_000;
-/// How long the simulation goes on after that: for the longest wait of a client, and for a shutdown.
-const SETTLE_MS: i64 = 4_000;
+/// The duration in which new clients arrive.
+const ARRIVAL_PERIOD_MS: i64 = 12_000;
+/// The duration of the simulation after the last arrival. It covers the longest deadline of a request and a
+/// shutdown.
+const COMPLETION_MS: i64 = 4_000;
 const SERVERS: u32 = 6;
-/// The longest time until a connection is open.
+/// The longest time until a connection to a server is open.
 const MAX_CONNECT_MS: i64 = 1_500;
-/// From the start of a shutdown until every request has an answer.
+/// The time from the start of a shutdown until every request has an answer.
 const SHUTDOWN_MS: i64 = 2_800;
-/// From then until the process exits.
+/// The time from the shutdown deadline until the process exits, in which it writes its last answers.
 const FLUSH_MS: i64 = 150;
-/// Connections within the quotas of all tenants.
+/// The connection quota of all tenants together.
 const QUOTA_CONNECTIONS: f64 = 600.0;
 const CLASSES: [&str; 6] = ["plain", "slow", "all", "zone", "cell", "once"];
 
@@ -57,8 +58,8 @@
 }
 
 fn classes() -> Vec<RequestClass> {
-    let keyed = |group, window| ashtide::Idempotency::WithKey { scope: group, remembered_for: ms(window) };
-    let idempotencies = [
+    let keyed = |scope, window_ms| ashtide::Idempotency::WithKey { scope, remembered_for: ms(window_ms) };
+    let objectives_and_idempotencies = [
         (400, ashtide::Idempotency::Idempotent),
         (1_100, ashtide::Idempotency::Idempotent),
         (500, keyed(DeduplicationScope::All, 600)),
@@ -66,27 +67,29 @@
         (700, keyed(DeduplicationScope::Cell, 700)),
         (300, ashtide::Idempotency::NotIdempotent),
     ];
-    let class = |(aim, command)| RequestClass {
-        latency_objective: ms(aim),
+    let class = |(objective_ms, idempotency)| RequestClass {
+        latency_objective: ms(objective_ms),
         message_latency_objective: ms(300),
         priority_weight: 1.0,
-        idempotency: command,
+        idempotency,
     };
-    idempotencies.into_iter().map(class).collect()
+    objectives_and_idempotencies.into_iter().map(class).collect()
 }
 
-/// What is reported to a process of a gateway.
+/// A report to the engine of a process.
 #[derive(Debug, Clone, PartialEq)]
 enum DriverReport {
     Request(RequestId),
     Frontend(RequestId, FrontendEvent),
     AdoptedConnection(RequestId, ServerId),
     ListUpdate(ListUpdate, Vec<EndpointEntry>),
-    /// An update that reaches the engine late.
-    DelayedListUpdate(ListUpdate, Vec<EndpointEntry>),
+    /// A list update whose delivery to the engine an injected fault has delayed.
+    LateListUpdate(ListUpdate, Vec<EndpointEntry>),
     WatchRestored,
+    /// The watch has ended: it is silent since this time, or was closed if `None`.
     WatchEnded(Option<Time>),
     Datagram(GatewayId, Vec<u8>),
+    /// A server is cordoned (`true`) or uncordoned.
     Cordon(ServerId, bool),
     QuorumEjections(BTreeSet<u32>),
     SiblingState(ServerId, ServerUsage),
@@ -94,22 +97,23 @@
     HandOver,
 }
 
-/// A scheduled event.
+/// A scheduled event of the simulation. The `usize` numbers are indices of processes.
 #[derive(Debug, Clone, PartialEq)]
 enum SimulationEvent {
-    ClientArrives,
+    ClientArrival,
     Report(usize, DriverReport),
     Command(RequestId, FrontendCommand),
     Connection(RequestId, u32, ConnectionEvent),
     ClientLine(RequestId, &'static [u8]),
-    ClientLeaves(RequestId),
-    InjectFault,
-    /// A watch is found to be silent, since then, or to be closed.
-    WatchEnds(usize, Option<Time>),
+    ClientDeparture(RequestId),
+    RandomEvent,
+    /// The process detects that its watch is silent since this time, or was closed if `None`.
+    WatchEnd(usize, Option<Time>),
     WatchRestored(usize),
     RestartGateway(u32),
     ShutdownDeadline(usize),
-    ProcessExits(usize),
+    ProcessExit(usize),
+    /// The first process reports its state to the second one.
     ShareSiblingState(usize, usize),
 }
 
@@ -118,28 +122,30 @@
     gateway: u32,
     engine: Engine,
     exited: bool,
-    /// When its shutdown began, with or without a successor.
+    /// The start time of the shutdown, with or without a successor.
     shutdown_began_at: Option<Time>,
-    /// Reports keep their order: none arrives before an earlier one.
+    /// The delivery time of the last report. Later reports are not delivered earlier, so that they remain in
+    /// order.
     last_report_at: Time,
     last_list_update_at: Time,
     is_watching: bool,
-    /// The list as it was sent, and cordoned servers.
+    /// The endpoint list that the process has received.
     list: BTreeMap<ServerId, EndpointEntry>,
     cordoned: BTreeSet<ServerId>,
-    watch_lost: bool,
-    has_measured_load: bool,
+    has_lost_watch: bool,
+    full_load_recorded: bool,
 }
 
 struct Client {
     process: usize,
     class: usize,
     frontend: SimulatedFrontend,
-    /// Commands keep their order.
+    /// The delivery time of the last command. Later commands are not delivered earlier, so that they remain
+    /// in order.
     last_command_at: Time,
 }
 
-/// The simulation.
+/// The state of one simulation.
 pub struct Simulation {
     rng: ChaCha8Rng,
     fault: Option<Fault>,
@@ -147,21 +153,22 @@
     epoch: MonotonicEpoch,
     settings: Settings,
     gateways: u32,
-    /// The longest time between two clients.
-    max_client_gap_ms: i64,
+    /// The longest time between the arrivals of two clients, in ms.
+    max_arrival_interval_ms: i64,
     servers: Vec<EndpointEntry>,
+    /// The time until which each server does not respond.
     hung_until: Vec<Time>,
     processes: Vec<Process>,
     clients: BTreeMap<RequestId, Client>,
     events: BTreeMap<(Time, u64), SimulationEvent>,
     last_event_number: u64,
     last_request_id: u32,
-    clients_end_at: Time,
+    arrivals_end_at: Time,
     commands: Vec<Command>,
     history: History,
     occurrences: Vec<(Time, Occurrence)>,
     violation: Option<Violation>,
-    /// How often each rare event happened.
+    /// The number of occurrences of each counted event.
     pub counts: BTreeMap<&'static str, u32>,
 }
 
@@ -189,7 +196,7 @@
             overload_window: ms(2_000),
             ..Settings::for_zone(ZoneId(0))
         };
-        let busy = rng.random_bool(0.3);
+        let has_high_load = rng.random_bool(0.3);
         let server = |number: u32| EndpointEntry {
             hash_key: number.wrapping_mul(0x9e37_79b9),
             zone: ZoneId(number % 2),
@@ -206,7 +213,7 @@
             history: History::new(settings.clone(), locations),
             settings,
             gateways,
-            max_client_gap_ms: if busy { 30 } else { 90 },
+            max_arrival_interval_ms: if has_high_load { 30 } else { 90 },
             hung_until: vec![now; servers.len()],
             servers,
             processes: Vec::new(),
@@ -214,7 +221,7 @@
             events: BTreeMap::new(),
             last_event_number: 0,
             last_request_id: 0,
-            clients_end_at: now + ms(CLIENTS_ARRIVE_MS),
+            arrivals_end_at: now + ms(ARRIVAL_PERIOD_MS),
             commands: Vec::new(),
             occurrences: Vec::new(),
             violation: None,
@@ -223,57 +230,61 @@
         for gateway in 0..gateways {
             simulation.start_process(gateway, None);
         }
-        // The decision module retries sooner while it has seen few failures: some servers hang from the start.
-        for at in 0..simulation.rng.random_range(0..3) {
-            simulation.hung_until[at] = now + ms(simulation.rng.random_range(500..3_000));
+        // Some servers hang from the start, since the decision module retries sooner while it has observed
+        // few failures.
+        for server in 0..simulation.rng.random_range(0..3) {
+            simulation.hung_until[server] = now + ms(simulation.rng.random_range(500..3_000));
         }
-        simulation.schedule_after(0, SimulationEvent::ClientArrives);
-        simulation.schedule_after(200, SimulationEvent::InjectFault);
+        simulation.schedule_after(0, SimulationEvent::ClientArrival);
+        simulation.schedule_after(200, SimulationEvent::RandomEvent);
         simulation
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     ///
     /// # Errors
     ///
-    /// The violated invariant, and the events that led to it.
+    /// Returns the violated invariant with the events that led to the violation.
     pub async fn run(&mut self) -> Result<(), Violation> {
-        while self.now < self.clients_end_at + ms(SETTLE_MS) {
+        while self.now < self.arrivals_end_at + ms(COMPLETION_MS) {
             tokio::time::advance(Duration::from_millis(TICK_MS as u64)).await;
             self.now = self.now + ms(TICK_MS);
             let mut steps = 0;
             while self.violation.is_none() && self.process_next() {
                 steps += 1;
                 let next: Vec<_> = self.events.iter().take(3).collect();
-                assert!(steps < MAX_STEPS_PER_TICK, "the simulation loops; next: {next:?}");
+                assert!(
+                    steps < MAX_STEPS_PER_TICK,
+                    "more than {MAX_STEPS_PER_TICK} steps in one tick; next events: {next:?}"
+                );
             }
             self.record(Occurrence::TimeAdvanced);
             if let Some(mut violation) = self.violation.take() {
-                violation.what = format!("{}\n{}", violation.what, self.trace());
+                violation.details = format!("{}\n{}", violation.details, self.trace());
                 return Err(violation);
             }
         }
         Ok(())
     }
 
-    fn schedule_after(&mut self, wait: i64, event: SimulationEvent) {
-        self.schedule_at(self.now + ms(wait), event);
+    fn schedule_after(&mut self, delay_ms: i64, event: SimulationEvent) {
+        self.schedule_at(self.now + ms(delay_ms), event);
     }
 
-    fn schedule_at(&mut self, at: Time, event: SimulationEvent) {
+    fn schedule_at(&mut self, due_at: Time, event: SimulationEvent) {
         self.last_event_number += 1;
-        self.events.insert((at, self.last_event_number), event);
+        self.events.insert((due_at, self.last_event_number), event);
     }
 
     fn random_ms(&mut self, range: std::ops::Range<i64>) -> i64 {
         self.rng.random_range(range)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        self.rng.random_bool(part)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
-    /// How long a report or a command is on its way.
+    /// Returns a random delivery delay of a report or a command.
     fn delivery_delay(&mut self) -> Span {
         match self.random_ms(0..10) {
             0 => MAX_DELIVERY_DELAY,
@@ -282,28 +293,28 @@
         }
     }
 
-    /// Handles one timer or message that is due, if there is one.
+    /// Handles one due timer or message in random order; returns whether there was one.
     fn process_next(&mut self) -> bool {
-        let arrived = self.events.first_key_value().is_some_and(|((at, _), _)| *at <= self.now);
-        if arrived && self.chance(0.5) {
+        let has_due_event = self.events.first_key_value().is_some_and(|((due_at, _), _)| *due_at <= self.now);
+        if has_due_event && self.chance(0.5) {
             self.deliver_next();
             return true;
         }
         let first = self.rng.random_range(0..self.processes.len());
         for offset in 0..self.processes.len() {
-            let at = (first + offset) % self.processes.len();
-            if self.processes[at].exited {
+            let process = (first + offset) % self.processes.len();
+            if self.processes[process].exited {
                 continue;
             }
-            if let Some(event) = self.processes[at].engine.next_timer_event().now_or_never() {
-                self.fire_timer(at, event);
+            if let Some(event) = self.processes[process].engine.next_timer_event().now_or_never() {
+                self.fire_timer(process, event);
                 return true;
             }
         }
-        if arrived {
+        if has_due_event {
             self.deliver_next();
         }
-        arrived
+        has_due_event
     }
 
     fn fire_timer(&mut self, process: usize, timer: TimerEvent) {
@@ -318,22 +329,24 @@
     fn deliver_next(&mut self) {
         let Some((_, event)) = self.events.pop_first() else { return };
         match event {
-            SimulationEvent::ClientArrives => self.client_arrives(),
+            SimulationEvent::ClientArrival => self.handle_client_arrival(),
             SimulationEvent::Report(process, report) => self.handle_report(process, report),
             SimulationEvent::Command(id, command) => {
                 self.drive_frontend(id, |frontend, actions| frontend.handle_command(command, actions))
             }
-            SimulationEvent::Connection(id, attempt, what) => self.handle_connection_event(id, attempt, what),
+            SimulationEvent::Connection(id, attempt, event) => {
+                self.handle_connection_event(id, attempt, event)
+            }
             SimulationEvent::ClientLine(id, line) => {
                 self.drive_frontend(id, |frontend, actions| frontend.handle_client_line(line.into(), actions))
             }
-            SimulationEvent::ClientLeaves(id) => self.client_leaves(id),
-            SimulationEvent::InjectFault => self.inject_fault(),
-            SimulationEvent::WatchEnds(process, since) => self.end_watch(process, since),
+            SimulationEvent::ClientDeparture(id) => self.handle_client_departure(id),
+            SimulationEvent::RandomEvent => self.trigger_random_event(),
+            SimulationEvent::WatchEnd(process, silent_since) => self.end_watch(process, silent_since),
             SimulationEvent::WatchRestored(process) => self.restore_watch(process),
             SimulationEvent::RestartGateway(gateway) => _ = self.start_process(gateway, None),
             SimulationEvent::ShutdownDeadline(process) => self.reach_shutdown_deadline(process),
-            SimulationEvent::ProcessExits(process) => self.exit_after_shutdown(process),
+            SimulationEvent::ProcessExit(process) => self.exit_after_shutdown(process),
             SimulationEvent::ShareSiblingState(from, to) => self.share_sibling_state(from, to),
         }
     }
@@ -352,38 +365,39 @@
         }
     }
 
-    /// The occurrences of the request that the last one is about, and what its process was told of its servers.
+    /// Returns the occurrences of the request that the last occurrence concerns, and the reports on its
+    /// servers and watch that its process received.
     fn trace(&self) -> String {
         let mut text = String::new();
-        let last = self.occurrences.iter().rev().find_map(|(_, occurrence)| occurrence.request_id());
+        let last_request = self.occurrences.iter().rev().find_map(|(_, occurrence)| occurrence.request_id());
         let process_of = |occurrence: &Occurrence| match occurrence {
-            Occurrence::Arrived { id, process, .. } if Some(*id) == last => Some(*process),
+            Occurrence::Arrived { id, process, .. } if Some(*id) == last_request => Some(*process),
             _ => None,
         };
         let process = self.occurrences.iter().find_map(|(_, occurrence)| process_of(occurrence));
-        let chosen = |occurrence: &Occurrence| match *occurrence {
-            Occurrence::Chosen { id, server, .. } if Some(id) == last => Some(server),
+        let chosen_server = |occurrence: &Occurrence| match *occurrence {
+            Occurrence::Chosen { id, server, .. } if Some(id) == last_request => Some(server),
             _ => None,
         };
         let servers: BTreeSet<ServerId> =
-            self.occurrences.iter().filter_map(|(_, occurrence)| chosen(occurrence)).collect();
-        let mut listed = BTreeMap::new();
-        for (at, occurrence) in &self.occurrences {
-            let shows = match occurrence {
+            self.occurrences.iter().filter_map(|(_, occurrence)| chosen_server(occurrence)).collect();
+        let mut last_listings = BTreeMap::new();
+        for (time, occurrence) in &self.occurrences {
+            let is_relevant = match occurrence {
                 Occurrence::Listed { process: concerned, server, .. } => {
                     Some(*concerned) == process
                         && servers.contains(server)
-                        && listed.insert(*server, occurrence) != Some(occurrence)
+                        && last_listings.insert(*server, occurrence) != Some(occurrence)
                 }
                 Occurrence::WatchLost { process: concerned, .. }
                 | Occurrence::WatchRestored { process: concerned } => Some(*concerned) == process,
-                occurrence => occurrence.request_id().is_some() && occurrence.request_id() == last,
+                occurrence => occurrence.request_id().is_some() && occurrence.request_id() == last_request,
             };
-            if shows {
+            if is_relevant {
                 let _ = writeln!(
                     text,
                     "  {:>6} ms {occurrence:?}",
-                    at.since(self.epoch.time).as_micros() / 1_000
+                    time.since(self.epoch.time).as_micros() / 1_000
                 );
             }
         }
--- a/tests/crossings/world/clients.rs
+++ b/tests/random_interleavings/simulation/clients.rs
@@ -1,54 +1,56 @@
-//! Clients and their frontends.
+//! Simulated clients and their front ends.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn client_arrives(&mut self) {
-        if self.now < self.clients_end_at {
-            let wait = self.random_ms(0..self.max_client_gap_ms);
-            self.schedule_after(wait, SimulationEvent::ClientArrives);
+    pub(super) fn handle_client_arrival(&mut self) {
+        if self.now < self.arrivals_end_at {
+            let wait = self.random_ms(0..self.max_arrival_interval_ms);
+            self.schedule_after(wait, SimulationEvent::ClientArrival);
             self.send_request();
         }
     }
 
-    /// A client sends a request to some gateway; a few reach one that shuts down.
+    /// Sends a client's request to a random gateway. A few requests reach a process that is shutting down.
     pub(super) fn send_request(&mut self) {
         let gateway = self.rng.random_range(0..self.gateways);
-        let candidates: Vec<usize> =
-            self.live_processes().into_iter().filter(|&at| self.processes[at].gateway == gateway).collect();
+        let candidates: Vec<usize> = self
+            .running_processes()
+            .into_iter()
+            .filter(|&process| self.processes[process].gateway == gateway)
+            .collect();
         let Some(&process) = candidates.choose(&mut self.rng) else { return };
-        if let Some(since) = self.processes[process].shutdown_began_at {
-            let passed = self.now.since(since);
-            if passed > ms(400) && !self.chance(0.1) {
+        if let Some(shutdown_began_at) = self.processes[process].shutdown_began_at {
+            let elapsed = self.now.since(shutdown_began_at);
+            if elapsed > ms(400) && !self.chance(0.1) {
                 return;
             }
-            // Its listener is closed before its last answers are written (`src/net/listen.rs`).
-            if passed >= ms(SHUTDOWN_MS) {
+            // A process closes its listener before it writes its last answers (`src/net/listen.rs`).
+            if elapsed >= ms(SHUTDOWN_MS) {
                 return;
             }
         }
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         let class = self.rng.random_range(0..CLASSES.len());
-        let wait = self.random_ms(300..2_400);
+        let time_left_ms = self.random_ms(300..2_400);
         let group = if self.chance(0.3) {
             format!(",g={}", "x".repeat(self.rng.random_range(1..5)))
         } else {
             String::new()
         };
-        let line = format!("OPEN id{} key c={},t=acme,d={wait}{group}\r\n", id.0, CLASSES[class]);
-        let frontend =
-            SimulatedFrontend::new(line.into(), self.fault).expect("a line in the protocol's form");
+        let line = format!("OPEN id{} key c={},t=acme,d={time_left_ms}{group}\r\n", id.0, CLASSES[class]);
+        let frontend = SimulatedFrontend::new(line.into(), self.fault).expect("a valid OPEN line");
         self.clients.insert(id, Client { process, class, frontend, last_command_at: self.now });
-        self.record(Occurrence::Arrived { id, class, process, time_left: ms(wait) });
+        self.record(Occurrence::Arrived { id, class, process, time_left: ms(time_left_ms) });
         self.report_to(process, DriverReport::Request(id));
         match self.random_ms(0..20) {
             0..=2 => {
-                let wait = self.random_ms(0..wait + 50);
-                self.schedule_after(wait, SimulationEvent::ClientLeaves(id));
+                let wait = self.random_ms(0..time_left_ms + 50);
+                self.schedule_after(wait, SimulationEvent::ClientDeparture(id));
             }
             3 => {
-                let wait = self.random_ms(0..wait);
+                let wait = self.random_ms(0..time_left_ms);
                 let line: &[u8] = if self.chance(0.5) { b"OPEN again\r\n" } else { b"early\r\n" };
                 self.schedule_after(wait, SimulationEvent::ClientLine(id, line));
             }
@@ -56,13 +58,13 @@
         }
     }
 
-    pub(super) fn client_leaves(&mut self, id: RequestId) {
+    pub(super) fn handle_client_departure(&mut self, id: RequestId) {
         let Some(client) = self.clients.get(&id) else { return };
         if client.frontend.is_finished() {
             return;
         }
         if !client.frontend.is_established() {
-            self.count("clients left");
+            self.count("client departures");
             self.record(Occurrence::ClientLeft { id });
         }
         self.drive_frontend(id, SimulatedFrontend::handle_client_departure);
@@ -71,12 +73,12 @@
     pub(super) fn drive_frontend(
         &mut self,
         id: RequestId,
-        act: impl FnOnce(&mut SimulatedFrontend, &mut Vec<FrontendAction>),
+        handle: impl FnOnce(&mut SimulatedFrontend, &mut Vec<FrontendAction>),
     ) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let process = client.process;
         let mut actions = Vec::new();
-        act(&mut client.frontend, &mut actions);
+        handle(&mut client.frontend, &mut actions);
         for action in actions {
             self.perform_action(process, id, action);
         }
@@ -89,9 +91,9 @@
                     self.count(match outcome {
                         Outcome::ConnectError => "connect errors",
                         Outcome::Reset => "resets",
-                        Outcome::QueueFull => "turned away",
+                        Outcome::QueueFull => "queue full",
                         Outcome::Failed => "errors",
-                        _ => "other ends",
+                        _ => "other attempt ends",
                     });
                 }
                 self.report_to(process, DriverReport::Frontend(id, event));
@@ -99,15 +101,15 @@
             FrontendAction::Connect(attempt, server) => self.connect(id, attempt, server),
             FrontendAction::FirstByte(attempt) => {
                 self.record(Occurrence::FirstByte { id, attempt });
-                let slow = if self.chance(0.2) { self.random_ms(0..60) } else { 0 };
-                if slow > 0 && self.chance(0.4) {
+                let write_ms = if self.chance(0.2) { self.random_ms(0..60) } else { 0 };
+                if write_ms > 0 && self.chance(0.4) {
                     self.schedule_after(
-                        slow,
+                        write_ms,
                         SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset),
                     );
                 } else {
                     self.schedule_after(
-                        slow,
+                        write_ms,
                         SimulationEvent::Connection(id, attempt, ConnectionEvent::Written),
                     );
                 }
@@ -122,7 +124,7 @@
             FrontendAction::FinalAnswer(answer) => {
                 self.count(match answer {
                     ClientAnswer::Served => "served",
-                    ClientAnswer::Rejected => "refused",
+                    ClientAnswer::Rejected => "rejected",
                     ClientAnswer::Failed => "failed",
                 });
                 self.record(Occurrence::Answered { id, answer });
@@ -142,13 +144,13 @@
         let Some(client) = self.clients.get(&id) else { return };
         let open = client.frontend.open.clone();
         let class = client.class;
-        self.count("handed");
+        self.count("handoffs");
         self.last_request_id += 1;
-        let adopted = RequestId(self.last_request_id);
+        let adopted_id = RequestId(self.last_request_id);
         let frontend = SimulatedFrontend::established(open, server, self.fault);
         self.clients
-            .insert(adopted, Client { process: successor, class, frontend, last_command_at: self.now });
-        self.report_to(successor, DriverReport::AdoptedConnection(adopted, server));
-        self.schedule_established_traffic(adopted, 0);
+            .insert(adopted_id, Client { process: successor, class, frontend, last_command_at: self.now });
+        self.report_to(successor, DriverReport::AdoptedConnection(adopted_id, server));
+        self.schedule_established_traffic(adopted_id, 0);
     }
 }
--- a/tests/crossings/world/discovery.rs
+++ b/tests/random_interleavings/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list that each process is sent.
+//! Simulated discovery: sends the endpoint list to each process.
 
 use super::*;
 
@@ -17,11 +17,11 @@
             target.list.insert(entry.server, entry.clone());
         }
         (0..SERVERS).for_each(|server| self.record_listing(process, ServerId(server)));
-        let drains = entries.iter().any(|entry| entry.state != ServerState::Ready);
-        if self.fault == Some(Fault::LateDrains) && drains {
+        let has_unready_server = entries.iter().any(|entry| entry.state != ServerState::Ready);
+        if self.fault == Some(Fault::DelaysDrains) && has_unready_server {
             return self.schedule_after(
                 1_500,
-                SimulationEvent::Report(process, DriverReport::DelayedListUpdate(kind, entries)),
+                SimulationEvent::Report(process, DriverReport::LateListUpdate(kind, entries)),
             );
         }
         self.processes[process].engine.handle_list_update(self.now, kind, entries, &mut self.commands);
@@ -32,23 +32,23 @@
         let target = &self.processes[process];
         let Some(entry) = target.list.get(&server) else { return };
         let ready = entry.state == ServerState::Ready && !target.cordoned.contains(&server);
-        let started = entry.started_at;
-        self.record(Occurrence::Listed { process, server, ready, started });
+        let started_at = entry.started_at;
+        self.record(Occurrence::Listed { process, server, ready, started_at });
     }
 
-    /// Sends a changed entry, late, to all processes that have a watch.
+    /// Sends a changed endpoint entry with a random delay to all processes that have a watch.
     pub(super) fn announce_change(&mut self, server: ServerId) {
         let entry = self.servers[server.0 as usize].clone();
-        for process in self.live_processes() {
+        for process in self.running_processes() {
             if !self.processes[process].is_watching {
                 continue;
             }
             let wait = if self.chance(0.2) { self.random_ms(0..1_500) } else { self.random_ms(0..50) };
             let last_update_at = &mut self.processes[process].last_list_update_at;
             *last_update_at = (self.now + ms(wait)).max(*last_update_at);
-            let at = *last_update_at;
+            let delivered_at = *last_update_at;
             self.schedule_at(
-                at,
+                delivered_at,
                 SimulationEvent::Report(
                     process,
                     DriverReport::ListUpdate(ListUpdate::Delta, vec![entry.clone()]),
@@ -61,22 +61,22 @@
         self.servers.iter().filter(|entry| entry.state != ServerState::Removed).cloned().collect()
     }
 
-    pub(super) fn end_watch(&mut self, process: usize, since: Option<Time>) {
+    pub(super) fn end_watch(&mut self, process: usize, silent_since: Option<Time>) {
         self.processes[process].is_watching = false;
-        self.report_to(process, DriverReport::WatchEnded(since));
+        self.report_to(process, DriverReport::WatchEnded(silent_since));
         let wait = if self.chance(0.3) { self.random_ms(2_000..7_000) } else { self.random_ms(0..800) };
         self.schedule_after(wait, SimulationEvent::WatchRestored(process));
     }
 
-    /// Restores a watch: discovery answers with the complete list or with changes.
+    /// Restores a watch. Discovery answers with a snapshot or a delta.
     pub(super) fn restore_watch(&mut self, process: usize) {
         let target = &mut self.processes[process];
         if target.exited {
             return;
         }
         target.is_watching = true;
-        let first = target.list.is_empty();
-        let (kind, entries) = match first || self.chance(0.5) {
+        let is_first = target.list.is_empty();
+        let (kind, entries) = match is_first || self.chance(0.5) {
             true => (ListUpdate::Snapshot, self.snapshot()),
             false => (ListUpdate::Delta, self.servers.clone()),
         };
--- a/tests/crossings/world/processes.rs
+++ b/tests/random_interleavings/simulation/processes.rs
@@ -1,23 +1,22 @@
-//! Processes of gateways: start, shutdown, reports to them and commands of their engines.
+//! Simulated processes of gateways: start and shutdown, reports to their engines and the commands of these.
 
 use super::*;
 
 impl Simulation {
-    /// Starts a process of a gateway, with the list of its predecessor if there is one.
+    /// Starts a process of a gateway, with the endpoint list of its predecessor if it has one. Returns its
+    /// index.
     pub(super) fn start_process(&mut self, gateway: u32, list: Option<Vec<EndpointEntry>>) -> usize {
         let mut settings = Settings { gateway_id: GatewayId(gateway), ..self.settings.clone() };
         for class in &mut settings.classes {
-            if let ashtide::Idempotency::WithKey { scope: group, remembered_for: window } =
-                &mut class.idempotency
-            {
+            if let ashtide::Idempotency::WithKey { scope, remembered_for } = &mut class.idempotency {
                 match self.fault {
-                    Some(Fault::LongWindow) => *window = window.scale(10.0),
-                    Some(Fault::WideGroup) => *group = DeduplicationScope::All,
+                    Some(Fault::LongIdempotencyWindow) => *remembered_for = remembered_for.scale(10.0),
+                    Some(Fault::WideDeduplicationScope) => *scope = DeduplicationScope::All,
                     _ => {}
                 }
             }
         }
-        if self.fault == Some(Fault::EachGatewayAlone) {
+        if self.fault == Some(Fault::SingleGatewaySettings) {
             settings.gateways = 1;
             settings.gateway_id = GatewayId(0);
         }
@@ -33,29 +32,29 @@
             is_watching: true,
             list: BTreeMap::new(),
             cordoned: BTreeSet::new(),
-            watch_lost: false,
-            has_measured_load: false,
+            has_lost_watch: false,
+            full_load_recorded: false,
         };
-        let at = self.processes.len();
+        let index = self.processes.len();
         self.processes.push(process);
         if let Some(list) = list {
-            self.report_to(at, DriverReport::ListUpdate(ListUpdate::Cached, list));
+            self.report_to(index, DriverReport::ListUpdate(ListUpdate::Cached, list));
         }
-        self.restore_watch(at);
-        at
+        self.restore_watch(index);
+        index
     }
 
-    pub(super) fn live_processes(&self) -> Vec<usize> {
-        (0..self.processes.len()).filter(|&at| !self.processes[at].exited).collect()
+    pub(super) fn running_processes(&self) -> Vec<usize> {
+        (0..self.processes.len()).filter(|&process| !self.processes[process].exited).collect()
     }
 
-    /// The process of a gateway that accepts new clients.
+    /// Returns the process of a gateway that accepts new clients.
     pub(super) fn current_process(&self, gateway: u32) -> Option<usize> {
-        let candidates = |&at: &usize| self.processes[at].gateway == gateway;
-        self.live_processes().into_iter().rfind(candidates)
+        let belongs_to_gateway = |&process: &usize| self.processes[process].gateway == gateway;
+        self.running_processes().into_iter().rfind(belongs_to_gateway)
     }
 
-    /// Ends a shutdown: all requests are answered, all connections migrated.
+    /// Reaches the shutdown deadline: the engine answers all requests and migrates all connections.
     pub(super) fn reach_shutdown_deadline(&mut self, process: usize) {
         if self.processes[process].exited {
             return;
@@ -66,18 +65,18 @@
             &mut self.commands,
         );
         self.perform_commands(process, false);
-        self.schedule_after(FLUSH_MS, SimulationEvent::ProcessExits(process));
+        self.schedule_after(FLUSH_MS, SimulationEvent::ProcessExit(process));
     }
 
-    /// Exits after a shutdown, when everything is written.
+    /// Exits after a shutdown, once all answers are written.
     pub(super) fn exit_after_shutdown(&mut self, process: usize) {
         if self.processes[process].exited {
             return;
         }
         if let Some(id) = self.history.unanswered_request(process) {
             let invariant = Invariant::OneFinalAnswer;
-            let what = format!("process {process} ends and {id:?} has no answer");
-            self.violation.get_or_insert(Violation { invariant, what });
+            let details = format!("process {process} exits while {id:?} has no answer");
+            self.violation.get_or_insert(Violation { invariant, details });
         }
         self.exit_process(process);
     }
@@ -86,10 +85,10 @@
         if std::mem::replace(&mut self.processes[process].exited, true) {
             return;
         }
-        let candidates: Vec<RequestId> =
+        let requests: Vec<RequestId> =
             self.clients.iter().filter(|(_, client)| client.process == process).map(|(&id, _)| id).collect();
-        for id in candidates {
-            self.record(Occurrence::ProcessDied { id });
+        for id in requests {
+            self.record(Occurrence::ProcessExited { id });
             self.clients.remove(&id);
         }
         let gateway = self.processes[process].gateway;
@@ -111,11 +110,11 @@
     }
 
     pub(super) fn report_to(&mut self, process: usize, report: DriverReport) {
-        let at = self.now + self.delivery_delay();
-        let handled = &mut self.processes[process].last_report_at;
-        *handled = at.max(*handled);
-        let at = *handled;
-        self.schedule_at(at, SimulationEvent::Report(process, report));
+        let delivered_at = self.now + self.delivery_delay();
+        let last_report_at = &mut self.processes[process].last_report_at;
+        *last_report_at = delivered_at.max(*last_report_at);
+        let delivered_at = *last_report_at;
+        self.schedule_at(delivered_at, SimulationEvent::Report(process, report));
     }
 
     pub(super) fn handle_report(&mut self, process: usize, report: DriverReport) {
@@ -139,42 +138,42 @@
             DriverReport::ListUpdate(kind, entries) => {
                 return self.handle_list_update(process, kind, entries);
             }
-            DriverReport::DelayedListUpdate(kind, entries) => {
+            DriverReport::LateListUpdate(kind, entries) => {
                 self.processes[process].engine.handle_list_update(now, kind, entries, &mut self.commands);
             }
             DriverReport::WatchRestored => {
-                self.processes[process].watch_lost = false;
+                self.processes[process].has_lost_watch = false;
                 self.record(Occurrence::WatchRestored { process });
                 self.processes[process].engine.renew_list_lease(now, &mut self.commands);
             }
-            DriverReport::WatchEnded(since) => {
-                // A watch that was closed was in sync until then; one that fell silent was not.
-                let end = if since.is_some() { WatchEnd::Failed } else { WatchEnd::Closed };
-                let since = since.unwrap_or(now);
-                self.record(Occurrence::WatchLost { process, since });
-                self.processes[process].watch_lost = true;
-                if self.fault != Some(Fault::LosesWatchSilence) {
-                    self.processes[process].engine.handle_watch_end(now, since, end);
+            DriverReport::WatchEnded(silent_since) => {
+                // The list was in sync until the watch was closed, but not while the watch was silent.
+                let end = if silent_since.is_some() { WatchEnd::Failed } else { WatchEnd::Closed };
+                let silent_since = silent_since.unwrap_or(now);
+                self.record(Occurrence::WatchLost { process, silent_since });
+                self.processes[process].has_lost_watch = true;
+                if self.fault != Some(Fault::LosesWatchEnd) {
+                    self.processes[process].engine.handle_watch_end(now, silent_since, end);
                 }
                 let engine = &mut self.processes[process].engine;
                 engine.handle_list_update(now, ListUpdate::WatchFailed, Vec::new(), &mut self.commands);
             }
             DriverReport::Datagram(from, bytes) => {
                 self.record_full_load(process);
-                // Late, repeated and unexpected ones change nothing.
-                let handled =
+                // Late, duplicate and unexpected datagrams are rejected and change nothing.
+                let result =
                     self.processes[process].engine.handle_datagram(now, from, &bytes, &mut self.commands);
-                self.count(if handled.is_ok() { "datagrams accepted" } else { "datagrams unheard" });
+                self.count(if result.is_ok() { "datagrams accepted" } else { "datagrams rejected" });
             }
-            DriverReport::Cordon(server, out) => {
-                let set = &mut self.processes[process].cordoned;
-                if out {
-                    set.insert(server)
+            DriverReport::Cordon(server, is_cordoned) => {
+                let cordoned = &mut self.processes[process].cordoned;
+                if is_cordoned {
+                    cordoned.insert(server)
                 } else {
-                    set.remove(&server)
+                    cordoned.remove(&server)
                 };
                 self.record_listing(process, server);
-                self.processes[process].engine.set_cordon(now, server, out, &mut self.commands);
+                self.processes[process].engine.set_cordon(now, server, is_cordoned, &mut self.commands);
             }
             DriverReport::QuorumEjections(keys) => {
                 self.processes[process].engine.set_quorum_ejections(now, &keys, &mut self.commands)
@@ -210,13 +209,13 @@
                 return;
             }
             FrontendEvent::Accepted(attempt) => {
-                let up =
+                let is_established =
                     self.processes[process].engine.handle_established(now, id, attempt, &mut self.commands);
-                // Before the commands that follow from it, as in the driver.
-                if up {
+                // `UP` is forwarded before the commands that result from it, as in the driver.
+                if is_established {
                     self.send_command(id, FrontendCommand::ForwardAccepted { attempt });
                 } else {
-                    self.count("up too late");
+                    self.count("late acceptances");
                 }
             }
             FrontendEvent::Ended(attempt, outcome) => {
@@ -246,7 +245,7 @@
         self.perform_commands(process, false);
     }
 
-    /// The request that the driver makes of the client's line.
+    /// Returns the request that the driver derives from the line of the client.
     pub(super) fn request(&self, id: RequestId) -> Option<Request> {
         let client = self.clients.get(&id)?;
         let open = &client.frontend.open;
@@ -254,22 +253,23 @@
         let class = if self.fault == Some(Fault::SwapsClasses) { (class + 1) % CLASSES.len() } else { class };
         let group = open.group.as_ref().map(|name| GroupId(name.len() as u32));
         let tenant = open.tenant.as_ref().map(|_| TenantId(0));
-        let time_left = Span::from_micros(client.frontend.client_patience().as_micros() as i64);
+        let time_left = Span::from_micros(client.frontend.client_timeout().as_micros() as i64);
         Some(Request { id, class: ClassId(class as u32), tenant, group, time_left, load: open.load })
     }
 
-    /// Records how many connections fill a server, when the decision module first looks at it.
+    /// Records the number of connections at which a server is full, when the process first uses its decision
+    /// module.
     pub(super) fn record_full_load(&mut self, process: usize) {
         let target = &mut self.processes[process];
-        if !std::mem::replace(&mut target.has_measured_load, true) {
-            let ready = |entry: &&EndpointEntry| {
+        if !std::mem::replace(&mut target.full_load_recorded, true) {
+            let is_ready = |entry: &&EndpointEntry| {
                 entry.state == ServerState::Ready
                     && !target.cordoned.contains(&entry.server)
-                    && !target.watch_lost
+                    && !target.has_lost_watch
             };
-            let most = target.list.values().filter(ready).count().max(1);
+            let ready_servers = target.list.values().filter(is_ready).count().max(1);
             self.history.connections_when_full =
-                self.history.connections_when_full.max(QUOTA_CONNECTIONS / most as f64);
+                self.history.connections_when_full.max(QUOTA_CONNECTIONS / ready_servers as f64);
         }
     }
 
@@ -278,7 +278,7 @@
             match command {
                 Command::Attempt { id, attempt, server, timeout } => {
                     if attempt > 0 {
-                        self.count("repeats");
+                        self.count("retries");
                     }
                     self.record(Occurrence::Chosen { id, attempt, server, timeout });
                     self.send_command(id, FrontendCommand::Attempt { attempt, server, timeout });
@@ -293,13 +293,15 @@
                         continue;
                     }
                     let answer = match self.fault {
-                        Some(Fault::RejectsAll) => ashtide::engine::FinalAnswer::Rejected(Span::ZERO),
+                        Some(Fault::RejectsUnservedClients) => {
+                            ashtide::engine::FinalAnswer::Rejected(Span::ZERO)
+                        }
                         _ => answer,
                     };
                     self.send_command(id, FrontendCommand::Answer(answer));
                 }
                 Command::Migrate { id } => {
-                    self.count("moved");
+                    self.count("migrations");
                     self.send_command(id, FrontendCommand::Migrate);
                 }
                 Command::HandOff { id, server } => self.send_command(id, FrontendCommand::HandOff(server)),
@@ -307,21 +309,23 @@
                 Command::CheckHealth { .. } | Command::Subscribe => {}
             }
         }
-        // In runs without an injected fault, the engine finds no violation either.
-        let found = self.processes[process].engine.take_request_violations().recent;
-        if let Some(violation) = found.first().filter(|_| self.fault.is_none()) {
-            panic!("the engine's own invariant: {violation}");
+        // In runs without an injected fault, the invariant checks of the engine itself find no violation
+        // either.
+        let engine_violations = self.processes[process].engine.take_request_violations().recent;
+        if let Some(violation) = engine_violations.first().filter(|_| self.fault.is_none()) {
+            panic!("the engine reports a violated invariant: {violation}");
         }
         if let Err(violation) = self.processes[process].engine.check_permits() {
             let invariant = Invariant::PermitsWithinLimit;
-            self.violation.get_or_insert(Violation { invariant, what: violation.to_string() });
+            self.violation.get_or_insert(Violation { invariant, details: violation.to_string() });
         }
     }
 
-    /// Sends a datagram to another gateway: late, twice, or never.
+    /// Sends a datagram to another gateway with a random delay. It may be lost or duplicated.
     pub(super) fn send_datagram(&mut self, process: usize, to: GatewayId, bytes: &[u8]) {
         let from = GatewayId(self.processes[process].gateway);
         let mut bytes = bytes.to_vec();
+        // Sets the flag that grants the permit, in replies to permit requests (tag 19).
         if let [19, .., flags, _] = &mut bytes[..]
             && self.fault == Some(Fault::ForgesPermits)
         {
@@ -332,10 +336,13 @@
             2 => 2,
             _ => 1,
         };
-        self.count(["datagrams lost", "datagrams", "datagrams doubled"][copies]);
+        self.count(["datagrams lost", "datagrams", "datagrams duplicated"][copies]);
         for _ in 0..copies {
-            let processes: Vec<usize> =
-                self.live_processes().into_iter().filter(|&at| self.processes[at].gateway == to.0).collect();
+            let processes: Vec<usize> = self
+                .running_processes()
+                .into_iter()
+                .filter(|&process| self.processes[process].gateway == to.0)
+                .collect();
             let Some(&process) = processes.choose(&mut self.rng) else { continue };
             let wait = if self.chance(0.1) { self.random_ms(60..300) } else { self.random_ms(0..25) };
             self.schedule_after(
@@ -346,10 +353,10 @@
     }
 
     pub(super) fn send_command(&mut self, id: RequestId, command: FrontendCommand) {
-        let at = self.now + self.delivery_delay();
+        let delivered_at = self.now + self.delivery_delay();
         let Some(client) = self.clients.get_mut(&id) else { return };
-        client.last_command_at = client.last_command_at.max(at);
-        let at = client.last_command_at;
-        self.schedule_at(at, SimulationEvent::Command(id, command));
+        client.last_command_at = client.last_command_at.max(delivered_at);
+        let delivered_at = client.last_command_at;
+        self.schedule_at(delivered_at, SimulationEvent::Command(id, command));
     }
 }
--- a/tests/crossings/world/faults.rs
+++ b/tests/random_interleavings/simulation/random_events.rs
@@ -1,48 +1,51 @@
-//! Faults that happen at random: servers, watches, operators and processes.
+//! Random events: state changes of servers, lost watches, operators' commands, process exits and bursts of
+//! requests.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn inject_fault(&mut self) {
-        if self.now >= self.clients_end_at {
+    pub(super) fn trigger_random_event(&mut self) {
+        if self.now >= self.arrivals_end_at {
             return;
         }
         let wait = self.random_ms(20..400);
-        self.schedule_after(wait, SimulationEvent::InjectFault);
-        let live = self.live_processes();
-        let (Some(&process), server) = (live.choose(&mut self.rng), self.rng.random_range(0..SERVERS)) else {
+        self.schedule_after(wait, SimulationEvent::RandomEvent);
+        let running = self.running_processes();
+        let (Some(&process), server) = (running.choose(&mut self.rng), self.rng.random_range(0..SERVERS))
+        else {
             return;
         };
-        let at = server as usize;
+        let server_index = server as usize;
         match self.random_ms(0..30) {
-            0..=3 => self.change_server_state(at, ServerState::Draining, false),
-            4 | 5 => self.change_server_state(at, ServerState::Removed, false),
-            6..=10 => self.change_server_state(at, ServerState::Ready, true),
-            11 => self.change_server_state(at, ServerState::Ready, false),
+            0..=3 => self.change_server_state(server_index, ServerState::Draining, false),
+            4 | 5 => self.change_server_state(server_index, ServerState::Removed, false),
+            6..=10 => self.change_server_state(server_index, ServerState::Ready, true),
+            11 => self.change_server_state(server_index, ServerState::Ready, false),
             12 => {
-                // A snapshot that lacks a server, and later one that has it.
+                // A snapshot lacks this server. When the watch is restored, a later list update contains it
+                // again.
                 let mut incomplete = self.snapshot();
                 incomplete.retain(|entry| entry.server.0 != server);
-                self.count("lists that lack a server");
+                self.count("incomplete snapshots");
                 self.report_to(process, DriverReport::ListUpdate(ListUpdate::Snapshot, incomplete));
                 let wait = self.random_ms(5..1_500);
                 self.schedule_after(wait, SimulationEvent::WatchRestored(process));
             }
             13 | 14 if self.processes[process].is_watching => {
-                self.count("broken watches");
+                self.count("closed watches");
                 self.end_watch(process, None);
             }
             15..=17 if self.processes[process].is_watching => {
-                // It is found to be silent some seconds later, and sends nothing until then.
+                // The watch delivers nothing from now on. The gateway detects the silence some seconds later.
                 self.count("silent watches");
                 self.processes[process].is_watching = false;
                 let wait = self.random_ms(2_200..5_500);
-                self.schedule_after(wait, SimulationEvent::WatchEnds(process, Some(self.now)));
+                self.schedule_after(wait, SimulationEvent::WatchEnd(process, Some(self.now)));
             }
             18 | 19 => {
                 self.count("cordons");
-                let out = self.chance(0.5);
-                self.report_to(process, DriverReport::Cordon(ServerId(server), out));
+                let cordoned = self.chance(0.5);
+                self.report_to(process, DriverReport::Cordon(ServerId(server), cordoned));
             }
             20 => {
                 let keys = self
@@ -53,7 +56,7 @@
                 let keys = keys.take((server % 3) as usize).collect();
                 self.report_to(process, DriverReport::QuorumEjections(keys));
             }
-            21 if live.len() > 1 => {
+            21 if running.len() > 1 => {
                 self.count("crashes");
                 self.exit_process(process);
             }
@@ -61,7 +64,7 @@
             23 | 24 if self.processes[process].shutdown_began_at.is_none() => self.shut_down(process, true),
             25 | 26 => {
                 self.count("hung servers");
-                self.hung_until[at] = self.now + ms(self.rng.random_range(500..4_000));
+                self.hung_until[server_index] = self.now + ms(self.rng.random_range(500..4_000));
             }
             _ => {
                 for _ in 0..self.random_ms(3..25) {
@@ -71,29 +74,29 @@
         }
     }
 
-    pub(super) fn change_server_state(&mut self, at: usize, state: ServerState, restarted: bool) {
-        // At least two servers stay ready.
+    pub(super) fn change_server_state(&mut self, index: usize, state: ServerState, restarted: bool) {
+        // At least two servers always remain ready.
         let ready = self.servers.iter().filter(|entry| entry.state == ServerState::Ready).count();
         if state != ServerState::Ready && ready < 3 {
             return;
         }
         self.count(match (state, restarted) {
             (ServerState::Draining, _) => "drains",
-            (ServerState::Removed, _) => "gone",
-            (ServerState::Ready, true) => "back anew",
-            (ServerState::Ready, false) => "back",
+            (ServerState::Removed, _) => "servers removed",
+            (ServerState::Ready, true) => "servers restarted",
+            (ServerState::Ready, false) => "servers ready again",
         });
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[index];
         server.state = state;
         if restarted {
             server.started_at = Some(self.now);
         }
-        self.announce_change(ServerId(at as u32));
+        self.announce_change(ServerId(index as u32));
     }
 
-    pub(super) fn shut_down(&mut self, process: usize, successor: bool) {
+    pub(super) fn shut_down(&mut self, process: usize, has_successor: bool) {
         self.processes[process].shutdown_began_at = Some(self.now);
-        if successor {
+        if has_successor {
             self.count("handovers");
             let gateway = self.processes[process].gateway;
             let list = self.processes[process].list.clone();
@@ -102,7 +105,7 @@
             self.schedule_after(100, SimulationEvent::ShareSiblingState(process, successor));
             self.schedule_after(150, SimulationEvent::ShareSiblingState(successor, process));
         } else {
-            self.count("leaves");
+            self.count("graceful shutdowns");
             self.report_to(process, DriverReport::GracefulShutdown);
         }
         self.schedule_after(SHUTDOWN_MS, SimulationEvent::ShutdownDeadline(process));
--- a/tests/crossings/world/servers.rs
+++ b/tests/random_interleavings/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Servers, and the network between them and the frontends.
+//! Simulated servers and the network between them and the front ends.
 
 use super::*;
 
@@ -24,17 +24,17 @@
         }
     }
 
-    /// The answer of a server that has received the complete line.
+    /// Schedules the response of a server that has received the complete request line.
     pub(super) fn answer_request(&mut self, id: RequestId, attempt: u32) {
         let Some((_, server)) = self.clients.get(&id).and_then(|client| client.frontend.current_attempt())
         else {
             return;
         };
-        let at = server.0 as usize;
-        if self.hung_until[at] > self.now {
+        let server_index = server.0 as usize;
+        if self.hung_until[server_index] > self.now {
             return;
         }
-        let kind = match self.servers[at].state {
+        let response = match self.servers[server_index].state {
             ServerState::Ready => self.random_ms(0..100),
             ServerState::Draining => self.random_ms(55..90),
             ServerState::Removed => 85,
@@ -44,7 +44,7 @@
             1..=3 => self.random_ms(0..200),
             _ => self.random_ms(0..4) * TICK_MS,
         };
-        let line: &'static [u8] = match kind {
+        let line: &'static [u8] = match response {
             0..=59 => b"UP 7c1\r\n",
             60..=71 => b"BUSY 200\r\n",
             72..=79 => b"ERR\r\n",
@@ -61,7 +61,7 @@
             SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(line.into())),
         );
         if self.chance(0.1) {
-            self.count("second answers");
+            self.count("second responses");
             let line = [&b"UP 9\r\n"[..], b"BUSY\r\n", b"ERR\r\n"].choose(&mut self.rng).copied();
             let wait = wait + self.random_ms(0..25);
             self.schedule_after(
@@ -75,25 +75,27 @@
         }
     }
 
-    pub(super) fn handle_connection_event(&mut self, id: RequestId, attempt: u32, what: ConnectionEvent) {
+    pub(super) fn handle_connection_event(&mut self, id: RequestId, attempt: u32, event: ConnectionEvent) {
         let Some(client) = self.clients.get(&id) else { return };
-        // A line waits in the socket until it is read.
-        if matches!(what, ConnectionEvent::Line(_))
+        // A line that the front end does not read yet remains in the socket buffer.
+        if matches!(event, ConnectionEvent::Line(_))
             && client.frontend.current_attempt().is_some_and(|(current, _)| current == attempt)
-            && !client.frontend.reads_server()
+            && !client.frontend.is_reading_from_server()
         {
-            return self.schedule_after(TICK_MS, SimulationEvent::Connection(id, attempt, what));
+            return self.schedule_after(TICK_MS, SimulationEvent::Connection(id, attempt, event));
         }
-        self.drive_frontend(id, |frontend, actions| frontend.handle_connection_event(attempt, what, actions));
+        self.drive_frontend(id, |frontend, actions| {
+            frontend.handle_connection_event(attempt, event, actions)
+        });
     }
 
-    /// Schedules the messages on an established connection, and its end.
+    /// Schedules the messages on an established connection and its end.
     pub(super) fn schedule_established_traffic(&mut self, id: RequestId, attempt: u32) {
-        let hung = self.chance(0.1);
+        let server_hangs = self.chance(0.1);
         for _ in 0..self.random_ms(0..3) {
             let wait = self.random_ms(0..2_500);
             self.schedule_after(wait, SimulationEvent::ClientLine(id, b"reading 17\r\n"));
-            if !hung {
+            if !server_hangs {
                 let line: &[u8] = if self.chance(0.3) { b"LOAD 1200\r\n" } else { b"ok\r\n" };
                 self.schedule_after(
                     wait + 5,
@@ -103,7 +105,7 @@
         }
         let wait = self.random_ms(50..6_000);
         match self.random_ms(0..10) {
-            0..=3 => self.schedule_after(wait, SimulationEvent::ClientLeaves(id)),
+            0..=3 => self.schedule_after(wait, SimulationEvent::ClientDeparture(id)),
             4 => self.schedule_after(
                 wait,
                 SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(b"BYE\r\n"[..].into())),
