--- a/tests/watches/daemon.rs
+++ b/tests/watches/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon when its watch ends: validity of the list, changes of the list and descriptors.
+//! The daemon after the end of its watch: validity of the endpoint list, list updates and file descriptors.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,47 +14,50 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::harness::{RESPONSE_HEAD, StubDiscovery, UNAVAILABLE_RESPONSE, WatchRequest, unused_address};
+use super::harness::{MockDiscovery, RESPONSE_HEAD, UNAVAILABLE_RESPONSE, WatchRequest, unused_address};
 
-/// Opened clients, which stay connected while this lives.
-struct ClientRun {
+/// Opened clients, which remain connected until this value is dropped.
+struct OpenedClients {
     clients: Vec<LineClient>,
+    /// The number of clients that were rejected.
     rejected: usize,
 }
 
-/// A daemon and its servers, with the stub as its discovery service.
+/// A daemon and its servers, with the mock as its discovery service.
 struct Deployment {
     fleet: Fleet,
     daemon: Daemon,
 }
 
+/// Returns the number of connections that a server has accepted.
 fn accepted_connections(fleet: &Fleet, server: usize) -> u64 {
     fleet.servers[server].seen.taken.load(std::sync::atomic::Ordering::Relaxed)
 }
 
-/// Opens this many clients one after the other.
-async fn open_clients(daemon: &Daemon, count: u64) -> ClientRun {
+/// Opens `count` clients one after the other.
+async fn open_clients(daemon: &Daemon, count: u64) -> OpenedClients {
     let mut clients = Vec::new();
     let mut rejected = 0;
     for number in 0..count {
-        let (client, answer) = LineClient::open(daemon.lines, number).await.expect("an answer");
+        let (client, answer) = LineClient::open(daemon.lines, number).await.expect("a response");
         assert!(answer.starts_with("BUSY") || answer.starts_with("UP"), "{answer}");
         rejected += usize::from(answer.starts_with("BUSY"));
         clients.push(client);
     }
-    ClientRun { clients, rejected }
+    OpenedClients { clients, rejected }
 }
 
-async fn start_daemon(service: &StubDiscovery, servers: usize, options: Options) -> Deployment {
-    let mut fleet = Fleet::start(servers).await.expect("a fleet");
+async fn start_daemon(service: &MockDiscovery, servers: usize, options: Options) -> Deployment {
+    let mut fleet = Fleet::start(servers).await.expect("started servers");
     fleet.discovery = service.address;
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
+    let daemon = Daemon::start(program, &fleet, &options).await.expect("a started daemon");
     Deployment { fleet, daemon }
 }
 
-/// Never answers; with `resets`, sends 503 and nothing in turn and resets the connection.
-fn never_answer(service: StubDiscovery, resets: bool) {
+/// Answers no watch request with a list. With `resets`, resets each connection, every second one after a
+/// response with status 503. Without it, leaves the connections open and sends nothing.
+fn never_answer(service: MockDiscovery, resets: bool) {
     tokio::spawn(async move {
         let mut requests = VecDeque::new();
         loop {
@@ -63,7 +66,7 @@
                 let _ = stream.read(&mut [0; 512]).await;
                 let response = if requests.len() % 2 == 0 { UNAVAILABLE_RESPONSE.as_bytes() } else { b"" };
                 let _ = stream.write_all(response).await;
-                stream.set_zero_linger().expect("a socket");
+                stream.set_zero_linger().expect("an open socket");
                 requests.push_back(None);
             } else {
                 requests.push_back(Some(stream));
@@ -72,26 +75,26 @@
     });
 }
 
-/// Expects placements shortly before 6 s after the last synchronisation and rejections shortly after.
+/// Expects that clients are served 5 s after the last synchronisation, and rejected 6.5 s after it.
 async fn expect_validity_of_six_seconds(daemon: &Daemon, synced_at: Instant) {
     sleep_until(synced_at + Duration::from_millis(5000)).await;
-    let ClientRun { clients: _placed_clients, rejected } = open_clients(daemon, 2).await;
-    assert_eq!(rejected, 0, "the list still stands");
+    let OpenedClients { clients: _placed_clients, rejected } = open_clients(daemon, 2).await;
+    assert_eq!(rejected, 0, "the list is valid for 6 s");
     sleep_until(synced_at + Duration::from_millis(6500)).await;
-    let ClientRun { clients: _rejected_clients, rejected } = open_clients(daemon, 2).await;
-    assert_eq!(rejected, 2, "a change counts as told by now");
-    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a line for those on call");
+    let OpenedClients { clients: _rejected_clients, rejected } = open_clients(daemon, 2).await;
+    assert_eq!(rejected, 2, "the list has expired after 6 s");
+    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a log line on the expired list");
 }
 
 #[tokio::test]
 async fn six_seconds_after_a_reset_nothing_is_placed_while_requests_fail() {
-    let service = StubDiscovery::start().await;
+    let service = MockDiscovery::start().await;
     let Deployment { fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
-    daemon.says("discovery: ").await.expect("an answer");
+    daemon.says("discovery: ").await.expect("the log line of the watch");
     watch.reset();
     never_answer(service, true);
     expect_validity_of_six_seconds(&daemon, synced_at).await;
@@ -99,7 +102,7 @@
 
 #[tokio::test]
 async fn six_seconds_after_its_start_a_process_without_an_answer_places_nothing() {
-    let service = StubDiscovery::start().await;
+    let service = MockDiscovery::start().await;
     let Deployment { fleet: _fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
     let start = Instant::now();
     never_answer(service, false);
@@ -108,15 +111,15 @@
 
 #[tokio::test]
 async fn six_seconds_after_a_change_to_an_unresponsive_discovery_nothing_is_placed() {
-    let old = StubDiscovery::start().await;
-    let new = StubDiscovery::start().await;
+    let old = MockDiscovery::start().await;
+    let new = MockDiscovery::start().await;
     let Deployment { fleet, mut daemon } = start_daemon(&old, 2, Options::default()).await;
     let mut watch = old.accept_request().await;
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
-    daemon.says("discovery: ").await.expect("an answer");
-    daemon.reload("discovery", json!(new.address)).expect("a daemon that runs");
+    daemon.says("discovery: ").await.expect("the log line of the watch");
+    daemon.reload("discovery", json!(new.address)).expect("a running daemon");
     watch.wait_until_closed().await;
     never_answer(new, false);
     expect_validity_of_six_seconds(&daemon, synced_at).await;
@@ -124,40 +127,40 @@
 
 #[tokio::test]
 async fn the_list_stays_valid_while_connections_to_discovery_are_refused() {
-    let service = StubDiscovery::start().await;
+    let service = MockDiscovery::start().await;
     let Deployment { fleet, mut daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
-    daemon.says("discovery: ").await.expect("an answer");
+    daemon.says("discovery: ").await.expect("the log line of the watch");
     let unused = unused_address();
-    daemon.reload("discovery", json!(unused.address)).expect("a daemon that runs");
+    daemon.reload("discovery", json!(unused.address)).expect("a running daemon");
     watch.wait_until_closed().await;
     let closed_at = Instant::now();
     sleep_until(closed_at + Duration::from_millis(7500)).await;
-    let ClientRun { clients: _placed_clients, rejected } = open_clients(&daemon, 4).await;
-    assert_eq!(rejected, 0, "the last list stands");
+    let OpenedClients { clients: _placed_clients, rejected } = open_clients(&daemon, 4).await;
+    assert_eq!(rejected, 0, "the last list remains valid");
 }
 
 /// Waits for the log line of a watch that starts after this version.
 async fn expect_watch_line(daemon: &Daemon, address: SocketAddr, after_version: u64) {
     let line: &'static str =
         Box::leak(format!("discovery: watching {address} after version {after_version}:").into());
-    daemon.says(line).await.expect("an answer");
+    daemon.says(line).await.expect("the log line of the watch");
 }
 
 #[tokio::test]
 async fn draining_removal_and_a_new_address_are_applied_after_resets() {
-    let service = StubDiscovery::start().await;
+    let service = MockDiscovery::start().await;
     let deployment = start_daemon(&service, 3, Options::default()).await;
     let Deployment { fleet, daemon } = &deployment;
-    // The list has two servers; the third replaces the first later.
+    // The list has two servers. The third one replaces the first one later.
     let mut known = fleet.known();
     known["index"] = json!(5);
     known["endpoints"].as_array_mut().expect("entries").pop();
     let mut watch = service.accept_request().await;
     watch.send_list(&known).await;
     expect_watch_line(daemon, service.address, 1).await;
-    let ClientRun { clients: mut connections, rejected } = open_clients(daemon, 8).await;
+    let OpenedClients { clients: mut connections, rejected } = open_clients(daemon, 8).await;
     assert!(rejected == 0 && accepted_connections(fleet, 0) > 0 && accepted_connections(fleet, 1) > 0);
     // The next watch reports draining in an indented list.
     watch.reset();
@@ -167,27 +170,35 @@
     known["endpoints"][0]["status"] = json!("DRAINING");
     watch.send_raw(&format!("{RESPONSE_HEAD}{}", chunk(&format!("{known:#}\n")))).await;
     expect_watch_line(daemon, service.address, 5).await;
-    let before = accepted_connections(fleet, 0);
-    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    let accepted_before_drain = accepted_connections(fleet, 0);
+    let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
     assert_eq!(
         (rejected, accepted_connections(fleet, 0)),
-        (0, before),
-        "all go to the server that is not drained"
+        (0, accepted_before_drain),
+        "all clients are placed on the server that is not draining"
+    );
+    let watch =
+        remove_first_server(&service, &deployment, watch, &known, &mut connections, accepted_before_drain)
+            .await;
+    let _watch =
+        return_at_new_address(&service, &deployment, watch, known, &mut connections, accepted_before_drain)
+            .await;
+    assert_eq!(
+        accepted_connections(fleet, 0),
+        accepted_before_drain,
+        "no client is placed on the old address"
     );
-    let watch = remove_first_server(&service, &deployment, watch, &known, &mut connections, before).await;
-    let _watch = return_at_new_address(&service, &deployment, watch, known, &mut connections, before).await;
-    assert_eq!(accepted_connections(fleet, 0), before, "nothing goes to the old address");
 }
 
 /// Resets the watch and answers the next one with a snapshot that lacks the first server.
 async fn remove_first_server(
-    service: &StubDiscovery,
+    service: &MockDiscovery,
     deployment: &Deployment,
     watch: WatchRequest,
     known: &Value,
     connections: &mut Vec<LineClient>,
-    before: u64,
+    accepted_before_drain: u64,
 ) -> WatchRequest {
     let Deployment { fleet, daemon } = deployment;
     watch.reset();
@@ -197,20 +208,20 @@
     without_server["endpoints"].as_array_mut().expect("entries").remove(0);
     watch.send_list(&without_server).await;
     expect_watch_line(daemon, service.address, 6).await;
-    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
-    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, before));
+    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, accepted_before_drain));
     watch
 }
 
-/// Resets the watch and answers the next one with the first server at a new address, just started.
+/// Resets the watch and answers the next one with the first server at a new address, started 1 s ago.
 async fn return_at_new_address(
-    service: &StubDiscovery,
+    service: &MockDiscovery,
     deployment: &Deployment,
     watch: WatchRequest,
     mut known: Value,
     connections: &mut Vec<LineClient>,
-    before: u64,
+    accepted_before_drain: u64,
 ) -> WatchRequest {
     let Deployment { fleet, daemon } = deployment;
     watch.reset();
@@ -218,42 +229,53 @@
     known["index"] = json!(8);
     known["endpoints"][0]["status"] = json!("SERVING");
     known["endpoints"][0]["address"] = json!(fleet.servers[2].address);
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    known["endpoints"][0]["since_ms"] = json!(unix.as_millis() as u64 - 1_000);
+    let since_epoch =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time after 1970");
+    known["endpoints"][0]["since_ms"] = json!(since_epoch.as_millis() as u64 - 1_000);
     watch.send_list(&known).await;
     expect_watch_line(daemon, service.address, 7).await;
-    let other = accepted_connections(fleet, 1);
-    let ClientRun { clients, rejected } = open_clients(daemon, 8).await;
+    let other_before = accepted_connections(fleet, 1);
+    let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
-    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, before), "nothing goes to the old address");
-    let new = accepted_connections(fleet, 2);
-    let more = accepted_connections(fleet, 1) - other;
-    assert!(new < more, "it is cold: {new} there, {more} at the other");
+    assert_eq!(
+        (rejected, accepted_connections(fleet, 0)),
+        (0, accepted_before_drain),
+        "no client is placed on the old address"
+    );
+    let at_new_address = accepted_connections(fleet, 2);
+    let at_other_server = accepted_connections(fleet, 1) - other_before;
+    assert!(
+        at_new_address < at_other_server,
+        "a warming server gets fewer clients: {at_new_address} at the new address, \
+         {at_other_server} at the other server"
+    );
     let used = async {
         while accepted_connections(fleet, 2) == 0 {
             open_clients(daemon, 1).await;
             sleep(Duration::from_millis(50)).await;
         }
     };
-    within("use of the new address", used).await.expect("used");
+    within("a client at the new address", used).await.expect("a client at the new address");
     watch
 }
 
 #[tokio::test]
 async fn a_watch_request_has_a_descriptor_when_clients_use_all_others() {
-    let service = StubDiscovery::start().await;
+    let service = MockDiscovery::start().await;
     let Deployment { fleet, daemon } =
         start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
-    daemon.says("discovery: ").await.expect("an answer");
-    let id = daemon.id().expect("it runs");
+    daemon.says("discovery: ").await.expect("the log line of the watch");
+    let id = daemon.id().expect("a running daemon");
     let limit = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
     let pid = rustix::process::Pid::from_raw(id.cast_signed());
-    rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit).expect("its limit");
-    let mut idle = Vec::new();
+    rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit)
+        .expect("a changed descriptor limit");
+    let mut idle_connections = Vec::new();
     for _ in 0..160 {
-        idle.push(within("a connection", TcpStream::connect(daemon.lines)).await.expect("in time"));
+        idle_connections
+            .push(within("a connection", TcpStream::connect(daemon.lines)).await.expect("connected in time"));
     }
     let open_descriptors = || std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
     let filled = async {
@@ -261,11 +283,11 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    within("a crowd", filled).await.expect("clients hold descriptors");
-    for turn in 0..3 {
+    within("descriptors in use", filled).await.expect("clients use descriptors");
+    for round in 0..3 {
         watch.reset();
         watch = service.accept_request().await;
         watch.send_list(&fleet.known()).await;
-        assert!(open_descriptors() <= 100, "turn {turn}");
+        assert!(open_descriptors() <= 100, "round {round}");
     }
 }
--- a/tests/watches/lease.rs
+++ b/tests/watches/lease.rs
@@ -1,4 +1,4 @@
-//! How long the list stays valid after its watch has ended.
+//! The validity of the endpoint list after its watch has ended.
 
 use ashtide::discovery::WatchEnd;
 use ashtide::engine::ListLease;
@@ -6,28 +6,30 @@
 
 use super::harness::time_at;
 
-/// An end of a watch: its time and when the list was last synchronised, in seconds.
+/// The end of a watch. Both times are in seconds after the epoch.
 struct LeaseEnd {
+    /// The time at which the watch ended.
     now: f64,
+    /// The time at which the list was last synchronised.
     synced_at: f64,
     end: WatchEnd,
 }
 
-fn lost(now: f64, synced_at: f64, end: WatchEnd) -> LeaseEnd {
+fn watch_end(now: f64, synced_at: f64, end: WatchEnd) -> LeaseEnd {
     LeaseEnd { now, synced_at, end }
 }
 
-/// When the lease on the list expires after these ends of watches.
+/// Returns the time at which the lease on the list expires after these ends of watches.
 fn lease_expiry(lease: &mut ListLease, ends: &[LeaseEnd]) -> Time {
     for &LeaseEnd { now, synced_at, end } in ends {
         lease.handle_watch_end(time_at(now), time_at(synced_at), end);
     }
     let expiry =
-        (0..100_000).map(|tenth| time_at(f64::from(tenth) / 10.0)).find(|&time| !lease.is_valid(time));
-    expiry.expect("an ended watch leaves no list standing for good")
+        (0..100_000).map(|tenths| time_at(f64::from(tenths) / 10.0)).find(|&time| !lease.is_valid(time));
+    expiry.expect("a list whose watch has ended expires within 10,000 s")
 }
 
-/// A lease whose watch is synchronised.
+/// Returns a lease whose watch is synchronised.
 fn synced_lease() -> ListLease {
     let mut lease = ListLease::new(time_at(0.0));
     lease.renew();
@@ -38,22 +40,30 @@
 #[test]
 fn the_list_is_valid_for_six_seconds_after_the_last_complete_message_however_the_watch_ended() {
     use WatchEnd::{Closed, ConnectionRefused, Failed};
-    // A new process without an answer, and with its first connection refused.
+    // A new process: without a response, with a failed request, and with its first connection refused.
     assert_eq!(lease_expiry(&mut ListLease::new(time_at(5.0)), &[]), time_at(11.0));
-    assert_eq!(lease_expiry(&mut ListLease::new(time_at(5.0)), &[lost(9.0, 5.0, Failed)]), time_at(11.0));
     assert_eq!(
-        lease_expiry(&mut ListLease::new(time_at(5.0)), &[lost(5.5, 5.0, ConnectionRefused)]),
+        lease_expiry(&mut ListLease::new(time_at(5.0)), &[watch_end(9.0, 5.0, Failed)]),
+        time_at(11.0)
+    );
+    assert_eq!(
+        lease_expiry(&mut ListLease::new(time_at(5.0)), &[watch_end(5.5, 5.0, ConnectionRefused)]),
         time_at(11.5)
     );
     for end in [Closed, Failed, ConnectionRefused] {
-        // However the watch ended; and at once for an old synchronisation, as in a process stalled for 13 s.
+        // The list expires however the watch ended. In the second case the process stalled for 13 s, so that
+        // the lease has already expired when the end is handled.
         let expected = if end == ConnectionRefused { time_at(21.0) } else { time_at(20.0) };
-        assert_eq!(lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, end)]), expected, "{end:?}");
-        assert_eq!(lease_expiry(&mut synced_lease(), &[lost(27.0, 14.0, end)]), time_at(20.0), "{end:?}");
+        assert_eq!(lease_expiry(&mut synced_lease(), &[watch_end(15.0, 14.0, end)]), expected, "{end:?}");
+        assert_eq!(
+            lease_expiry(&mut synced_lease(), &[watch_end(27.0, 14.0, end)]),
+            time_at(20.0),
+            "{end:?}"
+        );
     }
-    // Of several failures the first counts.
+    // The validity counts from the first of several failures.
     assert_eq!(
-        lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, Closed), lost(16.0, 16.0, Failed)]),
+        lease_expiry(&mut synced_lease(), &[watch_end(15.0, 14.0, Closed), watch_end(16.0, 16.0, Failed)]),
         time_at(20.0)
     );
     expect_expiry_after_refusals();
@@ -62,26 +72,38 @@
 /// Refused connections extend the lease only while nothing else has failed since the watch closed.
 fn expect_expiry_after_refusals() {
     use WatchEnd::{Closed, ConnectionRefused, Failed};
-    // Nothing listens: the lease counts from each refused connection.
-    let refusals =
-        [lost(15.0, 14.0, Closed), lost(15.5, 14.0, ConnectionRefused), lost(18.0, 14.0, ConnectionRefused)];
+    // Without a listener, the validity counts from each refused connection.
+    let refusals = [
+        watch_end(15.0, 14.0, Closed),
+        watch_end(15.5, 14.0, ConnectionRefused),
+        watch_end(18.0, 14.0, ConnectionRefused),
+    ];
     assert_eq!(lease_expiry(&mut synced_lease(), &refusals), time_at(24.0));
-    // A failure before a refusal: a service was there and may have received a change.
-    let failure_before_refusal =
-        [lost(15.0, 14.0, Closed), lost(15.5, 14.0, Failed), lost(18.0, 14.0, ConnectionRefused)];
+    // A failed request before a refused connection: a service was running and may have received a change.
+    let failure_before_refusal = [
+        watch_end(15.0, 14.0, Closed),
+        watch_end(15.5, 14.0, Failed),
+        watch_end(18.0, 14.0, ConnectionRefused),
+    ];
     assert_eq!(lease_expiry(&mut synced_lease(), &failure_before_refusal), time_at(20.0));
     assert_eq!(
-        lease_expiry(&mut synced_lease(), &[lost(16.5, 14.0, Failed), lost(17.0, 14.0, ConnectionRefused)]),
+        lease_expiry(
+            &mut synced_lease(),
+            &[watch_end(16.5, 14.0, Failed), watch_end(17.0, 14.0, ConnectionRefused)]
+        ),
         time_at(20.0),
-        "silence"
+        "refused connection after a silent watch"
     );
-    // An expired list stays expired without an answer.
+    // An expired list remains expired until discovery responds.
     assert_eq!(
-        lease_expiry(&mut synced_lease(), &[lost(15.0, 14.0, Closed), lost(20.1, 14.0, ConnectionRefused)]),
+        lease_expiry(
+            &mut synced_lease(),
+            &[watch_end(15.0, 14.0, Closed), watch_end(20.1, 14.0, ConnectionRefused)]
+        ),
         time_at(20.0)
     );
     let mut lease = synced_lease();
     lease_expiry(&mut lease, &failure_before_refusal);
     lease.renew();
-    assert!(lease.is_valid(time_at(10_000.0)), "an answer ends it all");
+    assert!(lease.is_valid(time_at(10_000.0)), "a response makes the lease valid again");
 }
--- a/tests/watches/main.rs
+++ b/tests/watches/main.rs
@@ -1,9 +1,10 @@
-//! Watches of the endpoint list: failed requests, ended watches, and a discovery service that moves or restarts.
-//! The stub discovery forces the order of events; only the tested timeouts take real time.
+//! Watches of the endpoint list: failed requests, ended watches, and a discovery service that restarts or
+//! whose address changes. The mock discovery determines the order of events. Only the tested timeouts take
+//! wall-clock time.
 
 mod client;
 mod daemon;
 mod engine;
 mod harness;
-mod herd;
 mod lease;
+mod mass_reconnection;
