--- a/src/bin/ashtide-adapter/fields.rs
+++ b/src/bin/ashtide-adapter/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a line: `name=value` pairs in any order.
+//! Parser of the `name=value` fields of a protocol line. Their order is free.
 
 use ashtide::settings::span_from_seconds;
 use ashtide::{Span, Time};
@@ -10,13 +10,13 @@
     value: &'a str,
 }
 
-/// One line's fields.
+/// Fields of one protocol line.
 pub struct Fields<'a> {
     fields: Vec<Field<'a>>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line; the field of the name `last`, if there is one, extends to the line's end.
+    /// Splits a line into its fields. The value of the field named `last` extends to the end of the line.
     pub fn parse(mut text: &'a str, last: Option<&str>) -> Result<Self, LineError> {
         let mut fields = Vec::with_capacity(8);
         while !text.is_empty() {
@@ -56,7 +56,7 @@
         parse_number(name, self.required(name)?)
     }
 
-    /// Zero where it is missing.
+    /// Parses an optional field; returns zero if it is missing.
     pub fn optional_u32(&self, name: &'static str) -> Result<u32, LineError> {
         self.get(name).map_or(Ok(0), |value| parse_u32(name, value))
     }
@@ -65,17 +65,17 @@
         self.get(name).map(|value| parse_number(name, value)).transpose()
     }
 
-    /// Seconds; zero where it is missing.
+    /// Parses an optional field in seconds; returns zero if it is missing.
     pub fn span(&self, name: &'static str) -> Result<Span, LineError> {
         Ok(self.optional_number(name)?.map_or(Span::ZERO, span_from_seconds))
     }
 
-    /// False where it is missing.
+    /// Parses an optional flag, `0` or `1`; returns false if it is missing.
     pub fn flag(&self, name: &'static str) -> Result<bool, LineError> {
         match self.get(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(LineError::NotAFlag { field: name, value: other.to_owned() }),
+            Some(value) => Err(LineError::NotAFlag { field: name, value: value.to_owned() }),
         }
     }
 }
@@ -93,7 +93,7 @@
     value.parse().map_err(|_| LineError::NotANumber { field, value: value.to_owned() })
 }
 
-/// Checks that a text is `-` or pairs of hex digits.
+/// Checks that a text is `-`, which denotes an empty body, or pairs of hexadecimal digits.
 pub fn check_hex(text: &str) -> Result<(), LineError> {
     let is_hex =
         |pair: &[u8]| std::str::from_utf8(pair).is_ok_and(|digits| u8::from_str_radix(digits, 16).is_ok());
@@ -101,7 +101,7 @@
     if text == "-" || is_valid { Ok(()) } else { Err(LineError::NotHex(text.to_owned())) }
 }
 
-/// A point in time, from seconds.
+/// Converts a reading of the simulator's clock, in seconds, to a point in time.
 pub fn time_from_seconds(seconds: f64) -> Time {
     Time::from_micros(span_from_seconds(seconds).as_micros())
 }
--- a/src/bin/ashtide-adapter/main.rs
+++ b/src/bin/ashtide-adapter/main.rs
@@ -1,4 +1,7 @@
-//! Speaks the simulator's protocol on standard input and output, with one decision module for each gateway.
+//! Adapter between the simulator and the decision module.
+//!
+//! Reads the simulator's line protocol on standard input, runs one [`ashtide::Balancer`] for each simulated
+//! gateway, and writes the resulting actions to standard output.
 
 #![deny(
     clippy::enum_glob_use,
--- a/src/bin/ashtide-adapter/protocol.rs
+++ b/src/bin/ashtide-adapter/protocol.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: the names of its lines, fields and values, each mapped to the module's types here.
+//! Line, field and value names of the simulator's protocol, and their mapping to the decision module's types.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -35,11 +35,12 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// What an `UPDATE_OF` line is about.
+/// Value of the field `what` in an `UPDATE_OF` line that reports the load of a connection.
 const LOAD_UPDATE: u64 = 1;
+/// Value of the field `what` in an `UPDATE_OF` line that reports a server's response time.
 const RESPONSE_TIME_UPDATE: u64 = 2;
 
-/// A row of a `DIRECTORY`, with its names as they came.
+/// Row of a `DIRECTORY`. Its names are interned only when a gateway uses the row.
 pub struct DirectoryRow {
     server: String,
     zone: String,
@@ -126,17 +127,18 @@
     Ok(report)
 }
 
-/// The directories read so far, by their slots.
+/// Directories that have been received, by slot.
 pub type Directories = HashMap<u64, Vec<DirectoryRow>>;
 
-/// Reads a gateway's events.
+/// Parser of the events of one gateway.
 pub struct EventParser<'a> {
     pub names: &'a mut NameTables,
     pub directories: &'a Directories,
 }
 
 impl EventParser<'_> {
-    /// Turns a line into an event of the module; `None` for what the module has no use for.
+    /// Parses the fields of the line `name` into an event; returns `None` for lines that the decision module
+    /// does not use.
     pub fn parse(&mut self, name: &str, fields: &Fields) -> Result<Option<Event>, LineError> {
         let event = match name {
             "DISCOVERY" => self.endpoint_list(fields)?,
@@ -195,7 +197,7 @@
         })
     }
 
-    /// What is told of a connection while it is open.
+    /// Parses an `UPDATE_OF` line, which reports the load or the response time of an open connection.
     fn update(&mut self, fields: &Fields) -> Result<Option<Event>, LineError> {
         let amount = fields.optional_number("amount")?.unwrap_or(0.0);
         Ok(match fields.required_u64("what")? {
@@ -219,14 +221,16 @@
     fields.required_u32(REQUEST).map(RequestId)
 }
 
-/// Gateways exchange messages in the daemon only: the adapter starts each without fleet permits.
+/// Validates a message from another gateway and discards it. The adapter disables fleet permits, and only the
+/// daemon exchanges messages between gateways.
 fn ignore_peer_message(fields: &Fields) -> Result<Option<Event>, LineError> {
     fields.required_u32("author")?;
     check_hex(fields.get("body").unwrap_or("-"))?;
     Ok(None)
 }
 
-/// Writes an action; the module's server ids are indexes of `servers`.
+/// Appends the protocol line of an action to `out`. `servers` maps the server ids of the decision module to
+/// names.
 pub fn write_action(out: &mut String, gateway: u64, servers: &[String], action: &Action) {
     let server_name = |server: ServerId| servers[server.0 as usize].as_str();
     let written = match *action {
@@ -251,7 +255,7 @@
         Action::CheckHealth { server } => {
             writeln!(out, "TEST {GATEWAY}={gateway} {SERVER}={}", server_name(server))
         }
-        // Not requested without fleet permits.
+        // The adapter disables fleet permits, so that no permit is requested.
         Action::RequestPermit { .. } => Ok(()),
         Action::Subscribe => writeln!(out, "SUBSCRIBE {GATEWAY}={gateway} on=1"),
     };
--- a/src/bin/ashtide-adapter/simulation.rs
+++ b/src/bin/ashtide-adapter/simulation.rs
@@ -1,4 +1,4 @@
-//! The gateways of one simulation, and the batches of lines that drive them.
+//! Simulated gateways and the processing of the batches of lines that drive them.
 
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -13,7 +13,7 @@
     GATEWAY, ROW, SEED, SETTINGS, SHUTDOWN, SLOT, START, write_action,
 };
 
-/// One gateway: its decisions and the names it has met.
+/// Simulated gateway with its decision module and its tables of interned names.
 struct Gateway {
     balancer: Balancer,
     names: NameTables,
@@ -30,14 +30,14 @@
     }
 }
 
-/// The directory that is being read.
+/// Directory of which some rows have not been received yet.
 #[derive(Clone, Copy)]
 struct OpenDirectory {
     slot: u64,
     missing_rows: u64,
 }
 
-/// All gateways of this process and the directories that their events refer to.
+/// All gateways of this process, and the directories that their events refer to by slot.
 #[derive(Default)]
 struct Simulation {
     gateways: HashMap<u64, Gateway>,
@@ -47,14 +47,14 @@
 }
 
 impl Simulation {
-    /// Handles one line of a batch and writes what it causes.
+    /// Handles one line of a batch and appends the resulting actions to `out`.
     fn handle_line(&mut self, now: Time, line: &str, out: &mut String) -> Result<(), LineError> {
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         if let Some(open) = self.open_directory {
             return self.add_row(open, name, rest);
         }
-        let last_field = (name == START).then_some(SETTINGS);
-        let fields = Fields::parse(rest, last_field)?;
+        let settings_field = (name == START).then_some(SETTINGS);
+        let fields = Fields::parse(rest, settings_field)?;
         match name {
             DIRECTORY => self.begin_directory(&fields),
             START => self.start_gateway(&fields),
@@ -99,32 +99,32 @@
         fields: &Fields,
         out: &mut String,
     ) -> Result<(), LineError> {
-        let number = fields.required_u64(GATEWAY)?;
-        let unknown = || LineError::UnknownGateway { event: name.to_owned(), gateway: number };
-        let gateway = self.gateways.get_mut(&number).ok_or_else(unknown)?;
+        let gateway_id = fields.required_u64(GATEWAY)?;
+        let unknown_gateway = || LineError::UnknownGateway { event: name.to_owned(), gateway: gateway_id };
+        let gateway = self.gateways.get_mut(&gateway_id).ok_or_else(unknown_gateway)?;
         let mut parser = EventParser { names: &mut gateway.names, directories: &self.directories };
         let Some(event) = parser.parse(name, fields)? else { return Ok(()) };
         gateway.balancer.handle(now, event, &mut self.actions);
         let servers = gateway.names.servers.names();
         for action in self.actions.drain(..) {
-            write_action(out, number, servers, &action);
+            write_action(out, gateway_id, servers, &action);
         }
         Ok(())
     }
 }
 
-/// What follows a line.
-enum Step {
+/// Result of reading one line.
+enum LineResult {
     Continue,
     EndOfInput,
 }
 
-/// Reads batches of lines and answers each.
+/// Reader of batches of lines that writes one answer for each batch.
 struct Session<R, W> {
     input: R,
     output: W,
     simulation: Simulation,
-    /// The time of the batch that is being read.
+    /// Simulated time of the batch that is being read; `None` between batches.
     now: Option<Time>,
     line: Vec<u8>,
     line_number: u64,
@@ -132,11 +132,11 @@
 }
 
 impl<R: BufRead, W: Write> Session<R, W> {
-    fn step(&mut self) -> Result<Step, AdapterError> {
+    fn read_line(&mut self) -> Result<LineResult, AdapterError> {
         self.line.clear();
         if self.input.read_until(b'\n', &mut self.line)? == 0 {
             return match self.now {
-                None => Ok(Step::EndOfInput),
+                None => Ok(LineResult::EndOfInput),
                 Some(_) => Err(self.line_error(LineError::IncompleteBatch)),
             };
         }
@@ -146,10 +146,10 @@
             Ok(false) => {}
             Err(error) => return Err(self.line_error(error)),
         }
-        Ok(Step::Continue)
+        Ok(LineResult::Continue)
     }
 
-    /// Handles the line that was read; returns whether it ends the batch.
+    /// Handles the line in the buffer; returns whether it ends the batch.
     fn handle_line(&mut self) -> Result<bool, LineError> {
         let text = std::str::from_utf8(&self.line).map_err(|_| LineError::NotUtf8)?;
         let text = text.trim_end_matches(['\n', '\r']);
@@ -185,7 +185,7 @@
 ///
 /// # Errors
 ///
-/// Fails on broken pipes and on lines that do not follow the grammar.
+/// Returns an error if a pipe is broken or a line does not follow the protocol's grammar.
 pub fn serve(input: impl BufRead, output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session {
         input,
@@ -197,7 +197,7 @@
         answer: String::new(),
     };
     loop {
-        if let Step::EndOfInput = session.step()? {
+        if let LineResult::EndOfInput = session.read_line()? {
             return Ok(());
         }
     }
--- a/src/quic/connection_id_table.rs
+++ b/src/quic/connection_id_table.rs
@@ -1,23 +1,23 @@
-//! Table from connection ids to connections.
+//! Table that maps connection ids to connections.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::header::ConnectionId;
 use crate::decision::interface::RequestId;
 
-/// Ids of one connection in the table; with more of them, the oldest is removed.
+/// Largest number of ids of one connection in the table. Inserting another id removes the oldest.
 const MAX_IDS_PER_CONNECTION: usize = 8;
 
-/// Where datagrams with an id go.
+/// Routing entry for datagrams with a connection id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To this connection.
+    /// The datagrams belong to this connection.
     Connection(RequestId),
-    /// Nowhere: the final answer has been given.
+    /// The datagrams are dropped, because the final answer for this id has been sent.
     Answered,
 }
 
-/// The connection ids in use and those that were answered last.
+/// Table of the connection ids in use and of the most recent ids that have received their final answer.
 pub struct ConnectionIdTable {
     routes: HashMap<ConnectionId, Route>,
     ids: HashMap<RequestId, VecDeque<ConnectionId>>,
@@ -26,18 +26,18 @@
 }
 
 impl ConnectionIdTable {
-    /// A table that remembers so many answered ids.
+    /// Creates an empty table that retains up to `max_answered_ids` answered ids.
     pub fn new(max_answered_ids: usize) -> Self {
         Self { routes: HashMap::new(), ids: HashMap::new(), answered_ids: VecDeque::new(), max_answered_ids }
     }
 
-    /// The route of an id; `None` where it is unknown.
+    /// Returns the route of an id; `None` if the id is unknown.
     pub fn route(&self, id: &ConnectionId) -> Option<Route> {
         self.routes.get(id).copied()
     }
 
-    /// Adds an id of a connection. An id in use stays with its connection: nobody can take a connection over by naming
-    /// its id.
+    /// Adds an id of a connection. An id that is already in the table keeps its route, so that a client
+    /// cannot take over a connection by sending its id.
     pub fn insert(&mut self, id: ConnectionId, connection: RequestId) {
         if id.is_empty() || self.routes.contains_key(&id) {
             return;
@@ -52,14 +52,15 @@
         }
     }
 
-    /// Removes a connection: its ids are unknown again.
+    /// Removes a connection. Its ids become unknown.
     pub fn remove_connection(&mut self, connection: RequestId) {
         for id in self.ids.remove(&connection).unwrap_or_default() {
             self.routes.remove(&id);
         }
     }
 
-    /// Closes a connection that has had its final answer: its ids get no further one.
+    /// Closes a connection whose client has received the final answer. Its ids are marked as answered, so
+    /// that no further answer is sent.
     pub fn close_connection(&mut self, connection: RequestId) {
         for id in self.ids.remove(&connection).unwrap_or_default() {
             self.routes.remove(&id);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Marks an id that has had its final answer.
+    /// Marks an id as answered. Above the table's limit the oldest answered id is removed.
     pub fn mark_answered(&mut self, id: ConnectionId) {
         if self.routes.insert(id, Route::Answered).is_none() {
             self.answered_ids.push_back(id);
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Number of ids in the table.
+    /// Returns the number of ids in the table.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether the table is empty.
+    /// Checks whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
--- a/src/quic/header.rs
+++ b/src/quic/header.rs
@@ -1,21 +1,21 @@
-//! Packet headers: the invariants of RFC 8999, and version 1 of RFC 9000.
+//! QUIC packet headers: the version-independent fields of RFC 8999 and those of version 1 in RFC 9000.
 
 use bytes::{Buf, BufMut};
 
-/// Longest connection id of version 1, in bytes.
+/// Largest length of a connection id in version 1, in bytes.
 pub const MAX_CONNECTION_ID_LENGTH: usize = 20;
-/// The only version whose connections this gateway accepts.
+/// QUIC version 1, the only version whose connections the gateway accepts.
 pub const VERSION_1: u32 = 1;
-/// Version in the header of a Version Negotiation packet.
+/// Value of the Version field that identifies a Version Negotiation packet.
 const VERSION_NEGOTIATION: u32 = 0;
-/// Least length of a datagram with a client's Initial, in bytes.
+/// Smallest length of a datagram that carries a client's Initial packet, in bytes.
 pub const MIN_INITIAL_DATAGRAM: usize = 1200;
-/// Header Form bit: set on long headers.
+/// Header Form bit, which is set in long headers.
 const LONG_HEADER_BIT: u8 = 0x80;
-/// Fixed Bit: set on all packets of version 1 but Version Negotiation.
+/// Fixed Bit, which is set in all packets of version 1 except Version Negotiation.
 const FIXED_BIT: u8 = 0x40;
 
-/// A connection id.
+/// QUIC connection id of up to [`MAX_CONNECTION_ID_LENGTH`] bytes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId {
     length: u8,
@@ -23,7 +23,7 @@
 }
 
 impl ConnectionId {
-    /// An id of these bytes; `None` where they are more than [`MAX_CONNECTION_ID_LENGTH`].
+    /// Creates an id from its bytes; returns `None` for more than [`MAX_CONNECTION_ID_LENGTH`] bytes.
     pub fn new(id: &[u8]) -> Option<Self> {
         let mut bytes = [0; MAX_CONNECTION_ID_LENGTH];
         bytes.get_mut(..id.len())?.copy_from_slice(id);
@@ -44,72 +44,74 @@
     }
 }
 
-/// Long Packet Type of version 1.
+/// Long Packet Type of a long header in version 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongPacketType {
-    /// Starts a connection.
+    /// Initial packet, which starts a connection.
     Initial,
-    /// Early data.
+    /// 0-RTT packet, which carries early data.
     ZeroRtt,
-    /// The rest of the handshake.
+    /// Handshake packet, which carries the rest of the handshake.
     Handshake,
-    /// Asks the client to validate its address.
+    /// Retry packet, with which a server requests address validation from the client.
     Retry,
 }
 
 /// Header of the first packet in a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Header {
-    /// A list of versions.
+    /// Version Negotiation packet, which lists the versions that a server supports.
     VersionNegotiation {
         /// Destination Connection ID.
         destination_id: ConnectionId,
         /// Source Connection ID.
         source_id: ConnectionId,
     },
-    /// A long header of a version other than 1.
+    /// Long header of a version other than 1.
     OtherVersion {
         /// Destination Connection ID.
         destination_id: ConnectionId,
         /// Source Connection ID.
         source_id: ConnectionId,
     },
-    /// A long header of version 1.
+    /// Long header of version 1.
     Long {
-        /// Type of the packet.
+        /// Long Packet Type.
         packet_type: LongPacketType,
         /// Destination Connection ID.
         destination_id: ConnectionId,
         /// Source Connection ID.
         source_id: ConnectionId,
     },
-    /// A short header. The length of its id is known to the issuer alone.
+    /// Short header. It does not carry the length of its connection id, which only the issuer of the id has.
     Short {
         /// Destination Connection ID.
         destination_id: ConnectionId,
     },
 }
 
-/// Why a datagram is not QUIC.
+/// Error in the header of a datagram's first packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// It ends within the header.
+    /// The datagram ends within the header.
     #[error("the datagram ends within its header")]
     Truncated,
-    /// A connection id has over 20 bytes.
+    /// A connection id is longer than 20 bytes.
     #[error("a connection id of over {MAX_CONNECTION_ID_LENGTH} bytes")]
     ConnectionIdTooLong,
-    /// The Fixed Bit of version 1 is not set.
+    /// The Fixed Bit is not set in a short header or in a long header of version 1.
     #[error("the fixed bit is not set")]
     FixedBitUnset,
 }
 
 impl Header {
-    /// Parses the header of a datagram's first packet; connection ids on short headers have `short_id_length` bytes.
+    /// Parses the header of a datagram's first packet. Connection ids in short headers have `short_id_length`
+    /// bytes.
     ///
     /// # Errors
     ///
-    /// Fails on what is neither a packet of version 1 nor of the invariants.
+    /// Returns an error if the header follows neither version 1 nor the version-independent format of RFC
+    /// 8999.
     pub fn parse(datagram: &[u8], short_id_length: usize) -> Result<Self, HeaderError> {
         let mut remaining = datagram;
         let first_byte = remaining.try_get_u8().map_err(|_| HeaderError::Truncated)?;
@@ -153,7 +155,7 @@
     }
 }
 
-/// Reads a connection id with its length before it.
+/// Reads a connection id that is preceded by its length in one byte.
 pub(super) fn read_connection_id(remaining: &mut &[u8]) -> Result<ConnectionId, HeaderError> {
     let length = usize::from(remaining.try_get_u8().map_err(|_| HeaderError::Truncated)?);
     if length > MAX_CONNECTION_ID_LENGTH {
@@ -164,7 +166,7 @@
     ConnectionId::new(id).ok_or(HeaderError::ConnectionIdTooLong)
 }
 
-/// Writes the part that all long headers have in common.
+/// Writes the version-independent fields of a long header (RFC 8999, section 5.1).
 pub fn write_long_header(
     packet: &mut Vec<u8>,
     first_byte: u8,
@@ -180,8 +182,8 @@
     }
 }
 
-/// Encodes a Version Negotiation packet, which answers a client of another version. `unused_bits` are the lower seven bits
-/// of the first byte, which may have any value.
+/// Encodes a Version Negotiation packet that offers version 1 to a client of another version. `unused_bits`
+/// are the lower seven bits of the first byte, which may have any value.
 pub fn encode_version_negotiation(destination_id: &[u8], source_id: &[u8], unused_bits: u8) -> Vec<u8> {
     let mut packet = Vec::with_capacity(7 + destination_id.len() + source_id.len() + 4);
     let first_byte = LONG_HEADER_BIT | unused_bits;
--- a/src/quic/initial.rs
+++ b/src/quic/initial.rs
@@ -1,5 +1,7 @@
-//! Initial packets (RFC 9001): their keys follow from the connection id that the client first chose for the server, so a
-//! gateway can read a server's rejection and send its own.
+//! Encryption and decryption of Initial packets (RFC 9001).
+//!
+//! Their keys are derived from the Destination Connection ID of the client's first Initial packet. A gateway
+//! can therefore read a server's rejection and send its own.
 
 use aes_gcm::aead::{AeadInPlace, KeyInit};
 use aes_gcm::aes::Aes128;
@@ -13,36 +15,38 @@
     ConnectionId, VERSION_1, read_connection_id, read_varint, write_long_header, write_two_byte_varint,
 };
 
-/// Salt of version 1 (RFC 9001, section 5.2).
+/// Salt for the Initial secret of version 1 (RFC 9001, section 5.2).
 const INITIAL_SALT: [u8; 20] = [
     0x38, 0x76, 0x2c, 0xf7, 0xf5, 0x59, 0x34, 0xb3, 0x4d, 0x17, 0x9a, 0xe6, 0xa4, 0xc8, 0x0c, 0xad, 0xcc,
     0xbb, 0x7f, 0x0a,
 ];
-/// Length of the AEAD's tag, in bytes.
+/// Length of the AEAD authentication tag, in bytes.
 const TAG_LENGTH: usize = 16;
-/// Length of a packet number as it is written here, in bytes.
+/// Length of the packet number in the packets that the gateway sends, in bytes.
 const PACKET_NUMBER_LENGTH: usize = 4;
-/// Where the sample for header protection begins, behind the begin of the packet number.
+/// Offset of the header protection sample from the start of the packet number, in bytes.
 const SAMPLE_OFFSET: usize = 4;
-/// Length of that sample, in bytes.
+/// Length of the header protection sample, in bytes.
 const SAMPLE_LENGTH: usize = 16;
-/// First byte of an Initial with a packet number of four bytes, before header protection.
+/// First byte of an Initial packet with a packet number of four bytes, before header protection.
 const INITIAL_FIRST_BYTE: u8 = 0xc3;
-/// Bits of the first byte that tell an Initial, and their value.
+/// Mask of the first byte's bits that identify an Initial packet: Header Form, Fixed Bit and Long Packet
+/// Type.
 const INITIAL_TYPE_MASK: u8 = 0xf0;
+/// Value of the bits under [`INITIAL_TYPE_MASK`] in an Initial packet.
 const INITIAL_TYPE: u8 = 0xc0;
-/// Bits of a long header's first byte under header protection.
+/// Mask of the bits in a long header's first byte that header protection covers.
 const PROTECTED_BITS: u8 = 0x0f;
-/// Frames that may stand before a CONNECTION_CLOSE.
+/// Largest number of frames, apart from PADDING, that are searched for a CONNECTION_CLOSE.
 const MAX_FRAMES: usize = 64;
-/// ACK ranges and counts that are skipped in a frame at most.
+/// Largest number of range fields and ECN counts that are skipped in an ACK frame.
 const MAX_ACK_FIELDS: u64 = 1 << 12;
-/// Longest reason in a CONNECTION_CLOSE that is sent, in bytes.
+/// Largest length of the reason in a CONNECTION_CLOSE that the gateway sends, in bytes.
 const MAX_REASON_LENGTH: usize = 64;
 
-/// Error code with which a server rejects a connection.
+/// Transport error code CONNECTION_REFUSED, with which a server rejects a connection.
 pub const CONNECTION_REFUSED: u64 = 0x02;
-/// Error code of a failure of which nothing is known.
+/// Transport error code INTERNAL_ERROR, which denotes a failure without a more specific code.
 pub const INTERNAL_ERROR: u64 = 0x01;
 
 /// Frame types (RFC 9000, section 19).
@@ -55,25 +59,26 @@
     pub(super) const CONNECTION_CLOSE: u8 = 0x1c;
 }
 
-/// The endpoint that protects a packet.
+/// Endpoint that sends and encrypts a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The client.
+    /// Client, whose packets use the secret `client in`.
     Client,
-    /// The server.
+    /// Server, whose packets use the secret `server in`.
     Server,
 }
 
-/// Keys of the Initial packets of one side. Public for the tests alone, which hold them against the standard's example.
+/// Keys for the Initial packets of one side. The type is public only for tests, which compare the keys with
+/// the example in RFC 9001, appendix A.
 #[doc(hidden)]
 pub struct InitialKeys {
     aead: Aes128Gcm,
-    /// The initialization vector, combined with the packet number to the nonce.
+    /// Initialization vector, which is combined with the packet number into the nonce.
     pub iv: [u8; 12],
     header_protection: Aes128,
 }
 
-/// HKDF-Expand-Label of TLS 1.3.
+/// Derives a key with HKDF-Expand-Label of TLS 1.3 (RFC 8446, section 7.1).
 fn expand_label<const LENGTH: usize>(secret: &Hkdf<Sha256>, label: &str) -> [u8; LENGTH] {
     const PREFIX: &[u8] = b"tls13 ";
     let mut info = Vec::with_capacity(10 + label.len());
@@ -83,12 +88,12 @@
     info.put_slice(label.as_bytes());
     info.put_u8(0);
     let mut output = [0; LENGTH];
-    secret.expand(&info, &mut output).expect("lengths of keys are within HKDF's bounds");
+    secret.expand(&info, &mut output).expect("key lengths are within the limits of HKDF");
     output
 }
 
 impl InitialKeys {
-    /// Derives the keys from the connection id that the client first chose for the server.
+    /// Derives the keys from the Destination Connection ID of the client's first Initial packet.
     pub fn derive(client_destination_id: &[u8], side: Side) -> Self {
         let initial_secret = Hkdf::<Sha256>::new(Some(&INITIAL_SALT), client_destination_id);
         let label = match side {
@@ -96,7 +101,8 @@
             Side::Server => "server in",
         };
         let side_secret: [u8; 32] = expand_label(&initial_secret, label);
-        let side_secret = Hkdf::<Sha256>::from_prk(&side_secret).expect("a hash is long enough");
+        let side_secret =
+            Hkdf::<Sha256>::from_prk(&side_secret).expect("the secret has the length of a SHA-256 hash");
         let aead_key: [u8; 16] = expand_label(&side_secret, "quic key");
         let header_protection_key: [u8; 16] = expand_label(&side_secret, "quic hp");
         Self {
@@ -114,7 +120,8 @@
         nonce.into()
     }
 
-    /// The mask of the first byte and the packet number, from a sample of the protected payload.
+    /// Computes the header protection mask of the first byte and the packet number from a sample of the
+    /// encrypted payload.
     pub fn header_protection_mask(&self, sample: &[u8]) -> [u8; 5] {
         let mut block = GenericArray::clone_from_slice(sample);
         self.header_protection.encrypt_block(&mut block);
@@ -122,18 +129,19 @@
     }
 }
 
-/// A decrypted Initial packet.
+/// Decrypted Initial packet.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InitialPacket {
     /// Destination Connection ID.
     pub destination_id: ConnectionId,
     /// Source Connection ID.
     pub source_id: ConnectionId,
-    /// The frames.
+    /// Encoded frames, including padding.
     pub frames: Vec<u8>,
 }
 
-/// Unprotected header fields of an Initial, and where its packet number stands.
+/// Header fields of an Initial packet that are not protected, with the offsets of the packet number and the
+/// packet end.
 struct InitialHeader {
     destination_id: ConnectionId,
     source_id: ConnectionId,
@@ -159,7 +167,8 @@
     }
 }
 
-/// Decrypts the Initial at the begin of a datagram; `None` where it is none or is not authentic.
+/// Decrypts the Initial packet at the start of a datagram; returns `None` if there is none or it is not
+/// authentic.
 pub fn open(datagram: &[u8], client_destination_id: &[u8], side: Side) -> Option<InitialPacket> {
     let header = InitialHeader::parse(datagram)?;
     let mut packet = datagram.get(..header.packet_end)?.to_vec();
@@ -183,7 +192,7 @@
     })
 }
 
-/// Removes the header protection of a packet number and returns the number.
+/// Removes the header protection of a packet number in place and returns the number.
 fn unmask_packet_number(bytes: &mut [u8], mask: &[u8; 5]) -> u32 {
     let mut packet_number = 0;
     for (byte, mask_byte) in bytes.iter_mut().zip(&mask[1..]) {
@@ -193,7 +202,7 @@
     packet_number
 }
 
-/// Encrypts an Initial of these frames, padded so that the packet has at least `min_length` bytes.
+/// Encrypts frames into an Initial packet that is padded to at least `min_length` bytes.
 pub fn seal(
     client_destination_id: &[u8],
     side: Side,
@@ -217,15 +226,15 @@
     let tag = keys
         .aead
         .encrypt_in_place_detached(&keys.nonce(packet_number), &packet, &mut payload)
-        .expect("a packet is within the cipher's bounds");
+        .expect("the packet length is within the limit of AES-GCM");
     packet.put_slice(&payload);
     packet.put_slice(&tag);
     protect_header(&mut packet, packet_number_offset, &keys);
     packet
 }
 
-/// Pads frames. The sample for header protection reaches 16 bytes behind the packet number, which four bytes of frames
-/// and the tag fill.
+/// Pads frames to at least `min_length` bytes, and to no less than four. The header protection sample ends 16
+/// bytes after the packet number; four bytes of frames and the tag cover it.
 fn pad_frames(frames: &[u8], min_length: usize) -> Vec<u8> {
     let mut padded = frames.to_vec();
     let length = frames.len().max(min_length).max(SAMPLE_OFFSET + SAMPLE_LENGTH - TAG_LENGTH);
@@ -243,7 +252,7 @@
     }
 }
 
-/// Encodes a CONNECTION_CLOSE frame of the transport; a reason of over 64 bytes is cut.
+/// Encodes a CONNECTION_CLOSE frame with a transport error code. The reason is truncated to 64 bytes.
 pub fn encode_connection_close(code: u64, reason: &str) -> Vec<u8> {
     let reason = &reason.as_bytes()[..reason.len().min(MAX_REASON_LENGTH)];
     let causing_frame_type = 0;
@@ -256,7 +265,7 @@
     frame
 }
 
-/// Finds a CONNECTION_CLOSE among the frames of an Initial; returns its error code and its reason.
+/// Searches the frames of an Initial packet for a CONNECTION_CLOSE and returns its error code and reason.
 pub fn find_connection_close(frames: &[u8]) -> Option<(u64, String)> {
     let mut remaining = frames;
     for _ in 0..MAX_FRAMES {
@@ -275,7 +284,7 @@
     None
 }
 
-/// Skips the fields of an ACK frame, with so many ECN counts.
+/// Skips the fields of an ACK frame that has `ecn_counts` ECN counts.
 fn skip_ack(remaining: &mut &[u8], ecn_counts: u64) -> Option<()> {
     let _largest_acknowledged = read_varint(remaining)?;
     let _delay = read_varint(remaining)?;
--- a/src/quic/mod.rs
+++ b/src/quic/mod.rs
@@ -1,5 +1,7 @@
-//! QUIC for a gateway that does not terminate connections: headers, connection ids, and the packets that can be sent
-//! without the keys of a connection. Performs no I/O: [`crate::net::quic`] drives the sockets.
+//! QUIC for a gateway that does not terminate connections.
+//!
+//! The modules parse headers, route connection ids, and encode the packets that can be sent without the keys
+//! of a connection. They perform no I/O; [`crate::net::quic`] drives the sockets.
 
 pub mod connection_id_table;
 pub mod header;
