--- a/tests/compatibility_decision.rs
+++ b/tests/compatibility_decision.rs
@@ -1,7 +1,8 @@
-//! The decision module against recordings of its actions: each must stay the same, byte for byte.
+//! Compatibility of the decision module with recorded actions, which must stay the same byte for byte.
 //!
-//! Random sequences of events are generated from a seed, each fed to one `Balancer`. All actions, and at intervals
-//! all that can be asked of it, are hashed. A line that differs is written to the target folder for comparison.
+//! A random sequence of events is generated from each seed and sent to one [`Balancer`]. A hash covers all
+//! actions, and at intervals the results of all its queries. Output that differs from the recording is
+//! written to the target folder for comparison.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,12 +14,20 @@
 use ashtide::*;
 use sha2::{Digest, Sha256};
 
+/// Number of simulations, each with its own seed.
 const SEEDS: u64 = 20;
+/// Number of random steps in a simulation.
 const STEPS: u32 = 1_200;
-const QUERY_EVERY: u32 = 20;
-const CHECKPOINT_EVERY: u32 = 200;
-
-/// SplitMix64: does not change with the version of a dependency.
+/// Number of steps between two hashes of all query results.
+const STEPS_PER_QUERY: u32 = 20;
+/// Number of steps between two checkpoints of the hash.
+const STEPS_PER_CHECKPOINT: u32 = 200;
+/// Number of kinds of actions, the variants of [`Action`].
+const ACTION_KINDS: usize = 9;
+/// Index of [`Action::CheckHealth`] among the kinds of actions.
+const CHECK_HEALTH: usize = 7;
+
+/// SplitMix64 generator. Unlike a library's generator it does not change with the version of a dependency.
 struct Generator(u64);
 
 impl Generator {
@@ -37,7 +46,7 @@
         self.below(100) < percent
     }
 
-    fn micros(&mut self, limit: i64) -> i64 {
+    fn micros_below(&mut self, limit: i64) -> i64 {
         self.below(limit as u64) as i64
     }
 
@@ -50,17 +59,24 @@
     Span::from_micros(micros)
 }
 
-fn class(latency: i64, message: i64, weight: f64, idempotency: Idempotency) -> RequestClass {
+/// Returns a request class with these latency objectives, in microseconds.
+fn class(
+    latency_objective: i64,
+    message_latency_objective: i64,
+    priority_weight: f64,
+    idempotency: Idempotency,
+) -> RequestClass {
     RequestClass {
-        latency_objective: span(latency),
-        message_latency_objective: span(message),
-        priority_weight: weight,
+        latency_objective: span(latency_objective),
+        message_latency_objective: span(message_latency_objective),
+        priority_weight,
         idempotency,
     }
 }
 
+/// Returns settings that vary with the seed.
 fn settings(seed: u64) -> Settings {
-    let keyed = |scope, window| Idempotency::WithKey { scope, remembered_for: span(window) };
+    let with_key = |scope, window| Idempotency::WithKey { scope, remembered_for: span(window) };
     let tenants = match seed % 3 {
         0 => Vec::new(),
         1 => vec![Tenant { quota_per_s: 10.0, quota_connections: 40.0 }],
@@ -69,7 +85,7 @@
             vec![large.clone(), Tenant { quota_per_s: 1.0, quota_connections: 0.0 }, large]
         }
     };
-    let cold = seed % 7 != 6;
+    let slow_start = seed % 7 != 6;
     Settings {
         gateways: [3, 30, 1, 100][(seed / 2 % 4) as usize],
         gateway_id: GatewayId((seed % 2) as u32 * u32::from(seed / 2 % 4 != 2)),
@@ -82,9 +98,9 @@
         weights: [WeightMode::Off, WeightMode::Nominal, WeightMode::Live][(seed % 3) as usize],
         classes: vec![
             class(500_000, 100_000, 1.0, Idempotency::Idempotent),
-            class(200_000, 100_000, 3.5, keyed(DeduplicationScope::All, 3_000_000)),
-            class(300_000, 150_000, 0.5, keyed(DeduplicationScope::Zone, 900_000)),
-            class(300_000, 400_000, 2.0, keyed(DeduplicationScope::Cell, 5_000_000)),
+            class(200_000, 100_000, 3.5, with_key(DeduplicationScope::All, 3_000_000)),
+            class(300_000, 150_000, 0.5, with_key(DeduplicationScope::Zone, 900_000)),
+            class(300_000, 400_000, 2.0, with_key(DeduplicationScope::Cell, 5_000_000)),
             class(800_000, 250_000, 9.0, Idempotency::NotIdempotent),
         ],
         tenants,
@@ -103,54 +119,88 @@
         answer_slack: span(20_000),
         list_poll_limit: span(10_000_000),
         drain_grace: span(2_000_000),
-        initial_capacity_share: if cold { 0.13 } else { 1.0 },
-        warm_up_time: if cold {
+        initial_capacity_share: if slow_start { 0.13 } else { 1.0 },
+        warm_up_time: if slow_start {
             span([24_000_000, 8_000_000, 900_000][(seed / 3 % 3) as usize])
         } else {
             Span::ZERO
         },
-        overload_factor: if cold { 2.5 } else { 1.0 },
+        overload_factor: if slow_start { 2.5 } else { 1.0 },
         overload_window: span(2_000_000),
     }
 }
 
-/// An attempt the module has asked for, as the world sees it.
+/// Attempt in progress, as the simulated environment records it.
 #[derive(Clone, Copy)]
 struct InFlight {
     server: ServerId,
     attempt: u32,
-    sent: i64,
+    /// Time at which the attempt was sent, in microseconds.
+    sent_at: i64,
     established: bool,
 }
 
+/// Open request, as the simulated environment records it.
 #[derive(Clone, Copy, Default)]
-struct Live {
+struct OpenRequest {
+    /// Number of attempts so far.
     attempts: u32,
     in_flight: Option<InFlight>,
+    /// Whether the client is connected, has an answer or has left, so that the end of the attempt ends the
+    /// request.
     answered: bool,
 }
 
-struct World {
-    module: Balancer,
+impl OpenRequest {
+    fn is_connecting(&self) -> bool {
+        self.in_flight.is_some_and(|attempt| !attempt.established)
+    }
+
+    fn is_established(&self) -> bool {
+        self.in_flight.is_some_and(|attempt| attempt.established)
+    }
+}
+
+/// Timer that the balancer has set.
+struct Timer {
+    /// Time at which the timer expires, in microseconds.
+    due_at: i64,
+    token: u64,
+}
+
+/// Attempt that the balancer has cancelled.
+struct CancelledAttempt {
+    request: u32,
+    attempt: u32,
+}
+
+/// Simulated environment of one [`Balancer`].
+struct Simulation {
+    balancer: Balancer,
     generator: Generator,
+    /// Hash of all actions and query results so far.
     digest: Sha256,
+    /// Virtual time, in microseconds.
     now: i64,
-    listings: Vec<EndpointEntry>,
-    live: BTreeMap<u32, Live>,
-    next_id: u32,
-    timers: Vec<(i64, u64)>,
-    asked: Vec<ServerId>,
-    cancelling: Vec<(u32, u32)>,
-    /// How often each kind of action came, in the order of the type.
-    counts: [u64; 9],
-    events: u64,
+    entries: Vec<EndpointEntry>,
+    requests: BTreeMap<u32, OpenRequest>,
+    /// Id of the newest request.
+    last_id: u32,
+    timers: Vec<Timer>,
+    /// Servers for which a permit has been requested and not yet answered.
+    permit_requests: Vec<ServerId>,
+    /// Attempts whose cancellation has been requested and not yet confirmed.
+    cancelled_attempts: Vec<CancelledAttempt>,
+    /// Number of actions of each kind, in the order of the variants of [`Action`].
+    action_counts: [u64; ACTION_KINDS],
+    event_count: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let servers = [6, 24, 220, 60, 12][(seed % 5) as usize];
+        let server_count = [6, 24, 220, 60, 12][(seed % 5) as usize];
         let mut generator = Generator(seed ^ 0x00a5_a5a5);
-        let listings = (0..servers)
+        let entries = (0..server_count)
             .map(|number| EndpointEntry {
                 server: ServerId(number),
                 hash_key: generator.next() as u32,
@@ -163,134 +213,144 @@
             })
             .collect();
         Self {
-            module: Balancer::new(settings(seed), seed),
+            balancer: Balancer::new(settings(seed), seed),
             generator,
             digest: Sha256::new(),
             now: 1_000_000,
-            listings,
-            live: BTreeMap::new(),
-            next_id: 0,
+            entries,
+            requests: BTreeMap::new(),
+            last_id: 0,
             timers: Vec::new(),
-            asked: Vec::new(),
-            cancelling: Vec::new(),
-            counts: [0; 9],
-            events: 0,
+            permit_requests: Vec::new(),
+            cancelled_attempts: Vec::new(),
+            action_counts: [0; ACTION_KINDS],
+            event_count: 0,
         }
     }
 
+    /// Sends an event to the balancer and handles the resulting actions.
     fn send(&mut self, event: Event) {
-        self.events += 1;
+        self.event_count += 1;
         let mut actions = Vec::new();
-        self.module.handle(Time::from_micros(self.now), event, &mut actions);
+        self.balancer.handle(Time::from_micros(self.now), event, &mut actions);
         self.digest.update((actions.len() as u32).to_le_bytes());
         for action in actions {
-            self.carry_out(&action);
+            self.handle_action(&action);
         }
     }
 
-    fn record(&mut self, tag: u8, fields: &[u64]) {
-        self.counts[usize::from(tag)] += 1;
-        self.digest.update([tag]);
+    /// Adds an action to the hash. `kind` is the index of its variant in [`Action`].
+    fn record(&mut self, kind: u8, fields: &[u64]) {
+        self.action_counts[usize::from(kind)] += 1;
+        self.digest.update([kind]);
         for field in fields {
             self.digest.update(field.to_le_bytes());
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn handle_action(&mut self, action: &Action) {
         match *action {
             Action::Attempt { id, server, timeout } => {
                 self.record(0, &[id.0.into(), server.0.into(), timeout.as_micros() as u64]);
-                let sent = self.now;
-                let live = self.live.get_mut(&id.0).expect("an attempt is for a request that was sent");
-                let attempt = live.attempts;
-                live.in_flight = Some(InFlight { server, attempt, sent, established: false });
-                live.attempts += 1;
+                let sent_at = self.now;
+                let request = self.requests.get_mut(&id.0).expect("an attempt is for an open request");
+                let attempt = request.attempts;
+                request.in_flight = Some(InFlight { server, attempt, sent_at, established: false });
+                request.attempts += 1;
             }
             Action::Reject { id, retry_after } => {
                 self.record(1, &[id.0.into(), retry_after.as_micros() as u64]);
-                self.answered(id);
+                self.mark_answered(id);
             }
             Action::Fail { id } => {
                 self.record(2, &[id.0.into()]);
-                self.answered(id);
+                self.mark_answered(id);
             }
             Action::CancelAttempt { id, attempt } => {
                 self.record(3, &[id.0.into(), attempt.into()]);
-                self.cancelling.push((id.0, attempt));
+                self.cancelled_attempts.push(CancelledAttempt { request: id.0, attempt });
             }
             Action::Migrate { id } => self.record(4, &[id.0.into()]),
-            Action::SetTimer { token, due_at: at } => {
-                self.record(5, &[token.0, at.as_micros() as u64]);
-                self.timers.push((at.as_micros(), token.0));
+            Action::SetTimer { token, due_at } => {
+                self.record(5, &[token.0, due_at.as_micros() as u64]);
+                self.timers.push(Timer { due_at: due_at.as_micros(), token: token.0 });
             }
             Action::RequestPermit { server } => {
                 self.record(6, &[server.0.into()]);
-                self.asked.push(server);
+                self.permit_requests.push(server);
             }
             Action::CheckHealth { server } => self.record(7, &[server.0.into()]),
             Action::Subscribe => self.record(8, &[]),
         }
     }
 
-    fn answered(&mut self, id: RequestId) {
-        if let Some(live) = self.live.get_mut(&id.0) {
-            live.answered = true;
-            if live.in_flight.is_none() {
-                self.live.remove(&id.0);
+    fn mark_answered(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id.0) {
+            request.answered = true;
+            if request.in_flight.is_none() {
+                self.requests.remove(&id.0);
             }
         }
     }
 
+    /// Sends the events of all timers that are due, the earliest first.
     fn fire_timers(&mut self) {
         loop {
             let now = self.now;
-            let due = self.timers.iter().enumerate().filter(|(_, timer)| timer.0 <= now);
-            let Some((index, _)) = due.min_by_key(|(index, timer)| (timer.0, *index)) else { return };
-            let (_, token) = self.timers.remove(index);
+            let due = self.timers.iter().enumerate().filter(|(_, timer)| timer.due_at <= now);
+            let Some((index, _)) = due.min_by_key(|(index, timer)| (timer.due_at, *index)) else { return };
+            let Timer { token, .. } = self.timers.remove(index);
             self.send(Event::Timer(TimerToken(token)));
         }
     }
 
     fn random_server(&mut self) -> ServerId {
-        // Half of all that is told of single servers is told of three, so that it adds up.
-        let count = self.listings.len() as u64;
+        // Half of the events about single servers concern three servers, so that the events of one server
+        // accumulate.
+        let count = self.entries.len() as u64;
         let limit = if self.generator.chance(50) { 3 } else { count };
         ServerId(self.generator.below(limit) as u32)
     }
 
-    fn random_live(&mut self, wanted: impl Fn(&Live) -> bool) -> Option<(u32, Live)> {
-        let ids: Vec<(u32, Live)> =
-            self.live.iter().filter(|(_, l)| wanted(l)).map(|(&id, &l)| (id, l)).collect();
-        if ids.is_empty() { None } else { Some(self.generator.pick(&ids)) }
+    /// Returns a random open request that matches the predicate, with its id.
+    fn random_request(&mut self, matches: impl Fn(&OpenRequest) -> bool) -> Option<(u32, OpenRequest)> {
+        let open = self.requests.iter().filter(|(_, request)| matches(request));
+        let candidates: Vec<(u32, OpenRequest)> = open.map(|(&id, &request)| (id, request)).collect();
+        if candidates.is_empty() { None } else { Some(self.generator.pick(&candidates)) }
     }
 
-    fn request(&mut self) -> Request {
-        self.next_id += 1;
-        let draw = &mut self.generator;
+    fn new_request(&mut self) -> Request {
+        self.last_id += 1;
+        let generator = &mut self.generator;
         Request {
-            id: RequestId(self.next_id),
-            class: ClassId(draw.below(5) as u32),
-            tenant: if draw.chance(30) { Some(TenantId(0)) } else { None },
-            group: if draw.chance(40) { Some(GroupId(draw.below(9) as u32)) } else { None },
-            time_left: span(if draw.chance(2) { 0 } else { 100_000 + draw.micros(3_000_000) }),
-            load: match draw.below(5) {
+            id: RequestId(self.last_id),
+            class: ClassId(generator.below(5) as u32),
+            tenant: if generator.chance(30) { Some(TenantId(0)) } else { None },
+            group: if generator.chance(40) { Some(GroupId(generator.below(9) as u32)) } else { None },
+            time_left: span(if generator.chance(2) {
+                0
+            } else {
+                100_000 + generator.micros_below(3_000_000)
+            }),
+            load: match generator.below(5) {
                 0 => None,
                 1 => Some(-1.0),
                 2 => Some(f64::NAN),
-                _ => Some(0.001 * (1 + draw.below(50)) as f64),
+                _ => Some(0.001 * (1 + generator.below(50)) as f64),
             },
         }
     }
 
     fn send_request(&mut self) {
-        let request = self.request();
-        self.live.insert(request.id.0, Live::default());
+        let request = self.new_request();
+        self.requests.insert(request.id.0, OpenRequest::default());
         self.send(Event::Request(request));
     }
 
-    fn list(&mut self, news: ListUpdate) {
+    /// Changes up to three endpoint entries and sends an endpoint list of this kind.
+    fn send_endpoint_list(&mut self, update: ListUpdate) {
         let mut changed = Vec::new();
-        let count = self.listings.len() as u64;
+        let count = self.entries.len() as u64;
         for _ in 0..1 + self.generator.below(3) {
             let index = self.generator.below(count) as usize;
             let state = self.generator.pick(&[
@@ -300,42 +360,43 @@
                 ServerState::Removed,
             ]);
             let restarted = self.generator.chance(40);
-            let age = self.generator.micros(400_000);
-            let listing = &mut self.listings[index];
-            listing.state = state;
+            let age = self.generator.micros_below(400_000);
+            let entry = &mut self.entries[index];
+            entry.state = state;
             if restarted {
-                listing.started_at = Some(Time::from_micros(self.now - age));
+                entry.started_at = Some(Time::from_micros(self.now - age));
             }
             if self.generator.chance(5) {
-                self.listings[index].weight =
+                self.entries[index].weight =
                     self.generator.pick(&[0.0, f64::NAN, f64::INFINITY, -2.0, 0.5, 8.0]);
             }
-            changed.push(self.listings[index].clone());
+            changed.push(self.entries[index].clone());
         }
-        let entries = match news {
+        let entries = match update {
             ListUpdate::WatchFailed => Vec::new(),
             ListUpdate::Delta => changed,
             ListUpdate::Snapshot | ListUpdate::Cached => {
                 let omitted = self.generator.below(3 * count);
-                let listed = self.listings.iter().enumerate().filter(|(index, _)| *index as u64 != omitted);
-                listed.map(|(_, listing)| listing.clone()).collect()
+                let listed = self.entries.iter().enumerate().filter(|(index, _)| *index as u64 != omitted);
+                listed.map(|(_, entry)| entry.clone()).collect()
             }
         };
-        self.send(Event::EndpointList { update: news, entries });
+        self.send(Event::EndpointList { update, entries });
     }
 
-    fn establish(&mut self) {
-        let Some((id, live)) = self.random_live(|l| l.in_flight.is_some_and(|a| !a.established)) else {
-            return;
+    fn establish_connection(&mut self) {
+        let Some((id, request)) = self.random_request(OpenRequest::is_connecting) else { return };
+        let in_flight = request.in_flight.expect("a connecting request has an attempt");
+        let elapsed = if self.generator.chance(70) {
+            self.generator.micros_below(90_000)
+        } else {
+            self.now - in_flight.sent_at
         };
-        let in_flight = live.in_flight.expect("chosen for it");
-        let elapsed =
-            if self.generator.chance(70) { self.generator.micros(90_000) } else { self.now - in_flight.sent };
-        let record = self.live.get_mut(&id).expect("chosen from it");
-        record.answered = true;
-        record.in_flight = Some(InFlight { established: true, ..in_flight });
-        let wrong = u32::from(self.generator.chance(3));
-        if wrong == 1 {
+        let request = self.requests.get_mut(&id).expect("the request is open");
+        request.answered = true;
+        request.in_flight = Some(InFlight { established: true, ..in_flight });
+        let report_unknown_attempt = self.generator.chance(3);
+        if report_unknown_attempt {
             self.send(Event::Established {
                 id: RequestId(id),
                 attempt: in_flight.attempt + 1,
@@ -349,19 +410,20 @@
         });
     }
 
-    fn end(&mut self, id: u32, outcome: Outcome, request_over: bool) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let Some(in_flight) = live.in_flight.take() else { return };
-        let over = live.answered || request_over;
-        if over {
-            self.live.remove(&id);
+    /// Ends the attempt of a request, and the request too if it is answered or `request_done` is set.
+    fn end_attempt(&mut self, id: u32, outcome: Outcome, request_done: bool) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(in_flight) = request.in_flight.take() else { return };
+        let request_done = request.answered || request_done;
+        if request_done {
+            self.requests.remove(&id);
         }
         let attempt = in_flight.attempt;
-        self.send(Event::AttemptEnded { id: RequestId(id), attempt, outcome, request_done: over });
+        self.send(Event::AttemptEnded { id: RequestId(id), attempt, outcome, request_done });
     }
 
-    fn end_attempt(&mut self) {
-        let Some((id, _)) = self.random_live(|l| l.in_flight.is_some_and(|a| !a.established)) else { return };
+    fn end_random_attempt(&mut self) {
+        let Some((id, _)) = self.random_request(OpenRequest::is_connecting) else { return };
         let outcome = self.generator.pick(&[
             Outcome::Failed,
             Outcome::QueueFull,
@@ -373,105 +435,112 @@
             Outcome::LocalFailure,
             Outcome::Ok,
         ]);
-        let over = self.generator.chance(10);
-        self.end(id, outcome, over);
+        let request_done = self.generator.chance(10);
+        self.end_attempt(id, outcome, request_done);
     }
 
-    fn end_connection(&mut self) {
-        let Some((id, _)) = self.random_live(|l| l.in_flight.is_some_and(|a| a.established)) else { return };
+    fn end_random_connection(&mut self) {
+        let Some((id, _)) = self.random_request(OpenRequest::is_established) else { return };
         let outcome = self.generator.pick(&[Outcome::Ok, Outcome::Ok, Outcome::Reset, Outcome::Failed]);
-        self.end(id, outcome, true);
+        self.end_attempt(id, outcome, true);
     }
 
-    /// A server drops all its connections.
-    fn drop_all(&mut self) {
+    /// Resets all connections of a server, one after the other.
+    fn reset_server_connections(&mut self) {
         let server = self.random_server();
-        let here = |l: &Live| l.in_flight.is_some_and(|a| a.established && a.server == server);
+        let has_connection = |request: &OpenRequest| {
+            request.in_flight.is_some_and(|attempt| attempt.established && attempt.server == server)
+        };
         let pause = self.generator.pick(&[1_000, 100_000, 500_000, 900_000]);
-        let ids: Vec<u32> = self.live.iter().filter(|(_, l)| here(l)).map(|(&id, _)| id).collect();
+        let connected = self.requests.iter().filter(|(_, request)| has_connection(request));
+        let ids: Vec<u32> = connected.map(|(&id, _)| id).collect();
         for id in ids {
             self.now += pause;
-            self.end(id, Outcome::Reset, true);
+            self.end_attempt(id, Outcome::Reset, true);
         }
     }
 
-    fn leave(&mut self) {
-        let Some((id, live)) = self.random_live(|l| !l.answered) else { return };
-        if live.in_flight.is_none() {
-            self.live.remove(&id);
+    fn send_client_left(&mut self) {
+        let Some((id, request)) = self.random_request(|request| !request.answered) else { return };
+        if request.in_flight.is_none() {
+            self.requests.remove(&id);
         } else {
-            self.live.get_mut(&id).expect("chosen from it").answered = true;
+            self.requests.get_mut(&id).expect("the request is open").answered = true;
         }
         self.send(Event::ClientLeft { id: RequestId(id) });
     }
 
-    fn finish_cancelling(&mut self) {
-        for (id, attempt) in std::mem::take(&mut self.cancelling) {
-            let current = self.live.get(&id).and_then(|l| l.in_flight).is_some_and(|a| a.attempt == attempt);
-            if current {
+    /// Ends the cancelled attempts that are still in progress.
+    fn finish_cancellations(&mut self) {
+        for cancelled in std::mem::take(&mut self.cancelled_attempts) {
+            let in_flight = self.requests.get(&cancelled.request).and_then(|request| request.in_flight);
+            if in_flight.is_some_and(|current| current.attempt == cancelled.attempt) {
                 let outcome = self.generator.pick(&[Outcome::Cancelled, Outcome::TimedOut, Outcome::NotSent]);
-                self.end(id, outcome, true);
+                self.end_attempt(cancelled.request, outcome, true);
             }
         }
     }
 
     fn reply_to_permit_request(&mut self) {
-        let unasked = self.generator.chance(3);
-        let server = if self.asked.is_empty() || unasked {
-            if !unasked {
+        let unrequested = self.generator.chance(3);
+        let server = if self.permit_requests.is_empty() || unrequested {
+            if !unrequested {
                 return;
             }
             self.random_server()
         } else {
-            self.asked.remove(0)
+            self.permit_requests.remove(0)
         };
-        let below = self.generator.chance(50);
-        let right = match self.generator.below(8) {
+        let below_fair_share = self.generator.chance(50);
+        let reply = match self.generator.below(8) {
             0..=3 => {
-                let until = Time::from_micros(self.now + self.generator.micros(1_500_000) - 50_000);
-                PermitReply::Granted { expires_at: until, below_fair_share: below }
+                let expires_at =
+                    Time::from_micros(self.now + self.generator.micros_below(1_500_000) - 50_000);
+                PermitReply::Granted { expires_at, below_fair_share }
             }
             4..=6 => PermitReply::Denied {
-                retry_after: span(self.generator.micros(600_000)),
-                below_fair_share: below,
+                retry_after: span(self.generator.micros_below(600_000)),
+                below_fair_share,
             },
             _ => PermitReply::NoReply,
         };
-        self.send(Event::PermitReply { server, reply: right });
+        self.send(Event::PermitReply { server, reply });
     }
 
-    fn sibling(&mut self) {
+    fn send_sibling_state(&mut self) {
         let server = self.random_server();
-        let beside = SiblingState {
+        let state = SiblingState {
             open_connections: self.generator.below(6) as u32,
             recovery_tokens: self.generator.below(300) as f64 / 100.0,
             last_used_permit: self.generator.below(400),
         };
-        self.send(Event::SiblingState { server, state: beside });
+        self.send(Event::SiblingState { server, state });
     }
 
-    fn slow(&mut self) {
+    fn send_slow_responses(&mut self) {
         let server = self.random_server();
-        let takes = span(self.generator.micros(130_000));
-        self.send(Event::SlowResponses { server, response_time: takes });
+        let response_time = span(self.generator.micros_below(130_000));
+        self.send(Event::SlowResponses { server, response_time });
     }
 
-    fn existing(&mut self) {
-        let request = self.request();
+    fn send_existing_connection(&mut self) {
+        let request = self.new_request();
         let server = self.random_server();
-        let in_flight = InFlight { server, attempt: 0, sent: self.now, established: true };
-        let live = Live { attempts: 1, in_flight: Some(in_flight), answered: true };
-        self.live.insert(request.id.0, live);
+        let in_flight = InFlight { server, attempt: 0, sent_at: self.now, established: true };
+        let open_request = OpenRequest { attempts: 1, in_flight: Some(in_flight), answered: true };
+        self.requests.insert(request.id.0, open_request);
         self.send(Event::ExistingConnection { request, server });
     }
 
-    fn unknown(&mut self) {
-        let beyond = ServerId(self.listings.len() as u32 + 50);
+    /// Sends an event about an unknown server or request, or the result of a health check that was not
+    /// requested.
+    fn send_unexpected_event(&mut self) {
+        let unknown_server = ServerId(self.entries.len() as u32 + 50);
         let id = RequestId(4_000_000_000);
         match self.generator.below(8) {
-            0 => self.send(Event::ServerSilent { server: beyond }),
-            1 => self.send(Event::Uncordoned { server: beyond }),
-            2 => self.send(Event::SiblingState { server: beyond, state: SiblingState::default() }),
+            0 => self.send(Event::ServerSilent { server: unknown_server }),
+            1 => self.send(Event::Uncordoned { server: unknown_server }),
+            2 => self.send(Event::SiblingState { server: unknown_server, state: SiblingState::default() }),
             3 => self.send(Event::ClientLeft { id }),
             4 => self.send(Event::AttemptEnded { id, attempt: 0, outcome: Outcome::Ok, request_done: true }),
             5 => self.send(Event::Established { id, attempt: 0, elapsed: Span::ZERO }),
@@ -484,30 +553,31 @@
         }
     }
 
+    /// Advances the virtual time and sends one random event.
     fn step(&mut self) {
-        let wait = match self.generator.below(100) {
+        let elapsed = match self.generator.below(100) {
             0 => 30_000_000,
-            1..=4 => self.generator.micros(3_000_000),
+            1..=4 => self.generator.micros_below(3_000_000),
             5..=39 => 0,
-            _ => self.generator.micros(40_000),
+            _ => self.generator.micros_below(40_000),
         };
-        self.now += wait;
+        self.now += elapsed;
         self.fire_timers();
-        self.finish_cancelling();
+        self.finish_cancellations();
         match self.generator.below(1000) {
             0..=379 => self.send_request(),
-            380..=609 => self.establish(),
-            610..=679 => self.end_attempt(),
-            680..=759 => self.end_connection(),
-            760..=784 => self.drop_all(),
-            785..=804 => self.leave(),
-            805..=824 => self.list(ListUpdate::Delta),
-            825..=829 => self.list(ListUpdate::Snapshot),
-            830..=832 => self.list(ListUpdate::Cached),
-            833..=839 => self.list(ListUpdate::WatchFailed),
+            380..=609 => self.establish_connection(),
+            610..=679 => self.end_random_attempt(),
+            680..=759 => self.end_random_connection(),
+            760..=784 => self.reset_server_connections(),
+            785..=804 => self.send_client_left(),
+            805..=824 => self.send_endpoint_list(ListUpdate::Delta),
+            825..=829 => self.send_endpoint_list(ListUpdate::Snapshot),
+            830..=832 => self.send_endpoint_list(ListUpdate::Cached),
+            833..=839 => self.send_endpoint_list(ListUpdate::WatchFailed),
             840..=899 => self.reply_to_permit_request(),
-            900..=914 => self.sibling(),
-            915..=939 => self.slow(),
+            900..=914 => self.send_sibling_state(),
+            915..=939 => self.send_slow_responses(),
             940..=944 => {
                 let server = self.random_server();
                 self.send(Event::ServerSilent { server });
@@ -516,54 +586,57 @@
                 let server = self.random_server();
                 self.send(Event::Uncordoned { server });
             }
-            960..=974 => self.existing(),
+            960..=974 => self.send_existing_connection(),
             975..=989 => {
-                let Some((id, _)) = self.random_live(|_| true) else { return };
+                let Some((id, _)) = self.random_request(|_| true) else { return };
                 let load = self.generator.pick(&[0.5, 0.0, f64::INFINITY, 0.02, 0.003]);
                 self.send(Event::LoadChanged { id: RequestId(id), load });
             }
-            _ => self.unknown(),
+            _ => self.send_unexpected_event(),
         }
     }
 
-    /// All that can be asked of the module, without an event.
-    fn query(&mut self) {
+    /// Adds the results of all the balancer's queries to the hash, without sending an event.
+    fn hash_queries(&mut self) {
         let now = Time::from_micros(self.now);
-        for number in 0..self.listings.len() as u32 + 2 {
+        for number in 0..self.entries.len() as u32 + 2 {
             let server = ServerId(number);
-            let SiblingState { open_connections: open, recovery_tokens: allowance, last_used_permit: spent } =
-                self.module.sibling_state(server);
-            self.digest.update(self.module.open_connections(server).to_le_bytes());
-            self.digest.update([u8::from(self.module.is_avoided(now, server))]);
-            self.digest.update(open.to_le_bytes());
-            self.digest.update(allowance.to_bits().to_le_bytes());
-            self.digest.update(spent.to_le_bytes());
+            let SiblingState { open_connections, recovery_tokens, last_used_permit } =
+                self.balancer.sibling_state(server);
+            self.digest.update(self.balancer.open_connections(server).to_le_bytes());
+            self.digest.update([u8::from(self.balancer.is_avoided(now, server))]);
+            self.digest.update(open_connections.to_le_bytes());
+            self.digest.update(recovery_tokens.to_bits().to_le_bytes());
+            self.digest.update(last_used_permit.to_le_bytes());
         }
-        for id in self.live.keys().copied().chain([0, 4_000_000_000]) {
+        for id in self.requests.keys().copied().chain([0, 4_000_000_000]) {
             let id = RequestId(id);
-            let answers = [self.module.is_safe_to_retry(id), self.module.may_begin_attempt(now, id)];
+            let answers = [self.balancer.is_safe_to_retry(id), self.balancer.may_begin_attempt(now, id)];
             self.digest.update(answers.map(u8::from));
         }
-        self.digest.update(self.module.fleet_connections_when_full(now).to_bits().to_le_bytes());
+        self.digest.update(self.balancer.fleet_connections_when_full(now).to_bits().to_le_bytes());
     }
 
-    fn run(mut self, seed: u64) -> (String, [u64; 9]) {
-        let first = self.generator.pick(&[ListUpdate::Cached, ListUpdate::Snapshot]);
-        self.list(first);
+    /// Runs all steps. Returns the line of the recording for this seed, and the number of actions of each
+    /// kind.
+    fn run(mut self, seed: u64) -> (String, [u64; ACTION_KINDS]) {
+        let first_update = self.generator.pick(&[ListUpdate::Cached, ListUpdate::Snapshot]);
+        self.send_endpoint_list(first_update);
         let mut checkpoints = String::new();
         for step in 1..=STEPS {
             self.step();
-            if step % QUERY_EVERY == 0 {
-                self.query();
+            if step % STEPS_PER_QUERY == 0 {
+                self.hash_queries();
             }
-            if step % CHECKPOINT_EVERY == 0 {
+            if step % STEPS_PER_CHECKPOINT == 0 {
                 let digest = hex(&self.digest.clone().finalize()[..4]);
-                write!(checkpoints, " {digest}").expect("a string takes all");
+                write!(checkpoints, " {digest}").expect("writing to a string does not fail");
             }
         }
         let digest = hex(&self.digest.finalize());
-        let counts = self.counts.map(|count| count.to_string()).join(",");
-        (format!("seed={seed} events={} actions={counts}{checkpoints} {digest}", self.events), self.counts)
+        let counts = self.action_counts.map(|count| count.to_string()).join(",");
+        let line = format!("seed={seed} events={} actions={counts}{checkpoints} {digest}", self.event_count);
+        (line, self.action_counts)
     }
 }
 
@@ -571,59 +644,64 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Formats the bits of a number, so that a comparison is exact.
 fn bits(value: f64) -> String {
     format!("{:016x}", value.to_bits())
 }
 
-/// Compares with the recorded file; what came instead is left in the target folder.
+/// Asserts that `actual` equals the recorded file. If it differs, `actual` is written to the target folder.
 fn assert_recorded(file: &str, actual: &str) {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility/decision");
-    let recorded = std::fs::read_to_string(folder.join(file)).unwrap_or_default();
+    let fixtures = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility/decision");
+    let recorded = std::fs::read_to_string(fixtures.join(file)).unwrap_or_default();
     if recorded == actual {
         return;
     }
-    let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("decision-{file}"));
-    std::fs::write(&written, actual).expect("the target folder can be written");
-    let differing = recorded.lines().zip(actual.lines()).find(|(old, new)| old != new);
-    panic!("{file} differs from what is recorded, see {}: {differing:?}", written.display());
+    let actual_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("decision-{file}"));
+    std::fs::write(&actual_file, actual).expect("writing to the target folder");
+    let differing = recorded.lines().zip(actual.lines()).find(|(old_line, new_line)| old_line != new_line);
+    panic!(
+        "{file} differs from the recording, the actual text is in {}; first difference: {differing:?}",
+        actual_file.display()
+    );
 }
 
 #[test]
-fn actions_for_random_events_are_those_recorded() {
+fn actions_for_random_events_match_the_recording() {
     let mut lines = String::new();
-    let mut total = [0; 9];
+    let mut total_counts = [0; ACTION_KINDS];
     for seed in 0..SEEDS {
-        let (line, counts) = World::new(seed).run(seed);
-        writeln!(lines, "{line}").expect("a string takes all");
-        for (sum, count) in total.iter_mut().zip(counts) {
-            *sum += count;
+        let (line, counts) = Simulation::new(seed).run(seed);
+        writeln!(lines, "{line}").expect("writing to a string does not fail");
+        for (total, count) in total_counts.iter_mut().zip(counts) {
+            *total += count;
         }
     }
     assert_recorded("actions.txt", &lines);
-    // All kinds of actions but the health check, which the module never asks for.
-    for (kind, &count) in total.iter().enumerate() {
-        assert_eq!(count > 0, kind != 7, "action {kind} came {count} times");
+    // The decision module requests all kinds of actions except health checks.
+    for (kind, &count) in total_counts.iter().enumerate() {
+        assert_eq!(count > 0, kind != CHECK_HEALTH, "number of actions of kind {kind}: {count}");
     }
 }
 
+/// Returns settings with different slow start parameters, each with and without fleet permits.
 fn slow_start_settings() -> Vec<Settings> {
     let base = settings(0);
     let mut all = Vec::new();
-    for (fall_multiple, overload, cold_from, warm) in [
+    for (overload_factor, overload_window, initial_capacity_share, warm_up_time) in [
         (2.5, 2_000_000, 0.13, 24_000_000),
         (1.0, 1_000_000, 1.0, 0),
         (3.3, 300_000, 0.01, 1_000_000),
         (0.5, 60_000_000, 0.5, 8_000_000),
     ] {
-        for peers in [false, true] {
+        for fleet_permits in [false, true] {
             all.push(Settings {
                 gateways: 30,
                 gateway_id: GatewayId(7),
-                fleet_permits: peers,
-                overload_factor: fall_multiple,
-                overload_window: span(overload),
-                initial_capacity_share: cold_from,
-                warm_up_time: span(warm),
+                fleet_permits,
+                overload_factor,
+                overload_window: span(overload_window),
+                initial_capacity_share,
+                warm_up_time: span(warm_up_time),
                 ..base.clone()
             });
         }
@@ -632,45 +710,61 @@
 }
 
 #[test]
-fn permits_of_a_warming_server_are_those_recorded() {
+fn permits_of_a_warming_server_match_the_recording() {
     let mut lines = String::new();
     for (index, settings) in slow_start_settings().iter().enumerate() {
-        let ramp = SlowStartConfig::new(settings);
-        let (own, granted) =
-            (PermitSchedule::ungranted_permits(settings), ramp.granted_permits(span(400_000)));
+        let config = SlowStartConfig::new(settings);
+        let ungranted = PermitSchedule::ungranted_permits(settings);
+        let granted = config.granted_permits(span(400_000));
         for age in [0, 1, 100_000, 1_000_000, 5_500_000, 24_000_000, 90_000_000] {
-            for full in [0.0, 0.4, 3.0, 54.0, 1e6, 1e300] {
+            for full_capacity in [0.0, 0.4, 3.0, 54.0, 1e6, 1e300] {
                 let age = span(age);
-                write!(lines, "settings={index} age={} full={full:e}", age.as_micros())
-                    .expect("a string takes all");
+                write!(lines, "settings={index} age={} full={full_capacity:e}", age.as_micros())
+                    .expect("writing to a string does not fail");
                 for value in [
-                    ramp.allowed_requests(age, full),
-                    ramp.overload_threshold(age, full),
-                    own.permits_issued(age, full),
-                    own.permits_expired(age, full),
-                    granted.permits_issued(age, full),
-                    granted.permits_expired(age, full),
+                    config.allowed_requests(age, full_capacity),
+                    config.overload_threshold(age, full_capacity),
+                    ungranted.permits_issued(age, full_capacity),
+                    ungranted.permits_expired(age, full_capacity),
+                    granted.permits_issued(age, full_capacity),
+                    granted.permits_expired(age, full_capacity),
                 ] {
-                    write!(lines, " {}", bits(value)).expect("a string takes all");
+                    write!(lines, " {}", bits(value)).expect("writing to a string does not fail");
                 }
-                let born = Time::from_micros(3_000_000);
-                let now = born + age;
-                for (key, began, spent) in [(0, 0, 0), (0x5be2_a07c, 3_500_000, 2), (u32::MAX, 9_000_000, 40)]
+                let started_at = Time::from_micros(3_000_000);
+                let now = started_at + age;
+                for (key, holder_started_at, used_permits) in
+                    [(0, 0, 0), (0x5be2_a07c, 3_500_000, 2), (u32::MAX, 9_000_000, 40)]
                 {
-                    let holder = PermitHolder::for_gateway(settings, key, Time::from_micros(began), spent);
-                    for schedule in [own, granted] {
-                        let turn = match schedule.next_permit(now, born, full, holder) {
-                            Ok(turn) => format!("ok:{turn}"),
+                    let holder = PermitHolder::for_gateway(
+                        settings,
+                        key,
+                        Time::from_micros(holder_started_at),
+                        used_permits,
+                    );
+                    for schedule in [ungranted, granted] {
+                        let permit = match schedule.next_permit(now, started_at, full_capacity, holder) {
+                            Ok(permit) => format!("ok:{permit}"),
                             Err(wait) => format!("wait:{}", wait.as_micros()),
                         };
-                        write!(lines, " {}/{}:{turn}", holder.index, holder.holders)
-                            .expect("a string takes all");
+                        write!(lines, " {}/{}:{permit}", holder.index, holder.holders)
+                            .expect("writing to a string does not fail");
                     }
                 }
-                let told = [(Some(born), 0), (Some(born), 1), (Some(born), 20), (None, 1), (None, 0)];
-                for (born, spent) in told {
-                    write!(lines, " {}", own.accept_reported_permit(now, born, full, spent))
-                        .expect("a string takes all");
+                let reports = [
+                    (Some(started_at), 0),
+                    (Some(started_at), 1),
+                    (Some(started_at), 20),
+                    (None, 1),
+                    (None, 0),
+                ];
+                for (started_at, permit) in reports {
+                    write!(
+                        lines,
+                        " {}",
+                        ungranted.accept_reported_permit(now, started_at, full_capacity, permit)
+                    )
+                    .expect("writing to a string does not fail");
                 }
                 lines.push('\n');
             }
@@ -680,20 +774,22 @@
 }
 
 #[test]
-fn hashes_of_groups_are_those_recorded() {
+fn group_hashes_match_the_recording() {
     let mut lines = String::new();
     for group in [0, 1, 77, u32::MAX] {
         for key in [0, 1, 0x5be2_a07c, u32::MAX] {
             for round in [0, 1, 6, 11] {
                 let hash = GroupId(group).rendezvous_hash(key, round);
-                writeln!(lines, "{group} {key} {round} {hash:016x}").expect("a string takes all");
+                writeln!(lines, "{group} {key} {round} {hash:016x}")
+                    .expect("writing to a string does not fail");
             }
         }
     }
     assert_recorded("group_hashes.txt", &lines);
 }
 
-const FACTS: &str = concat!(
+/// Settings of the simulator. `DISCOVERY` is a placeholder for the discovery mode.
+const SETTINGS_JSON: &str = concat!(
     r#"{"azs":["east","west"],"balancers":2,"zone":"east","discovery":"DISCOVERY","tick":0.005,"#,
     r#""classes":[{"name":"view","aim":0.5,"deadline":2.0,"effect":"pure","worth":1.0},"#,
     r#"{"name":"edit","aim":0.3,"worth":2.0,"effect":"token","group":"zone","keyTtl":0.4},"#,
@@ -704,39 +800,42 @@
     r#""fallMultiple":2.5,"overloadFor":1.0},"customers":null,"shapes":["fast"]}"#
 );
 
-/// What the adapter answers, and how it ends. Of an error the line's number counts, not the wording.
-fn adapter(input: &str) -> String {
+/// Runs the adapter and returns its output, its exit code and the line number of its error. The error's
+/// wording may change.
+fn run_adapter(input: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ashtide-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
-    // A rejected line closes the pipe early; what counts is the exit code.
+        .expect("starting the adapter");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
+    // The adapter exits at an invalid line, so that the write may fail on a closed pipe. The tests check the
+    // exit code.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    let output = child.wait_with_output().expect("the adapter ends");
-    let out = String::from_utf8(output.stdout).expect("UTF-8");
-    let error = String::from_utf8(output.stderr).expect("UTF-8");
-    let place: Vec<&str> = error.split(": ").take(2).collect();
-    format!("{out}exit {:?}\n{}\n", output.status.code(), place.join(": "))
+    let output = child.wait_with_output().expect("waiting for the adapter to exit");
+    let stdout = String::from_utf8(output.stdout).expect("standard output is UTF-8");
+    let error = String::from_utf8(output.stderr).expect("standard error is UTF-8");
+    let program_and_line: Vec<&str> = error.split(": ").take(2).collect();
+    format!("{stdout}exit {:?}\n{}\n", output.status.code(), program_and_line.join(": "))
 }
 
-fn start(discovery: &str) -> String {
-    let facts = FACTS.replace("DISCOVERY", discovery);
-    let mut text = format!("START relayId=3 initSeed=9 facts={facts}\nDIRECTORY slot=4 entries=4\n");
-    text += "ROW backend=s1 rackZone=east model=fast cluster=0 state=on size=1\n";
-    text += "ROW backend=s2 rackZone=west model=fast cluster=1 state=on size=2.5 startTime=0\n";
-    text += "ROW backend=s3\nROW backend=s4 state=fading startTime=0.5\n";
-    text + "DISCOVERY relayId=3 how=stale_copy epoch=1 slot=4\n"
+/// Returns the lines that start gateway 3 and send it an endpoint list.
+fn start_lines(discovery: &str) -> String {
+    let settings = SETTINGS_JSON.replace("DISCOVERY", discovery);
+    let mut lines = format!("START relayId=3 initSeed=9 facts={settings}\nDIRECTORY slot=4 entries=4\n");
+    lines += "ROW backend=s1 rackZone=east model=fast cluster=0 state=on size=1\n";
+    lines += "ROW backend=s2 rackZone=west model=fast cluster=1 state=on size=2.5 startTime=0\n";
+    lines += "ROW backend=s3\nROW backend=s4 state=fading startTime=0.5\n";
+    lines + "DISCOVERY relayId=3 how=stale_copy epoch=1 slot=4\n"
 }
 
-/// One exchange of several batches, with every kind of line.
-fn exchange() -> String {
-    let mut text = String::new();
-    let mut batch = |clock: f64, lines: &str| text += &format!("TURN simTime={clock}\n{lines}EOB\n");
-    batch(5.0, &start("onDemand"));
+/// Returns an input of several batches with every kind of line.
+fn input_with_every_line() -> String {
+    let mut input = String::new();
+    let mut batch = |clock: f64, lines: &str| input += &format!("TURN simTime={clock}\n{lines}EOB\n");
+    batch(5.0, &start_lines("onDemand"));
     for step in 0..40_u32 {
         let clock = 5.1 + f64::from(step) * 0.05;
         let band = ["view", "edit", "pay"][(step / 2 % 3) as usize];
@@ -764,21 +863,21 @@
         "EXISTING relayId=3 opId=900 ttl=1 band=view backend=s3 owner=nobody\nALARM relayId=3 handle=41\n",
     );
     batch(9.4, "SAMPLED relayId=3 backend=s1 verdict=Ok delaySeen=1 healthInfo=x0:0.5,cpu_share:0.2,odd:1\n");
-    let change = "DIRECTORY slot=0 entries=1\nROW backend=s1 state=off\nDISCOVERY relayId=3 how=patch epoch=2 slot=0\n";
-    batch(9.5, change);
+    let list_update = "DIRECTORY slot=0 entries=1\nROW backend=s1 state=off\nDISCOVERY relayId=3 how=patch epoch=2 slot=0\n";
+    batch(9.5, list_update);
     batch(
         9.6,
         "QUERY relayId=3 opId=901 ttl=0 band=view\nMAIL relayId=3 author=1 body=00ff\nSHUTDOWN relayId=3\n",
     );
-    text
+    input
 }
 
 #[test]
-fn the_adapter_answers_as_recorded() {
-    let started = format!("TURN simTime=1\n{}EOB\n", start("pushed"));
+fn adapter_answers_match_the_recording() {
+    let started = format!("TURN simTime=1\n{}EOB\n", start_lines("pushed"));
     let in_batch = |lines: &str| format!("{started}TURN simTime=2\n{lines}EOB\n");
     let inputs = [
-        exchange(),
+        input_with_every_line(),
         "nonsense\n".to_owned(),
         in_batch("QUERY relayId=9 opId=1 ttl=1 band=view\n"),
         in_batch("WHATEVER relayId=3\n"),
@@ -804,7 +903,7 @@
     ];
     let mut answers = String::new();
     for (index, input) in inputs.iter().enumerate() {
-        write!(answers, "-- {index}\n{}", adapter(input)).expect("a string takes all");
+        write!(answers, "-- {index}\n{}", run_adapter(input)).expect("writing to a string does not fail");
     }
     assert_recorded("adapter.txt", &answers);
 }
--- a/tests/transcripts/mod.rs
+++ b/tests/transcripts/mod.rs
@@ -1,93 +1,95 @@
-//! Files of inputs, each with the outcome that it had when the file was written.
+//! Fixture files, and transcripts of inputs with their recorded outcomes.
 //!
-//! A line of input begins with `> `, a line of the outcome with `< `; other lines are comments. The file is
-//! written anew from its inputs and compared byte for byte.
+//! In a transcript a line of input begins with `> ` and a line of the outcome with `< `; other lines are
+//! comments. A test regenerates the transcript from its inputs and compares the two byte for byte.
 
-// Each file of tests uses its own part.
+// Each test file uses only some of these functions.
 #![allow(dead_code)]
 
 use std::path::PathBuf;
 
-/// The path of a fixture.
+/// Returns the path of a fixture file.
 pub fn path(file: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility").join(file)
 }
 
-/// The bytes of a fixture.
+/// Reads a fixture file as bytes.
 pub fn bytes(file: &str) -> Vec<u8> {
-    std::fs::read(path(file)).unwrap_or_else(|error| panic!("{file}: {error}"))
+    std::fs::read(path(file)).unwrap_or_else(|error| panic!("reading the fixture {file} failed: {error}"))
 }
 
-/// The text of a fixture.
+/// Reads a fixture file as UTF-8 text.
 pub fn text(file: &str) -> String {
-    String::from_utf8(bytes(file)).expect("UTF-8")
+    String::from_utf8(bytes(file)).expect("the fixture is UTF-8")
 }
 
-/// Compares written bytes with a fixture.
+/// Asserts that `written` equals the bytes of a fixture file.
 pub fn assert_written(file: &str, written: &[u8]) {
     let expected = bytes(file);
-    let shown = |bytes: &[u8]| bytes.escape_ascii().to_string();
-    assert!(written == expected, "{file}: written\n{}\nexpected\n{}", shown(written), shown(&expected));
+    let escaped = |bytes: &[u8]| bytes.escape_ascii().to_string();
+    assert!(written == expected, "{file}: written\n{}\nexpected\n{}", escaped(written), escaped(&expected));
 }
 
-/// Runs each input of a transcript, of which there are `cases`, and compares the outcomes.
+/// Asserts that a transcript has `cases` inputs and that `outcome` returns the recorded outcome for each of
+/// them.
 pub fn assert_outcomes(file: &str, cases: usize, mut outcome: impl FnMut(&str) -> String) {
     let transcript = text(file);
-    let mut rewritten = String::new();
-    let mut found = 0;
+    let mut regenerated = String::new();
+    let mut case_count = 0;
     let mut lines = transcript.lines().peekable();
     while let Some(line) = lines.next() {
         if line.starts_with('<') {
             continue;
         }
-        rewritten += line;
-        rewritten += "\n";
+        regenerated += line;
+        regenerated += "\n";
         let Some(first) = line.strip_prefix("> ") else { continue };
         let mut input = first.to_owned();
         while let Some(next) = lines.next_if(|next| next.starts_with("> ")) {
-            rewritten += next;
-            rewritten += "\n";
+            regenerated += next;
+            regenerated += "\n";
             input += "\n";
             input += &next[2..];
         }
-        found += 1;
+        case_count += 1;
         for line in outcome(&input).lines() {
-            rewritten += &format!("< {line}");
-            rewritten += "\n";
+            regenerated += &format!("< {line}");
+            regenerated += "\n";
         }
     }
-    assert_eq!(found, cases, "{file}: number of cases");
-    for (number, (now, then)) in rewritten.lines().zip(transcript.lines()).enumerate() {
-        assert_eq!(now, then, "{file}, line {}", number + 1);
+    assert_eq!(case_count, cases, "{file}: number of cases");
+    for (index, (actual, recorded)) in regenerated.lines().zip(transcript.lines()).enumerate() {
+        assert_eq!(actual, recorded, "{file}, line {}", index + 1);
     }
-    assert!(rewritten == transcript, "{file}: lines are missing or left over");
+    assert!(regenerated == transcript, "{file}: the outcomes have too few or too many lines");
 }
 
-/// The bytes that a text with `\n`, `\r`, `\\` and `\xNN` stands for.
+/// Decodes the escape sequences `\n`, `\r`, `\\` and `\xNN` in a text.
 pub fn unescape(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
+    let mut remaining = text.bytes();
+    while let Some(byte) = remaining.next() {
         if byte != b'\\' {
             bytes.push(byte);
             continue;
         }
-        bytes.push(match rest.next() {
+        bytes.push(match remaining.next() {
             Some(b'n') => b'\n',
             Some(b'r') => b'\r',
             Some(b'\\') => b'\\',
             Some(b'x') => {
-                let digits = [rest.next().expect("a digit"), rest.next().expect("a digit")];
-                let digits = std::str::from_utf8(&digits).expect("digits");
+                let mut digit = || remaining.next().expect("two hexadecimal digits");
+                let digits = [digit(), digit()];
+                let digits = std::str::from_utf8(&digits).expect("digits are ASCII");
                 u8::from_str_radix(digits, 16).expect("hex digits")
             }
-            other => panic!("escape {other:?} in {text}"),
+            other => panic!("unknown escape sequence {other:?} in {text}"),
         });
     }
     bytes
 }
 
-/// Bytes as text that [`unescape`] reads.
+/// Encodes bytes as text that [`unescape`] decodes.
 pub fn escape(bytes: &[u8]) -> String {
     let mut text = String::new();
     for &byte in bytes {
@@ -102,14 +104,14 @@
     text
 }
 
-/// Bytes as hex digits.
+/// Encodes bytes as hexadecimal digits.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of hex digits; blanks and line breaks between them are skipped.
+/// Decodes hexadecimal digits; whitespace between them is skipped.
 pub fn from_hex(text: &str) -> Vec<u8> {
-    let digits: Vec<char> = text.chars().filter(|it| !it.is_whitespace()).collect();
+    let digits: Vec<char> = text.chars().filter(|character| !character.is_whitespace()).collect();
     let byte = |pair: &[char]| u8::from_str_radix(&pair.iter().collect::<String>(), 16).expect("hex digits");
     digits.chunks(2).map(byte).collect()
 }
