--- a/src/net/vrrp.rs
+++ b/src/net/vrrp.rs
@@ -11,14 +11,15 @@
 use crate::config::VrrpConfig;
 use crate::vrrp::{Advertisement, RouterAction, RouterState, VirtualRouter};
 
-/// Longest packet that is received whole, in bytes; longer ones are no valid advertisements.
+/// Size of the receive buffer in bytes. A longer packet is truncated, and is no valid advertisement anyway.
 const MAX_PACKET_LENGTH: usize = 128;
 
-/// Runs until `stop` turns true; `active` tells whether this router is the active one.
+/// Runs a virtual router until `stop` becomes true, and publishes on `active` whether it is the active
+/// router.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn run(
     config: VrrpConfig,
     active: watch::Sender<bool>,
@@ -43,7 +44,7 @@
             return Ok(());
         }
         tokio::select! {
-            // An error shows that a peer is not there, which needs no reaction.
+            // An error means that a peer is unreachable, which requires no action.
             received = driver.socket.recv_from(&mut packet) => if let Ok((length, sender)) = received {
                 driver.handle_packet(&packet[..length], sender, &mut actions);
             },
@@ -74,7 +75,7 @@
             match action {
                 RouterAction::Send(advertisement) => self.send(&advertisement).await,
                 RouterAction::EnterState(state) => self.enter_state(state),
-                RouterAction::StartTimer(wait) => self.timer_at = Some(Instant::now() + wait),
+                RouterAction::StartTimer(delay) => self.timer_at = Some(Instant::now() + delay),
                 RouterAction::StopTimer => self.timer_at = None,
             }
         }
@@ -93,7 +94,7 @@
     }
 
     fn handle_packet(&mut self, packet: &[u8], sender: SocketAddr, actions: &mut Vec<RouterAction>) {
-        // Anyone can send to a UDP port: only the configured routers count.
+        // Any host can send to a UDP port, so only packets of the configured peers are handled.
         let is_peer = self.config.peers.contains(&sender);
         match Advertisement::decode(packet) {
             Ok(advertisement) if is_peer => {
@@ -102,7 +103,11 @@
             }
             Ok(_) | Err(_) => {
                 self.discarded_packets += 1;
-                info!("vrrp: discarded a packet of {sender}, {} so far", self.discarded_packets);
+                info!(
+                    "vrrp: discarded a packet from {sender}, \
+                     which is invalid or not from a configured peer; {} discarded so far",
+                    self.discarded_packets
+                );
             }
         }
     }
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -1,7 +1,7 @@
 //! VRRP version 3 (RFC 9568): the advertisement and the state machine of one virtual router.
 //!
-//! The packets are those of the standard. They travel in UDP datagrams here, so the checksum covers the packet alone,
-//! without the pseudo-header of an IP protocol.
+//! The packet format is that of the standard. Packets are carried in UDP datagrams, so the checksum covers
+//! the packet alone, without an IP pseudo-header.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -12,39 +12,39 @@
 const VERSION_AND_TYPE: u8 = 0x31;
 /// Length of a packet without addresses, in bytes.
 const HEADER_LENGTH: usize = 8;
-/// Where the checksum stands in a packet.
+/// Byte range of the checksum in a packet.
 const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
 /// Length of an IPv4 address, in bytes.
 const ADDRESS_LENGTH: usize = 4;
-/// Bits of the interval field; the upper four are reserved.
+/// Mask of the Max Advertise Interval in its 16-bit field; the upper four bits are reserved.
 const INTERVAL_MASK: u16 = 0x0fff;
-/// Virtual addresses that a packet may carry here.
+/// Maximum number of virtual addresses in a packet.
 const MAX_ADDRESSES: usize = 16;
-/// Priority of the owner of the addresses; no other router may have it.
+/// Priority of the router that owns the virtual addresses; no other router may have it.
 pub const OWNER_PRIORITY: u8 = 255;
-/// Priority in an advertisement of an active router that gives up.
+/// Priority in the advertisement of an active router that shuts down.
 const SHUTDOWN_PRIORITY: u8 = 0;
 
-/// An advertisement.
+/// VRRP advertisement (RFC 9568, section 5).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
     /// Virtual router id.
     pub virtual_router_id: u8,
-    /// Priority of the sender; 0 where it gives up.
+    /// Priority of the sender; 0 if it shuts down.
     pub priority: u8,
-    /// Max Advertise Interval of the sender, in hundredths of a second, below 4096.
+    /// Max Advertise Interval of the sender in hundredths of a second, less than 4096.
     pub max_advertise_interval: u16,
     /// Virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// Why a packet is discarded.
+/// Reason for discarding a received packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// Too short, or not of the length that its number of addresses requires.
+    /// The packet is too short, or its length does not match its number of addresses.
     #[error("wrong length")]
     Length,
-    /// Another version or type.
+    /// The packet has another version or type.
     #[error("not an advertisement of version 3")]
     Version,
     /// The checksum is wrong.
@@ -55,14 +55,14 @@
     Range,
 }
 
-/// The Internet checksum (RFC 1071).
+/// Computes the Internet checksum (RFC 1071).
 fn checksum(packet: &[u8]) -> u16 {
     let sum: u32 = packet.chunks(2).map(big_endian_u16).sum();
     let folded = (sum & 0xffff) + (sum >> 16);
     !((folded & 0xffff) + (folded >> 16)) as u16
 }
 
-/// Two bytes as a number; a single one counts as followed by zero.
+/// Converts two bytes in network order to a number; a single byte is padded with a zero byte.
 fn big_endian_u16(pair: &[u8]) -> u32 {
     let low = pair.get(1).copied().unwrap_or(0);
     u32::from(pair[0]) << 8 | u32::from(low)
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Says why the packet is to be discarded.
+    /// Returns the reason for discarding an invalid packet.
     pub fn decode(mut packet: &[u8]) -> Result<Self, PacketError> {
         if packet.len() < HEADER_LENGTH {
             return Err(PacketError::Length);
@@ -123,7 +123,7 @@
     pub priority: u8,
     /// Advertisement_Interval in hundredths of a second, 1 to 4095.
     pub advertisement_interval: u16,
-    /// Preempt_Mode: whether it takes over from an active router of lower priority.
+    /// Preempt_Mode: whether the router takes over from an active router of lower priority.
     pub preempt: bool,
     /// Virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
@@ -132,47 +132,47 @@
 /// State of a virtual router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterState {
-    /// Not started.
+    /// The router has not been started, or has been shut down.
     Initialize,
-    /// Monitors the active router.
+    /// The router monitors the active router.
     Backup,
-    /// Serves the virtual addresses.
+    /// The router serves the virtual addresses.
     Active,
 }
 
-/// What the driver of a virtual router does.
+/// Action that the driver of a virtual router performs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouterAction {
     /// Send an advertisement to the other routers.
     Send(Advertisement),
-    /// The router is in this state from now on.
+    /// Report that the router has entered this state.
     EnterState(RouterState),
-    /// Call [`VirtualRouter::handle_timer`] after this time, in place of an earlier timer.
+    /// Call [`VirtualRouter::handle_timer`] after this time. The timer replaces an earlier one.
     StartTimer(Duration),
-    /// No timer runs any more.
+    /// Stop the timer.
     StopTimer,
 }
 
-/// The state machine of RFC 9568, section 6.4.
+/// State machine of a virtual router (RFC 9568, section 6.4).
 pub struct VirtualRouter {
     config: VirtualRouterConfig,
     state: RouterState,
-    /// Active_Adver_Interval: that of the active router, learnt from its advertisements, in hundredths of a second.
+    /// Active_Adver_Interval: the interval in the active router's advertisements, in hundredths of a second.
     active_advertisement_interval: u16,
 }
 
-fn centiseconds(count: u32) -> Duration {
-    Duration::from_millis(u64::from(count) * 10)
+fn centiseconds(value: u32) -> Duration {
+    Duration::from_millis(u64::from(value) * 10)
 }
 
 impl VirtualRouter {
-    /// A router that has not started.
+    /// Creates a router in state [`RouterState::Initialize`].
     pub fn new(config: VirtualRouterConfig) -> Self {
         let active_advertisement_interval = config.advertisement_interval;
         Self { config, state: RouterState::Initialize, active_advertisement_interval }
     }
 
-    /// The state.
+    /// Returns the current state.
     pub fn state(&self) -> RouterState {
         self.state
     }
@@ -189,7 +189,8 @@
         self.become_backup(actions);
     }
 
-    /// Handles the shutdown event: an active router gives up, so that another one takes over at once.
+    /// Handles the shutdown event. An active router advertises priority 0, so that a backup takes over after
+    /// its Skew_Time.
     pub fn handle_shutdown(&mut self, actions: &mut Vec<RouterAction>) {
         if self.state == RouterState::Active {
             actions.push(self.advertise(SHUTDOWN_PRIORITY));
@@ -198,7 +199,7 @@
         self.enter_state(RouterState::Initialize, actions);
     }
 
-    /// Handles the end of the timer.
+    /// Handles the expiry of the timer.
     pub fn handle_timer(&mut self, actions: &mut Vec<RouterAction>) {
         match self.state {
             RouterState::Initialize => {}
@@ -207,8 +208,10 @@
         }
     }
 
-    /// Handles an advertisement of another router. `sender_is_higher` says whether its primary address is above that of
-    /// this router, which decides between equal priorities.
+    /// Handles an advertisement of another router.
+    ///
+    /// `sender_is_higher` is whether the sender's primary address is greater than that of this router.
+    /// It breaks a tie between equal priorities.
     pub fn handle_advertisement(
         &mut self,
         advertisement: &Advertisement,
@@ -253,23 +256,24 @@
             self.active_advertisement_interval = advertisement.max_advertise_interval;
             self.become_backup(actions);
         } else {
-            // A sender without precedence is answered at once, so that it becomes a backup.
+            // An immediate advertisement makes a sender without precedence become a backup.
             self.advertise_and_restart_timer(actions);
         }
     }
 
-    /// Skew_Time in hundredths of a second: the router with the highest priority takes over first.
+    /// Returns Skew_Time in hundredths of a second. It is shortest for the router with the highest priority,
+    /// which therefore takes over first.
     fn skew_time(&self) -> u32 {
         (256 - u32::from(self.config.priority)) * u32::from(self.active_advertisement_interval) / 256
     }
 
-    /// Starts the Active_Down_Timer.
+    /// Returns the action that starts the Active_Down_Timer.
     fn start_active_down_timer(&self) -> RouterAction {
         let active_down_interval = 3 * u32::from(self.active_advertisement_interval) + self.skew_time();
         RouterAction::StartTimer(centiseconds(active_down_interval))
     }
 
-    /// Starts the Adver_Timer.
+    /// Returns the action that starts the Adver_Timer.
     fn start_advertisement_timer(&self) -> RouterAction {
         RouterAction::StartTimer(centiseconds(u32::from(self.config.advertisement_interval)))
     }
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,4 +1,5 @@
-//! The virtual router's state machine, event by event (RFC 9568, section 6.4).
+//! Tests of the virtual router's state machine: the actions that follow from each event (RFC 9568, section
+//! 6.4).
 
 use std::time::Duration;
 
@@ -20,77 +21,96 @@
     Advertisement { virtual_router_id: 7, priority, max_advertise_interval: 100, addresses: Vec::new() }
 }
 
-fn after(ms: u64) -> RouterAction {
+fn start_timer(ms: u64) -> RouterAction {
     RouterAction::StartTimer(Duration::from_millis(ms))
 }
 
-fn run(
+fn handle(
     router: &mut VirtualRouter,
     event: impl Fn(&mut VirtualRouter, &mut Vec<RouterAction>),
 ) -> Vec<RouterAction> {
-    let mut out = Vec::new();
-    event(router, &mut out);
-    out
+    let mut actions = Vec::new();
+    event(router, &mut actions);
+    actions
 }
 
 #[test]
-fn a_backup_waits_three_intervals_and_its_skew() {
+fn backup_takes_over_after_three_intervals_plus_skew_time() {
     let mut backup = router(100, true);
-    // Skew: (256 - 100) * 100 / 256 = 60 hundredths.
+    // Skew_Time: (256 - 100) * 100 / 256 = 60 hundredths of a second.
     assert_eq!(
-        run(&mut backup, VirtualRouter::handle_startup),
-        [RouterAction::EnterState(RouterState::Backup), after(3600)]
+        handle(&mut backup, VirtualRouter::handle_startup),
+        [RouterAction::EnterState(RouterState::Backup), start_timer(3600)]
     );
     assert_eq!(
-        run(&mut backup, |m, out| m.handle_advertisement(&advertisement(200), true, out)),
-        [after(3600)]
+        handle(&mut backup, |router, actions| router.handle_advertisement(
+            &advertisement(200),
+            true,
+            actions
+        )),
+        [start_timer(3600)]
     );
-    assert_eq!(run(&mut backup, |m, out| m.handle_advertisement(&advertisement(0), true, out)), [after(600)]);
-    let taken =
-        [RouterAction::Send(advertisement(100)), RouterAction::EnterState(RouterState::Active), after(1000)];
-    assert_eq!(run(&mut backup, VirtualRouter::handle_timer), taken);
+    assert_eq!(
+        handle(&mut backup, |router, actions| router.handle_advertisement(&advertisement(0), true, actions)),
+        [start_timer(600)]
+    );
+    let takeover = [
+        RouterAction::Send(advertisement(100)),
+        RouterAction::EnterState(RouterState::Active),
+        start_timer(1000),
+    ];
+    assert_eq!(handle(&mut backup, VirtualRouter::handle_timer), takeover);
 }
 
 #[test]
-fn a_lesser_router_is_heeded_only_without_preemption() {
-    for (preempt, effects) in [(true, vec![]), (false, vec![after(3600)])] {
+fn backup_defers_to_a_lower_priority_only_without_preemption() {
+    for (preempt, expected) in [(true, vec![]), (false, vec![start_timer(3600)])] {
         let mut backup = router(100, preempt);
-        run(&mut backup, VirtualRouter::handle_startup);
+        handle(&mut backup, VirtualRouter::handle_startup);
         assert_eq!(
-            run(&mut backup, |m, out| m.handle_advertisement(&advertisement(50), false, out)),
-            effects
+            handle(&mut backup, |router, actions| router.handle_advertisement(
+                &advertisement(50),
+                false,
+                actions
+            )),
+            expected
         );
     }
 }
 
 #[test]
-fn of_two_active_routers_the_lesser_steps_back() {
-    for (priority, higher, state) in [
+fn of_two_active_routers_the_one_without_precedence_becomes_backup() {
+    for (priority, sender_is_higher, expected) in [
         (101, false, RouterState::Backup),
         (100, true, RouterState::Backup),
         (100, false, RouterState::Active),
         (99, true, RouterState::Active),
     ] {
         let mut active = router(100, true);
-        run(&mut active, VirtualRouter::handle_startup);
-        run(&mut active, VirtualRouter::handle_timer);
-        run(&mut active, |m, out| m.handle_advertisement(&advertisement(priority), higher, out));
-        assert_eq!(active.state(), state, "{priority} {higher}");
+        handle(&mut active, VirtualRouter::handle_startup);
+        handle(&mut active, VirtualRouter::handle_timer);
+        handle(&mut active, |router, actions| {
+            router.handle_advertisement(&advertisement(priority), sender_is_higher, actions);
+        });
+        assert_eq!(active.state(), expected, "priority {priority}, sender is higher: {sender_is_higher}");
     }
 }
 
 #[test]
-fn the_owner_is_active_at_once_and_says_when_it_leaves() {
+fn owner_is_active_after_startup_and_advertises_priority_zero_at_shutdown() {
     let mut owner = router(OWNER_PRIORITY, true);
     assert_eq!(
-        run(&mut owner, VirtualRouter::handle_startup)[1],
+        handle(&mut owner, VirtualRouter::handle_startup)[1],
         RouterAction::EnterState(RouterState::Active)
     );
-    let left = [
+    let shutdown = [
         RouterAction::Send(advertisement(0)),
         RouterAction::StopTimer,
         RouterAction::EnterState(RouterState::Initialize),
     ];
-    assert_eq!(run(&mut owner, VirtualRouter::handle_shutdown), left);
-    assert_eq!(run(&mut owner, |m, out| m.handle_advertisement(&advertisement(1), true, out)), []);
+    assert_eq!(handle(&mut owner, VirtualRouter::handle_shutdown), shutdown);
+    assert_eq!(
+        handle(&mut owner, |router, actions| router.handle_advertisement(&advertisement(1), true, actions)),
+        []
+    );
 }
