--- a/src/net/handover/clock.rs
+++ b/src/net/handover/clock.rs
@@ -1,14 +1,15 @@
-//! The wall clock.
+//! Wall clock of the process.
 
 use std::sync::LazyLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Environment variable with the milliseconds, signed, by which this process takes its machine's clock to be wrong.
+/// Environment variable with a signed offset in milliseconds that this process adds to its machine's clock.
 ///
-/// For tests alone: they run processes whose clocks differ beside each other.
+/// Only tests set it, to run processes with different clocks on one machine.
 pub const CLOCK_OFFSET_VARIABLE: &str = "ASHTIDE_CLOCK_OFFSET_MS";
 
-/// The time in microseconds of Unix time. Everything that other processes or machines compare is read here.
+/// Returns the Unix time in microseconds. All times that other processes or machines compare are from this
+/// function.
 pub fn unix_micros() -> u64 {
     static OFFSET_MICROS: LazyLock<i64> = LazyLock::new(read_offset_micros);
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/net/handover/connections.rs
+++ b/src/net/handover/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to the siblings while the process runs, and what follows from their messages.
+//! Connections to the siblings while the process runs, and the handling of their messages.
 
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
@@ -24,12 +24,12 @@
 use crate::net::messages::{DriverEvent, EventLoopHandle};
 use crate::net::pending_clients::PendingClients;
 
-/// A sibling that does not read a message within this time is disconnected.
+/// Time limit for writing a message to a sibling, which is disconnected when it is exceeded.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What the connections to siblings read and change.
+/// State of this process that the connections to siblings read and change.
 #[derive(Clone)]
 pub struct SiblingContext {
     /// State that is sent to the siblings.
@@ -42,11 +42,11 @@
     pub event_loop: EventLoopHandle,
     /// Folder of this deployment.
     pub state_folder: StateFolder,
-    /// The successor, once it takes over established connections.
+    /// Successor; `None` until a sibling takes over established connections.
     pub successor: watch::Sender<Option<Arc<Successor>>>,
 }
 
-/// Serves the discovered siblings and accepts later ones for as long as the process runs.
+/// Serves the discovered siblings and accepts connections of later ones, until the process exits.
 pub async fn run(siblings: DiscoveredSiblings, context: SiblingContext) {
     let own_rank = context.published.borrow().process.rank;
     let connections = SiblingConnections { own_rank, context, sibling_states: Arc::default() };
@@ -54,7 +54,7 @@
     for SiblingConnection { messages, writer, state } in siblings.connections {
         let is_verified = state.is_some();
         connections.update_sibling(next_number, Some(state.unwrap_or_default())).await;
-        tokio::spawn(connections.session(next_number, messages, writer, is_verified).run());
+        tokio::spawn(connections.create_session(next_number, messages, writer, is_verified).run());
         next_number += 1;
     }
     if let Some(listener) = siblings.listener {
@@ -62,12 +62,12 @@
     }
 }
 
-/// All connections to siblings.
+/// Set of all connections to siblings.
 #[derive(Clone)]
 struct SiblingConnections {
     own_rank: u64,
     context: SiblingContext,
-    /// Last state of each connected sibling, by the connection's number.
+    /// Last received state of each connected sibling, by connection number.
     sibling_states: Arc<Mutex<BTreeMap<u64, ProcessState>>>,
 }
 
@@ -88,12 +88,12 @@
             last_number += 1;
             let (messages, writer) = split_messages(stream);
             self.update_sibling(last_number, Some(ProcessState::default())).await;
-            tokio::spawn(self.session(last_number, messages, writer, false).run());
+            tokio::spawn(self.create_session(last_number, messages, writer, false).run());
         }
     }
 
-    /// The session of a new connection.
-    fn session(
+    /// Creates the session of a new connection.
+    fn create_session(
         &self,
         number: u64,
         messages: MessageReader,
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Records the state of a sibling, `None` once it has disconnected, and applies what follows from all states.
+    /// Records the state of a sibling, `None` if it has disconnected, and applies the summary of all
+    /// siblings' states.
     async fn update_sibling(&self, number: u64, state: Option<ProcessState>) {
         let summary = {
             let mut states = self.lock_states();
@@ -126,7 +127,8 @@
         if summary.restore_phase_over {
             self.context.pending_clients.end_restore_phase();
         }
-        // Before the successor accepts the clients: from then on, connections can be handed over to it.
+        // The successor is set before this process stops accepting clients, so that connections can be handed
+        // off to it from then on.
         self.update_successor(summary.successor_rank);
         self.update_accepting(!summary.has_ready_successor);
         let event = DriverEvent::SiblingState { usage: summary.server_usage, cordons: summary.cordons };
@@ -162,18 +164,19 @@
     }
 }
 
-/// The connection to one sibling.
+/// Session on the connection to one sibling.
 struct SiblingSession {
     connections: SiblingConnections,
     number: u64,
     messages: MessageReader,
     writer: UnixWriter,
     published: watch::Receiver<PublishedState>,
-    /// Whether the sibling's state has shown that it is of the same deployment. Nothing else is used before.
+    /// Whether the sibling's state has shown that it is of the same deployment. Its endpoint list is not used
+    /// before.
     is_verified: bool,
-    /// Endpoint list that came before the first state.
+    /// Endpoint list that was received before the first state.
     unverified_list: Option<EndpointList>,
-    /// Index of the endpoint list that was sent last.
+    /// Index of the last sent endpoint list.
     sent_list_index: Option<u64>,
 }
 
@@ -191,7 +194,7 @@
                 Some(Ok(SiblingMessage::State(state))) => self.handle_state(state).await,
                 Some(Ok(SiblingMessage::List(list))) => self.handle_list(list).await,
                 Some(Err(error)) => {
-                    info!("handover: unreadable message from a sibling: {error}; disconnecting it");
+                    info!("handover: cannot decode a sibling's message: {error}; closing the connection");
                     ControlFlow::Break(())
                 }
                 None => ControlFlow::Break(()),
@@ -204,8 +207,8 @@
     }
 
     async fn handle_state(&mut self, state: ProcessState) -> ControlFlow<()> {
-        if let Some(other) = self.connections.context.state_folder.foreign_deployment(&state) {
-            info!("handover: {}", ForeignProcess(other));
+        if let Some(deployment) = self.connections.context.state_folder.foreign_deployment(&state) {
+            info!("handover: {}", ForeignProcess(deployment));
             return ControlFlow::Break(());
         }
         self.is_verified = true;
@@ -227,10 +230,10 @@
 
     async fn send_published_state(&mut self) -> ControlFlow<()> {
         let PublishedState { mut process, endpoint_list } = self.published.borrow_and_update().clone();
-        // It may have ended since the event loop has published the state.
+        // The restore phase may have ended since the event loop published the state.
         process.restore_phase_over |= self.connections.context.pending_clients.restore_phase_is_over();
         let mut lines = Vec::new();
-        // The list goes first: the sibling waits for the state.
+        // The list is sent first, because a sibling that starts only waits until it has received the state.
         if let Some(list) = endpoint_list.filter(|list| self.sent_list_index != Some(list.index)) {
             self.sent_list_index = Some(list.index);
             lines.extend_from_slice(&SiblingMessage::List(EndpointList::clone(&list)).encode_line());
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -1,4 +1,5 @@
-//! The event loop's side of the handover: what this process publishes to its siblings and what it persists.
+//! The event loop's side of the handover: the state that this process publishes to its siblings, and the
+//! state that it persists.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,18 +17,18 @@
 
 static PERSIST_LOG: RateLimitedLog = RateLimitedLog::new("handover");
 
-/// What a process publishes to its siblings whenever it changes.
+/// State that a process publishes to its siblings whenever it changes.
 #[derive(Debug, Clone, Default)]
 pub struct PublishedState {
     /// State of the process.
     pub process: ProcessState,
-    /// Its endpoint list.
+    /// Endpoint list of the process; `None` until it has one.
     pub endpoint_list: Option<Arc<EndpointList>>,
 }
 
-/// Publishes the state of this process and persists what must outlive it.
+/// Publishes the state of this process to its siblings, and persists the state that later processes need.
 pub struct SiblingLink {
-    /// Clients of this process, and whether the restore phase is over.
+    /// Pending clients of this process, which also record whether the restore phase is over.
     pub pending_clients: PendingClients,
     state_folder: Option<StateFolder>,
     persisted: PersistedState,
@@ -39,7 +40,10 @@
 }
 
 impl SiblingLink {
-    /// The link of a process in this state that reserves so many descriptors beside those of its clients.
+    /// Creates the link of a process in state `process`.
+    ///
+    /// `reserved_descriptors` is the number of descriptors that the process reserves in addition to those of
+    /// its clients.
     pub fn new(
         pending_clients: PendingClients,
         state_folder: Option<StateFolder>,
@@ -60,7 +64,7 @@
         }
     }
 
-    /// The successor, once it takes over established connections.
+    /// Returns the successor; `None` until a sibling takes over established connections.
     pub fn successor(&self) -> Option<Arc<Successor>> {
         self.successor.borrow().clone()
     }
@@ -70,7 +74,7 @@
         self.published.subscribe()
     }
 
-    /// Publishes the current state, and persists what has changed.
+    /// Publishes the current state, and persists unsaved changes.
     pub fn publish(&mut self, ready: bool, server_usage: BTreeMap<String, ServerUsage>) {
         let restore_phase_over = self.pending_clients.restore_phase_is_over();
         if restore_phase_over != self.persisted.restore_phase_over {
@@ -90,7 +94,7 @@
         });
     }
 
-    /// Sets the endpoint list; it is sent with the next state.
+    /// Sets the endpoint list, which is sent with the next published state.
     pub fn publish_list(&mut self, list: EndpointList) {
         self.published.send_if_modified(|published| {
             published.endpoint_list = Some(Arc::new(list));
@@ -98,37 +102,41 @@
         });
     }
 
-    /// Records an operator's cordon or uncordon and persists it.
+    /// Records an operator's cordon or uncordon, and persists it.
     ///
     /// # Errors
     ///
-    /// Fails where it cannot be persisted; this process applies it all the same.
+    /// Returns an error if it cannot be persisted. This process applies it nevertheless.
     pub fn record_cordon(&mut self, server: &str, cordoned: bool) -> io::Result<()> {
         self.persisted.cordons.record_now(server, unix_micros(), cordoned);
         self.persist()
     }
 
-    /// Merges the cordons of siblings; returns the servers that are cordoned or uncordoned by them.
+    /// Merges the cordons of siblings; returns the servers that are thereby cordoned or uncordoned.
     pub fn merge_cordons(&mut self, cordons: &Cordons) -> Vec<CordonTransition> {
         let transitions = self.persisted.cordons.merge(cordons);
-        // This process may overwrite the sibling's file.
+        // This process may later overwrite the state file that the sibling has written, so it stores them as
+        // well.
         self.has_unsaved_changes |= !transitions.is_empty();
         transitions
     }
 
-    /// The cordons of operators.
+    /// Returns the cordons of operators.
     pub fn cordons(&self) -> &Cordons {
         &self.persisted.cordons
     }
 
-    /// Persists unsaved changes; on failure they are persisted with the next published state.
+    /// Persists unsaved changes. After a failure, the next published state retries.
     fn persist_changes(&mut self) {
         if !self.has_unsaved_changes {
             return;
         }
         if let Err(error) = self.persist() {
             let path = self.state_folder.as_ref().map(|folder| folder.file_path("kept")).unwrap_or_default();
-            PERSIST_LOG.log(format_args!("state file {}: {error}; retrying", path.display()));
+            PERSIST_LOG.log(format_args!(
+                "cannot write state file {}: {error}; retrying with the next state",
+                path.display()
+            ));
         }
     }
 
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,5 +1,5 @@
-//! Hands a gateway over from one process to the next: siblings meet at Unix sockets in `$TMPDIR` and exchange state
-//! there, and a state file in the same folder outlives them.
+//! Handover of a gateway from one process to the next. Siblings connect over Unix sockets in `$TMPDIR` and
+//! exchange their state. A state file in the same folder persists state across processes.
 //!
 //! The messages and the file's contents are defined in [`crate::handover`].
 
@@ -24,7 +24,7 @@
 use crate::config::Config;
 use crate::handover::Deployment;
 
-/// Describes the deployment of a process with this configuration and client listener.
+/// Returns the deployment of a process with this configuration and client listener.
 pub fn describe_deployment(config: &Config, listener: &TcpListener) -> Deployment {
     let names = config.settings.name_tables();
     let (listen_address, listener_inode) = match config.inherited_listener {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The inode of a listener's socket, the same in all processes that have inherited it.
+/// Returns the inode of a listener's socket, which is the same in all processes that have inherited it.
 fn inode_of(listener: &TcpListener) -> Option<u64> {
     let duplicate = listener.as_fd().try_clone_to_owned().ok()?;
     Some(File::from(duplicate).metadata().ok()?.ino())
--- a/src/net/handover/state_folder.rs
+++ b/src/net/handover/state_folder.rs
@@ -1,4 +1,4 @@
-//! The folder with the sockets of a gateway's processes and the state file that outlives them.
+//! Folder with the sockets of a gateway's processes and its state file, which persists across processes.
 
 use std::fs::{self, File};
 use std::io::{self, Read};
@@ -12,17 +12,18 @@
 use crate::net::connection_handoff::HandoffReceiver;
 use crate::net::storage::StagedFile;
 
-/// Sockets of one name that are tried, the youngest first: other deployments' may be among them.
+/// Maximum number of sockets with the gateway's name that are tried, the most recent first. Some may belong
+/// to other deployments.
 const MAX_SOCKETS_TRIED: usize = 16;
-/// State files of one name that are looked at: other deployments' may be among them.
+/// Maximum number of state files with the gateway's name that are read. Some may belong to other deployments.
 const MAX_STATE_FILES: usize = 8;
-/// Longest state file in bytes; a longer one was not written by a gateway.
+/// Maximum length of a state file in bytes. A longer file was not written by a gateway.
 const MAX_STATE_FILE_LENGTH: u64 = MAX_MESSAGE_LENGTH as u64;
 
-/// Why a state file is left alone.
+/// Reason that a file at a state file's path is left unchanged.
 #[derive(Debug, thiserror::Error)]
 enum ForeignFile {
-    #[error("no file of at most {MAX_STATE_FILE_LENGTH} bytes")]
+    #[error("not a regular file of at most {MAX_STATE_FILE_LENGTH} bytes")]
     NotAStateFile,
     #[error(transparent)]
     Unreadable(io::Error),
@@ -30,53 +31,56 @@
     OtherDeployment(Deployment),
 }
 
-/// What a path holds, as this deployment sees it.
+/// Content found at a state file's path.
 enum StateFile {
+    /// No file exists at the path.
     Missing,
-    /// Written by this deployment, or by a version that did not name its deployment.
+    /// The file was written by this deployment, or by a version that did not name its deployment.
     Own(PersistedState),
-    /// Cannot be decoded by any deployment.
+    /// The file cannot be decoded by any deployment.
     Corrupt(serde_json::Error),
+    /// The file is not this deployment's and is left unchanged.
     Foreign(ForeignFile),
 }
 
-/// A path for the state file, and what it holds.
+/// Candidate path for the state file, and the content found there.
 struct Candidate {
     path: PathBuf,
     file: StateFile,
 }
 
 impl Candidate {
-    /// Whether it is preferred to the best one that was found before it.
+    /// Returns whether this candidate is preferred to the best earlier one: a file of this deployment is
+    /// preferred to any other, otherwise the first candidate is.
     fn is_better_than(&self, best: Option<&Self>) -> bool {
         let Some(best) = best else { return true };
         matches!(self.file, StateFile::Own(_)) && !matches!(best.file, StateFile::Own(_))
     }
 }
 
-/// A socket that another process may listen at. The order is by rank.
+/// Socket at which a process may listen. The derived order is by rank.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedSocket {
     rank: u64,
     path: PathBuf,
 }
 
-/// The folder where the processes of one gateway meet and keep their state file.
+/// Folder with the sockets and the state file of one gateway's processes.
 #[derive(Debug, Clone)]
 pub struct StateFolder {
     folder: PathBuf,
-    /// Beginning of all file names: several gateways may share a folder.
+    /// Prefix of all file names, because several gateways may share a folder.
     file_prefix: String,
     deployment: Arc<Deployment>,
 }
 
 impl StateFolder {
-    /// The folder of a gateway of which only the name is known.
+    /// Creates the state folder of a gateway of which only the name is known.
     pub fn for_gateway(folder: &Path, name: &str) -> Self {
         Self::for_deployment(folder, Deployment { name: name.to_owned(), ..Deployment::default() })
     }
 
-    /// The folder of a deployment.
+    /// Creates the state folder of a deployment.
     pub fn for_deployment(folder: &Path, deployment: Deployment) -> Self {
         let is_replaced = |character: char| !character.is_ascii_alphanumeric() && character != '-';
         Self {
@@ -86,45 +90,47 @@
         }
     }
 
-    /// The deployment whose folder it is.
+    /// Returns the deployment that uses the folder.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
 
-    /// The deployment of a process in this state if it is another one than this.
+    /// Returns the deployment of a process in state `state` if it differs from this one.
     pub(super) fn foreign_deployment<'a>(&self, state: &'a ProcessState) -> Option<&'a Deployment> {
         state.deployment.as_ref().filter(|other| !self.deployment.is_same_deployment(other))
     }
 
-    /// The path of one of the gateway's files.
+    /// Returns the path of the gateway's file with this suffix.
     pub fn file_path(&self, suffix: &str) -> PathBuf {
         self.folder.join(format!("{}.{suffix}", self.file_prefix))
     }
 
-    /// The rank of this process: above those of all processes that have their sockets here.
+    /// Returns a rank for this process, higher than those of all processes with sockets in the folder.
     pub fn next_rank(&self) -> u64 {
         let existing_ranks = self.ranked_sockets().into_iter().map(|socket| socket.rank);
         rank_after(unix_micros(), existing_ranks, std::process::id())
     }
 
-    /// The socket where the process of this rank meets its siblings.
+    /// Returns the path of the socket where the process of this rank accepts its siblings.
     pub(super) fn socket_path(&self, rank: u64) -> PathBuf {
         self.file_path(&format!("{rank}.sock"))
     }
 
-    /// The socket where the process of this rank receives connections.
+    /// Returns the path of the socket where the process of this rank receives handed off connections.
     pub(super) fn handoff_path(&self, rank: u64) -> PathBuf {
         self.file_path(&format!("{rank}.inbox"))
     }
 
-    /// Binds the socket where this process receives established connections; logs and returns `None` on failure.
+    /// Binds the socket where this process receives established connections. Logs a failure and returns
+    /// `None`.
     pub fn bind_handoff_receiver(&self, rank: u64) -> Option<HandoffReceiver> {
         let path = self.handoff_path(rank);
         match HandoffReceiver::bind(&path) {
             Ok(receiver) => Some(receiver),
             Err(error) => {
                 info!(
-                    "handover: {}: {error}; this process cannot take over established connections",
+                    "handover: cannot bind {}: {error}; \
+                     this process cannot take over established connections",
                     path.display()
                 );
                 None
@@ -132,18 +138,18 @@
         }
     }
 
-    /// Removes the sockets of a process that ends.
+    /// Removes the sockets of the process of this rank, which exits.
     pub fn remove_sockets(&self, rank: u64) {
         let _ = fs::remove_file(self.socket_path(rank));
         let _ = fs::remove_file(self.handoff_path(rank));
     }
 
-    /// The paths of the sockets of other processes, the youngest first.
+    /// Returns the paths of other processes' sockets, the most recent first.
     pub(super) fn sibling_sockets(&self) -> Vec<PathBuf> {
         self.ranked_sockets().into_iter().take(MAX_SOCKETS_TRIED).map(|socket| socket.path).collect()
     }
 
-    /// All sockets of this name, the highest rank first.
+    /// Returns all sockets with the gateway's name, the highest rank first.
     fn ranked_sockets(&self) -> Vec<RankedSocket> {
         let entries = fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let ranked_socket = |path: PathBuf| Some(RankedSocket { rank: self.rank_of(&path)?, path });
@@ -152,13 +158,14 @@
         sockets
     }
 
-    /// The rank in a socket's name; `None` where it is no socket of this gateway.
+    /// Returns the rank in a socket's file name; `None` if the file is not a socket of this gateway.
     fn rank_of(&self, path: &Path) -> Option<u64> {
         let name = path.file_name()?.to_str()?.strip_prefix(&self.file_prefix)?.strip_prefix('.')?;
         name.strip_suffix(".sock")?.parse().ok()
     }
 
-    /// Loads what earlier processes of this deployment have stored; the default where no file can be read.
+    /// Loads the state that earlier processes of this deployment have stored; returns the default if there is
+    /// no valid state file.
     pub fn load(&self) -> PersistedState {
         match self.find_state_file(log_foreign_file) {
             Some(Candidate { file: StateFile::Own(state), .. }) => state,
@@ -174,14 +181,15 @@
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be written, or where all files of this name belong to other deployments.
+    /// Returns an error if the folder cannot be written, or if all files with the gateway's name belong to
+    /// other deployments.
     pub fn store(&self, state: &PersistedState) -> io::Result<()> {
         let state = PersistedState { deployment: Some(self.deployment().clone()), ..state.clone() };
         let staged = StagedFile::stage(&self.file_path("kept"), &serde_json::to_vec(&state)?)?;
         for _ in 0..MAX_STATE_FILES {
             let Some(Candidate { path, file }) = self.find_state_file(|_, _| ()) else { break };
             if matches!(file, StateFile::Missing) {
-                // Another deployment may create the file at this moment: only one of the two succeeds.
+                // If another deployment creates the file at the same time, only one of the two succeeds.
                 match staged.create_destination(&path) {
                     Ok(()) => return Ok(()),
                     Err(error) if error.kind() == io::ErrorKind::AlreadyExists => continue,
@@ -191,13 +199,15 @@
             }
             return staged.replace_destination(&path);
         }
-        Err(io::Error::other(format!("all {MAX_STATE_FILES} files of this name are other deployments'")))
+        Err(io::Error::other(format!(
+            "all {MAX_STATE_FILES} paths for the state file are in use by other deployments' files"
+        )))
     }
 
-    /// The state file of this deployment, else the best path for a new one.
+    /// Returns the state file of this deployment, or the best path for a new one.
     ///
-    /// Files of other deployments are passed to `on_foreign_file` and left alone: this one's stands beside them, under
-    /// the next number.
+    /// Files of other deployments are passed to `on_foreign_file` and left unchanged. This deployment then
+    /// uses the path with the next number.
     fn find_state_file(&self, mut on_foreign_file: impl FnMut(&Path, &ForeignFile)) -> Option<Candidate> {
         let mut best: Option<Candidate> = None;
         for number in 1..=MAX_STATE_FILES {
@@ -244,7 +254,8 @@
     }
 }
 
-/// Reads a regular file; `None` where it is another kind of file, which could block, or too long.
+/// Reads a regular file. Returns `None` if it is too long or another kind of file, which could block the
+/// read.
 fn read_limited(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let metadata = fs::metadata(path)?;
     if !metadata.is_file() || metadata.len() > MAX_STATE_FILE_LENGTH {
@@ -257,8 +268,8 @@
 
 fn log_foreign_file(path: &Path, reason: &ForeignFile) {
     info!(
-        "handover: state file {}: {reason}; leaving it alone and storing another one beside it; give each gateway a \
-         name or a TMPDIR of its own, or remove the file if it is unused",
+        "handover: state file {}: {reason}; leaving it alone and using another one in the same folder; \
+         configure a different name or TMPDIR for each gateway, or remove the file if it is unused",
         path.display()
     );
 }
