--- a/src/net/quic/clients.rs
+++ b/src/net/quic/clients.rs
@@ -1,4 +1,4 @@
-//! Datagrams of clients.
+//! Handling of datagrams received from clients.
 
 use std::net::SocketAddr;
 
@@ -14,13 +14,13 @@
 use crate::quic::load_balancing::decode_server_id;
 use crate::quic::{ConnectionId, Header, LongPacketType};
 
-/// Least length in bytes of the connection id that a client chooses for the server (RFC 9000, section 7.2).
+/// Minimum length in bytes of a client's first Destination Connection ID (RFC 9000, section 7.2).
 const MIN_INITIAL_DESTINATION_ID_LENGTH: usize = 8;
-/// Reason in the rejection of a connection beyond the limit.
+/// Reason phrase in the rejection of a connection that exceeds the connection limit.
 const OVER_LIMIT_REASON: &str = "BUSY 1000";
 
 impl QuicFrontend {
-    /// Handles a datagram of a client.
+    /// Handles a datagram received from a client.
     pub(super) async fn handle_client_datagram(&mut self, datagram: &[u8], client: SocketAddr) {
         match Header::parse(datagram, self.config.id_length) {
             Err(_) | Ok(Header::VersionNegotiation { .. }) => self.drops.malformed += 1,
@@ -107,10 +107,10 @@
         self.event_loop.send(event).await;
     }
 
-    /// Restores a connection that was established before this process has seen it.
+    /// Restores a connection that was established before this process received any of its datagrams.
     ///
-    /// Servers issue ids under encryption, so the id itself tells the server. One that tells no server of the list gets
-    /// its one final answer, a stateless reset.
+    /// Servers issue connection ids in encrypted packets, so the server is decoded from the id itself. An id
+    /// that encodes no server of the endpoint list is answered once, with a stateless reset.
     async fn restore_connection(&mut self, destination: ConnectionId, datagram: &[u8], client: SocketAddr) {
         let server_id = decode_server_id(&destination, self.config.rotation);
         let server = server_id.and_then(|server_id| self.servers_by_id.get(&server_id)).cloned();
@@ -119,7 +119,7 @@
             return self.send_reset(&destination, datagram.len(), client).await;
         };
         if let Some(id) = self.flows.flow_on_path(client, server.address) {
-            // The same client under another id: one connection to the event loop, not two.
+            // The same client uses another id. The event loop must count one connection, not two.
             self.connection_ids.insert(destination, id);
             return self.forward_to_server(id, destination, datagram, client).await;
         }
@@ -136,7 +136,7 @@
         self.event_loop.send(event).await;
     }
 
-    /// Forwards a client's datagram to its server, on the path of the address that it came from.
+    /// Forwards a client's datagram to its server, on the path of its source address.
     async fn forward_to_server(
         &mut self,
         id: RequestId,
@@ -149,12 +149,12 @@
         if flow.attempt().is_none() {
             return;
         }
-        let begins_to_await_response = flow.begins_to_await_response();
+        let expects_response = flow.starts_awaiting_response();
         if self.open_path(id, client).await {
             self.send_to_server(id, client, datagram).await;
         }
-        if begins_to_await_response {
-            // Not every datagram has a response of its own.
+        if expects_response {
+            // `answer_due` is false because not every datagram has its own response.
             self.event_loop.send(SessionEvent::MessageForwarded { id, answer_due: false }).await;
         }
     }
--- a/src/net/quic/commands.rs
+++ b/src/net/quic/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the event loop.
+//! Handling of commands from the event loop.
 
 use std::net::SocketAddr;
 
@@ -20,11 +20,13 @@
             SessionCommand::StartAttempt { attempt, address, .. } => {
                 self.start_attempt(id, attempt, address).await;
             }
-            // An attempt has no connection before its first packet, and the handshake goes on by itself.
+            // Nothing to do: an attempt has no connection before its first packet, and client and server
+            // complete the handshake themselves.
             SessionCommand::SendFirstLine { .. } | SessionCommand::ConfirmEstablished { .. } => {}
             SessionCommand::CancelAttempt { attempt } => self.cancel_attempt(id, attempt),
             SessionCommand::Answer(answer) => self.answer(id, answer).await,
-            // Its paths are sockets of this process alone, so it cannot be handed off.
+            // The paths are sockets of this process only, so the connection cannot be handed off and is
+            // reset.
             SessionCommand::Migrate | SessionCommand::HandOff { .. } => self.reset_flow(id).await,
         }
     }
@@ -35,7 +37,7 @@
         let client = flow.client;
         let is_new_connection = flow.initial_ids.is_some();
         if !self.open_path(id, client).await {
-            // This process has no socket or no path left, which is no evidence against the server.
+            // This process has no socket or path left, which is no evidence against the server.
             return self.end_attempt(id, attempt, Outcome::LocalFailure).await;
         }
         for datagram in datagrams {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Sends the final answer to a client: a rejection or a failure. An established connection is reset.
+    /// Sends a rejection or a failure to a client as its final answer. An established connection is reset.
     async fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(flow) = self.flows.get(id) else { return };
         let client = flow.client;
--- a/src/net/quic/flow.rs
+++ b/src/net/quic/flow.rs
@@ -1,4 +1,4 @@
-//! One QUIC connection and its paths.
+//! State of one QUIC connection and its paths.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,19 +16,23 @@
 use crate::quic::ConnectionId;
 use crate::quic::header::MIN_INITIAL_DATAGRAM;
 
-/// Datagrams of a client that are buffered until its server is known.
+/// Maximum number of datagrams of a client that are buffered until its connection is established.
 const MAX_BUFFERED_DATAGRAMS: usize = 4;
-/// A client's datagram that comes this long after the server's last one expects a response; an earlier one may only
-/// acknowledge.
+/// Time since the server's last datagram after which a client's datagram is assumed to expect a response. An
+/// earlier datagram may be a mere acknowledgement.
 const RESPONSE_EXPECTED_AFTER: Duration = Duration::from_millis(500);
-/// Wait after an error of a path's socket that is not the server's.
+/// Delay after a socket error that the server did not cause.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The socket towards the server for one address of the client.
+/// Path of a connection: the socket to the server for one address of the client.
 pub(super) struct Path {
+    /// Address of the client.
     pub(super) client: SocketAddr,
+    /// Socket connected to the server.
     pub(super) socket: Arc<UdpSocket>,
+    /// Task that reads the socket. It is aborted when the path is dropped.
     pub(super) reader: AbortHandle,
+    /// Time of the client's last datagram on the path.
     pub(super) last_used_at: Instant,
 }
 
@@ -38,36 +42,41 @@
     }
 }
 
-/// State of a flow.
+/// State of a flow, with the number of its attempt.
 pub(super) enum FlowState {
-    /// No attempt is in flight: datagrams are buffered.
+    /// No attempt is in flight, and the client's datagrams are buffered.
     Waiting,
-    /// This attempt is in flight, without a response yet.
+    /// The attempt is in flight and has no response yet.
     Connecting(u32),
-    /// The connection of this attempt is established.
+    /// The connection of the attempt is established.
     Established(u32),
 }
 
-/// A connection.
+/// QUIC connection of a client, as the front end forwards it.
 pub(super) struct Flow {
     pub(super) state: FlowState,
+    /// Address of the server; `None` before the first attempt.
     pub(super) server: Option<SocketAddr>,
-    /// Ids of the client's first Initial; `None` where the connection was established before this process has seen it.
+    /// Connection ids of the client's first Initial; `None` if the connection was established before this
+    /// process received any of its datagrams.
     pub(super) initial_ids: Option<InitialIds>,
-    /// Connection id of the server that the client has used last.
+    /// Connection id of the server that the client used last.
     pub(super) last_server_connection_id: ConnectionId,
-    /// Address of the client at which the server answers.
+    /// Address of the client to which the server sent its last datagram.
     pub(super) client: SocketAddr,
+    /// Datagrams of the client received before the connection was established.
     pub(super) buffered: Vec<Bytes>,
     pub(super) paths: Vec<Path>,
+    /// Time of the last datagram in either direction.
     pub(super) last_activity_at: Instant,
+    /// Time of the server's last datagram, initially the start of the flow.
     last_response_at: Instant,
-    /// Whether the client waits for a response of the server.
+    /// Whether the client is waiting for a response of the server.
     awaiting_response: bool,
 }
 
 impl Flow {
-    /// A flow that starts with this datagram.
+    /// Creates a flow that starts with this datagram.
     pub(super) fn new(destination: ConnectionId, client: SocketAddr, datagram: &[u8]) -> Self {
         let now = Instant::now();
         Self {
@@ -84,7 +93,7 @@
         }
     }
 
-    /// The attempt that is in flight or established.
+    /// Returns the number of the attempt that is in flight or established.
     pub(super) fn attempt(&self) -> Option<u32> {
         match self.state {
             FlowState::Waiting => None,
@@ -100,7 +109,7 @@
         matches!(self.state, FlowState::Established(_))
     }
 
-    /// Records a datagram of the client; it is buffered until the connection is established.
+    /// Records a datagram of the client, which is buffered if the connection is not established.
     pub(super) fn record_client_datagram(&mut self, destination: ConnectionId, datagram: &[u8]) {
         self.last_activity_at = Instant::now();
         if self.is_established() {
@@ -112,16 +121,17 @@
         }
     }
 
-    /// Whether the client expects a response from now on, and did not before.
-    pub(super) fn begins_to_await_response(&mut self) -> bool {
-        let begins = self.is_established()
+    /// Checks after a client's datagram whether the client starts waiting for a response, and records it.
+    /// Returns false if the client was already waiting.
+    pub(super) fn starts_awaiting_response(&mut self) -> bool {
+        let starts = self.is_established()
             && !self.awaiting_response
             && self.last_activity_at.duration_since(self.last_response_at) >= RESPONSE_EXPECTED_AFTER;
-        self.awaiting_response |= begins;
-        begins
+        self.awaiting_response |= starts;
+        starts
     }
 
-    /// Records a datagram of the server; returns whether the client has waited for it.
+    /// Records a datagram of the server; returns whether the client was waiting for a response.
     pub(super) fn record_server_datagram(&mut self) -> bool {
         let now = Instant::now();
         self.last_activity_at = now;
@@ -129,15 +139,17 @@
         std::mem::take(&mut self.awaiting_response)
     }
 
-    /// The server has issued its first connection id.
+    /// Marks the connection as established once the server has issued its first connection id.
     pub(super) fn establish(&mut self, attempt: u32, server_connection_id: ConnectionId) {
         self.state = FlowState::Established(attempt);
         self.last_server_connection_id = server_connection_id;
         self.buffered = Vec::new();
     }
 
-    /// Starts an attempt; returns the datagrams to send. A new connection keeps them for further attempts; one that was
-    /// established before has none.
+    /// Starts an attempt and returns the datagrams to send to the server.
+    ///
+    /// A new connection retains them for further attempts. A restored connection does not, because it has
+    /// only one attempt.
     pub(super) fn start_attempt(&mut self, attempt: u32, server: SocketAddr) -> Vec<Bytes> {
         self.server = Some(server);
         if self.initial_ids.is_some() {
@@ -149,33 +161,37 @@
         }
     }
 
-    /// Length of the datagram that a reset responds to.
+    /// Returns the length in bytes of the datagram that triggers a stateless reset, which limits the reset's
+    /// length.
     pub(super) fn trigger_length(&self) -> usize {
         self.buffered.first().map_or(MIN_INITIAL_DATAGRAM, Bytes::len)
     }
 }
 
-/// A datagram of a server, or why there are no more.
+/// Datagram received from a server, or the error that ended the reader of its path.
 pub(super) struct ServerDatagram {
     pub(super) id: RequestId,
     pub(super) attempt: u32,
-    /// Address of the client on whose path it came.
+    /// Address of the client whose path received the datagram.
     pub(super) client: SocketAddr,
     pub(super) datagram: io::Result<Bytes>,
 }
 
-/// Where a path's reader delivers.
+/// Reader of a path's socket, with the connection and attempt to which its datagrams belong.
 pub(super) struct PathReader {
     pub(super) id: RequestId,
     pub(super) attempt: u32,
+    /// Address of the client.
     pub(super) client: SocketAddr,
+    /// Channel to the front end.
     pub(super) datagrams: mpsc::Sender<ServerDatagram>,
 }
 
 impl PathReader {
-    /// Reads a path's socket until the server's machine refuses or the path is closed.
+    /// Reads a path's socket until the server's host refuses a datagram or the path is closed.
     ///
-    /// Other errors are of this machine or of the network, and pass: they are no evidence against the server.
+    /// Other errors come from this machine or the network and are temporary. They are no evidence against the
+    /// server.
     pub(super) async fn run(self, socket: Arc<UdpSocket>) {
         let mut buffer = [0; MAX_DATAGRAM_LENGTH];
         loop {
--- a/src/net/quic/flow_table.rs
+++ b/src/net/quic/flow_table.rs
@@ -1,4 +1,4 @@
-//! All flows, with their paths.
+//! Table of all flows and their paths.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,42 +9,42 @@
 use super::flow::{Flow, FlowState, Path};
 use crate::decision::interface::RequestId;
 
-/// Addresses that a connection may be seen under at once.
+/// Maximum number of client addresses of one connection that have a path at the same time.
 const MAX_PATHS_PER_FLOW: usize = 4;
-/// A path on which its client has sent nothing for this time is closed once another one is in use.
+/// Time without a datagram from the client after which a path is closed, if the client uses another one.
 const PATH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client's address and a server's address.
+/// Key of a path: the client's address and the server's address.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct PathKey {
     client: SocketAddr,
     server: SocketAddr,
 }
 
-/// An established connection that is idle.
+/// Established connection that has reached the idle timeout.
 pub(super) struct IdleFlow {
     pub(super) id: RequestId,
     pub(super) attempt: u32,
 }
 
-/// Whether a path can be opened.
+/// Result of a request to open a path.
 pub(super) enum PathAdmission {
     /// The path is open already.
     AlreadyOpen,
-    /// A path may be opened, in this attempt and to this server.
+    /// The path may be opened.
     Allowed {
-        /// The attempt.
+        /// Number of the attempt to which the path belongs.
         attempt: u32,
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
     },
-    /// All paths are in use by other connections.
+    /// Other connections use all paths.
     NoCapacity,
-    /// The flow has no server.
+    /// The flow does not exist, or has no server or attempt.
     NoServer,
 }
 
-/// The flows of a front end, with at most `max_paths` open paths.
+/// Flows of a front end, with at most `max_paths` open paths.
 pub(super) struct FlowTable {
     flows: HashMap<RequestId, Flow>,
     flows_by_path: HashMap<PathKey, RequestId>,
@@ -65,12 +65,12 @@
         self.open_paths
     }
 
-    /// Whether one more path can be opened without closing another one.
+    /// Returns whether a path can be opened without closing another one.
     pub(super) fn has_free_path(&self) -> bool {
         self.open_paths < self.max_paths
     }
 
-    /// Whether a new connection can be accepted.
+    /// Returns whether a new connection can be accepted.
     pub(super) fn has_capacity(&self) -> bool {
         self.has_free_path() && self.flows.len() < self.max_paths
     }
@@ -87,18 +87,19 @@
         self.flows.get_mut(&id)
     }
 
-    /// The path of a flow for an address of its client.
+    /// Returns the path of a flow for an address of its client.
     pub(super) fn path_mut(&mut self, id: RequestId, client: SocketAddr) -> Option<&mut Path> {
         let flow = self.flows.get_mut(&id)?;
         flow.paths.iter_mut().find(|path| path.client == client)
     }
 
-    /// The flow of a client's address at a server.
+    /// Returns the flow that has a path between a client's address and a server.
     pub(super) fn flow_on_path(&self, client: SocketAddr, server: SocketAddr) -> Option<RequestId> {
         self.flows_by_path.get(&PathKey { client, server }).copied()
     }
 
-    /// Checks whether a path for a client's address may be opened, and makes room for it among the flow's own paths.
+    /// Checks whether a path for a client's address may be opened. Closes the flow's least recently used path
+    /// if that is necessary.
     pub(super) fn admit_path(&mut self, id: RequestId, client: SocketAddr) -> PathAdmission {
         let is_full = !self.has_free_path();
         let Some(flow) = self.flows.get_mut(&id) else { return PathAdmission::NoServer };
@@ -111,9 +112,9 @@
             return PathAdmission::NoCapacity;
         }
         if is_full || flow.paths.len() >= MAX_PATHS_PER_FLOW {
-            let oldest = close_oldest_path(flow);
+            let closed = close_oldest_path(flow);
             self.open_paths -= 1;
-            self.flows_by_path.remove(&PathKey { client: oldest, server });
+            self.flows_by_path.remove(&PathKey { client: closed, server });
         }
         PathAdmission::Allowed { attempt, server }
     }
@@ -143,7 +144,8 @@
         self.flows.remove(&id)
     }
 
-    /// Closes paths that their clients no longer use; returns the established connections that are idle.
+    /// Closes paths that their clients no longer use; returns the established connections that have reached
+    /// `idle_timeout`.
     pub(super) fn sweep(&mut self, now: Instant, idle_timeout: Duration) -> Vec<IdleFlow> {
         let mut idle_flows = Vec::new();
         for (&id, flow) in &mut self.flows {
@@ -162,13 +164,13 @@
     }
 }
 
-/// Closes the path that was used least recently; returns its client's address.
+/// Closes the least recently used path; returns its client address.
 fn close_oldest_path(flow: &mut Flow) -> SocketAddr {
     let oldest = (0..flow.paths.len()).min_by_key(|&index| flow.paths[index].last_used_at);
     flow.paths.swap_remove(oldest.unwrap_or_default()).client
 }
 
-/// Closes the paths that the client has left; returns its addresses there.
+/// Closes the paths that the client no longer uses; returns their client addresses.
 fn close_unused_paths(flow: &mut Flow, now: Instant) -> Vec<SocketAddr> {
     let mut closed = Vec::new();
     let current = flow.client;
--- a/src/net/quic/mod.rs
+++ b/src/net/quic/mod.rs
@@ -1,14 +1,15 @@
-//! The QUIC front end: forwards datagrams between clients and servers by connection id, on the same event loop as
-//! other connections.
+//! QUIC front end, which forwards datagrams between clients and servers by connection id. It uses the same
+//! event loop as other connections.
 //!
-//! An Initial with a new connection id is a request, and the server's first response establishes it. From then on the ids
-//! that the server issues lead to the connection, whatever address they come from. Each address that a connection is seen
-//! under gets a socket of its own towards the server: the server sees a migration and validates the new path itself (RFC
-//! 9000, section 9), and a forged address gains nothing.
+//! An Initial with a new connection id is a connection request, and the server's first response establishes
+//! the connection. From then on, datagrams are routed by the connection ids that the server has issued,
+//! regardless of their source address. Each source address of a connection has its own socket to the server.
+//! The server therefore detects a migration of the client and validates the new path itself (RFC 9000,
+//! section 9), so that a forged source address has no effect.
 //!
-//! A connection is migrated by a stateless reset with the token of the connection id that the client used last: the client
-//! takes the connection for closed and sends a new Initial. Rejections and failures are an Initial that closes the
-//! connection with `CONNECTION_REFUSED` or `INTERNAL_ERROR`.
+//! The balancer migrates a connection with a stateless reset that contains the token of the connection id
+//! that the client used last. The client considers the connection closed and sends a new Initial. A rejection
+//! or a failure is an Initial that closes the connection with `CONNECTION_REFUSED` or `INTERNAL_ERROR`.
 
 mod clients;
 mod commands;
@@ -39,44 +40,46 @@
 use flow::ServerDatagram;
 use flow_table::FlowTable;
 
-/// Longest datagram that is forwarded, in bytes.
+/// Size of the receive buffers, and thus the maximum length of a forwarded datagram, in bytes.
 const MAX_DATAGRAM_LENGTH: usize = 2048;
-/// Datagrams of servers that may wait for the front end; then those in their sockets' queues wait.
+/// Maximum number of servers' datagrams queued for the front end. Further datagrams remain in their sockets'
+/// receive queues.
 const SERVER_DATAGRAM_QUEUE: usize = 512;
-/// Commands that may wait, for each path that may be open.
+/// Length of the command queue, per path that may be open.
 const COMMANDS_PER_PATH: usize = 4;
-/// Connection ids whose final answer is remembered.
+/// Maximum number of connection ids that are recorded as having received their final answer.
 const MAX_ANSWERED_IDS: usize = 8192;
-/// A datagram that its socket has not taken by then is dropped, as on any network.
+/// Time limit for sending a datagram. After it the datagram is dropped, as it may be on any network.
 const SEND_TIMEOUT: Duration = Duration::from_millis(10);
-/// How often idle connections and paths are looked for.
+/// Interval at which idle connections and paths are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Length in bytes of a random reset key.
 const RANDOM_RESET_KEY_LENGTH: usize = 32;
 
-/// Dropped datagrams since the start, by reason.
+/// Numbers of dropped datagrams since the start, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// Not a QUIC packet.
+    /// Datagrams that contain no valid QUIC packet.
     pub malformed: u64,
-    /// An Initial in too small a datagram, or an unknown id on a long header.
+    /// Initials in datagrams that are too small, and long headers with an unknown connection id.
     pub unexpected: u64,
-    /// An id that has had its final answer.
+    /// Datagrams with a connection id that has already received its final answer.
     pub already_answered: u64,
-    /// New connections that this process does not accept, as a backup or at its limit.
+    /// Datagrams of new connections or paths that this process does not accept, because it is a backup or at
+    /// its limit.
     pub rejected: u64,
-    /// The socket did not take it.
+    /// Datagrams that the socket did not accept within the time limit.
     pub send_failed: u64,
 }
 
-/// A server of the endpoint list.
+/// Server on the endpoint list.
 #[derive(Clone)]
 struct QuicServer {
     name: String,
     address: SocketAddr,
 }
 
-/// The QUIC front end.
+/// QUIC front end of a gateway.
 pub struct QuicFrontend {
     config: QuicConfig,
     reset_key: ResetKey,
@@ -98,11 +101,11 @@
 }
 
 impl QuicFrontend {
-    /// Binds the front end's address.
+    /// Creates a front end and binds its address.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn bind(
         config: QuicConfig,
         seed: u64,
@@ -135,16 +138,16 @@
         })
     }
 
-    /// The address for clients.
+    /// Returns the bound address for clients.
     ///
     /// # Errors
     ///
-    /// Fails where the system does not tell it.
+    /// Returns an error if the system cannot provide the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Serves until the process ends.
+    /// Serves until the process exits.
     pub async fn run(mut self) {
         let mut sweep = interval(SWEEP_INTERVAL);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -156,7 +159,9 @@
                     self.handle_client_datagram(&buffer[..length], client).await;
                 },
                 Some(datagram) = self.server_datagrams.recv() => self.handle_server_datagram(datagram).await,
-                Some(RequestCommand { id, command }) = self.commands.recv() => self.handle_command(id, command).await,
+                Some(RequestCommand { id, command }) = self.commands.recv() => {
+                    self.handle_command(id, command).await;
+                }
                 Ok(()) = self.endpoint_addresses.changed() => self.update_endpoints(),
                 _ = sweep.tick() => self.sweep().await,
             }
@@ -165,12 +170,12 @@
 
     fn update_endpoints(&mut self) {
         let addresses = self.endpoint_addresses.borrow_and_update();
-        let server = |(name, &address): (&String, &SocketAddr)| {
+        let server_with_id = |(name, &address): (&String, &SocketAddr)| {
             (server_id_for_name(name), QuicServer { name: name.clone(), address })
         };
-        self.servers_by_id = addresses.iter().map(server).collect();
+        self.servers_by_id = addresses.iter().map(server_with_id).collect();
         if self.servers_by_id.len() < addresses.len() {
-            info!("quic: the names of two servers have the same id; rename one of them");
+            info!("quic: the names of two servers result in the same server id; rename one of them");
         }
     }
 
@@ -191,8 +196,9 @@
     fn log_drops(&self) {
         let DropCounts { malformed, unexpected, already_answered, rejected, send_failed } = self.drops;
         info!(
-            "quic: {} connections on {} paths; dropped datagrams: {malformed} malformed, {unexpected} unexpected, \
-             {already_answered} already answered, {rejected} rejected, {send_failed} not sent",
+            "quic: {} connections on {} paths; dropped datagrams: {malformed} malformed, \
+             {unexpected} unexpected, {already_answered} already answered, {rejected} rejected, \
+             {send_failed} not sent",
             self.flows.len(),
             self.flows.open_paths(),
         );
@@ -202,7 +208,7 @@
         self.event_loop.send(SessionEvent::AttemptEnded { id, attempt, outcome }).await;
     }
 
-    /// Sends the final answer to an Initial: an Initial that closes the connection.
+    /// Rejects a client's Initial with an Initial that closes the connection.
     async fn reject_initial(&mut self, ids: InitialIds, client: SocketAddr, code: u64, reason: &str) {
         let frames = initial::encode_connection_close(code, reason);
         let packet =
@@ -210,18 +216,17 @@
         self.send_to_client(&packet, client).await;
     }
 
-    /// Closes a connection in the name of its server.
+    /// Removes a connection and sends its client a stateless reset on behalf of the server.
     async fn reset_flow(&mut self, id: RequestId) {
         if let Some(flow) = self.flows.remove(id) {
             self.connection_ids.close_connection(id);
-            let length = flow.trigger_length();
-            self.send_reset(&flow.last_server_connection_id, length, flow.client).await;
+            self.send_reset(&flow.last_server_connection_id, flow.trigger_length(), flow.client).await;
         }
     }
 
-    /// Sends a stateless reset, in response to a datagram of `length` bytes.
-    async fn send_reset(&mut self, id: &ConnectionId, length: usize, client: SocketAddr) {
-        match self.reset_key.encode_reset(id, length, &mut self.rng) {
+    /// Sends a stateless reset in response to a datagram of `trigger_length` bytes.
+    async fn send_reset(&mut self, id: &ConnectionId, trigger_length: usize, client: SocketAddr) {
+        match self.reset_key.encode_reset(id, trigger_length, &mut self.rng) {
             Some(reset) => self.send_to_client(&reset, client).await,
             None => self.drops.unexpected += 1,
         }
@@ -236,14 +241,16 @@
 /// Connection ids of a client's first Initial.
 #[derive(Clone, Copy)]
 struct InitialIds {
-    /// The id that the client has chosen for the server; the keys follow from it.
+    /// Destination Connection ID chosen by the client, from which the Initial keys are derived.
     destination: ConnectionId,
-    /// The client's own id.
+    /// Source Connection ID of the client.
     source: ConnectionId,
 }
 
 fn random_reset_key(rng: &mut ChaCha8Rng) -> Vec<u8> {
-    info!("quic: no reset_key is configured; clients will not recognize stateless resets");
+    info!(
+        "quic: no reset_key is configured, using a random one; clients will not recognize stateless resets"
+    );
     let mut key = vec![0; RANDOM_RESET_KEY_LENGTH];
     rng.fill_bytes(&mut key);
     key
--- a/src/net/quic/servers.rs
+++ b/src/net/quic/servers.rs
@@ -1,4 +1,4 @@
-//! Paths to servers, and their datagrams.
+//! Paths to servers, and the handling of servers' datagrams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 use crate::quic::initial::{self, CONNECTION_REFUSED, Side};
 use crate::quic::{ConnectionId, Header, LongPacketType};
 
-/// What follows from a datagram of a server.
+/// Decision on a datagram of a server.
 enum Verdict {
-    /// It is forwarded to the client.
+    /// The datagram is forwarded to the client.
     Forward,
-    /// It is a Retry: it is forwarded to the client and is no response yet.
+    /// The datagram is a Retry, which is forwarded to the client but does not establish the connection.
     ForwardRetry,
-    /// The server has ended the attempt.
+    /// The server has ended the attempt with this outcome.
     AttemptEnded(Outcome),
-    /// It is no packet that the server may send now.
+    /// The datagram contains no packet that is valid in the connection's state.
     Malformed,
 }
 
@@ -33,13 +33,13 @@
     pub(super) async fn send_to_server(&mut self, id: RequestId, client: SocketAddr, datagram: &[u8]) {
         let Some(path) = self.flows.path_mut(id, client) else { return };
         path.last_used_at = Instant::now();
-        // A new socket is not ready until the runtime has polled it: `try_send` alone would lose the first datagram of
-        // every path, and with it the time until the client retries.
+        // A new socket is not ready until the runtime has polled it. `try_send` would therefore drop the
+        // first datagram of every path, and the client would have to retransmit it after a time-out.
         let sent = timeout(SEND_TIMEOUT, path.socket.send(datagram)).await;
         self.drops.send_failed += u64::from(!matches!(sent, Ok(Ok(_))));
     }
 
-    /// Opens a path for a client's address unless there is one; returns whether there is one now.
+    /// Opens a path for a client's address unless it is already open; returns whether it is open now.
     pub(super) async fn open_path(&mut self, id: RequestId, client: SocketAddr) -> bool {
         match self.flows.admit_path(id, client) {
             PathAdmission::AlreadyOpen => true,
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Opens a socket towards a server, at the front end's own address.
+    /// Opens a socket that is connected to a server, from the front end's IP address.
     async fn connect_to_server(&self, server: SocketAddr) -> Option<Arc<UdpSocket>> {
         let any_port = SocketAddr::new(self.config.listen.ip(), 0);
         let socket = match UdpSocket::bind(any_port).await {
             Ok(socket) => socket,
             Err(error) => {
-                info!("quic: cannot open a socket to {server}: {error}");
+                info!("quic: cannot bind a socket for server {server}: {error}");
                 return None;
             }
         };
@@ -77,14 +77,14 @@
         Some(Arc::new(socket))
     }
 
-    /// Handles a datagram of a server.
+    /// Handles a datagram received from a server, or the error that ended its path's reader.
     pub(super) async fn handle_server_datagram(&mut self, received: ServerDatagram) {
         let ServerDatagram { id, attempt, client, datagram } = received;
         let Some(flow) = self.flows.get_mut(id).filter(|flow| flow.attempt() == Some(attempt)) else {
             return;
         };
         let Ok(datagram) = datagram else {
-            // The server's machine reports that nobody listens there.
+            // The server's host reports that its port is closed.
             let outcome = if flow.is_connecting() { Outcome::ConnectError } else { Outcome::Reset };
             return self.end_attempt(id, attempt, outcome).await;
         };
@@ -95,7 +95,7 @@
             Verdict::Forward => {}
             Verdict::ForwardRetry => return self.send_to_client(&datagram, client).await,
         }
-        // A reset may only be sent to an address at which the server answers.
+        // A reset may be sent only to an address to which the server has responded.
         if let Some(flow) = self.flows.get_mut(id) {
             flow.client = client;
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Decides what follows from a packet of a server, and records the connection id that it issues.
+    /// Returns the verdict on a packet of a server, and records the connection id that it issues.
     async fn inspect_server_packet(&mut self, id: RequestId, attempt: u32, datagram: &[u8]) -> Verdict {
         let is_connecting = self.flows.get(id).is_some_and(Flow::is_connecting);
         match Header::parse(datagram, 0) {
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Decides what follows from the first response in an attempt: it establishes the connection unless it closes it.
+    /// Returns the verdict on a response before the connection is established. Any response except a Retry or
+    /// one that closes the connection establishes it.
     async fn inspect_first_response(
         &mut self,
         id: RequestId,
@@ -136,7 +137,7 @@
         let Some(flow) = self.flows.get_mut(id) else { return Verdict::Malformed };
         let Some(ids) = &mut flow.initial_ids else { return Verdict::Malformed };
         if packet_type == LongPacketType::Retry {
-            // The client sends its Initial again to this id, and the keys follow from it.
+            // The client sends its next Initial to this id, from which the Initial keys are derived.
             ids.destination = server_connection_id;
             self.connection_ids.insert(server_connection_id, id);
             return Verdict::ForwardRetry;
@@ -146,7 +147,7 @@
             let is_rejection = code == CONNECTION_REFUSED;
             return Verdict::AttemptEnded(if is_rejection { Outcome::QueueFull } else { Outcome::Failed });
         }
-        // The client knows the reset tokens of ids that the server has issued, and of no others.
+        // The client has reset tokens only for connection ids that the server has issued.
         flow.establish(attempt, server_connection_id);
         self.event_loop.send(SessionEvent::AttemptEstablished { id, attempt }).await;
         self.event_loop.count(Counter::Established, &self.config.class);
@@ -154,7 +155,7 @@
         Verdict::Forward
     }
 
-    /// Ends an attempt, and resets its connection if it is established.
+    /// Ends an attempt and reports its outcome. An established connection is reset.
     pub(super) async fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         self.flows.close_paths(id);
         if let Some(flow) = self.flows.get_mut(id) {
