--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,6 @@
-//! The command line: `serve`, which is what the platform runs without arguments, and commands for operators.
+//! Command line of the daemon: `serve`, which is the default without arguments, and commands for operators.
+//!
+//! The doc comments of arguments and commands are printed as help texts.
 
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -12,13 +14,13 @@
 use ipnet::IpNet;
 use serde_json::json;
 
-/// Names the admin endpoint where the command line does not.
+/// Environment variable with the address of the admin endpoint, used if the command line names none.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_OPERATOR";
-/// The answer to a request that is not carried out begins with this.
+/// Status at the beginning of an answer to a rejected request.
 const REJECTED_STATUS: &str = "400";
-/// Limit on connecting to the admin endpoint, and on each part of its answer.
+/// Time limit for connecting to the admin endpoint, and for each read of its answer.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest answer that is read.
+/// Maximum length of an answer that is read, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 65536;
 
 /// A balancer for long-lived connections.
@@ -82,10 +84,10 @@
     /// Exit code 0: settled; 1: not, and why is printed; 2: no gateway answers at that address.
     Maintenance {
         /// The operators' door of any gateway; ROUTER_OPERATOR where it is left out
-        #[arg(long, value_name = "ADDRESS")]
-        door: Option<SocketAddr>,
+        #[arg(long = "door", value_name = "ADDRESS")]
+        admin_address: Option<SocketAddr>,
         #[command(subcommand)]
-        order: MaintenanceCommand,
+        command: MaintenanceCommand,
     },
 }
 
@@ -113,28 +115,28 @@
     },
 }
 
-/// Files that the daemon may be given beside its configuration.
+/// Optional files of the daemon in addition to its configuration.
 pub struct ConfigFiles {
-    /// The deploy file of the front ends.
+    /// Path of the front ends' settings; `None` to run without QUIC and VRRP.
     pub fronts: Option<PathBuf>,
-    /// The file of the fleet view.
+    /// Path of the fleet view's settings; `None` to disable the view.
     pub view: Option<PathBuf>,
-    /// The file of maintenance.
+    /// Path of the maintenance settings; `None` to disable maintenance.
     pub maintenance: Option<PathBuf>,
-    /// The file of partners' quotas.
+    /// Path of the partners' quotas; `None` to disable quotas.
     pub quota: Option<PathBuf>,
 }
 
-/// What the program does next.
+/// Next step of the program after the command line has been executed.
 pub enum Action {
-    /// Serve, with these files.
+    /// Serve with these files.
     Serve(ConfigFiles),
-    /// End, with this exit code.
+    /// Exit with this code.
     Exit(ExitCode),
 }
 
 impl Arguments {
-    /// Carries the command out, unless that is to serve.
+    /// Executes the command. `serve` is returned for the caller to execute.
     pub fn execute(self) -> Action {
         match self.command {
             None => {
@@ -144,7 +146,9 @@
             Some(Command::Serve { fronts, view, maintenance, quota }) => {
                 Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
             }
-            Some(Command::Maintenance { door, order }) => Action::Exit(run_maintenance_command(door, order)),
+            Some(Command::Maintenance { admin_address, command }) => {
+                Action::Exit(run_maintenance_command(admin_address, command))
+            }
             Some(Command::Check { files, allow, json }) => {
                 Action::Exit(check_server_lists(&files, &Limits { allow, ..Limits::default() }, json))
             }
@@ -156,11 +160,11 @@
     }
 }
 
-/// Sends a command to the admin endpoint of a gateway, and prints the answer.
-fn run_maintenance_command(address: Option<SocketAddr>, command: MaintenanceCommand) -> ExitCode {
-    let from_environment =
+/// Sends a maintenance command to the admin endpoint of a gateway, and prints the answer.
+fn run_maintenance_command(admin_address: Option<SocketAddr>, command: MaintenanceCommand) -> ExitCode {
+    let address_from_environment =
         || std::env::var(ADMIN_ADDRESS_VARIABLE).ok().and_then(|address| address.parse().ok());
-    let Some(address) = address.or_else(from_environment) else {
+    let Some(address) = admin_address.or_else(address_from_environment) else {
         eprintln!("ashtide: --door: found nothing; expected the address of a gateway's operators' door");
         return ExitCode::from(2);
     };
@@ -182,7 +186,7 @@
     }
 }
 
-/// One request of maintenance, and its answer.
+/// Sends one maintenance request to the admin endpoint and returns the answer.
 fn call_admin_endpoint(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, ADMIN_TIMEOUT)?;
     stream.set_read_timeout(Some(ADMIN_TIMEOUT))?;
@@ -192,14 +196,15 @@
     Ok(answer)
 }
 
-/// A file's bytes. A file that is too large is read no further than to notice that.
+/// Reads a file up to one byte more than the maximum size, so that the caller can detect a file that is too
+/// large.
 fn read_bounded(file: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(file)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Checks lists, each by itself and then all together, and prints what was found.
+/// Checks server lists, each separately and then all together, and prints the result.
 fn check_server_lists(files: &[PathBuf], limits: &Limits, as_json: bool) -> ExitCode {
     let mut fragments = Vec::new();
     let mut invalid = Vec::new();
@@ -238,7 +243,11 @@
 
 fn print_check_as_json(files: usize, list: &Generation, invalid: &[Problems]) {
     let usable = invalid.is_empty();
-    let describe = |problem: &Problem| json!({"file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected});
+    let describe = |problem: &Problem| {
+        json!({
+            "file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected,
+        })
+    };
     let problems: Vec<_> = invalid.iter().flat_map(Problems::iter).map(describe).collect();
     let summary = json!({
         "usable": usable, "files": files, "servers": list.len(), "digest": usable.then(|| list.digest()),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decisions of a balancer for long-lived connections.
+//! A balancer for long-lived connections.
 //!
-//! Each gateway places a new connection on whichever of two randomly drawn ready servers holds fewer of the gateway's
-//! own open connections; established connections stay where they are. [`Balancer`] makes that decision, and all that
-//! surrounds it: following the endpoint list, slow start, outlier ejection, retries and rejections. It does no I/O and
-//! reads no clock: the gateway hands it events and carries out the actions it returns.
+//! Each gateway draws two ready servers at random, and places a new connection on the one with fewer open
+//! connections from this gateway. Established connections remain on their servers. [`Balancer`] makes these
+//! decisions and the related ones: updates of the endpoint list, slow start, outlier ejection, retries and
+//! rejections. It performs no I/O and reads no clock: the gateway passes events to it and performs the
+//! actions that it returns.
 //!
 //! # Embedding
 //!
@@ -23,14 +24,14 @@
 //! let mut actions = Vec::new();
 //! let now = Time::from_micros(1_000_000);
 //!
-//! // The gateway has read the endpoint list.
+//! // The gateway has received the endpoint list.
 //! let entries = (0..3)
 //!     .map(|number| EndpointEntry::ready(ServerId(number), ZoneId(0)))
 //!     .collect();
 //! let update = Event::EndpointList { update: ListUpdate::Snapshot, entries };
 //! balancer.handle(now, update, &mut actions);
 //!
-//! // A client requests a connection: the module answers with an attempt.
+//! // A client requests a connection: the balancer returns an attempt.
 //! let request = Request {
 //!     id: RequestId(7),
 //!     class: ClassId(0),
@@ -41,7 +42,7 @@
 //! };
 //! actions.clear();
 //! balancer.handle(now, Event::Request(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { id: RequestId(7), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Attempt { id: RequestId(7), .. })));
 //! ```
 
 #![deny(
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one gateway on sockets.
+//! Daemon that runs one gateway over sockets.
 
 #![deny(
     clippy::enum_glob_use,
@@ -44,9 +44,9 @@
 use tokio::time::{Instant, timeout};
 use tracing::{error, info};
 
-/// Limit on telling the fleet view that this gateway leaves.
+/// Time limit for notifying the fleet's other gateways that this one leaves.
 const VIEW_DEPARTURE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Watches of the endpoint list that may be asked for while another is being opened.
+/// Number of watches of the endpoint list that may be requested while another one is being opened.
 const WATCH_REQUEST_QUEUE: usize = 1;
 
 fn main() -> ExitCode {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Why the daemon does not start. Each text names the key, variable or file at fault.
+/// Reason that the daemon cannot start. Each message names the key, variable, address or file concerned.
 #[derive(Debug, thiserror::Error)]
 enum StartupError {
     #[error(transparent)]
@@ -85,11 +85,11 @@
     Admin { address: SocketAddr, error: io::Error },
     #[error("quic.listen {address}: {error}")]
     Quic { address: SocketAddr, error: io::Error },
-    #[error("quic.class: '{0}' is no class of the settings")]
+    #[error("quic.class: found '{0}', expected the name of a class in the settings")]
     UnknownQuicClass(String),
 }
 
-/// What the daemon is started with.
+/// Configuration that the daemon reads when it starts.
 struct StartupConfig {
     config: Config,
     frontends: FrontendConfig,
@@ -98,12 +98,13 @@
     quota: Option<QuotaConfig>,
 }
 
-/// The quotas of partners, and what a reload reads them from.
+/// Quotas of partners, and the sources from which a reload reads them.
 struct QuotaConfig {
+    /// Path of the quota file.
     path: PathBuf,
     settings: quota_settings::Settings,
-    /// The settings' own quotas, for tenants that the file does not name.
-    tenants: Vec<TenantQuota>,
+    /// Quotas from the settings, for tenants that the quota file does not name.
+    default_quotas: Vec<TenantQuota>,
 }
 
 impl StartupConfig {
@@ -112,13 +113,13 @@
         let descriptors = bind_retry::descriptor_limit();
         if descriptors < config.limits.descriptors {
             info!(
-                "ashtide: limits.sockets is {}, the system allows {descriptors}",
+                "ashtide: limits.sockets is {}, but the system allows {descriptors}; using {descriptors}",
                 config.limits.descriptors
             );
             config.limits.descriptors = descriptors;
         }
         config.settings.warnings().iter().for_each(|warning| info!("ashtide: {warning}"));
-        // The platform names no deploy file.
+        // The platform starts the daemon without a file for the front ends.
         let frontends = files.fronts.as_deref().map(FrontendConfig::read).transpose()?.unwrap_or_default();
         let view = files.view.as_deref().map(ViewSettings::read).transpose()?;
         let quota = match &files.quota {
@@ -126,9 +127,9 @@
                 return Err(QuotaError::NoSharedState.into());
             }
             Some(path) => {
-                let tenants = config.settings.tenant_quotas();
-                let settings = quota_settings::Settings::read(path, &tenants)?;
-                Some(QuotaConfig { path: path.clone(), settings, tenants })
+                let default_quotas = config.settings.tenant_quotas();
+                let settings = quota_settings::Settings::read(path, &default_quotas)?;
+                Some(QuotaConfig { path: path.clone(), settings, default_quotas })
             }
             None => None,
         };
@@ -142,12 +143,12 @@
     let startup = StartupConfig::read(files)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(run(startup));
-    // A file that a reload still reads, on a disk that hangs, is not waited for.
+    // Does not wait for a reload that is still reading a file, because its disk may hang.
     runtime.shutdown_background();
     result
 }
 
-/// Starts all parts, in order, and serves until the process is to end.
+/// Starts all parts in order, and serves until the process is stopped.
 async fn run(startup: StartupConfig) -> Result<(), StartupError> {
     let StartupConfig { config, frontends, view, maintenance, quota } = startup;
     let signals = Signals::listen()?;
@@ -178,11 +179,12 @@
     Ok(())
 }
 
-/// Signals that the process takes. Each is listened for before any client can come: without a handler, either ends the
-/// process at once.
+/// Signals that the process handles. The handlers are installed before any client can connect, because
+/// without a handler either signal terminates the process immediately.
 struct Signals {
+    /// SIGHUP, which reloads the configuration.
     hangup: Signal,
-    /// When the process was asked to stop. It may still be discovering its siblings then.
+    /// Time of SIGTERM, which may be received while the process is still discovering its siblings.
     terminated_at: JoinHandle<Option<Instant>>,
 }
 
@@ -195,7 +197,7 @@
     }
 }
 
-/// The listener for clients: inherited, or bound anew.
+/// Returns the listener for clients, which is either inherited or newly bound.
 fn bind_listener(config: &Config) -> Result<TcpListener, StartupError> {
     match config.inherited_listener {
         Some(number) => bind_retry::adopt_listener(number)
@@ -207,13 +209,15 @@
     }
 }
 
-/// What earlier and older processes of this gateway have left and told.
+/// State that this process has from earlier processes of the gateway and from running siblings.
 struct Siblings {
     deployment: Deployment,
     state_folder: Option<StateFolder>,
-    /// The order of this process among its siblings.
+    /// Rank of this process among its siblings, higher than those of older ones.
     rank: u64,
+    /// State stored by earlier processes.
     persisted: PersistedState,
+    /// Running siblings; `None` without a state folder.
     discovered: Option<DiscoveredSiblings>,
 }
 
@@ -238,13 +242,15 @@
         Self { deployment, state_folder, rank, persisted, discovered }
     }
 
-    /// The newest list that is known: what an older process has heard is newer than what this one was given.
+    /// Returns the most recent known endpoint list. A sibling's list may be more recent than the configured
+    /// one.
     fn known_list(&self, config: &Config) -> Option<EndpointList> {
-        let relayed = self.discovered.as_ref().and_then(|siblings| siblings.endpoint_list.clone());
-        [config.initial_list.clone(), relayed].into_iter().flatten().max_by_key(|list| list.index)
+        let from_sibling = self.discovered.as_ref().and_then(|siblings| siblings.endpoint_list.clone());
+        [config.initial_list.clone(), from_sibling].into_iter().flatten().max_by_key(|list| list.index)
     }
 
-    /// Prepares what this process publishes to its siblings, and how it takes over from them.
+    /// Creates the link through which this process publishes its state, and the receiver for connections that
+    /// siblings hand off.
     fn link(self, pending_clients: &PendingClients, reserved_descriptors: usize) -> LinkedSiblings {
         let receiver = self.state_folder.as_ref().and_then(|folder| folder.bind_handoff_receiver(self.rank));
         let process = ProcessState {
@@ -271,35 +277,37 @@
     }
 }
 
-/// The event loop's side of the link with siblings, and the rest.
+/// The event loop's link with siblings, and the parts of the handover outside the event loop.
 struct LinkedSiblings {
     link: SiblingLink,
     handover: Handover,
 }
 
-/// What links this process with its siblings.
+/// Connections and channels between this process and its siblings.
 struct Handover {
     discovered: Option<DiscoveredSiblings>,
-    /// Established connections of an older process.
+    /// Receiver of established connections that a sibling hands off; `None` if it cannot be bound.
     receiver: Option<HandoffReceiver>,
+    /// State that is sent to the siblings.
     published: watch::Receiver<PublishedState>,
     successor_sender: watch::Sender<Option<Arc<Successor>>>,
     successor: watch::Receiver<Option<Arc<Successor>>>,
 }
 
-/// The daemon, and what its parts are started with.
+/// The daemon, and the inputs with which its parts are started.
 struct DaemonParts {
     daemon: Daemon,
     admin: AdminContext,
     handover: Handover,
+    /// Most recent known endpoint list.
     known_list: Option<EndpointList>,
     /// Datagrams to other gateways.
     outgoing_datagrams: mpsc::Receiver<PermitDatagram>,
-    /// Each asks discovery's driver for a watch.
+    /// Requests of the event loop to discovery's driver, one per watch.
     watch_requests: mpsc::Receiver<()>,
 }
 
-/// What all parts of the daemon share.
+/// State that all parts of the daemon share.
 struct Daemon {
     config: Config,
     event_loop: EventLoop,
@@ -307,9 +315,9 @@
     pending_clients: PendingClients,
     state_folder: Option<StateFolder>,
     rank: u64,
-    /// Whether this process accepts clients, and not its successor.
+    /// Whether this process accepts clients; false once its successor accepts them.
     accepting: watch::Sender<bool>,
-    /// Whether the process has been asked to stop.
+    /// Whether the process has received a request to stop.
     stop: watch::Sender<bool>,
 }
 
@@ -348,7 +356,7 @@
         }
     }
 
-    /// Starts the fleet view, and with it what the gateways share and the quotas, where they are configured.
+    /// Starts the fleet view, and with it the shared state and the quotas if they are configured.
     fn start_view(
         &mut self,
         view: ViewSettings,
@@ -407,7 +415,7 @@
         }
     }
 
-    /// Starts to follow the endpoint list, and to read the configuration again at each hang-up.
+    /// Starts following the endpoint list, and reloading the configuration at each SIGHUP.
     fn start_discovery(
         &self,
         known_version: u64,
@@ -420,14 +428,14 @@
         tokio::spawn(discovery::follow_endpoint_list(address, known_version, watch_requests, handle));
         let quota = quota.map(|quota| reload::QuotaReload {
             file: quota.path,
-            allowances: quota.tenants,
+            default_quotas: quota.default_quotas,
             event_loop: self.handle.clone(),
         });
         let baseline = self.config.reload_baseline.clone();
         tokio::spawn(reload::reload_on_hangup(hangup, baseline, address_sender, quota));
     }
 
-    /// Starts to take clients in: those that connect, and those of an older process.
+    /// Starts accepting new clients, and adopting the connections that a sibling hands off.
     fn start_clients(&self, listener: TcpListener, handover: Handover) {
         let timeouts = session::Timeouts { connect: to_duration(self.config.settings.connect_timeout()) };
         let pending_clients = self.pending_clients.clone();
@@ -455,15 +463,17 @@
         }
     }
 
-    /// Starts the QUIC front end, and VRRP, which gates it where it is configured.
+    /// Starts the QUIC front end. If VRRP is configured, starts it as well, and the front end accepts new
+    /// connections only while the virtual router is active.
     async fn start_quic(&self, quic: QuicConfig, vrrp: Option<VrrpConfig>) -> Result<(), StartupError> {
         if self.config.settings.name_tables().classes.find(&quic.class).is_none() {
             return Err(StartupError::UnknownQuicClass(quic.class));
         }
-        let (gate_sender, gate) = watch::channel(vrrp.is_none());
+        let (accepting_sender, accepting) = watch::channel(vrrp.is_none());
         let address = quic.listen;
         let servers = self.event_loop.server_addresses();
-        let frontend = quic::QuicFrontend::bind(quic, self.config.seed, self.handle.clone(), servers, gate)
+        let seed = self.config.seed;
+        let frontend = quic::QuicFrontend::bind(quic, seed, self.handle.clone(), servers, accepting)
             .await
             .map_err(|error| StartupError::Quic { address, error })?;
         info!("quic: listens on {}", frontend.address()?);
@@ -471,15 +481,15 @@
         if let Some(vrrp) = vrrp {
             let stopping = self.stop.subscribe();
             tokio::spawn(async move {
-                if let Err(error) = vrrp::run(vrrp, gate_sender, stopping).await {
-                    info!("vrrp: {error}; this copy takes no new connections");
+                if let Err(error) = vrrp::run(vrrp, accepting_sender, stopping).await {
+                    info!("vrrp: {error}; this process accepts no new QUIC connections");
                 }
             });
         }
         Ok(())
     }
 
-    /// Begins to shut down once the process is asked to.
+    /// Starts the shutdown when the process receives SIGTERM.
     fn stop_on_signal(&self, terminated_at: JoinHandle<Option<Instant>>) {
         let grace = self.config.shutdown_grace;
         let handle = self.handle.clone();
@@ -494,7 +504,7 @@
         });
     }
 
-    /// Serves until the process is to end.
+    /// Serves until the event loop ends, then notifies the fleet and removes the sockets of this process.
     async fn run(self, known_list: Option<EndpointList>, view_task: Option<JoinHandle<()>>) {
         self.event_loop.run(known_list).await;
         if let Some(view_task) = view_task {
@@ -503,6 +513,6 @@
         if let Some(state_folder) = self.state_folder {
             state_folder.remove_sockets(self.rank);
         }
-        info!("ashtide: left");
+        info!("ashtide: stopped");
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,29 +1,29 @@
-//! Metrics that operators fetch: their names, their values and their text.
+//! Metrics for operators: their names, values and text format.
 //!
-//! Sessions increment counters where the event happens, and the event loop sets the gauges. Rendering takes no lock.
+//! Sessions increment the counters, and the event loop sets the gauges. Rendering takes no lock.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use strum::{EnumCount, EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// Beginning of all names.
+/// Prefix of all metric names.
 pub(crate) const METRIC_PREFIX: &str = "router";
-/// Label that names a class.
+/// Label with the name of a class.
 const CLASS_LABEL: &str = "category";
-/// Last line of a response with several lines.
+/// Last line of a response that consists of several lines.
 pub const END_OF_RESPONSE: &str = "EOF\n";
 
-/// Events that are counted for each class since the start of the process.
+/// Counters of events per class since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
 pub enum Counter {
-    /// Connections established: `UP` has been written to the client.
+    /// Established connections, counted when `UP` has been written to the client.
     #[strum(serialize = "passed")]
     Established,
-    /// Connections rejected.
+    /// Rejected connections.
     #[strum(serialize = "dropped")]
     Rejected,
-    /// Connections failed.
+    /// Failed connections.
     #[strum(serialize = "bad_gateway")]
     Failed,
     /// Attempts whose request was written completely to a server.
@@ -31,65 +31,68 @@
     Attempts,
 }
 
-/// Why the connection of a client was closed without an answer that [`Counter`] counts. All are counted since the start
-/// of the process.
+/// Reason for closing a client's connection without an answer that [`Counter`] counts. Each reason is counted
+/// since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
 pub enum CloseReason {
-    /// It was evicted for another client before its request: `BUSY` was sent, and the close was graceful.
+    /// The client was evicted for another client before its request. `BUSY` was sent, and the close was
+    /// graceful.
     #[strum(serialize = "displaced")]
     Evicted,
-    /// It was evicted while too many graceful closes were in progress: `BUSY` was sent, and the connection closed at once.
-    /// Bytes that the client sent at the same time may turn the close into a reset, which discards the line.
+    /// The client was evicted while too many graceful closes were in progress. `BUSY` was sent, and the
+    /// connection was closed immediately. Bytes that the client sent at the same time may turn the close into
+    /// a reset, which discards the line.
     #[strum(serialize = "hurried")]
     EvictedImmediately,
-    /// The process ended before its request: `BUSY` was sent.
+    /// The process stopped before the client's request. `BUSY` was sent.
     #[strum(serialize = "stopped")]
     ProcessStopped,
-    /// It closed the connection, or was too slow, without a byte that is owed an answer.
+    /// The client closed the connection or timed out without sending a byte that requires an answer.
     #[strum(serialize = "unasked")]
     NoRequest,
-    /// It closed the connection before its answer.
+    /// The client closed the connection before its answer.
     #[strum(serialize = "left")]
     ClientLeft,
-    /// It did not read its last line in time.
+    /// The client did not read its last line in time.
     #[strum(serialize = "unread")]
     AnswerUnread,
-    /// The event loop has sent no answer: `BUSY` was sent. A fault of the program.
+    /// The event loop sent no answer, which is a fault of the program. `BUSY` was sent.
     #[strum(serialize = "forgotten")]
     Unanswered,
 }
 
-/// Current values.
+/// Gauges of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
 pub enum Gauge {
-    /// Connections accepted and not yet ended.
+    /// Number of accepted connections that have not ended.
     #[strum(serialize = "in_progress")]
     InProgress,
-    /// Servers on the endpoint list.
+    /// Number of servers on the endpoint list.
     #[strum(serialize = "known_reading_servers")]
     KnownServers,
-    /// Servers on the endpoint list that are avoided, as operators or the balancer have decided.
+    /// Number of servers on the endpoint list that are avoided, because of a cordon or a decision of the
+    /// balancer.
     #[strum(serialize = "skipped_reading_servers")]
     SkippedServers,
-    /// Health checks sent since the start.
+    /// Number of health checks sent since the start.
     #[strum(serialize = "probes_total")]
     HealthChecks,
-    /// Health checks since the start that were withheld for their price.
+    /// Number of health checks since the start that were withheld because of their cost.
     #[strum(serialize = "probes_withheld_total")]
     HealthChecksWithheld,
-    /// Violations of request invariants since the start: a fault of the program.
+    /// Number of violations of request invariants since the start, each of which is a fault of the program.
     #[strum(serialize = "invariant_violations_total")]
     InvariantViolations,
 }
 
-/// The counters of one class.
+/// Counters of one class, indexed by [`Counter`].
 #[derive(Debug)]
 struct ClassCounters {
     class: String,
     counters: [AtomicU64; Counter::COUNT],
 }
 
-/// The metrics of one process.
+/// Metrics of one process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     counters_by_class: Vec<ClassCounters>,
@@ -98,18 +101,18 @@
 }
 
 impl Metrics {
-    /// Metrics for these classes, all at 0.
+    /// Creates metrics for these classes, all with value 0.
     pub fn new(classes: &[String]) -> Self {
         let new_counters =
             |class: &String| ClassCounters { class: class.clone(), counters: Default::default() };
         Self { counters_by_class: classes.iter().map(new_counters).collect(), ..Self::default() }
     }
 
-    /// Increments a counter of a class. Classes that the settings do not define are not counted: clients must not be able
-    /// to add lines.
+    /// Increments a counter of a class. Classes that the settings do not define are not counted, because
+    /// clients must not be able to add lines to the metrics.
     pub fn increment(&self, counter: Counter, class: &str) {
-        if let Some(known) = self.counters_by_class.iter().find(|known| known.class == class) {
-            known.counters[counter as usize].fetch_add(1, Ordering::Relaxed);
+        if let Some(configured) = self.counters_by_class.iter().find(|configured| configured.class == class) {
+            configured.counters[counter as usize].fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -123,7 +126,7 @@
         self.gauges[gauge as usize].store(value as u64, Ordering::Relaxed);
     }
 
-    /// Renders all metrics, a line each, then `additional_lines` and the last line of the response.
+    /// Renders all metrics, one per line, followed by `additional_lines` and [`END_OF_RESPONSE`].
     pub fn render(&self, additional_lines: &str) -> String {
         let mut text = String::new();
         self.render_counters(&mut text);
@@ -160,7 +163,7 @@
     }
 }
 
-/// Escapes what would end a label's value or its line.
+/// Escapes the characters that would end a label's value or its line.
 fn escape_label_value(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,26 +1,27 @@
-//! Recovery from a failed accept. None of its errors says anything about a client that is connected already.
+//! Recovery from a failed accept. No error of accept(2) concerns clients that are already connected.
 
 use std::io;
 use std::time::Duration;
 
 use rustix::io::Errno;
 
-/// Wait before accepting again where the system lacks descriptors or memory.
-pub const SHORTAGE_RETRY: Duration = Duration::from_millis(20);
-/// Accepts that may fail in a row before other tasks run.
+/// Delay before the next accept if the system lacks descriptors or memory.
+pub const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Number of consecutive transient failures after which the listener pauses, so that other tasks can run.
 const MAX_IMMEDIATE_RETRIES: u32 = 64;
 
-/// Why an accept failed, as far as it bears on what to do next.
+/// Category of an accept failure, which determines the recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The connection was lost in the queue, or the call was interrupted: others may wait behind it.
+    /// The connection was lost in the accept queue, or the call was interrupted. Other connections may be
+    /// queued behind it.
     Transient,
-    /// No descriptor or no memory is left, on this machine or for this process.
+    /// This process or this machine has no descriptor or memory left.
     Shortage,
 }
 
 impl AcceptFailure {
-    /// Classifies an error of accept(2), which also returns errors of the network that a new connection has met.
+    /// Classifies an error of accept(2), which also returns pending network errors of the new connection.
     pub fn classify(error: &io::Error) -> Self {
         match Errno::from_io_error(error) {
             Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Self::Shortage,
@@ -29,18 +30,19 @@
     }
 }
 
-/// What to do after a failed accept.
+/// Recovery action after a failed accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptRecovery {
-    /// Accept again at once.
+    /// Accept again immediately.
     Retry,
-    /// Accept again after [`SHORTAGE_RETRY`].
+    /// Accept again after [`SHORTAGE_RETRY_DELAY`].
     RetryLater,
-    /// The shortage lasts: evict clients without a session, and accept again after [`SHORTAGE_RETRY`].
+    /// The shortage persists: evict clients without a session, and accept again after
+    /// [`SHORTAGE_RETRY_DELAY`].
     EvictClients,
 }
 
-/// Consecutive failures of one listener.
+/// Counts the consecutive accept failures of one listener.
 #[derive(Debug, Default)]
 pub struct AcceptRetries {
     transient_failures: u32,
@@ -48,13 +50,13 @@
 }
 
 impl AcceptRetries {
-    /// Records that an accept has succeeded.
+    /// Records a successful accept.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Records that an accept has failed. A shortage may be over in a moment, and costs a client its connection only where
-    /// it lasts.
+    /// Records a failed accept and returns the recovery action. A shortage is often brief, so clients are
+    /// evicted only if it persists.
     pub fn record_failure(&mut self, error: &io::Error) -> AcceptRecovery {
         match AcceptFailure::classify(error) {
             AcceptFailure::Transient => {
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint: a thread with a runtime of its own, so that neither the event loop nor many clients can delay a
-//! response.
+//! Admin endpoint. It runs on its own thread and runtime, so that neither the event loop nor many clients can
+//! delay a response.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
+use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY_DELAY};
 use super::bind_retry;
 use super::fleet::maintenance::MaintenanceService;
 use super::fleet::quota::QuotaService;
@@ -31,20 +31,20 @@
 use crate::fleet::maintenance::MaintenanceCommand;
 use crate::metrics::{END_OF_RESPONSE, Metrics};
 
-/// How long a caller may take to send its request: some are silent for seconds and then send it.
+/// Time limit for a caller to send its request. Some callers send it only seconds after they have connected.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a response may take to be written.
+/// Time limit for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the event loop may take to carry a request out; a caller is owed a response within a second.
+/// Time limit for the event loop to execute a request. Callers must receive a response within one second.
 const EVENT_LOOP_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long other gateways have to send their part of the shared state.
+/// Time that other gateways have to send their part of the shared state.
 const SHARED_STATE_WAIT: Duration = Duration::from_millis(150);
-/// Requests that may wait for the event loop: one for each connection.
+/// Maximum number of requests queued for the event loop: one per connection.
 const CORDON_QUEUE_LENGTH: usize = MAX_ADMIN_CONNECTIONS;
 
 static ACCEPT_LOG: RateLimitedLog = RateLimitedLog::new("operator");
 
-/// Whether this process is ready to serve. Starts as not ready.
+/// Readiness of this process to serve, initially not ready.
 #[derive(Debug, Default)]
 pub struct Health(AtomicU8);
 
@@ -53,55 +53,57 @@
 const DRAINING: u8 = 2;
 
 impl Health {
-    /// Marks the process as ready: it listens and has an endpoint list. One that drains does not become ready again.
+    /// Marks the process as ready: it listens and has an endpoint list. A draining process does not become
+    /// ready again.
     pub fn mark_ready(&self) {
         let _ = self.0.compare_exchange(STARTING, READY, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    /// Marks the process as draining: it has been told to stop.
+    /// Marks the process as draining after a request to stop.
     pub fn mark_draining(&self) {
         self.0.store(DRAINING, Ordering::Relaxed);
     }
 
-    /// Whether the process is ready.
+    /// Returns whether the process is ready.
     pub fn is_ready(&self) -> bool {
         self.0.load(Ordering::Relaxed) == READY
     }
 }
 
-/// A request that the event loop carries out: cordon a server, or uncordon it.
+/// Request to the event loop to cordon or uncordon a server.
 #[derive(Debug)]
 pub struct CordonRequest {
     /// Name of the server.
     pub server: String,
-    /// Whether it is to be cordoned.
+    /// Whether the server is to be cordoned; otherwise it is uncordoned.
     pub cordon: bool,
-    /// Takes the outcome, with the reason of a failure for the operator.
+    /// Channel for the outcome. An error is the reason that the operator receives.
     pub reply: oneshot::Sender<Result<(), String>>,
 }
 
-/// What the admin endpoint answers from.
+/// State and services from which the admin endpoint responds.
 #[derive(Clone)]
 pub struct AdminContext {
     /// Metrics of this process.
     pub metrics: Arc<Metrics>,
     /// Whether this process is ready.
     pub health: Arc<Health>,
-    /// View of the fleet, where it is enabled.
+    /// View of the fleet; `None` if it is disabled.
     pub view: Option<Arc<SharedView>>,
-    /// Maintenance queue, where it is enabled.
+    /// Maintenance queue; `None` if it is disabled.
     pub maintenance: Option<Arc<MaintenanceService>>,
-    /// Shared state of the fleet, where it is enabled.
+    /// Shared state of the fleet; `None` if it is disabled.
     pub shared_state: Option<Arc<SharedState>>,
-    /// Quotas of tenants, where they are enabled.
+    /// Quotas of tenants; `None` if they are disabled.
     pub quota: Option<Arc<QuotaService>>,
     cordon_requests: mpsc::Sender<CordonRequest>,
 }
 
 impl AdminContext {
-    /// A context without optional subsystems, and where the event loop receives its requests.
+    /// Creates a context without optional subsystems, and the channel on which the event loop receives
+    /// requests.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<CordonRequest>) {
-        let (cordon_requests, received) = mpsc::channel(CORDON_QUEUE_LENGTH);
+        let (cordon_requests, request_receiver) = mpsc::channel(CORDON_QUEUE_LENGTH);
         let context = Self {
             metrics,
             health: Arc::default(),
@@ -111,7 +113,7 @@
             quota: None,
             cordon_requests,
         };
-        (context, received)
+        (context, request_receiver)
     }
 
     async fn handle_request(&self, request: AdminRequest) -> Bytes {
@@ -185,11 +187,11 @@
     async fn cordon(&self, server: String, cordon: bool) -> Bytes {
         let (reply, outcome) = oneshot::channel();
         let request = CordonRequest { server, cordon, reply };
-        let carried_out = async {
+        let execution = async {
             self.cordon_requests.send(request).await.ok()?;
             outcome.await.ok()
         };
-        match timeout(EVENT_LOOP_TIMEOUT, carried_out).await {
+        match timeout(EVENT_LOOP_TIMEOUT, execution).await {
             Ok(Some(Ok(()))) => success_response(if cordon { "out" } else { "back" }),
             Ok(Some(Err(reason))) => error_response(reason),
             _ => error_response("not carried out in time"),
@@ -197,16 +199,16 @@
     }
 }
 
-/// The response with several lines, and the line that ends them.
+/// Builds a response of several lines, followed by the end-of-response line.
 fn lines_response(lines: String) -> Bytes {
     (lines + END_OF_RESPONSE).into()
 }
 
-/// Binds the admin endpoint's address and serves it on a thread of its own; returns the bound address.
+/// Binds the admin endpoint's address, serves it on a separate thread, and returns the bound address.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound or the thread cannot be started.
+/// Returns an error if the address cannot be bound or the thread cannot be started.
 pub fn start(address: SocketAddr, context: AdminContext) -> io::Result<SocketAddr> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let listener = {
@@ -219,16 +221,16 @@
     Ok(bound_address)
 }
 
-/// Connections that have not sent their request yet, the longest there first.
+/// Connections that have not sent their request yet, by number, the oldest first.
 #[derive(Clone, Default)]
-struct SilentCallers(Arc<Mutex<BTreeMap<u64, oneshot::Sender<()>>>>);
+struct PendingCallers(Arc<Mutex<BTreeMap<u64, oneshot::Sender<()>>>>);
 
-impl SilentCallers {
+impl PendingCallers {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<()>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a caller; the receiver ends once the caller is evicted.
+    /// Adds a caller. The returned receiver completes when the caller is evicted.
     fn add(&self, number: u64) -> oneshot::Receiver<()> {
         let (sender, evicted) = oneshot::channel();
         self.lock().insert(number, sender);
@@ -246,32 +248,32 @@
 }
 
 async fn serve_callers(listener: TcpListener, context: AdminContext) {
-    let silent_callers = SilentCallers::default();
+    let pending_callers = PendingCallers::default();
     let slots = Arc::new(Semaphore::new(MAX_ADMIN_CONNECTIONS));
     let mut number = 0;
-    while let Some(slot) = acquire_slot(&slots, &silent_callers).await {
+    while let Some(slot) = acquire_slot(&slots, &pending_callers).await {
         let stream = accept(&listener).await;
         number += 1;
-        let evicted = silent_callers.add(number);
-        let caller = Caller { number, evicted, silent_callers: silent_callers.clone(), _slot: slot };
+        let evicted = pending_callers.add(number);
+        let caller = Caller { number, evicted, pending_callers: pending_callers.clone(), _slot: slot };
         tokio::spawn(caller.serve(stream, context.clone()));
     }
 }
 
-/// Acquires a slot for a caller; where all are taken, the oldest silent caller is evicted.
+/// Acquires a slot for a caller. If all slots are in use, the oldest caller without a request is evicted.
 async fn acquire_slot(
     slots: &Arc<Semaphore>,
-    silent_callers: &SilentCallers,
+    pending_callers: &PendingCallers,
 ) -> Option<OwnedSemaphorePermit> {
     if let Ok(slot) = slots.clone().try_acquire_owned() {
         return Some(slot);
     }
-    // A caller with a request has sent it long before this one came.
-    silent_callers.evict_oldest();
+    // A caller that has a request has normally sent it long before this new caller connected.
+    pending_callers.evict_oldest();
     slots.clone().acquire_owned().await.ok()
 }
 
-/// Accepts a connection; failures are logged and retried.
+/// Accepts a connection. Failures are logged and the accept is retried.
 async fn accept(listener: &TcpListener) -> TcpStream {
     let mut retries = AcceptRetries::default();
     loop {
@@ -280,19 +282,19 @@
             Err(error) => {
                 ACCEPT_LOG.log(format_args!("accept failed: {error}"));
                 if retries.record_failure(&error) != AcceptRecovery::Retry {
-                    tokio::time::sleep(SHORTAGE_RETRY).await;
+                    tokio::time::sleep(SHORTAGE_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// A connection to the admin endpoint.
+/// Client connection to the admin endpoint.
 struct Caller {
     number: u64,
     evicted: oneshot::Receiver<()>,
-    silent_callers: SilentCallers,
-    /// Released with the connection.
+    pending_callers: PendingCallers,
+    /// Connection slot, released when the connection ends.
     _slot: OwnedSemaphorePermit,
 }
 
@@ -303,27 +305,27 @@
             received = receive_request(stream) => received,
             _ = &mut self.evicted => None,
         };
-        self.silent_callers.remove(self.number);
+        self.pending_callers.remove(self.number);
         let Some(ReceivedRequest { request, mut writer }) = received else { return };
         let response = match request {
             Ok(request) => context.handle_request(request).await,
             Err(error) => error_response(error),
         };
-        let written = async {
+        let write_response = async {
             writer.write_all(&response).await?;
             writer.shutdown().await
         };
-        let _ = timeout(WRITE_TIMEOUT, written).await;
+        let _ = timeout(WRITE_TIMEOUT, write_response).await;
     }
 }
 
-/// A request, or why there is none, and where the response goes.
+/// Request of a caller, or the reason that it is invalid, and the writer for the response.
 struct ReceivedRequest {
     request: Result<AdminRequest, AdminRequestError>,
     writer: TcpWriter,
 }
 
-/// Receives the request of a caller; `None` where the caller has gone.
+/// Receives the request of a caller. Returns `None` if the caller has disconnected.
 async fn receive_request(stream: TcpStream) -> Option<ReceivedRequest> {
     let _ = stream.set_nodelay(true);
     let (reader, writer) = split_tcp(stream);
--- a/src/net/bind_retry.rs
+++ b/src/net/bind_retry.rs
@@ -1,4 +1,5 @@
-//! Listeners for clients, bound or inherited, and sockets for datagrams that are bound as soon as their address is free.
+//! Sockets that this process listens on: TCP listeners, bound or inherited, and UDP sockets that are bound as
+//! soon as their address is free.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,34 +11,37 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Connections that may wait to be accepted: all clients may come at once after a restart.
+/// Length of the accept queue. All clients may connect at the same time after a restart.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Binds the address on which clients come.
+/// Binds a TCP listener to an address.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A balancer comes back at once on the address of its predecessor.
+    // A restarted process binds the same address while connections of its predecessor are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// How many descriptors the system lets this process have. The capacity for clients follows from this where it is lower
-/// than the configured limit, or the rest of the process would find none.
+/// Returns the number of descriptors that the system allows this process to open.
+///
+/// If it is lower than the configured limit, it determines the capacity for clients. Otherwise clients would
+/// exhaust the descriptors that the rest of the process needs.
 pub fn descriptor_limit() -> usize {
     let limit = getrlimit(Resource::Nofile).current;
-    limit.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
+    limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX)
 }
 
-/// Wait between two attempts to bind an address for datagrams.
+/// Delay between two attempts to bind a UDP address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Binds an address for datagrams as soon as it is free: another process of this gateway may still have it, as in an
-/// upgrade. The first failure is logged for this subsystem.
+/// Binds a UDP socket as soon as its address is free. During an upgrade, a sibling may still use the address.
+///
+/// The first failure is logged for `subsystem`.
 pub async fn bind_udp_with_retry(subsystem: &str, address: SocketAddr) -> UdpSocket {
     let mut attempts = 0_u64;
     loop {
@@ -46,27 +50,29 @@
             Err(error) => error,
         };
         if attempts == 0 {
-            info!("{subsystem}: {address}: {error}; retrying until the address is free");
+            info!("{subsystem}: cannot bind {address}: {error}; retrying until the address is free");
         }
         attempts += 1;
         sleep(BIND_RETRY_DELAY).await;
     }
 }
 
-/// Adopts a listener that the process has inherited under this descriptor number. Only a copy of the descriptor is held,
-/// and it is never shut down: its queue belongs to other processes as well.
+/// Adopts a listener that the process has inherited as descriptor `number`.
+///
+/// The returned listener uses a duplicate of the descriptor and is never shut down, because other processes
+/// share its accept queue.
 ///
 /// # Errors
 ///
-/// Fails where there is no such descriptor or it does not listen.
+/// Returns an error if there is no such descriptor or it is not a listening socket.
 pub fn adopt_listener(number: i32) -> io::Result<TcpListener> {
-    let own = pidfd_open(getpid(), PidfdFlags::empty())?;
-    // Closed on exec, as every descriptor got this way is.
-    let copy = pidfd_getfd(own, number, PidfdGetfdFlags::empty())?;
-    if !socket_acceptconn(&copy)? {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "does not listen"));
+    let own_process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    // pidfd_getfd(2) sets the close-on-exec flag on the duplicate.
+    let duplicate = pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?;
+    if !socket_acceptconn(&duplicate)? {
+        return Err(io::Error::new(io::ErrorKind::InvalidInput, "descriptor is not a listening socket"));
     }
-    let listener = std::net::TcpListener::from(copy);
+    let listener = std::net::TcpListener::from(duplicate);
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,7 +1,7 @@
-//! Connects over TCP, and distinguishes errors of this machine from those of the network and of the peer.
+//! TCP connects that distinguish local errors from errors of the network and of the peer.
 //!
-//! connect(2) and socket(2) fail for a moment where this machine lacks a port, a descriptor, a buffer or a route. That
-//! says nothing about the peer: it is retried within the time that connecting may take.
+//! connect(2) and socket(2) fail temporarily while this machine lacks a port, a descriptor, a buffer or a
+//! route. Such an error is no evidence against the peer, so the connect is retried until its deadline.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,27 +11,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Wait before the first retry after an error of this machine. It doubles with each retry.
+/// Delay before the first retry after a local error. It doubles with each retry.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Longest wait between two attempts.
+/// Maximum delay between two connects.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(16);
 
-/// Why no connection was established.
+/// Reason that no connection was established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// The peer refused, its network answered for it, or there was no route to it all the time.
+    /// The peer refused the connection, the network reported it as unreachable, or there was no route to it
+    /// until the deadline.
     #[error(transparent)]
     Unreachable(io::Error),
-    /// No answer came in time.
-    #[error("no connection in time")]
+    /// The peer did not answer before the deadline.
+    #[error("connection not established before the deadline")]
     TimedOut,
-    /// This machine had no port, descriptor or buffer all the time: nothing has been sent.
-    #[error("not tried, for want of resources of this machine: {0}")]
+    /// This machine had no port, descriptor or buffer until the deadline. Nothing was sent.
+    #[error("not attempted, because this machine lacks resources: {0}")]
     LocalResources(io::Error),
 }
 
 impl ConnectFailure {
-    /// The error of the system.
+    /// Converts the failure to an [`io::Error`].
     pub fn into_io(self) -> io::Error {
         match self {
             Self::Unreachable(error) | Self::LocalResources(error) => error,
@@ -40,14 +41,14 @@
     }
 }
 
-/// Where an error of connect(2) or socket(2) comes from.
+/// Origin of an error of connect(2) or socket(2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ErrorOrigin {
-    /// The peer or the network on the way.
+    /// The peer, or the network on the path to it.
     Remote,
-    /// This machine's resources.
+    /// A shortage of local resources.
     Resources,
-    /// This machine's routes and interfaces; where it lasts, perhaps only those to this peer.
+    /// The local routes or interfaces. A persistent error may affect only the route to this peer.
     Route,
 }
 
@@ -70,11 +71,11 @@
     }
 }
 
-/// Connects, and retries until `deadline` as long as it is this machine that fails.
+/// Connects to a peer, and retries until `deadline` after local errors.
 ///
 /// # Errors
 ///
-/// Says whose failure it was, and what the system said.
+/// Returns the origin of the failure and the error of the system.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, ConnectFailure> {
     let mut delay = INITIAL_RETRY_DELAY;
     loop {
@@ -84,8 +85,8 @@
             Err(_) => return Err(ConnectFailure::TimedOut),
         };
         let origin = ErrorOrigin::classify(&error);
-        let retries = origin != ErrorOrigin::Remote && Instant::now() + delay < deadline;
-        if !retries {
+        let can_retry = origin != ErrorOrigin::Remote && Instant::now() + delay < deadline;
+        if !can_retry {
             return Err(match origin {
                 ErrorOrigin::Resources => ConnectFailure::LocalResources(error),
                 ErrorOrigin::Remote | ErrorOrigin::Route => ConnectFailure::Unreachable(error),
--- a/src/net/connection_handoff.rs
+++ b/src/net/connection_handoff.rs
@@ -1,7 +1,7 @@
-//! Hands established connections over to the successor, so that their clients need not reconnect for an upgrade.
+//! Handoff of established connections to the successor, so that clients need not reconnect during an upgrade.
 //!
-//! Each connection is one datagram to a Unix socket in `$TMPDIR`, with the descriptors of the client's and the server's
-//! socket as ancillary data.
+//! Each connection is sent as one datagram to a Unix socket in `$TMPDIR`. The descriptors of the client's and
+//! the server's socket are ancillary data of the datagram.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -21,12 +21,12 @@
 
 use crate::handover::{EstablishedConnection, HandoffDecodeError, MAX_HANDOFF_LENGTH};
 
-/// How long a connection may wait for room in the successor's receive queue.
+/// Time limit for a connection to wait for space in the successor's receive queue.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(800);
-/// Descriptors of a connection: the client's and the server's.
+/// Number of descriptors of a connection: the client's socket and the server's.
 const DESCRIPTORS_PER_CONNECTION: usize = 2;
 
-/// Why a received datagram is not a connection.
+/// Reason that a received datagram is not a valid connection.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
     #[error(transparent)]
@@ -41,7 +41,7 @@
     }
 }
 
-/// The process that takes over the established connections.
+/// Connection to the sibling that takes over the established connections.
 #[derive(Debug)]
 pub struct Successor {
     /// Rank of the process.
@@ -51,28 +51,29 @@
 }
 
 impl Successor {
-    /// Connects to the process of this rank that receives at `path`.
+    /// Connects to the process of this rank, which receives connections at `path`.
     ///
     /// # Errors
     ///
-    /// Fails where no process receives there.
+    /// Returns an error if no process receives at `path`.
     pub fn connect(path: &Path, rank: u64) -> io::Result<Self> {
         let socket = UnixDatagram::unbound()?;
         socket.connect(path)?;
         Ok(Self { rank, socket, handoffs_in_flight: AtomicUsize::new(0) })
     }
 
-    /// Whether connections are being handed over.
+    /// Returns whether handoffs are in progress.
     pub fn has_handoffs_in_flight(&self) -> bool {
         self.handoffs_in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Hands a connection over. On success it belongs to the successor, and the caller must close its copies of the
-    /// descriptors without shutting the sockets down.
+    /// Hands a connection over to the successor, which owns it on success. The caller must then close its
+    /// copies of the descriptors without shutting down the sockets.
     ///
     /// # Errors
     ///
-    /// Fails where the successor is gone or has no room in time; the connection still belongs to the caller.
+    /// Returns an error if the successor has exited, or if its receive queue has no space within 800 ms. The
+    /// caller then still owns the connection.
     pub async fn hand_off(&self, datagram: &[u8], descriptors: [BorrowedFd<'_>; 2]) -> io::Result<()> {
         self.handoffs_in_flight.fetch_add(1, Ordering::Relaxed);
         let send = self.socket.async_io(Interest::WRITABLE, || self.try_send(datagram, &descriptors));
@@ -90,7 +91,7 @@
     }
 }
 
-/// A connection as it was received.
+/// Established connection received from a sibling.
 #[derive(Debug)]
 pub struct ReceivedConnection {
     /// State of the connection.
@@ -101,18 +102,18 @@
     pub server: OwnedFd,
 }
 
-/// Receives the established connections of a process that shuts down.
+/// Receives the established connections of a sibling that shuts down.
 #[derive(Debug)]
 pub struct HandoffReceiver {
     socket: UnixDatagram,
 }
 
 impl HandoffReceiver {
-    /// Binds the socket at `path`.
+    /// Binds the receiver's socket at `path`.
     ///
     /// # Errors
     ///
-    /// Fails where the path cannot be bound.
+    /// Returns an error if the path cannot be bound.
     pub fn bind(path: &Path) -> io::Result<Self> {
         let _ = std::fs::remove_file(path);
         Ok(Self { socket: UnixDatagram::bind(path)? })
@@ -122,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the datagram is no connection; its descriptors, if any, are closed.
+    /// Returns an error if the datagram is not a valid connection. Its descriptors are closed.
     pub async fn receive(&self) -> io::Result<ReceivedConnection> {
         let (datagram, descriptors) = self.socket.async_io(Interest::READABLE, || self.try_receive()).await?;
         let connection = EstablishedConnection::decode(Bytes::from(datagram)).map_err(ReceiveError::from)?;
@@ -132,7 +133,7 @@
         Ok(ReceivedConnection { connection, client, server })
     }
 
-    /// Receives a datagram and its descriptors; the datagram is empty where either was truncated.
+    /// Receives a datagram and its descriptors. The datagram is empty if either was truncated.
     fn try_receive(&self) -> io::Result<(Vec<u8>, Vec<OwnedFd>)> {
         let mut datagram = vec![0; MAX_HANDOFF_LENGTH];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_CONNECTION))];
@@ -142,7 +143,7 @@
         let is_truncated = received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC);
         let descriptors = take_descriptors(&mut ancillary);
         datagram.truncate(if is_truncated { 0 } else { received.bytes });
-        // The session keeps a part of it for as long as the connection lasts.
+        // The session retains a part of the datagram for the lifetime of the connection.
         datagram.shrink_to_fit();
         Ok((datagram, descriptors))
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Keeps a watch on discovery whenever the event loop asks for one.
+//! Driver for watches of the endpoint list in discovery. The event loop requests each watch.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,14 +19,15 @@
     watch_request,
 };
 
-/// Bytes of a watch that are read at a time.
+/// Initial capacity of the read buffer of a watch, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Follows the endpoint list: watches once for each `()` on `subscribe`, and reports the end of each watch.
+/// Follows the endpoint list: runs one watch for each `()` on `subscribe`, and reports the end of each watch.
 ///
-/// When the address of discovery changes, the old watch is left and a new one is started at once, without a request.
-/// Versions of another service mean nothing, so the new watch starts with the complete list; until that comes, the last
-/// list stands. Returns when the event loop ends.
+/// When the address of discovery changes, the current watch is ended and a new one is started immediately,
+/// without a request. Versions of one discovery service are meaningless to another, so the new watch starts
+/// with a complete list. The last list remains in use until the complete list is received. Returns when the
+/// event loop ends.
 pub async fn follow_endpoint_list(
     address: watch::Receiver<SocketAddr>,
     list_version: u64,
@@ -38,14 +39,14 @@
         requests: subscribe,
         has_watched: false,
         address_changed: false,
-        request_expected: true,
+        request_outstanding: true,
     };
     let mut follower = WatchFollower {
         event_loop,
         watch_number: 0,
         list_version,
         last_synced_at: Instant::now(),
-        has_answered: false,
+        has_synced: false,
     };
     while let Some(address) = triggers.next_address().await {
         if std::mem::take(&mut triggers.address_changed) {
@@ -59,44 +60,47 @@
     }
 }
 
-/// How a watch was left.
+/// Outcome of a watch.
 enum WatchOutcome {
+    /// The address of discovery changed while the watch was running.
     AddressChanged,
+    /// The watch ended, with an error unless discovery closed it.
     Ended(Result<(), WatchError>),
 }
 
-/// What starts a watch: a request of the event loop, or another address of discovery.
+/// Triggers for a watch: a request of the event loop, or a change of discovery's address.
 struct WatchTriggers {
     address: watch::Receiver<SocketAddr>,
     requests: mpsc::Receiver<()>,
-    /// Whether there was a watch; the first one is always requested.
+    /// Whether a watch was started before. The first one is always requested by the event loop.
     has_watched: bool,
     /// Whether the address has changed since the last watch was started.
     address_changed: bool,
-    /// Whether the event loop is going to request a watch, or has. It must not be asked to do so twice: two chains
-    /// of calls would result.
-    request_expected: bool,
+    /// Whether the event loop has requested a watch that has not been started, or is about to request one. A
+    /// second prompt to request a watch would result in two concurrent chains of watches.
+    request_outstanding: bool,
 }
 
 impl WatchTriggers {
-    /// Waits until a watch is to be started, and returns the address for it. None if the event loop has ended.
+    /// Waits until a watch is to be started, and returns its address. Returns `None` if the event loop has
+    /// ended.
     async fn next_address(&mut self) -> Option<SocketAddr> {
         if !self.address_changed {
             tokio::select! {
                 request = self.requests.recv() => {
                     request?;
-                    self.request_expected = false;
+                    self.request_outstanding = false;
                 }
                 Ok(()) = self.address.changed(), if self.has_watched => self.address_changed = true,
             }
         }
         self.has_watched = true;
-        // The address may also have changed before the first watch, or while a request came.
+        // The address may also have changed before the first watch, or at the same time as the request.
         self.address_changed |= self.address.has_changed().unwrap_or(false);
         Some(*self.address.borrow_and_update())
     }
 
-    /// Runs a watch to its end, or until the address of discovery changes.
+    /// Runs a watch until it ends or the address of discovery changes.
     async fn run_until_address_changes(
         &mut self,
         watch: impl Future<Output = Result<(), WatchError>>,
@@ -111,35 +115,35 @@
         }
     }
 
-    /// Whether the event loop has to be asked to request the next watch.
+    /// Returns whether the event loop must be prompted to request the next watch, and records the prompt.
     fn take_resubscribe(&mut self) -> bool {
-        // Requests that came meanwhile were for the watch that has ended.
+        // Requests received during the watch were for the watch that has ended.
         while self.requests.try_recv().is_ok() {
-            self.request_expected = false;
+            self.request_outstanding = false;
         }
-        let resubscribe = !self.address_changed && !self.request_expected;
-        self.request_expected |= resubscribe;
+        let resubscribe = !self.address_changed && !self.request_outstanding;
+        self.request_outstanding |= resubscribe;
         resubscribe
     }
 }
 
-/// What outlives a single watch.
+/// State that is shared by consecutive watches.
 struct WatchFollower {
     event_loop: EventLoopHandle,
     /// Number of the current watch.
     watch_number: u64,
-    /// Version of the list.
+    /// Version of the endpoint list.
     list_version: u64,
-    /// When the last complete object or heartbeat of any watch came, or the start.
+    /// Time of the last complete object or heartbeat of any watch, initially the start of this driver.
     last_synced_at: Instant,
-    /// Whether the current watch has sent something complete.
-    has_answered: bool,
+    /// Whether the current watch has received a complete object or a heartbeat.
+    has_synced: bool,
 }
 
 impl WatchFollower {
     fn begin_watch(&mut self) {
         self.watch_number = self.event_loop.start_watch();
-        self.has_answered = false;
+        self.has_synced = false;
     }
 
     async fn run_watch(&mut self, address: SocketAddr) -> Result<(), WatchError> {
@@ -150,12 +154,12 @@
         let mut codec = WatchCodec::default();
         let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
-            // Bytes alone extend no deadline. What has come by the deadline is read first, also by a process that
-            // stalled and wakes up late.
-            let Ok(read) = timeout_at(deadline, connection.reader.read_buf(&mut buffer)).await else {
+            // Only complete events extend the deadline. The read is polled before the deadline, so that a
+            // process that resumes late from a stall still handles the bytes that it has received.
+            let Ok(read_result) = timeout_at(deadline, connection.reader.read_buf(&mut buffer)).await else {
                 return Err(self.deadline_error());
             };
-            if read? == 0 {
+            if read_result? == 0 {
                 return Ok(());
             }
             while let Some(event) = codec.decode(&mut buffer)? {
@@ -166,11 +170,11 @@
     }
 
     fn deadline_error(&self) -> WatchError {
-        if self.has_answered { WatchError::Silent(self.last_synced_at.elapsed()) } else { timed_out().into() }
+        if self.has_synced { WatchError::Silent(self.last_synced_at.elapsed()) } else { timed_out().into() }
     }
 
     async fn handle_watch_event(&mut self, address: SocketAddr, event: WatchEvent) -> Result<(), WatchError> {
-        let is_first = !std::mem::replace(&mut self.has_answered, true);
+        let is_first = !std::mem::replace(&mut self.has_synced, true);
         if is_first {
             self.log_first_event(address, &event);
         }
@@ -196,27 +200,30 @@
     async fn forward_update(&mut self, update: EndpointList) -> Result<(), WatchError> {
         let index = update.index;
         let applies = update.applies_to(self.list_version);
-        // The version counts once the update is sent: this future may be dropped meanwhile.
+        // The version is set only after the update is sent, because this future may be dropped during the
+        // send.
         self.event_loop.send(DriverEvent::ListUpdated { watch: self.watch_number, update }).await;
         let next_version = if applies { index } else { 0 };
-        let had = std::mem::replace(&mut self.list_version, next_version);
+        let previous_version = std::mem::replace(&mut self.list_version, next_version);
         if applies {
             return Ok(());
         }
-        // These entries are true, but what changed before them is unknown: that takes a complete list.
-        Err(WatchError::StaleChanges { had, index })
+        // The entries are correct, but earlier changes were missed, so the next watch must start with a
+        // complete list.
+        Err(WatchError::StaleChanges { had: previous_version, index })
     }
 
-    /// Logs the end of a watch, and returns what it shows of discovery.
+    /// Logs the end of a watch, and classifies it for the event loop.
     fn finish_watch(&mut self, address: SocketAddr, outcome: &WatchOutcome) -> WatchEnd {
         let end = match outcome {
-            WatchOutcome::Ended(Err(error)) => error.watch_end(self.has_answered),
-            _ if self.has_answered => WatchEnd::Closed,
+            WatchOutcome::Ended(Err(error)) => error.watch_end(self.has_synced),
+            _ if self.has_synced => WatchEnd::Closed,
             _ => WatchEnd::Failed,
         };
         let reason = match outcome {
             WatchOutcome::AddressChanged => {
-                // What the old service has sent and the event loop has not handled yet is void from now on.
+                // A new watch number invalidates updates of the old service that the event loop has not
+                // handled yet.
                 self.begin_watch();
                 return end;
             }
@@ -232,15 +239,15 @@
     io::Error::from(io::ErrorKind::TimedOut)
 }
 
-/// A connection on which a watch was requested.
+/// Connection on which a watch was requested.
 struct WatchConnection {
     reader: TcpReader,
-    /// Dropping it would shut down the sending direction.
+    /// Write half, which is retained because dropping it would shut down the sending direction.
     _writer: TcpWriter,
 }
 
 impl WatchConnection {
-    /// Connects, and requests what changed after this version.
+    /// Connects to discovery, and requests the changes after version `after`.
     async fn open(address: SocketAddr, after: u64, deadline: Instant) -> io::Result<Self> {
         let stream = connect(address, deadline).await.map_err(ConnectFailure::into_io)?;
         stream.set_nodelay(true)?;
--- a/src/net/health_check.rs
+++ b/src/net/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one `PING` on a connection of its own.
+//! Health checks: one `PING` on a separate connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,13 @@
 
 const PING: &[u8] = b"PING\r\n";
 
-/// Checks a server once. Returns whether it answered with `PONG` within `limit`, connecting included.
-pub async fn check_health(address: SocketAddr, limit: Duration) -> bool {
+/// Checks a server once. Returns whether it answered with `PONG` within `time_limit`, including the time to
+/// connect.
+pub async fn check_health(address: SocketAddr, time_limit: Duration) -> bool {
     let exchange = async {
         let (reader, mut writer) = split_tcp(TcpStream::connect(address).await.ok()?);
         writer.write_all(PING).await.ok()?;
         FramedRead::new(reader, LineCodec::default()).next().await?.ok()
     };
-    matches!(timeout(limit, exchange).await, Ok(Some(line)) if line == PONG)
+    matches!(timeout(time_limit, exchange).await, Ok(Some(line)) if line == PONG)
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,4 +1,5 @@
-//! Accepts clients of the line protocol: those that connect, and those of an older process.
+//! Accepts new clients of the line protocol, and adopts the established connections of a sibling that shuts
+//! down.
 
 use std::io;
 use std::time::Duration;
@@ -8,26 +9,29 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY};
+use super::accept::{AcceptRecovery, AcceptRetries, SHORTAGE_RETRY_DELAY};
 use super::connection_handoff::{HandoffReceiver, ReceivedConnection};
 use super::pending_clients::AddedClient;
 use super::rate_limited_log::RateLimitedLog;
 use super::session::Frontend;
 
-/// Wait after a connection that could not be adopted.
+/// Delay after a failure to receive a connection that a sibling hands off.
 const ADOPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Clients accepted in a row before other tasks run: a burst must not keep them waiting, nor evict a client that has not
-/// had the chance to be read.
+/// Number of clients accepted in a row before the task yields. A burst must not delay other tasks, nor evict
+/// a client whose session task has not run yet.
 const ACCEPTS_BEFORE_YIELD: usize = 8;
-/// Waits for descriptors as the process ends, at most: together less than final answers are given to be written.
+/// Maximum number of waits for descriptors during shutdown. Together they take less time than the process has
+/// for writing final answers.
 const MAX_FINAL_SHORTAGE_WAITS: u32 = 5;
 
 static ACCEPT_FAILURES: RateLimitedLog = RateLimitedLog::new("clients");
 static HANDOFF_FAILURES: RateLimitedLog = RateLimitedLog::new("handover");
 
-/// Accepts clients while `accepting` says so. Others wait in the listener's queue for a process that shares it. Once the
-/// process is `closing`, all clients in the queue are accepted and the listener is closed: those that come later are
-/// refused by the system, and not accepted and dropped.
+/// Accepts clients while `accepting` is true. Otherwise clients remain in the accept queue, for a process
+/// that shares the listener.
+///
+/// Once `closing` is true, all clients in the accept queue are accepted and the listener is closed. The
+/// system refuses later clients, so that none is accepted and then dropped.
 pub async fn accept_clients(
     listener: TcpListener,
     frontend: Frontend,
@@ -66,7 +70,7 @@
     }
 }
 
-/// Does what a failed accept calls for.
+/// Performs the recovery action for a failed accept.
 async fn recover(frontend: &Frontend, retries: &mut AcceptRetries, error: &io::Error) {
     ACCEPT_FAILURES.log(format_args!("accept failed: {error}"));
     let recovery = retries.record_failure(error);
@@ -74,12 +78,12 @@
         frontend.pending_clients.evict_for_descriptors();
     }
     if recovery != AcceptRecovery::Retry {
-        sleep(SHORTAGE_RETRY).await;
+        sleep(SHORTAGE_RETRY_DELAY).await;
     }
 }
 
-/// Accepts all clients in the queue of a listener that is about to close. A queue that the successor has taken by now is
-/// left to it.
+/// Accepts all clients in the accept queue of a listener that is about to close. If the successor accepts the
+/// clients meanwhile, the rest of the queue is left to it.
 async fn drain_accept_queue(
     listener: &std::net::TcpListener,
     accepting: &watch::Receiver<bool>,
@@ -88,7 +92,7 @@
     let mut retries = AcceptRetries::default();
     let mut waits = 0;
     while *accepting.borrow() {
-        // Asks the socket itself, as the runtime may not know yet of clients that wait.
+        // Calls accept(2) directly, because the runtime may not have received the readiness event yet.
         match listener.accept() {
             Ok((client, _)) => {
                 retries.record_success();
@@ -106,22 +110,22 @@
                     if waits > MAX_FINAL_SHORTAGE_WAITS {
                         return;
                     }
-                    sleep(SHORTAGE_RETRY).await;
+                    sleep(SHORTAGE_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// Adopts the connections that an older process hands off, for as long as this process runs.
+/// Adopts the connections that a sibling hands off, until the process exits.
 pub async fn adopt_connections(receiver: HandoffReceiver, frontend: Frontend) {
     loop {
         match receiver.receive().await {
-            Ok(ReceivedConnection { connection: established, client, server }) => {
-                tokio::spawn(frontend.clone().adopt_connection(established, client, server));
+            Ok(ReceivedConnection { connection, client, server }) => {
+                tokio::spawn(frontend.clone().adopt_connection(connection, client, server));
             }
             Err(error) => {
-                HANDOFF_FAILURES.log(format_args!("could not adopt a connection: {error}"));
+                HANDOFF_FAILURES.log(format_args!("cannot adopt a connection: {error}"));
                 sleep(ADOPT_RETRY_DELAY).await;
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Drivers: what reads and writes sockets, files and signals, one module a concern. They decide nothing.
+//! Drivers: modules that read and write sockets and files and receive signals. Decisions are made elsewhere.
 
 pub mod accept;
 pub mod admin;
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again on SIGHUP.
+//! Reload of the configuration on SIGHUP.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,57 +13,58 @@
 use crate::fleet::quota::{QuotaError, Settings};
 use crate::settings::TenantQuota;
 
-/// Where quotas are read from, and where they go.
+/// Source and destination of reloaded quotas.
 pub struct QuotaReload {
-    /// The file.
+    /// Path of the quota file.
     pub file: PathBuf,
-    /// The settings' own quotas, for tenants that the file does not name.
-    pub allowances: Vec<TenantQuota>,
-    /// Where the quotas go.
+    /// Quotas from the settings, for tenants that the quota file does not name.
+    pub default_quotas: Vec<TenantQuota>,
+    /// Event loop that receives the reloaded quotas.
     pub event_loop: EventLoopHandle,
 }
 
 impl QuotaReload {
     async fn reload(&self) {
         let file = self.file.clone();
-        let allowances = self.allowances.clone();
-        let read = tokio::task::spawn_blocking(move || Settings::read(&file, &allowances));
+        let default_quotas = self.default_quotas.clone();
+        let read = tokio::task::spawn_blocking(move || Settings::read(&file, &default_quotas));
         match read.await {
             Ok(Ok(settings)) => {
                 self.event_loop.send(DriverEvent::QuotasReloaded { settings: Box::new(settings) }).await
             }
-            Ok(Err(error)) => info!("{}; keeping the quotas that are active", QuotaError::with_help(error)),
+            Ok(Err(error)) => info!("{}; the active quotas remain in use", QuotaError::with_help(error)),
             Err(error) => {
-                info!("quota: reading the file failed: {error}; keeping the quotas that are active")
+                info!("quota: cannot read the quota file: {error}; the active quotas remain in use")
             }
         }
     }
 }
 
-/// Reads the configuration at each hang-up signal, off the thread that serves. A new discovery address takes effect at
-/// once. A file that cannot be used changes nothing, and signals that come while one is handled count as one.
+/// Reloads the configuration at each SIGHUP, on a thread other than the event loop's.
+///
+/// A new discovery address takes effect immediately. An invalid file changes nothing. Signals received during
+/// a reload cause one further reload.
 pub async fn reload_on_hangup(
     mut hangups: Signal,
-    running: ReloadBaseline,
-    discovery: watch::Sender<SocketAddr>,
+    baseline: ReloadBaseline,
+    discovery_address: watch::Sender<SocketAddr>,
     quota_reload: Option<QuotaReload>,
 ) {
-    let running = Arc::new(running);
+    let baseline = Arc::new(baseline);
     while hangups.recv().await.is_some() {
         if let Some(quota_reload) = &quota_reload {
             quota_reload.reload().await;
         }
-        let compared_with = running.clone();
-        let read = tokio::task::spawn_blocking(move || {
-            compared_with.reload_from_file(|name| std::env::var(name).ok())
-        });
+        let baseline = baseline.clone();
+        let read =
+            tokio::task::spawn_blocking(move || baseline.reload_from_file(|name| std::env::var(name).ok()));
         match read.await {
             Ok(Ok(reloaded)) => {
-                let moved = discovery.send_if_modified(|address| {
+                let address_changed = discovery_address.send_if_modified(|address| {
                     std::mem::replace(address, reloaded.discovery_address) != reloaded.discovery_address
                 });
-                let what = if moved { "moves to" } else { "stays at" };
-                info!("reload: discovery {what} {}", reloaded.discovery_address);
+                let change = if address_changed { "moves to" } else { "stays at" };
+                info!("reload: discovery {change} {}", reloaded.discovery_address);
                 for key in reloaded.keys_needing_restart {
                     info!("reload: {key} has changed and takes effect at a restart only");
                 }
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -1,26 +1,28 @@
-//! Files that outlive the process: replaced atomically, and synced before the caller continues.
+//! Persistent files, which are replaced atomically and synced to disk before the caller continues.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Reads of an existing file that are attempted before it counts as unreadable.
+/// Number of attempts to read an existing file before the error is returned.
 const MAX_READ_ATTEMPTS: u32 = 3;
-/// Wait between two of them.
+/// Delay between two attempts to read a file.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A file that is written and synced beside its destination, and removed unless it is moved there.
+/// Temporary file that is written and synced in the folder of its destination. It is removed when dropped,
+/// unless it was moved to its destination.
 pub struct StagedFile {
     path: PathBuf,
 }
 
 impl StagedFile {
-    /// Writes and syncs a file beside `destination`, under a name that only this process uses.
+    /// Writes and syncs a file in the folder of `destination`, with the process id in its name so that no
+    /// other process uses the same one.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be written.
+    /// Returns an error if the folder cannot be written.
     pub fn stage(destination: &Path, contents: &[u8]) -> io::Result<Self> {
         let mut name = destination.file_name().unwrap_or_default().to_owned();
         name.push(format!(".{}.next", std::process::id()));
@@ -31,21 +33,23 @@
         Ok(staged)
     }
 
-    /// Moves the file to its destination and replaces what is there.
+    /// Moves the file to its destination and replaces an existing file.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be written; the destination then holds the old file or the new one.
+    /// Returns an error if the folder cannot be written. The destination is then either the old file or the
+    /// new one.
     pub fn replace_destination(self, destination: &Path) -> io::Result<()> {
         fs::rename(&self.path, destination)?;
         sync_parent_folder(destination)
     }
 
-    /// Links the file to its destination, where nothing may be yet.
+    /// Creates the destination as a hard link to the file.
     ///
     /// # Errors
     ///
-    /// Fails where the destination exists, or where the folder cannot be written or does not support hard links.
+    /// Returns an error if the destination exists, the folder cannot be written, or the file system does not
+    /// support hard links.
     pub fn create_destination(&self, destination: &Path) -> io::Result<()> {
         fs::hard_link(&self.path, destination)?;
         sync_parent_folder(destination)
@@ -54,25 +58,25 @@
 
 impl Drop for StagedFile {
     fn drop(&mut self) {
-        // Fails where the file has been renamed.
+        // Fails if the file has been renamed.
         let _ = fs::remove_file(&self.path);
     }
 }
 
-/// Replaces a file atomically; once this returns, the new file is on disk.
+/// Replaces a file atomically. The new file has been synced to disk when this function returns.
 ///
 /// # Errors
 ///
-/// Fails where the folder cannot be written.
+/// Returns an error if the folder cannot be written.
 pub fn replace_file(destination: &Path, contents: &[u8]) -> io::Result<()> {
     StagedFile::stage(destination, contents)?.replace_destination(destination)
 }
 
-/// Reads a text file; `None` where there is none. A read that fails is retried.
+/// Reads a text file; returns `None` if it does not exist. A failed read is retried.
 ///
 /// # Errors
 ///
-/// Fails where the file exists and cannot be read as text.
+/// Returns an error if the file exists and cannot be read as text.
 pub fn read_optional(path: &Path) -> io::Result<Option<String>> {
     let mut attempts = 1;
     loop {
@@ -86,7 +90,7 @@
     }
 }
 
-/// Syncs a folder, without which a new name in it does not survive a power cut.
+/// Syncs the folder of a file. Without the sync, a new name in the folder may be lost in a power failure.
 fn sync_parent_folder(path: &Path) -> io::Result<()> {
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
