--- a/src/cli.rs
+++ b/src/cli.rs
@@ -30,8 +30,8 @@
 #[command(name = "ashtide", version, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
     /// The deploy file of the QUIC front and VRRP
-    #[arg(long, value_name = "FILE")]
-    fronts: Option<PathBuf>,
+    #[arg(long = "fronts", value_name = "FILE")]
+    frontends: Option<PathBuf>,
     /// The file of the fleet view, which is off without it
     #[arg(long, value_name = "FILE")]
     view: Option<PathBuf>,
@@ -50,8 +50,8 @@
     /// Serve, as without a subcommand
     Serve {
         /// The deploy file of the QUIC front and VRRP
-        #[arg(long, value_name = "FILE")]
-        fronts: Option<PathBuf>,
+        #[arg(long = "fronts", value_name = "FILE")]
+        frontends: Option<PathBuf>,
         /// The file of the fleet view, which is off without it
         #[arg(long, value_name = "FILE")]
         view: Option<PathBuf>,
@@ -118,7 +118,7 @@
 /// Optional files of the daemon in addition to its configuration.
 pub struct ConfigFiles {
     /// Path of the front ends' settings; `None` to run without QUIC and VRRP.
-    pub fronts: Option<PathBuf>,
+    pub frontends: Option<PathBuf>,
     /// Path of the fleet view's settings; `None` to disable the view.
     pub view: Option<PathBuf>,
     /// Path of the maintenance settings; `None` to disable maintenance.
@@ -140,11 +140,11 @@
     pub fn execute(self) -> Action {
         match self.command {
             None => {
-                let Self { fronts, view, maintenance, quota, .. } = self;
-                Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
+                let Self { frontends, view, maintenance, quota, .. } = self;
+                Action::Serve(ConfigFiles { frontends, view, maintenance, quota })
             }
-            Some(Command::Serve { fronts, view, maintenance, quota }) => {
-                Action::Serve(ConfigFiles { fronts, view, maintenance, quota })
+            Some(Command::Serve { frontends, view, maintenance, quota }) => {
+                Action::Serve(ConfigFiles { frontends, view, maintenance, quota })
             }
             Some(Command::Maintenance { admin_address, command }) => {
                 Action::Exit(run_maintenance_command(admin_address, command))
--- a/src/main.rs
+++ b/src/main.rs
@@ -120,7 +120,7 @@
         }
         config.settings.warnings().iter().for_each(|warning| info!("ashtide: {warning}"));
         // The platform starts the daemon without a file for the front ends.
-        let frontends = files.fronts.as_deref().map(FrontendConfig::read).transpose()?.unwrap_or_default();
+        let frontends = files.frontends.as_deref().map(FrontendConfig::read).transpose()?.unwrap_or_default();
         let view = files.view.as_deref().map(ViewSettings::read).transpose()?;
         let quota = match &files.quota {
             Some(_) if view.as_ref().is_none_or(|view| view.shared_state.is_none()) => {
