--- a/src/fleet/maintenance/mod.rs
+++ b/src/fleet/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Taking machines out for maintenance, in the daemon: its settings, operators' commands, and what they are shown. The
-//! state machine is [`ashtide_maintenance`]. No sockets, no clock.
+//! Maintenance of servers and gateways in the daemon: settings, operators' commands and status texts. Free of
+//! sockets and clocks. The state machine is in [`ashtide_maintenance`].
 
 mod settings;
 mod text;
@@ -7,15 +7,15 @@
 pub use settings::{MAX_GATEWAYS, MaintenanceError, Settings, schema};
 pub use text::{metrics_text, queue_text};
 
-/// What an operator requests.
+/// A command of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MaintenanceCommand {
-    /// Show the queue and the grants.
+    /// Shows the queue and its grants.
     List,
-    /// Take a machine out, and why.
+    /// Requests maintenance: the name of the machine, and the reason.
     Request(String, String),
-    /// Do not take a machine out.
+    /// Cancels the maintenance of the machine of this name.
     Cancel(String),
-    /// The work on a machine is done.
+    /// Reports that the work on the machine of this name is done.
     Done(String),
 }
--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -1,4 +1,4 @@
-//! The file of `--maintenance`.
+//! Settings of maintenance, read from the file that `--maintenance` names.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 
 use super::super::settings_keys::{IntegerKey, InvalidKey, check_known_keys, required_names};
 
-/// Gateways that a file may name.
+/// Maximum number of gateways in a settings file.
 pub const MAX_GATEWAYS: usize = 512;
 
 const SLOT: IntegerKey = IntegerKey {
@@ -19,161 +19,163 @@
     minimum: 0,
     maximum: 511,
     default: None,
-    description: "Which of 'gateways' this one is, from 0.",
+    description: "Index of this gateway in 'gateways', from 0.",
 };
 const FLEET_ID: IntegerKey = IntegerKey {
     name: "tier",
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "The tier's key, the same at all its gateways and at none of another tier.",
+    description: "Key of the fleet: the same at all of its gateways, and unique among fleets.",
 };
 const VOTERS: IntegerKey = IntegerKey {
     name: "voters",
     minimum: 1,
     maximum: 9,
     default: Some(3),
-    description: "So many of the first 'gateways' keep the table; of 3 one may be away, of 5 two.",
+    description: "Number of acceptors, the first of 'gateways'; of 3 one may be unavailable, of 5 two.",
 };
 const MAX_OUT: IntegerKey = IntegerKey {
     name: "max_out",
     minimum: 1,
     maximum: 32,
     default: None,
-    description: "Servers that may be out at once.",
+    description: "Maximum number of servers out for maintenance at once.",
 };
 const MAX_GATEWAYS_OUT: IntegerKey = IntegerKey {
     name: "max_gateways",
     minimum: 0,
     maximum: 32,
     default: Some(1),
-    description: "Gateways that may be out at once; fewer than half of the voters.",
+    description: "Maximum number of gateways out for maintenance at once; fewer than half of 'voters'.",
 };
 const FLOOR: IntegerKey = IntegerKey {
     name: "floor",
     minimum: 0,
     maximum: 4096,
     default: Some(0),
-    description: "Ready servers that must be left.",
+    description: "Minimum number of servers that must remain ready.",
 };
 const LEASE_S: IntegerKey = IntegerKey {
     name: "lease_s",
     minimum: 2,
     maximum: 60,
     default: Some(6),
-    description: "How long a gateway keeps a machine out after it has last asked the others.",
+    description: "Seconds that a gateway keeps a machine cordoned after its last request to the others.",
 };
 const DRAIN_S: IntegerKey = IntegerKey {
     name: "drain_s",
     minimum: 1,
     maximum: 3600,
     default: Some(60),
-    description: "How long a drain may last.",
+    description: "Maximum duration of a drain in seconds.",
 };
 const WORK_S: IntegerKey = IntegerKey {
     name: "work_s",
     minimum: 0,
     maximum: 86400,
     default: Some(3600),
-    description: "How long a machine stays out at most once it is drained; 0: a server not at all.",
+    description: "Maximum seconds that a drained machine is out; 0: a server returns once drained.",
 };
 const INTEGER_KEYS: [IntegerKey; 9] =
     [SLOT, FLEET_ID, VOTERS, MAX_OUT, MAX_GATEWAYS_OUT, FLOOR, LEASE_S, DRAIN_S, WORK_S];
 const OTHER_KEYS: [&str; 3] = ["listen", "gateways", "folder"];
 
 const LISTEN_DESCRIPTION: &str =
-    "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
-const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
-const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
+    "UDP address that this gateway listens on for the others. Default: its own address in 'gateways'.";
+const GATEWAYS_DESCRIPTION: &str =
+    "Addresses at which all gateways are reachable, listed in the same order at all of them.";
+const FOLDER_DESCRIPTION: &str =
+    "Folder of this gateway's acceptor state; it must persist across restarts of the machine.";
 
-/// Why the settings of maintenance cannot be used.
+/// An error in the settings of maintenance.
 #[derive(Debug, thiserror::Error)]
 pub enum MaintenanceError {
     /// The file cannot be read.
     #[error("maintenance: {path}: {problem}")]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system returned.
         problem: std::io::Error,
     },
     /// The file is not TOML.
     #[error("maintenance: found {}; expected TOML", .0.to_string().trim())]
     Syntax(#[from] toml::de::Error),
-    /// A key's value, or its absence, cannot be used.
+    /// A key has an invalid value, is unknown, or is required and absent.
     #[error("maintenance: {0}")]
     Key(#[from] InvalidKey),
 }
 
 impl MaintenanceError {
-    /// The error followed by what an operator can do, for the log.
+    /// Returns the error and the operator's remedy, for the log.
     #[must_use]
     pub fn with_help(self) -> String {
         format!("{self}; {}", self.help())
     }
 
-    /// What an operator can do.
+    /// Returns the operator's remedy.
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --maintenance out",
+            Self::File { .. } => "name a file that this process may read, or omit --maintenance",
             Self::Syntax(_) => "compare the file with deploy/maintenance.toml",
-            Self::Key(_) => "correct the key; deploy/maintenance.schema.json says what each may be",
+            Self::Key(_) => "correct the key; deploy/maintenance.schema.json lists the keys and their values",
         }
     }
 }
 
-/// What the file of `--maintenance` says.
+/// Settings of maintenance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Address that this gateway receives datagrams at.
+    /// UDP address on which this gateway receives datagrams.
     pub listen: SocketAddr,
     /// Address of each gateway, by slot.
     pub gateways: Vec<SocketAddr>,
-    /// Folder of the acceptor's state.
+    /// Folder of the acceptor state.
     pub state_directory: PathBuf,
     /// Settings of the state machine.
     pub replica: ReplicaConfig,
 }
 
 impl Settings {
-    /// Reads the file.
+    /// Reads the settings from the file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read, is not TOML, or has a key that cannot be used.
+    /// Fails if the file cannot be read, is not TOML, or has an invalid key.
     pub fn read(path: &Path) -> Result<Self, MaintenanceError> {
         let text = std::fs::read_to_string(path)
             .map_err(|problem| MaintenanceError::File { path: path.to_owned(), problem })?;
         Self::parse(&text)
     }
 
-    /// Parses the text of a file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, or names the key that cannot be used.
+    /// Fails if the text is not TOML or has an invalid key, which the error names.
     pub fn parse(text: &str) -> Result<Self, MaintenanceError> {
         let table: Table = text.parse()?;
         let known: Vec<&str> =
             OTHER_KEYS.into_iter().chain(INTEGER_KEYS.iter().map(|key| key.name)).collect();
         check_known_keys(&table, "", &known)?;
-        let numbers = Numbers::read(&table)?;
+        let integers = IntegerSettings::read(&table)?;
         let gateways = parse_gateways(&table)?;
-        let own = *gateways.get(numbers.slot as usize).ok_or_else(|| {
-            InvalidKey::new("slot", numbers.slot, format_args!("one of {} gateways", gateways.len()))
+        let own = *gateways.get(integers.slot as usize).ok_or_else(|| {
+            InvalidKey::new("slot", integers.slot, format_args!("one of {} gateways", gateways.len()))
         })?;
-        numbers.check_voters(gateways.len())?;
+        integers.check_voters(gateways.len())?;
         let state_directory = parse_folder(&table)?;
         let listen = match table.get("listen") {
             Some(value) => parse_reachable_address("listen", value)?,
             None => own,
         };
-        let replica = numbers.replica_config(gateways.len());
+        let replica = integers.replica_config(gateways.len());
         Ok(Self { listen, gateways, state_directory, replica })
     }
 
-    /// The kind of the machine of this name: a gateway is named by its address.
+    /// Returns the kind of the machine `name`. The name of a gateway is its address.
     #[must_use]
     pub fn machine_kind(&self, name: &str) -> MachineKind {
         match name.parse().is_ok_and(|address| self.gateways.contains(&address)) {
@@ -183,8 +185,8 @@
     }
 }
 
-/// The values of [`INTEGER_KEYS`].
-struct Numbers {
+/// Values of [`INTEGER_KEYS`].
+struct IntegerSettings {
     slot: u32,
     fleet_id: u32,
     voters: u32,
@@ -196,7 +198,7 @@
     work_s: u32,
 }
 
-impl Numbers {
+impl IntegerSettings {
     fn read(table: &Table) -> Result<Self, InvalidKey> {
         Ok(Self {
             slot: SLOT.read(table, "")?,
@@ -218,7 +220,7 @@
         }
         let minority = (self.voters - 1) / 2;
         if self.max_gateways_out > minority && self.voters > 1 {
-            let expected = format_args!("at most {minority}, so that a majority of the voters stays");
+            let expected = format_args!("at most {minority}, so that a majority of the voters remains");
             return Err(InvalidKey::new("max_gateways", self.max_gateways_out, expected));
         }
         Ok(())
@@ -252,14 +254,12 @@
     let absent = Toml::Array(Vec::new());
     let value = table.get("gateways").unwrap_or(&absent);
     let expected = format!("a list of 1 to {MAX_GATEWAYS} different addresses");
-    let listed = value
+    let values = value
         .as_array()
-        .filter(|listed| (1..=MAX_GATEWAYS).contains(&listed.len()))
+        .filter(|values| (1..=MAX_GATEWAYS).contains(&values.len()))
         .ok_or_else(|| InvalidKey::new("gateways", value, &expected))?;
-    let gateways: Vec<SocketAddr> = listed
-        .iter()
-        .map(|gateway| parse_reachable_address("gateways", gateway))
-        .collect::<Result<_, _>>()?;
+    let gateways: Vec<SocketAddr> =
+        values.iter().map(|value| parse_reachable_address("gateways", value)).collect::<Result<_, _>>()?;
     let repeated = (1..gateways.len()).find(|&index| gateways[..index].contains(&gateways[index]));
     match repeated {
         Some(index) => Err(InvalidKey::new("gateways", format_args!("{} twice", gateways[index]), &expected)),
@@ -268,7 +268,7 @@
 }
 
 fn parse_reachable_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
-    let expected = "an address and a port that others reach, as \"127.0.0.1:7947\"";
+    let expected = "an address and a port that other gateways can reach, as \"127.0.0.1:7947\"";
     let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
     let is_reachable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
     let address = text.parse().ok().filter(is_reachable);
@@ -280,7 +280,7 @@
     folder.map(PathBuf::from).ok_or_else(|| InvalidKey::missing("folder", "a folder"))
 }
 
-/// The JSON Schema of the file.
+/// Returns the JSON Schema of the settings file.
 #[must_use]
 pub fn schema() -> Json {
     let mut properties = serde_json::Map::new();
@@ -296,7 +296,7 @@
         ["folder", "gateways"].into_iter().chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "Settings of taking machines out for work, the file of --maintenance",
+        "title": "Settings of maintenance, the file of --maintenance",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/src/fleet/maintenance/text.rs
+++ b/src/fleet/maintenance/text.rs
@@ -1,4 +1,4 @@
-//! The maintenance queue as text of the admin endpoint.
+//! Texts of the admin endpoint about the maintenance queue.
 
 use std::fmt::Write;
 
@@ -6,7 +6,8 @@
 
 use crate::metrics::METRIC_PREFIX;
 
-/// The queue and the grants, in the queue's order, then the machines that this gateway keeps out.
+/// Returns the entries of the queue with their grants, in the order of the queue, then the machines that this
+/// gateway has cordoned.
 #[must_use]
 pub fn queue_text(replica: &Replica) -> String {
     let (queue, is_valid) = replica.queue();
@@ -47,7 +48,7 @@
     }
 }
 
-/// The metrics, one a line.
+/// Returns the metrics, one per line.
 #[must_use]
 pub fn metrics_text(replica: &Replica) -> String {
     let mut text = String::new();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,8 @@
-//! What the gateways of a fleet agree on and share: settings, state and texts. No sockets, no clock.
+//! State that the gateways of a fleet agree on and share: settings, logic and texts. Free of sockets and
+//! clocks.
 //!
-//! All of it is off unless its file is named on the command line, except the permits for warming servers.
+//! Each subsystem is off unless the command line names its settings file. The exception is [`permits`], the
+//! permits for connections to warming servers.
 
 pub mod maintenance;
 pub mod permits;
--- a/src/fleet/settings_keys.rs
+++ b/src/fleet/settings_keys.rs
@@ -1,55 +1,55 @@
-//! Reading single keys of the fleet's settings files, shared by all of its subsystems.
+//! Functions that read single keys of settings files, shared by all subsystems of the fleet.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value as Json, json};
 use toml::{Table, Value as Toml};
 
-/// A key whose value, or whose absence, cannot be used.
+/// A key that has an invalid value, is unknown, or is required and absent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: found {found}; expected {expected}")]
 pub struct InvalidKey {
-    /// The key, with the tables that it stands in.
+    /// Dotted name of the key, with the tables that contain it.
     pub key: String,
-    /// What stands there.
+    /// Value in the file, or a description of it.
     pub found: String,
-    /// What should stand there.
+    /// Description of the valid values.
     pub expected: String,
 }
 
 impl InvalidKey {
-    /// An error that names what was found and what was expected.
+    /// Creates an error from the key, the value found and the values expected.
     pub fn new(key: impl ToString, found: impl ToString, expected: impl ToString) -> Self {
         Self { key: key.to_string(), found: found.to_string(), expected: expected.to_string() }
     }
 
-    /// The error for a required key that is absent.
+    /// Creates the error for a required key that is absent.
     pub fn missing(key: impl ToString, expected: impl ToString) -> Self {
         Self::new(key, "nothing", expected)
     }
 }
 
-/// A key that holds a whole number.
+/// A key whose value is a whole number.
 #[derive(Debug, Clone, Copy)]
 pub struct IntegerKey {
-    /// Name in its table.
+    /// Name of the key in its table.
     pub name: &'static str,
     /// Smallest value.
     pub minimum: u32,
     /// Largest value.
     pub maximum: u32,
-    /// Value where the key is absent; none where it is required.
+    /// Value used if the key is absent; `None` if the key is required.
     pub default: Option<u32>,
-    /// Description in the JSON Schema.
+    /// Description of the key in the JSON Schema.
     pub description: &'static str,
 }
 
 impl IntegerKey {
-    /// Reads the key from `table`, whose own name, with a dot after it, is `prefix`.
+    /// Reads the key from `table`. `prefix` is the name of the table followed by a dot, for errors.
     ///
     /// # Errors
     ///
-    /// Fails where the value is no whole number within the bounds, or a required key is absent.
+    /// Fails if the value is not a whole number within the bounds, or if a required key is absent.
     pub fn read(&self, table: &Table, prefix: &str) -> Result<u32, InvalidKey> {
         let Self { name, minimum, maximum, default, .. } = *self;
         let key = format!("{prefix}{name}");
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The JSON Schema of the key.
+    /// Returns the JSON Schema of the key.
     pub fn schema(&self) -> Json {
         let mut schema = json!({
             "type": "integer",
@@ -79,16 +79,16 @@
     }
 }
 
-/// The names of those keys that have no default.
+/// Returns the names of the keys that have no default.
 pub fn required_names(keys: &[IntegerKey]) -> impl Iterator<Item = &'static str> {
     keys.iter().filter(|key| key.default.is_none()).map(|key| key.name)
 }
 
-/// Reads a flag from `table`, whose own name, with a dot after it, is `prefix`.
+/// Reads the flag `name` from `table`. `prefix` is the name of the table followed by a dot, for errors.
 ///
 /// # Errors
 ///
-/// Fails where the value is neither true nor false.
+/// Fails if the value is neither true nor false.
 pub fn read_flag(table: &Table, prefix: &str, name: &str, default: bool) -> Result<bool, InvalidKey> {
     match table.get(name) {
         Some(value) => {
@@ -98,22 +98,23 @@
     }
 }
 
-/// Parses an address with a port.
+/// Parses the value of `key` as an IP address with a port.
 ///
 /// # Errors
 ///
-/// Fails where `value` is no such address.
+/// Fails if `value` is not such an address.
 pub fn parse_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
     let expected = "an address and a port, as \"127.0.0.1:7946\"";
     let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
     text.parse().map_err(|_| InvalidKey::new(key, format_args!("\"{text}\""), expected))
 }
 
-/// Checks that `table`, whose own name, with a dot after it, is `prefix`, has no keys but the `known` ones.
+/// Checks that `table` has only keys from `known`. `prefix` is the name of the table followed by a dot, for
+/// errors.
 ///
 /// # Errors
 ///
-/// Names the first unknown key.
+/// Fails if the table has an unknown key; the error names the first one.
 pub fn check_known_keys(table: &Table, prefix: &str, known: &[&str]) -> Result<(), InvalidKey> {
     match table.keys().find(|key| !known.contains(&key.as_str())) {
         Some(key) => Err(InvalidKey::new(format!("{prefix}{key}"), "an unknown key", known.join(", "))),
