--- a/src/fleet/permits/datagram.rs
+++ b/src/fleet/permits/datagram.rs
@@ -1,87 +1,92 @@
-//! The datagrams in which gateways request permits and reply.
+//! Encoding of the datagrams in which gateways request permits and reply to requests. Integers are
+//! big-endian.
 //!
 //! | byte | request | reply |
 //! | --- | --- | --- |
 //! | 0 | 18 | 19 |
-//! | 1, 2 | request number, given back by the reply | the request's number |
-//! | 3 to 6 | the server's key, as in connection ids | the same |
-//! | 7 | | bit 0: granted; bit 1: the server is below its fair share |
-//! | 8 | | if denied: when to ask again, in steps of 16 ms |
+//! | 1, 2 | request number | number of the request that it replies to |
+//! | 3 to 6 | key of the server, as in connection ids | key of the server |
+//! | 7 | absent | bit 0: granted; bit 1: the server is below its fair share |
+//! | 8 | absent | if denied: wait before the next request, in steps of 16 ms |
 
 use crate::decision::interface::{GatewayId, Span};
 
-/// A server's key: the first four bytes of the SHA-256 of its name.
+/// Key of a server: the first four bytes of the SHA-256 hash of its name.
 pub type ServerKey = u32;
 
-/// Length of a request, in bytes.
+/// Length of a request in bytes.
 pub const REQUEST_LENGTH: usize = 7;
-/// Length of a reply, the longest datagram, in bytes.
+/// Maximum length of a datagram in bytes, which is the length of a reply.
 pub const MAX_DATAGRAM_LENGTH: usize = 9;
 const REQUEST_TAG: u8 = 18;
 const REPLY_TAG: u8 = 19;
 const GRANTED_FLAG: u8 = 1;
 const BELOW_FAIR_SHARE_FLAG: u8 = 2;
-/// Microseconds in a step of the wait that a reply carries.
+/// Unit in microseconds of the wait in a reply.
 const WAIT_STEP_MICROS: i64 = 16_000;
 
-/// Why a datagram is ignored. It has changed nothing.
+/// An error for which a datagram is ignored. An ignored datagram changes no state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is neither a request nor a reply; its length in bytes.
+    /// The datagram, of this length in bytes, is neither a request nor a reply.
     #[error("{0} bytes that are neither an ask nor an answer")]
     Malformed(usize),
-    /// It comes from no gateway of this fleet, or from this one itself.
+    /// The sender is not a gateway of this fleet, or is this gateway itself.
     #[error("of no other gateway of this tier")]
     UnknownSender,
-    /// It requests a permit that other gateways grant.
+    /// The request is for a permit that other gateways grant.
     #[error("an ask for what is kept elsewhere")]
     NotGrantor,
-    /// It replies to no pending request: it is late, or was sent to another gateway.
+    /// The reply matches no pending request: it arrived after the time-out, or was for another gateway.
     #[error("an answer to nothing asked")]
     UnexpectedReply,
 }
 
 impl DecodeError {
-    /// What an operator can do about it.
+    /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::Malformed(_) => "gateways of one tier run one version; see who sends to peer_listen",
-            Self::UnknownSender => "see that `peers` names the same gateways in the same order everywhere",
-            Self::NotGrantor => "see that `peers` and `balancers` are the same everywhere",
+            Self::Malformed(_) => {
+                "run one version on all gateways, and check which program sends to `peer_listen`"
+            }
+            Self::UnknownSender => {
+                "check that `peers` lists the same gateways in the same order on all of them"
+            }
+            Self::NotGrantor => "check that `peers` and `balancers` are the same at all gateways",
             Self::UnexpectedReply => {
-                "nothing, if rare: the network was slow; often: look for a gateway that stalls"
+                "none if rare, as after a network delay; if frequent, look for a gateway that stalls"
             }
         }
     }
 }
 
-/// A datagram to another gateway.
+/// An encoded datagram to another gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDatagram {
-    /// The gateway that it is sent to.
+    /// Gateway that the datagram is sent to.
     pub to: GatewayId,
     bytes: [u8; MAX_DATAGRAM_LENGTH],
     length: usize,
 }
 
 impl PermitDatagram {
-    /// A request for a permit.
+    /// Encodes a request for a permit.
     pub(super) fn request(to: GatewayId, number: u16, server: ServerKey) -> Self {
         Self { to, bytes: encode(REQUEST_TAG, number, server, [0, 0]), length: REQUEST_LENGTH }
     }
 
-    /// The reply to a request.
+    /// Encodes the reply to the request `number`.
     pub(super) fn reply(to: GatewayId, number: u16, server: ServerKey, reply: Reply) -> Self {
         let content = [reply.flags(), reply.wait_steps];
         Self { to, bytes: encode(REPLY_TAG, number, server, content), length: MAX_DATAGRAM_LENGTH }
     }
 
-    /// The server that it is about.
+    /// Returns the key of the server that the datagram refers to.
     pub fn key(&self) -> ServerKey {
         ServerKey::from_be_bytes([self.bytes[3], self.bytes[4], self.bytes[5], self.bytes[6]])
     }
 
-    /// Its content.
+    /// Returns the encoded datagram.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[..self.length]
     }
@@ -96,12 +101,12 @@
     bytes
 }
 
-/// What a reply says.
+/// Content of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Reply {
     pub(super) granted: bool,
     pub(super) below_fair_share: bool,
-    /// If denied: when to ask again.
+    /// Wait before the next request after a denial, in units of [`WAIT_STEP_MICROS`].
     wait_steps: u8,
 }
 
@@ -110,13 +115,14 @@
         Self { granted: true, below_fair_share, wait_steps: 0 }
     }
 
-    /// A denial; `retry_after` is rounded up, and cut off at the longest that a reply can carry.
+    /// Creates a denial. `retry_after` is rounded up, and limited to the longest wait that a reply can
+    /// encode.
     pub(super) fn denied(retry_after: Span, below_fair_share: bool) -> Self {
         let steps = retry_after.as_micros() / WAIT_STEP_MICROS + 1;
         Self { granted: false, below_fair_share, wait_steps: u8::try_from(steps).unwrap_or(u8::MAX) }
     }
 
-    /// A denial with the longest wait that a reply can carry.
+    /// Creates a denial with the longest wait that a reply can encode.
     pub(super) fn unavailable() -> Self {
         Self { granted: false, below_fair_share: false, wait_steps: u8::MAX }
     }
@@ -140,7 +146,7 @@
     }
 }
 
-/// A datagram that has been read.
+/// A decoded datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Message {
     pub(super) request_number: u16,
@@ -148,7 +154,7 @@
     pub(super) content: MessageContent,
 }
 
-/// The kind of a datagram, and what only this kind carries.
+/// Kind of a datagram, with the fields that only this kind has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageContent {
     Request,
@@ -156,9 +162,11 @@
 }
 
 impl Message {
+    /// Decodes a datagram.
+    ///
     /// # Errors
     ///
-    /// [`DecodeError::Malformed`] if it is neither a request nor a reply.
+    /// Fails with [`DecodeError::Malformed`] if `bytes` is neither a request nor a reply.
     pub(super) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let malformed = DecodeError::Malformed(bytes.len());
         let head: &[u8; REQUEST_LENGTH] = bytes.first_chunk().ok_or(malformed)?;
--- a/src/fleet/permits/mod.rs
+++ b/src/fleet/permits/mod.rs
@@ -1,10 +1,12 @@
-//! Permits to send connections to new servers.
+//! Permits to send connections to new servers. Free of I/O and clocks.
 //!
-//! A new server takes a few connections a second of all gateways together. Each server has two grantors among the
-//! gateways, chosen by its name, and a gateway requests a permit of one of them before it places a connection there.
-//! This costs two datagrams whatever the size of the fleet, and the limit holds exactly: what a grantor grants comes
-//! out of its own share, no other gateway can grant it, and a permit that is not used at once is lost.
-//! [`Permits::check_invariants`] names what must always hold. There is no I/O and no clock here.
+//! A new server accepts a few connections a second from all gateways together. Each server has two grantors
+//! among the gateways, chosen by the server's name. A gateway requests a permit from one of the grantors
+//! before it sends a connection to the server. A request costs two datagrams, whatever the size of the fleet.
+//!
+//! The limit is exact: a grantor grants permits only from its own share, no other gateway can grant the same
+//! permits, and a permit that is not used at once expires. [`Permits::check_invariants`] checks the
+//! invariants.
 
 use std::collections::BTreeMap;
 
@@ -20,128 +22,129 @@
 
 use datagram::{Message, MessageContent, Reply};
 
-/// Grantors of a server. One alone would leave new servers without permits while it restarts.
+/// Number of grantors of a server. With a single grantor, new servers would get no permits while it restarts.
 const GRANTORS_PER_SERVER: usize = 2;
-/// A permit expires this long after the request for it. Counted by the clock of the requester from before the grant,
-/// so that it ends earlier than the grantor assumes, never later.
+/// Lifetime of a permit, from the request for it. The requester measures the lifetime by its own clock from
+/// before the grant, so the permit expires earlier than the grantor assumes, never later.
 pub const PERMIT_LIFETIME: Span = Span::from_micros(125_000);
-/// Longest wait for the reply of a grantor.
+/// Time-out for the reply of a grantor.
 pub const REPLY_TIMEOUT: Span = Span::from_micros(100_000);
-/// A grantor that did not reply is not asked for this long.
+/// Duration for which no request is sent to a grantor that did not reply.
 const UNREACHABLE_BACKOFF: Span = Span::from_micros(1_000_000);
-/// When a grantor does not know a server yet, the requester asks again after this fraction of
-/// [`UNREACHABLE_BACKOFF`].
+/// Wait of a requester after a denial because the grantor does not have the server on its endpoint list yet,
+/// as a fraction of [`UNREACHABLE_BACKOFF`].
 const UNKNOWN_SERVER_BACKOFF_FRACTION: f64 = 0.5;
-/// A server is below its fair share until it holds this fraction of what fills it.
+/// Fraction of the connections of a full server up to which a server is below its fair share.
 const FAIR_SHARE_FILL: f64 = 0.5;
-/// New servers that are tracked, at most.
+/// Maximum number of new servers that are tracked.
 const MAX_TRACKED_SERVERS: usize = 4096;
 
 /// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum PermitViolation {
-    /// A permit was granted before it was due.
+    /// A permit was granted before the schedule issued it.
     #[error("permit {permit} of server {key:#010x} granted, {due} are due")]
     GrantedEarly {
-        /// The server.
+        /// Key of the server.
         key: ServerKey,
-        /// The last permit granted.
+        /// Number of the last permit granted.
         permit: u64,
-        /// Permits that are due.
+        /// Number of permits that the schedule has issued.
         due: f64,
     },
-    /// More permits were granted than this grantor has had since the start.
+    /// More permits were granted than this grantor's share since the server's start.
     #[error("{granted} permits granted for server {key:#010x}, {available} were this gateway's")]
     Overdrawn {
-        /// The server.
+        /// Key of the server.
         key: ServerKey,
-        /// Permits granted here.
+        /// Number of permits that this grantor granted.
         granted: u64,
-        /// Permits of this grantor up to the last granted.
+        /// Number of permits in this grantor's share, up to the last permit granted.
         available: u64,
     },
-    /// A server is tracked here that other gateways grant permits for.
+    /// This gateway tracks a server, of this key, for which other gateways are the grantors.
     #[error("other gateways grant permits for server {0:#010x}")]
     NotGrantor(ServerKey),
 }
 
 impl PermitViolation {
-    /// What an operator can do about it.
+    /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
             Self::GrantedEarly { .. } | Self::Overdrawn { .. } => {
-                "restart this gateway, which then grants no earlier permit, and report the line"
+                "restart this gateway, which then grants no earlier permit, and report this line"
             }
-            Self::NotGrantor(_) => "compare `balancers` and `peers` on all gateways, and report the line",
+            Self::NotGrantor(_) => "compare `balancers` and `peers` on all gateways, and report this line",
         }
     }
 }
 
-/// What follows from a request or a datagram.
+/// Action for the caller after a request, a datagram or a time-out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PermitStep {
-    /// Send this datagram.
+    /// Sends the datagram.
     Send(PermitDatagram),
-    /// Send this datagram twice: it carries a permit, which would be lost with it.
+    /// Sends the datagram twice: it carries a permit, which would be lost with a single copy.
     SendTwice(PermitDatagram),
-    /// Send this request, and call [`Permits::handle_reply_timeout`] after [`REPLY_TIMEOUT`].
+    /// Sends the request, and calls [`Permits::handle_reply_timeout`] after [`REPLY_TIMEOUT`].
     AwaitReply {
-        /// The request.
+        /// Encoded request.
         datagram: PermitDatagram,
-        /// Its number.
+        /// Number of the request.
         request_number: u16,
     },
-    /// Pass this reply on to the decision module.
+    /// Passes the reply to the decision module.
     Resolved {
-        /// The server that the permit is for.
+        /// Key of the server that the permit is for.
         server: ServerKey,
-        /// The reply.
+        /// Reply to the request for a permit.
         reply: PermitReply,
     },
 }
 
-/// A request to a grantor.
+/// A request that was sent to a grantor.
 struct PendingRequest {
     request_number: u16,
     grantor: GatewayId,
     requested_at: Time,
-    /// Whether another grantor was asked before.
+    /// Whether the request follows one to another grantor, which did not reply.
     is_retry: bool,
-    /// Whether the reply has come. Answered requests are kept until the next list, to recognise second copies.
+    /// Whether the reply was received. Answered requests are retained until the next endpoint list, so that
+    /// second copies of replies are recognised.
     is_answered: bool,
 }
 
-/// This grantor's share of a server's permits.
+/// Share of this grantor in the permits of a server.
 #[derive(Default)]
 struct GrantorShare {
     server_started_at: Time,
-    /// The last permit granted, by any process of this grantor.
+    /// Number of the last permit granted by any process of this grantor.
     last_granted_permit: u64,
-    /// Permits granted by this process.
+    /// Number of permits granted by this process.
     granted_count: u64,
-    /// The most permits that have been due so far.
+    /// Largest number of permits that the schedule has issued so far.
     permits_due: f64,
 }
 
-/// Permits that one gateway requests and grants.
+/// State of the permits that one gateway requests and grants.
 pub struct Permits {
     own_gateway: GatewayId,
-    gateways: u32,
+    gateway_count: u32,
     schedule: PermitSchedule,
     last_request_number: u16,
     pending_requests: BTreeMap<ServerKey, PendingRequest>,
     shares: BTreeMap<ServerKey, GrantorShare>,
-    /// Grantors that did not reply, and until when they are not asked.
+    /// End of the backoff for each grantor that did not reply.
     unreachable_until: BTreeMap<GatewayId, Time>,
     process_started_at: Time,
 }
 
 impl Permits {
-    /// Permits of gateway `own_gateway` of `gateways`, in a process that starts now.
-    pub fn new(own_gateway: GatewayId, gateways: u32, slow_start: SlowStartConfig, now: Time) -> Self {
+    /// Creates the state of gateway `own_gateway`, one of `gateway_count`, in a process that starts at `now`.
+    pub fn new(own_gateway: GatewayId, gateway_count: u32, slow_start: SlowStartConfig, now: Time) -> Self {
         Self {
             own_gateway,
-            gateways,
+            gateway_count,
             schedule: slow_start.granted_permits(PERMIT_LIFETIME),
             last_request_number: 0,
             pending_requests: BTreeMap::new(),
@@ -151,15 +154,15 @@
         }
     }
 
-    /// The grantors of a server: the same at all gateways of the fleet.
+    /// Returns the grantors of a server, which are the same at all gateways of the fleet.
     pub fn grantors(&self, key: ServerKey) -> Vec<GatewayId> {
-        let gateways = self.gateways.max(1);
+        let gateway_count = self.gateway_count.max(1);
         let mut rng = ChaCha8Rng::seed_from_u64(u64::from(key));
         let mut grantors = Vec::with_capacity(GRANTORS_PER_SERVER);
-        while grantors.len() < GRANTORS_PER_SERVER.min(gateways as usize) {
-            let drawn = GatewayId(rng.next_u32() % gateways);
-            if !grantors.contains(&drawn) {
-                grantors.push(drawn);
+        while grantors.len() < GRANTORS_PER_SERVER.min(gateway_count as usize) {
+            let candidate = GatewayId(rng.next_u32() % gateway_count);
+            if !grantors.contains(&candidate) {
+                grantors.push(candidate);
             }
         }
         grantors
@@ -169,10 +172,10 @@
         self.grantors(key).contains(&self.own_gateway)
     }
 
-    /// Sets the servers on the list that have started lately, with their starts.
+    /// Sets the servers of the endpoint list that started recently, with their start times.
     pub fn update_servers(&mut self, servers: impl Iterator<Item = (ServerKey, Time)>) {
         let mut previous = std::mem::take(&mut self.shares);
-        // Pending requests are awaited, whatever the list says.
+        // Replies to pending requests are still awaited, also for servers that the new list does not have.
         self.pending_requests.retain(|_, request| !request.is_answered);
         for (key, server_started_at) in servers.take(MAX_TRACKED_SERVERS) {
             if !self.is_grantor(key) {
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Requests a permit to send one connection to this server, which `connections_when_full` connections fill.
+    /// Requests a permit to send one connection to the server, which is full at `connections_when_full`
+    /// connections.
     pub fn request_permit(&mut self, now: Time, key: ServerKey, connections_when_full: f64) -> PermitStep {
         let grantors = self.grantors(key);
         if grantors.contains(&self.own_gateway) {
@@ -195,7 +199,7 @@
         self.send_request(now, key, &grantors, false)
     }
 
-    /// Sends a request to the next reachable grantor. They take turns, so that each grants its share.
+    /// Sends a request to the next reachable grantor in round-robin order, so that each grants its share.
     fn send_request(
         &mut self,
         now: Time,
@@ -218,7 +222,8 @@
         PermitStep::AwaitReply { datagram, request_number }
     }
 
-    /// The grantor that was sent this request has had its time. None if the request is answered or was sent anew.
+    /// Handles the time-out of a request: retries at the other grantor, or resolves the request without a
+    /// reply. Returns `None` if the request was answered or replaced by a later one.
     pub fn handle_reply_timeout(
         &mut self,
         now: Time,
@@ -237,11 +242,11 @@
         Some(self.send_request(now, key, &self.grantors(key), true))
     }
 
-    /// Handles a datagram of another gateway. None if it is the second copy of a reply.
+    /// Handles a datagram from another gateway. Returns `None` if it is the second copy of a reply.
     ///
     /// # Errors
     ///
-    /// Says why it is ignored.
+    /// Returns the reason if the datagram is ignored.
     pub fn handle_datagram(
         &mut self,
         now: Time,
@@ -249,7 +254,7 @@
         bytes: &[u8],
         connections_when_full: f64,
     ) -> Result<Option<PermitStep>, DecodeError> {
-        if from == self.own_gateway || from.0 >= self.gateways {
+        if from == self.own_gateway || from.0 >= self.gateway_count {
             return Err(DecodeError::UnknownSender);
         }
         let message = Message::decode(bytes)?;
@@ -308,12 +313,13 @@
         Ok(Some(PermitStep::Resolved { server, reply }))
     }
 
-    /// The last permit granted for a server, which other processes of this gateway need to know.
+    /// Returns the number of the last permit granted for a server, which this gateway reports to its
+    /// siblings.
     pub fn last_granted_permit(&self, key: ServerKey) -> u64 {
         self.shares.get(&key).map_or(0, |share| share.last_granted_permit)
     }
 
-    /// Another process of this gateway has granted the permits up to this one.
+    /// Records that a sibling has granted the permits up to `last_granted_permit`.
     pub fn record_sibling_grants(
         &mut self,
         now: Time,
@@ -334,13 +340,13 @@
         share.permits_due = share.permits_due.max(due);
     }
 
-    /// Grants one permit out of this grantor's share, if one is due.
+    /// Grants one permit from this grantor's share if one is due.
     fn grant(&mut self, now: Time, key: ServerKey, connections_when_full: f64) -> PermitReply {
         let grantors = self.grantors(key);
         let schedule = self.schedule;
         let process_started_at = self.process_started_at;
         let Some(share) = self.shares.get_mut(&key) else {
-            // The list of this grantor is behind that of the requester.
+            // The endpoint list of this grantor is older than that of the requester.
             let retry_after = UNREACHABLE_BACKOFF.scale(UNKNOWN_SERVER_BACKOFF_FRACTION);
             return PermitReply::Denied { retry_after, below_fair_share: true };
         };
@@ -348,7 +354,7 @@
         let holders = grantors.len() as u32;
         let position = grantors.iter().position(|&grantor| grantor == self.own_gateway);
         let holder = PermitHolder {
-            // The first grantor holds the first permit.
+            // The share of the first grantor includes the first permit.
             index: (position.unwrap_or_default() as u32 + 1) % holders,
             holders,
             started_at: process_started_at,
@@ -359,7 +365,8 @@
             let due = schedule.permits_issued(now.since(started_at), connections_when_full);
             share.record_grant(permit, due);
         }
-        // Earlier processes of this gateway may have granted all that was due before this one started.
+        // Earlier processes of this gateway may have granted all permits that were due before this process
+        // started.
         let due_before_start =
             schedule.permits_issued(process_started_at.since(started_at), connections_when_full);
         let granted_before = (due_before_start - 1.0) / f64::from(holders);
@@ -375,7 +382,7 @@
     ///
     /// # Errors
     ///
-    /// Names the one that does not hold.
+    /// Returns the first invariant that is violated.
     pub fn check_invariants(&self) -> Result<(), PermitViolation> {
         for (&key, share) in &self.shares {
             let permit = share.last_granted_permit;
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Gateways that may poll their peers but know no address of a peer.
+//! A gateway that is allowed to poll its peers but has no address of a peer.
 
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -10,7 +10,8 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-/// Shorter than the time that a server counts as new, twice its slow start of 5 s.
+/// Time-out for the first connection to the new server. It is shorter than the 10 s for which a server counts
+/// as new, twice its slow start of 5 s.
 const FIRST_USE_TIMEOUT: Duration = Duration::from_secs(7);
 
 #[tokio::test]
@@ -22,20 +23,20 @@
     let daemon = daemon.expect("a daemon");
     let mut connections = Vec::new();
     for number in 0..30 {
-        connections.push(LineClient::open(daemon.lines, number).await.expect("answered"));
+        connections.push(LineClient::open(daemon.lines, number).await.expect("an established connection"));
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
     let new_server = fleet.add("here", u64::try_from(now).expect("in range")).await.expect("a server");
     let started_at = Instant::now();
-    let observed = fleet.servers[new_server].seen.clone();
-    while observed.taken.load(Ordering::Relaxed) == 0 {
+    let statistics = fleet.servers[new_server].seen.clone();
+    while statistics.taken.load(Ordering::Relaxed) == 0 {
         assert!(
             started_at.elapsed() < FIRST_USE_TIMEOUT,
-            "nothing was sent there, {} connections are open",
+            "the new server got no connection of {} that are open",
             connections.len()
         );
         let number = connections.len() as u64;
-        connections.push(LineClient::open(daemon.lines, number).await.expect("answered"));
+        connections.push(LineClient::open(daemon.lines, number).await.expect("an established connection"));
         sleep(Duration::from_millis(40)).await;
     }
 }
