--- a/src/fleet/quota/admission.rs
+++ b/src/fleet/quota/admission.rs
@@ -1,4 +1,4 @@
-//! Who may have a connection at this gateway.
+//! Admission of partners' connections at this gateway.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::RequestId;
 use crate::settings::TenantQuota;
 
-/// A partner counts as within its quota again so long after the last rejection.
+/// Time without a rejection after which a partner counts as within its quota again.
 const WITHIN_QUOTA_AFTER: Duration = Duration::from_secs(5);
 
-/// Decisions on a partner's connections here, since the start.
+/// Numbers of decisions on a partner's connections at this gateway, since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct DecisionCounts {
     pub(super) within: u64,
@@ -26,11 +26,12 @@
     pub(super) rejected: u64,
 }
 
+/// Decisions on the connections of a partner.
 #[derive(Debug, Clone, Default)]
 struct PartnerAccount {
     counts: DecisionCounts,
     rejected_since_tick: u64,
-    /// When the last rejection was noticed, while the partner counts as over its quota.
+    /// Time of the last tick that found a rejection; `None` if the partner counts as within its quota.
     over_quota_since: Option<Duration>,
 }
 
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Notices rejections since the last call; a line for the log where the partner's state has changed.
+    /// Checks for rejections since the last call. Returns a line for the log if the partner's state has
+    /// changed.
     fn tick(&mut self, name: &str, now: Duration) -> Option<String> {
         let rejected = std::mem::take(&mut self.rejected_since_tick) > 0;
         match self.over_quota_since {
@@ -71,7 +73,7 @@
     }
 }
 
-/// A partner's place in the settings, and its budget.
+/// Index of a partner in the settings, and its budget.
 #[derive(Debug, Clone, Copy)]
 struct PartnerRef {
     index: usize,
@@ -81,18 +83,20 @@
 /// Decides which connections of partners are admitted at this gateway.
 pub struct Admission {
     settings: Settings,
-    /// The partners' budgets, in the order of the settings, and each partner's index.
+    /// Budgets of the partners, in the order of the settings.
     budgets: Vec<PartnerBudgets>,
+    /// Index of each partner in the settings, by name.
     index_by_name: BTreeMap<String, usize>,
     slot_count: u16,
     own_slot: Slot,
     pub(super) quota: Quota,
-    /// Whether the rights are shared with other gateways.
+    /// Whether the quota units are shared with other gateways.
     pub(super) is_shared: bool,
-    /// By the id of the rate budget, as partners come and go.
+    /// Account of each partner by the id of its rate budget, which stays the same when the settings change.
     accounts: BTreeMap<u32, PartnerAccount>,
-    /// The rate budget of each open request or connection, and how many are open for each.
+    /// Id of the rate budget of each open request or connection.
     budget_by_request: BTreeMap<RequestId, u32>,
+    /// Number of open requests and connections by the id of the rate budget.
     open_connections: BTreeMap<u32, u64>,
     persisted: Option<PersistedAllocation>,
     was_agreed: bool,
@@ -100,7 +104,7 @@
 }
 
 impl Admission {
-    /// Admission by these settings, at the gateway `own_slot` of a list of `slot_count`.
+    /// Creates the admission by `settings`, at the gateway that has `own_slot` of `slot_count` slots.
     pub fn new(settings: Settings, own_slot: Slot, slot_count: u16, now: Duration) -> Self {
         let mut admission = Self {
             budgets: Vec::new(),
@@ -128,7 +132,7 @@
         self.quota.set_partners(self.budgets.iter().copied(), self.settings.max_wait);
     }
 
-    /// Each partner's quota and budgets, in the order of the settings.
+    /// Returns the quota and budgets of each partner, in the order of the settings.
     pub(super) fn partners(&self) -> impl Iterator<Item = (&TenantQuota, &PartnerBudgets)> {
         self.settings.partners.iter().zip(&self.budgets)
     }
@@ -141,7 +145,7 @@
         self.open_connections.get(&rate_budget).copied().unwrap_or_default()
     }
 
-    /// The rights of a gateway that shares nothing yet: its floors.
+    /// Creates the exchange of a gateway that does not share state yet; its units are those of the floors.
     pub fn standalone_exchange(&self, now: Duration) -> Exchange {
         let config = ExchangeConfig {
             fleet_id: 0,
@@ -151,25 +155,25 @@
             outlier_limits: OutlierLimits::default(),
         };
         let mut exchange = Exchange::new(config, self.own_slot, 0, 0, now);
-        self.share_standalone(&mut exchange);
+        self.set_standalone_agreement(&mut exchange);
         exchange
     }
 
-    fn share_standalone(&self, exchange: &mut Exchange) {
+    fn set_standalone_agreement(&self, exchange: &mut Exchange) {
         let allocation = self.settings.standalone_allocation(self.slot_count);
-        // The first generation is never stale.
+        // The first generation is never stale, so this always succeeds.
         if let Ok(agreement) = AllocationAgreement::new(self.own_slot, allocation, None) {
             exchange.set_agreement(agreement);
         }
         self.adopt_open_connections(exchange);
     }
 
-    /// Takes the rights from this exchange, shared with other gateways, from now on. `persisted` is what an earlier
-    /// process of this gateway has committed to. Gives a line for the log.
+    /// Starts to use the units of `exchange`, which is shared with other gateways. `persisted` is the
+    /// allocation that an earlier process of this gateway committed to. Returns a line for the log.
     ///
     /// # Errors
     ///
-    /// Fails where that process was at later settings.
+    /// Fails if the settings of the earlier process were of a later generation.
     pub fn start_sharing(
         &mut self,
         exchange: &mut Exchange,
@@ -197,7 +201,7 @@
         format!("quota: generation {generation} with {partners} partners is {state}")
     }
 
-    /// Counts open connections that their budgets do not count yet.
+    /// Adds open connections to their budgets if the budgets do not count them yet.
     fn adopt_open_connections(&self, exchange: &mut Exchange) {
         for partner in &self.budgets {
             let open = self.open_connections(partner.rate_budget);
@@ -207,11 +211,12 @@
         }
     }
 
-    /// Takes over settings that were read again. Gives a line for the log.
+    /// Applies settings that were read again. Returns a line for the log.
     ///
     /// # Errors
     ///
-    /// Fails where they are of an earlier generation, or another text of the same; nothing has changed then.
+    /// Fails if the settings are of an earlier generation, or differ at the same generation. No state changes
+    /// then.
     pub fn reload(&mut self, exchange: &mut Exchange, settings: Settings) -> Result<String, StaleAllocation> {
         if self.is_shared {
             exchange.update_allocation(settings.allocation(self.slot_count))?;
@@ -221,7 +226,7 @@
         if self.is_shared {
             self.adopt_open_connections(exchange);
         } else {
-            self.share_standalone(exchange);
+            self.set_standalone_agreement(exchange);
         }
         Ok(self.confirm_and_describe(exchange))
     }
@@ -236,12 +241,12 @@
         *self.open_connections.entry(rate_budget).or_default() += 1;
     }
 
-    /// Decides about a connection that a client requests, whatever its attempts. `has_capacity` means that no server
-    /// has shed load lately.
+    /// Decides about a connection that a client requests, once for all of its attempts. `has_capacity` is set
+    /// if no server has shed load recently.
     ///
     /// # Errors
     ///
-    /// Where it is rejected: how long the client is to wait.
+    /// Returns the wait for the client if the connection is rejected.
     pub fn admit(
         &mut self,
         (now, exchange): (Duration, &mut Exchange),
@@ -261,7 +266,7 @@
         Ok(())
     }
 
-    /// Counts an established connection of a process that this one succeeds, whatever the rights.
+    /// Counts an established connection of the predecessor of this process, even if no units are usable.
     pub fn adopt_connection(&mut self, exchange: &mut Exchange, id: RequestId, tenant: &str) {
         let Some(partner) = self.find_partner(tenant) else { return };
         let budget_id = self.budgets[partner.index].connections_budget;
@@ -271,7 +276,7 @@
         self.record_open(id, partner.rate_budget);
     }
 
-    /// Counts that a request, or its connection, has ended here.
+    /// Releases the units of a request, or of its connection, that has ended at this gateway.
     pub fn release(&mut self, exchange: &mut Exchange, id: RequestId) {
         let Some(rate_budget) = self.budget_by_request.remove(&id) else { return };
         if let Some(count) = self.open_connections.get_mut(&rate_budget) {
@@ -282,7 +287,7 @@
         }
     }
 
-    /// Lets time pass; gives lines for the log.
+    /// Advances the time to `now`. Returns lines for the log.
     pub fn advance_to(&mut self, now: Duration, exchange: &mut Exchange) -> Vec<String> {
         self.quota.advance_to(now, exchange);
         let mut lines = Vec::new();
@@ -292,12 +297,12 @@
             }
         }
         if let Some(agreement) = exchange.agreement().filter(|_| self.is_shared) {
-            self.note_agreement(agreement, &mut lines);
+            self.record_agreement(agreement, &mut lines);
         }
         lines
     }
 
-    fn note_agreement(&mut self, agreement: &AllocationAgreement, lines: &mut Vec<String>) {
+    fn record_agreement(&mut self, agreement: &AllocationAgreement, lines: &mut Vec<String>) {
         let generation = agreement.allocation().generation;
         if agreement.is_agreed() != self.was_agreed {
             self.was_agreed = agreement.is_agreed();
@@ -314,23 +319,24 @@
         self.known_mismatches = agreement.mismatches().clone();
     }
 
-    /// What is to be persisted before this gateway commits to it, if anything is new.
+    /// Returns the allocation that must be persisted before this gateway commits to it; `None` if it already
+    /// is.
     pub fn allocation_to_persist(&self, exchange: &Exchange) -> Option<PersistedAllocation> {
         let allocation = exchange.agreement().filter(|_| self.is_shared)?.persisted();
         (self.persisted.as_ref() != Some(&allocation)).then_some(allocation)
     }
 
-    /// Notes that `allocation` is persisted.
+    /// Records that `allocation` is persisted.
     pub fn mark_persisted(&mut self, exchange: &mut Exchange, allocation: PersistedAllocation) {
         self.persisted = Some(allocation);
         exchange.with_agreement(AllocationAgreement::mark_persisted);
     }
 
-    /// Checks the invariants of the decisions; those of the rights are the exchange's.
+    /// Checks the invariants of the decisions. The exchange checks those of the units.
     ///
     /// # Errors
     ///
-    /// Names the broken one.
+    /// Returns the first invariant that is violated.
     pub fn check(&self) -> Result<(), Violation> {
         self.quota.check()
     }
--- a/src/fleet/quota/mod.rs
+++ b/src/fleet/quota/mod.rs
@@ -1,5 +1,6 @@
-//! Partners' quotas over all gateways, in the daemon: settings, admission, and what operators are shown. The decisions
-//! are [`ashtide_quota`], the rights [`ashtide_fleet::state`]. No sockets, no clock.
+//! Partners' quotas over all gateways, in the daemon: settings, admission of connections, and status texts.
+//! Free of sockets and clocks. [`ashtide_quota`] makes the decisions; [`ashtide_fleet::state`] has the quota
+//! units.
 
 mod admission;
 mod settings;
@@ -10,5 +11,5 @@
 pub use admission::Admission;
 pub use settings::{MAX_PARTNERS, QuotaError, Settings, schema};
 
-/// How often [`Admission::advance_to`] is to be called.
+/// Interval at which [`Admission::advance_to`] must be called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -1,4 +1,4 @@
-//! The file of `--quota`.
+//! Settings of the partners' quotas, read from the file that `--quota` names.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -13,13 +13,13 @@
 use super::super::shared_state::name_hash;
 use crate::settings::TenantQuota;
 
-/// Partners that a file may name.
+/// Maximum number of partners.
 pub const MAX_PARTNERS: usize = 128;
-/// Highest pace of a partner, in connections a second.
+/// Maximum rate of a partner in new connections per second.
 const MAX_PER_S: f64 = 1e6;
-/// Highest number of open connections of a partner.
+/// Maximum number of open connections of a partner.
 const MAX_CONNECTIONS: u64 = 1_000_000_000;
-/// Parts of an allocation's whole that floors are given in.
+/// Divisor of floors, which are given in thousandths of a quota.
 const PERMILLE: u64 = 1_000;
 
 const GENERATION: IntegerKey = IntegerKey {
@@ -27,82 +27,83 @@
     minimum: 1,
     maximum: i32::MAX as u32,
     default: None,
-    description: "Counted on by whoever changes this file, and the same in all copies of one text.",
+    description: "Version number of this file: incremented at each change, the same in identical copies.",
 };
 const RESERVE: IntegerKey = IntegerKey {
     name: "reserve",
     minimum: 0,
     maximum: 1000,
     default: Some(100),
-    description: "Thousandths of each quota that are never lent: each gateway has its part for certain.",
+    description: "Thousandths of each quota that are never lent; each gateway always has its part of them.",
 };
 const BURST_MS: IntegerKey = IntegerKey {
     name: "burst_ms",
     minimum: 1,
     maximum: 60_000,
     default: Some(1000),
-    description: "How long rights to new connections are stored that are not used.",
+    description: "Duration in ms for which unused units of the rate of new connections accumulate.",
 };
 const MAX_WAIT_MS: IntegerKey = IntegerKey {
     name: "max_wait_ms",
     minimum: 1,
     maximum: 10_000,
     default: Some(2000),
-    description: "The longest that a refused client is told to wait.",
+    description: "Maximum wait in ms that is sent to a rejected client.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [GENERATION, RESERVE, BURST_MS, MAX_WAIT_MS];
 const OTHER_KEYS: [&str; 3] = ["vouched", "borrow", "partners"];
 const PARTNER_KEYS: [&str; 2] = ["per_s", "connections"];
 
-const CONFIRMED_DESCRIPTION: &str =
-    "An operator's word that no gateway runs that is not at this generation: where one is gone for good.";
-const BORROW_DESCRIPTION: &str = "Whether what a partner leaves unused at a gateway may be used by another there, \
-                                  while no server refuses.";
+const CONFIRMED_DESCRIPTION: &str = "Whether an operator confirms that all running gateways are at this \
+                                     generation, as when another one is removed for good.";
+const BORROW_DESCRIPTION: &str = "Whether a partner may use units that another partner leaves unused at the \
+                                  same gateway, while no server sheds load.";
 const PARTNERS_DESCRIPTION: &str =
-    "Each partner's quota over all gateways. Without the table: the settings' customers.";
-const PER_S_DESCRIPTION: &str = "New connections a second.";
-const CONNECTIONS_DESCRIPTION: &str = "Open connections; without it they are not limited.";
+    "Quota of each partner over all gateways. Default: 'customers' in the settings.";
+const PER_S_DESCRIPTION: &str = "Maximum number of new connections per second.";
+const CONNECTIONS_DESCRIPTION: &str = "Maximum number of open connections. Default: unlimited.";
 
-/// Why the quotas' settings cannot be used.
+/// An error in the settings of the quotas.
 #[derive(Debug, thiserror::Error)]
 pub enum QuotaError {
     /// The file cannot be read.
     #[error("quota: {path}: {problem}")]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system returned.
         problem: std::io::Error,
     },
     /// The file is not TOML.
     #[error("quota: found {}; expected TOML", .0.to_string().trim())]
     Syntax(#[from] toml::de::Error),
-    /// A key's value, or its absence, cannot be used.
+    /// A key has an invalid value, is unknown, or is required and absent.
     #[error("quota: {0}")]
     Key(#[from] InvalidKey),
-    /// There is no shared state to hold the rights in.
+    /// The shared state, which has the quota units, is not configured.
     #[error("quota: found no table 'state' in the file of --view; expected one")]
     NoSharedState,
 }
 
 impl QuotaError {
-    /// The error followed by what an operator can do, for the log.
+    /// Returns the error and the operator's remedy, for the log.
     pub fn with_help(self) -> String {
         format!("{self}; {}", self.help())
     }
 
-    /// What an operator can do.
+    /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --quota out",
+            Self::File { .. } => "name a file that this process may read, or omit --quota",
             Self::Syntax(_) => "compare the file with deploy/quota.toml",
-            Self::Key(_) => "correct the key; deploy/quota.schema.json says what each may be",
-            Self::NoSharedState => "start with --view and a file that has the table, or leave --quota out",
+            Self::Key(_) => "correct the key; deploy/quota.schema.json lists the keys and their values",
+            Self::NoSharedState => "start with --view and a file that has this table, or omit --quota",
         }
     }
 }
 
-/// The ids of a partner's budgets in the exchange. They follow from its name, as partners come and go.
+/// Ids of a partner's budgets in the exchange. They are hashes of the partner's name, so they stay the same
+/// when other partners are added or removed.
 struct BudgetIds {
     rate: u32,
     connections: Option<u32>,
@@ -115,43 +116,43 @@
     }
 }
 
-/// What the file of `--quota` says.
+/// Settings of the partners' quotas.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of this version of the file.
+    /// Version number of the file.
     pub generation: u32,
-    /// Whether an operator confirms that all gateways are at this generation.
+    /// Whether an operator confirms that all running gateways are at this generation.
     pub operator_confirmed: bool,
     /// Thousandths of each quota that are never lent.
     pub floor_permille: u32,
-    /// How long unused rights are stored.
+    /// Duration for which unused units of a rate accumulate.
     pub burst: Duration,
-    /// Longest wait that a rejected client is told.
+    /// Maximum wait that is sent to a rejected client.
     pub max_wait: Duration,
-    /// Whether unused rights of another partner may be used.
+    /// Whether a partner may use units that another partner leaves unused.
     pub allow_borrowing: bool,
-    /// All partners.
+    /// Quotas of all partners.
     pub partners: Vec<TenantQuota>,
 }
 
 impl Settings {
-    /// Reads the file; `customers` are the partners where it names none.
+    /// Reads the settings from the file at `path`. If the file has no partners, `tenants` are the partners.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read, is not TOML, or has a key that cannot be used.
-    pub fn read(path: &Path, customers: &[TenantQuota]) -> Result<Self, QuotaError> {
+    /// Fails if the file cannot be read, is not TOML, or has an invalid key.
+    pub fn read(path: &Path, tenants: &[TenantQuota]) -> Result<Self, QuotaError> {
         let text = std::fs::read_to_string(path)
             .map_err(|problem| QuotaError::File { path: path.to_owned(), problem })?;
-        Self::parse(&text, customers)
+        Self::parse(&text, tenants)
     }
 
-    /// Parses the text of a file; `customers` are the partners where it names none.
+    /// Parses the text of a settings file. If it has no partners, `tenants` are the partners.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, or names the key that cannot be used.
-    pub fn parse(text: &str, customers: &[TenantQuota]) -> Result<Self, QuotaError> {
+    /// Fails if the text is not TOML or has an invalid key, which the error names.
+    pub fn parse(text: &str, tenants: &[TenantQuota]) -> Result<Self, QuotaError> {
         let table: Table = text.parse()?;
         let known: Vec<&str> = INTEGER_KEYS.iter().map(|key| key.name).chain(OTHER_KEYS).collect();
         check_known_keys(&table, "", &known)?;
@@ -166,14 +167,14 @@
             allow_borrowing: read_flag(&table, "", "borrow", false)?,
             partners: match table.get("partners") {
                 Some(partners) => parse_partners(partners)?,
-                None => customers.to_vec(),
+                None => tenants.to_vec(),
             },
         };
         check_partners(&settings.partners)?;
         Ok(settings)
     }
 
-    /// What all gateways must have alike, over a list of `slot_count` gateways.
+    /// Returns the allocation over `slot_count` gateways, which must be the same at all of them.
     pub fn allocation(&self, slot_count: u16) -> Allocation {
         let rate_kind = BudgetKind::Rate { burst: self.burst };
         let rates = self.partners.iter().map(|partner| {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// The allocation of a gateway that shares nothing yet: its floors, and no more.
+    /// Returns the allocation of a gateway that does not share state yet, which has only the floors.
     pub(super) fn standalone_allocation(&self, slot_count: u16) -> Allocation {
         let mut allocation = self.allocation(slot_count);
         allocation.generation = 1;
@@ -205,6 +206,7 @@
         allocation
     }
 
+    /// Returns the budgets of each partner, in the order of the settings.
     pub(super) fn partner_budgets(&self) -> Vec<PartnerBudgets> {
         let budgets_of = |partner| {
             let ids = BudgetIds::of(partner);
@@ -258,11 +260,11 @@
     })
 }
 
-/// Checks how many partners there are, and that no two have a budget of one id.
+/// Checks the number of partners, and that no two partners have budgets of the same id.
 fn check_partners(partners: &[TenantQuota]) -> Result<(), InvalidKey> {
     if partners.is_empty() || partners.len() > MAX_PARTNERS {
         let found = format_args!("{} partners", partners.len());
-        let expected = format_args!("1 to {MAX_PARTNERS}, here or as the settings' customers");
+        let expected = format_args!("1 to {MAX_PARTNERS}, in this file or as 'customers' in the settings");
         return Err(InvalidKey::new("partners", found, expected));
     }
     let mut partner_by_id = BTreeMap::new();
@@ -271,15 +273,15 @@
         for id in ids.connections.into_iter().chain([ids.rate]) {
             if let Some(other) = partner_by_id.insert(id, &partner.name) {
                 let key = format_args!("partners.{}", partner.name);
-                let found = format_args!("a name that looks the same as {other} to gateways");
-                return Err(InvalidKey::new(key, found, "another name for one"));
+                let found = format_args!("a name with the same hash as {other}");
+                return Err(InvalidKey::new(key, found, "another name for one of the two"));
             }
         }
     }
     Ok(())
 }
 
-/// The JSON Schema of the file.
+/// Returns the JSON Schema of the settings file.
 pub fn schema() -> Json {
     let mut properties = serde_json::Map::new();
     for key in &INTEGER_KEYS {
--- a/src/fleet/quota/text.rs
+++ b/src/fleet/quota/text.rs
@@ -1,4 +1,4 @@
-//! Quotas as text of the admin endpoint.
+//! Texts of the log and the admin endpoint about quotas.
 
 use std::fmt::Write;
 
@@ -10,10 +10,10 @@
 use crate::metrics::METRIC_PREFIX;
 use crate::settings::TenantQuota;
 
-/// Gateways without a commitment that are named.
+/// Maximum number of uncommitted gateways that the status text lists.
 const MAX_DISPLAYED_SLOTS: usize = 16;
 
-/// The units of one budget here.
+/// Units of one budget at this gateway.
 #[derive(Debug, Clone, Copy, Default)]
 struct BudgetUnits {
     usable: u64,
@@ -34,13 +34,13 @@
     }
 }
 
-/// A rate in connections a second, of units that are thousandths of it.
+/// Converts units of a rate, which are thousandths of a connection per second, to connections per second.
 fn per_second(units: u64) -> f64 {
     units as f64 / 1_000.0
 }
 
 impl Admission {
-    /// Each partner's rights and use here, for the admin endpoint.
+    /// Returns the usable units and the use of each partner at this gateway, for the admin endpoint.
     pub fn status_text(&self, exchange: &mut Exchange) -> String {
         let mut text = String::new();
         if !self.is_shared {
@@ -82,7 +82,7 @@
         let _ = writeln!(text, " within={within} moved={migrated} borrowed={borrowed} refused={rejected}");
     }
 
-    /// The metrics, one a line.
+    /// Returns the metrics, one per line.
     pub fn metrics_text(&self, exchange: &mut Exchange) -> String {
         let mut text = String::new();
         let is_agreed = exchange.agreement().is_some_and(AllocationAgreement::is_agreed);
@@ -119,23 +119,27 @@
     }
 }
 
-/// The log line of another gateway's settings that differ from the own ones, which are at `generation`.
+/// Returns the log line about another gateway whose settings differ from those of this gateway, at
+/// `generation`.
 pub(super) fn mismatch_log_line(generation: u32, slot: Slot, mismatch: Mismatch) -> String {
     let gateway = slot.0;
     match mismatch {
         Mismatch::LaterGeneration(later) => format!(
-            "quota: gateway {gateway} is at generation {later}, this one at {generation}; bring its file to this one"
+            "quota: gateway {gateway} is at generation {later}, this one at {generation}; \
+             copy its file to this one"
         ),
         Mismatch::EarlierGeneration(earlier) => format!(
-            "quota: gateway {gateway} is at generation {earlier}, this one at {generation}; bring this file to it"
+            "quota: gateway {gateway} is at generation {earlier}, this one at {generation}; \
+             copy the file of this one to it"
         ),
         Mismatch::DifferentContent => format!(
-            "quota: gateway {gateway} has another text under generation {generation}; bring one file to all gateways"
+            "quota: gateway {gateway} has a different file of generation {generation}; \
+             copy one file to all gateways"
         ),
     }
 }
 
-/// How another gateway's settings differ from the own ones, for the admin endpoint.
+/// Describes how another gateway's settings differ from those of this gateway, for the admin endpoint.
 fn mismatch_text(mismatch: Mismatch) -> String {
     match mismatch {
         Mismatch::LaterGeneration(generation) => format!("is_at={generation} behind=here"),
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants: the settings file, and admission at one gateway.
+//! Quotas of partners: the settings file, and admission at one gateway.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 };
 use ashtide_quota::ConnectionKind;
 
-fn problem(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Settings::parse(text, &[]).err().map(QuotaError::with_help).unwrap_or_default()
 }
 
@@ -21,7 +21,7 @@
         serde_json::from_str(include_str!("../deploy/quota.schema.json")).expect("the schema is JSON");
     assert_eq!(stored, schema, "deploy/quota.schema.json should be:\n{schema:#}");
     let file = include_str!("../deploy/quota.toml");
-    Settings::parse(file, &[]).expect("deploy/quota.toml is good");
+    Settings::parse(file, &[]).expect("deploy/quota.toml is valid");
     let keys = schema["properties"].as_object().expect("properties");
     let table: toml::Table = file.parse().expect("TOML");
     assert!(keys.keys().all(|key| table.contains_key(key)) && table.len() == keys.len());
@@ -34,8 +34,8 @@
         let bound = |name: &str| property[name].as_i64().expect("a bound");
         assert!(parse_with(bound("minimum")).is_ok() && parse_with(bound("maximum")).is_ok(), "{key}");
         for out_of_range in [bound("minimum") - 1, bound("maximum") + 1] {
-            let problem = parse_with(out_of_range).err().map(|error| error.to_string()).unwrap_or_default();
-            assert!(problem.contains(&format!("{key}: found {out_of_range}; expected")), "{key}: {problem}");
+            let error = parse_with(out_of_range).err().map(|error| error.to_string()).unwrap_or_default();
+            assert!(error.contains(&format!("{key}: found {out_of_range}; expected")), "{key}: {error}");
         }
     }
 }
@@ -59,8 +59,8 @@
         ),
         ("generation =", "expected TOML"),
     ] {
-        let problem_text = problem(text);
-        assert!(problem_text.contains(expected) && problem_text.contains("; "), "{text}: {problem_text}");
+        let error = parse_error(text);
+        assert!(error.contains(expected) && error.contains("; "), "{text}: {error}");
     }
     let tenants =
         [TenantQuota { name: "a".to_owned(), connections_per_second: 3.0, max_open_connections: Some(4) }];
@@ -68,7 +68,7 @@
     assert_eq!(settings.partners, tenants);
 }
 
-/// The only gateway of its list, which owns all permits.
+/// The only gateway of a fleet, which has all units of the quotas.
 struct Gateway {
     exchange: Exchange,
     admission: Admission,
@@ -78,22 +78,23 @@
 
 fn settings(generation: u32, per_s: u32, connections: u32) -> Settings {
     let text = format!(
-        "generation = {generation}\nburst_ms = 1000\n[partners.a]\nper_s = {per_s}\nconnections = {connections}"
+        "generation = {generation}\nburst_ms = 1000\n\
+         [partners.a]\nper_s = {per_s}\nconnections = {connections}"
     );
-    Settings::parse(&text, &[]).expect("good")
+    Settings::parse(&text, &[]).expect("valid settings")
 }
 
 impl Gateway {
     fn new() -> Self {
         let now = Duration::from_secs(50);
-        let setup = ExchangeConfig {
+        let config = ExchangeConfig {
             fleet_id: 1,
             slot_count: 1,
             datagrams_per_second: 10,
             lease: LeaseConfig::default(),
             outlier_limits: OutlierLimits::default(),
         };
-        let exchange = Exchange::new(setup, Slot(0), 7, 7, now);
+        let exchange = Exchange::new(config, Slot(0), 7, 7, now);
         let admission = Admission::new(settings(1, 10, 15), Slot(0), 1, now);
         Self { exchange, admission, now, next_request: 0 }
     }
@@ -115,8 +116,8 @@
     fn request(&mut self, tenant: &str, kind: ConnectionKind) -> Result<RequestId, Duration> {
         self.next_request += 1;
         let id = RequestId(self.next_request);
-        let at_exchange = (self.now, &mut self.exchange);
-        self.admission.admit(at_exchange, id, tenant, kind, true).map(|()| id)
+        let now_and_exchange = (self.now, &mut self.exchange);
+        self.admission.admit(now_and_exchange, id, tenant, kind, true).map(|()| id)
     }
 
     fn admit_new(&mut self, count: usize) -> Vec<RequestId> {
@@ -130,7 +131,7 @@
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.advance(3_500);
     let admitted = gateway.admit_new(14);
-    assert_eq!(admitted.len(), 10, "its pace and burst");
+    assert_eq!(admitted.len(), 10, "its rate and burst of 10");
     assert!((0..50).all(|_| gateway.request("nobody", ConnectionKind::New).is_ok()));
     assert!(
         gateway
@@ -139,10 +140,10 @@
             .any(|line| line == "quota: partner a is over its quota; rejecting new connections")
     );
     gateway.advance(1_000);
-    assert_eq!(gateway.admit_new(14).len(), 5, "15 may be open");
+    assert_eq!(gateway.admit_new(14).len(), 5, "15 may be open, and 10 are");
     admitted.into_iter().for_each(|id| gateway.admission.release(&mut gateway.exchange, id));
     gateway.advance(1_000);
-    assert_eq!(gateway.admit_new(4).len(), 4, "others have ended");
+    assert_eq!(gateway.admit_new(4).len(), 4, "the first 10 connections have ended");
     let text = gateway.admission.status_text(&mut gateway.exchange);
     let expected = "within=19 moved=0 borrowed=0 refused=13";
     assert!(text.contains(expected) && text.contains("quota_open=15 rights_open=15 open=9"), "{text}");
@@ -169,11 +170,11 @@
         text.split_once(" open=").and_then(|(_, count)| count.split(' ').next()?.parse::<u64>().ok())
     };
     assert_eq!(open_connections(&mut gateway), Some(6));
-    gateway.admission.reload(&mut gateway.exchange, settings(2, 10, 7)).expect("later");
+    gateway.admission.reload(&mut gateway.exchange, settings(2, 10, 7)).expect("a later generation");
     assert_eq!((open_connections(&mut gateway), gateway.admit_new(5).len()), (Some(6), 1));
     gateway.admission.release(&mut gateway.exchange, RequestId(103));
     gateway.admission.release(&mut gateway.exchange, RequestId(103));
-    assert_eq!(open_connections(&mut gateway), Some(6), "the end of one counts once");
+    assert_eq!(open_connections(&mut gateway), Some(6), "the end of a connection is counted once");
 }
 
 #[test]
@@ -181,23 +182,24 @@
     let mut gateway = Gateway::new();
     gateway.admission.start_sharing(&mut gateway.exchange, None).expect("the first generation");
     gateway.advance(3_500);
-    let line = gateway.admission.reload(&mut gateway.exchange, settings(2, 20, 90)).expect("later");
+    let line =
+        gateway.admission.reload(&mut gateway.exchange, settings(2, 20, 90)).expect("a later generation");
     assert_eq!(line, "quota: generation 2 with 1 partners is not agreed by all gateways yet");
-    assert_eq!(gateway.admit_new(30).len(), 10, "by the old one still");
+    assert_eq!(gateway.admit_new(30).len(), 10, "generation 1 still applies");
     let lines = gateway.advance(3_000);
     assert!(lines.iter().any(|line| line == "quota: generation 2 is agreed by all gateways"), "{lines:?}");
     assert_eq!(gateway.admit_new(40).len(), 20);
     let older = gateway.admission.reload(&mut gateway.exchange, settings(1, 10, 15));
     assert_eq!(older, Err(StaleAllocation::Older { found: 1, at: 2 }));
-    gateway.admission.reload(&mut gateway.exchange, settings(3, 5, 90)).expect("later");
+    gateway.admission.reload(&mut gateway.exchange, settings(3, 5, 90)).expect("a later generation");
     assert!(gateway.admit_new(40).len() <= 5);
     gateway.advance(1_500);
-    assert_eq!(gateway.admit_new(40).len(), 5, "less is less at once");
+    assert_eq!(gateway.admit_new(40).len(), 5, "a lower quota applies at once");
     let persisted = gateway.exchange.agreement().map(AllocationAgreement::persisted);
     let mut restarted = Gateway::new();
     assert!(
         restarted.admission.start_sharing(&mut restarted.exchange, persisted).is_err(),
-        "its file is older than that of its previous incarnation"
+        "its file is older than the one that its previous incarnation persisted"
     );
 }
 
@@ -212,11 +214,15 @@
     }
     let mut admitted = 0;
     for id in 0..50 {
-        let at_exchange = (gateway.now, &mut standalone);
+        let now_and_exchange = (gateway.now, &mut standalone);
         admitted += usize::from(
-            gateway.admission.admit(at_exchange, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
+            gateway.admission.admit(now_and_exchange, RequestId(id), "a", ConnectionKind::New, true).is_ok(),
         );
     }
-    assert_eq!(admitted, 1, "a tenth of ten");
-    assert_eq!(gateway.admission.allocation_to_persist(&standalone), None, "nothing is promised by that");
+    assert_eq!(admitted, 1, "the floor is a tenth of the quota of 10");
+    assert_eq!(
+        gateway.admission.allocation_to_persist(&standalone),
+        None,
+        "a standalone gateway commits to no allocation"
+    );
 }
