--- a/src/fleet/permits/mod.rs
+++ b/src/fleet/permits/mod.rs
@@ -5,8 +5,8 @@
 //! before it sends a connection to the server. A request costs two datagrams, whatever the size of the fleet.
 //!
 //! The limit is exact: a grantor grants permits only from its own share, no other gateway can grant the same
-//! permits, and a permit that is not used at once expires. [`Permits::check_invariants`] checks the
-//! invariants.
+//! permits, and a permit that is not used within [`PERMIT_LIFETIME`] expires. [`Permits::check_invariants`]
+//! checks the invariants.
 
 use std::collections::BTreeMap;
 
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Ids of a partner's budgets in the exchange. They are hashes of the partner's name, so they stay the same
-/// when other partners are added or removed.
+/// Ids of a partner's budgets in the exchange, the same at all gateways. They are hashes of the partner's
+/// name, so they stay the same when other partners are added or removed.
 struct BudgetIds {
     rate: u32,
     connections: Option<u32>,
--- a/src/fleet/shared_state/gateway_state.rs
+++ b/src/fleet/shared_state/gateway_state.rs
@@ -1,4 +1,5 @@
-//! This gateway's part of the shared state: what it observes goes in, outliers and counts come out.
+//! Shared state at one gateway: its inputs are this gateway's observations and the other gateways' datagrams,
+//! its outputs are outliers and fleet-wide counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,62 +13,63 @@
 use super::text::kind_name;
 use super::{GatewaySlots, OBSERVED_KINDS, OutcomeReport, OutlierMode, Settings, name_hash};
 
-/// Names of counters that are remembered for the admin endpoint.
+/// Maximum number of counters whose names are retained for the admin endpoint.
 const MAX_TRACKED_NAMES: usize = 8192;
-/// Capacity of a server of size 1.
+/// Capacity units of a server of size 1.
 const CAPACITY_UNITS_PER_SERVER: f64 = 1_000.0;
 
-/// Kinds that take a server out of use. An overrun one sheds what it cannot bear by itself; without it the others
-/// would be overrun next.
+/// Kinds of evidence that eject a server. An overrun server is not ejected: it sheds its excess load itself,
+/// and without it the other servers would be overrun next.
 const EJECTING_KINDS: [EvidenceKind; 2] = [EvidenceKind::Failing, EvidenceKind::Silent];
 
-/// A server of the endpoint list.
+/// Observation of a server of the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerObservation<'a> {
-    /// Hash of its name.
+    /// Hash of the server's name.
     pub key: u32,
-    /// Its name.
+    /// Name of the server.
     pub name: &'a str,
-    /// Its size, by the list.
+    /// Size of the server by the endpoint list, relative to a server of size 1.
     pub size: f64,
-    /// Whether it is ready, by the list and by operators.
+    /// Whether the server is ready by the endpoint list and not cordoned by an operator.
     pub ready: bool,
-    /// Open connections of this gateway on it.
+    /// Number of open connections from this gateway to the server.
     pub open_connections: u32,
 }
 
-/// What this gateway observes at one moment.
+/// Observations of this gateway at one time.
 #[derive(Debug, Clone, Default)]
 pub struct LocalObservation<'a> {
-    /// The servers on the list.
+    /// Servers of the endpoint list.
     pub servers: Vec<ServerObservation<'a>>,
-    /// Open connections of each tenant here.
+    /// Name of each tenant, with the number of its open connections at this gateway.
     pub tenants: Vec<(&'a str, u32)>,
-    /// Recent outcomes of those servers for which there are new ones, by hash of their names.
+    /// Outcome reports of the servers that have new outcomes, by the hash of their names.
     pub outcome_reports: Vec<(u32, OutcomeReport)>,
 }
 
-/// What follows from an observation.
+/// Result of an observation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OutlierDecision {
-    /// Servers, by hash of their names, that are to get no new connections.
+    /// Ejected servers, which get no new connections, by the hash of their names.
     pub ejected: BTreeSet<u32>,
-    /// What has changed, for the log.
+    /// Log lines about changes.
     pub log_lines: Vec<String>,
-    /// A broken invariant.
+    /// Violated invariant, if the check found one.
     pub violation: Option<Violation>,
 }
 
-/// A server that is ready, with its capacity: the form that the cores take.
+/// Key and capacity units of a ready server, as the outlier detection takes them.
 type ReadyServer = (u32, u64);
 
-/// An own counter, to be published.
+/// Counter of this gateway that is published to the others.
 #[derive(Debug, Clone, Copy)]
 struct OwnCounter<'a> {
     name: &'a str,
     open_connections: u32,
 }
 
+/// Metrics of the shared state. Capacities are in units of [`CAPACITY_UNITS_PER_SERVER`].
 #[derive(Debug, Default)]
 pub(super) struct Metrics {
     pub(super) received_datagrams: u64,
@@ -79,19 +81,20 @@
     pub(super) ejected_capacity: u64,
 }
 
-/// This gateway's part of what is shared.
+/// Shared state at one gateway.
 pub struct GatewayState {
     settings: Settings,
     pub(super) slots: GatewaySlots,
-    /// Incarnation by the view.
+    /// Incarnation of this process in the membership view.
     view_incarnation: u64,
-    /// Incarnation that datagrams carry: later than the view's where counts were reset.
+    /// Incarnation in datagrams. It is later than the one in the view once counts were reset.
     pub(super) incarnation: u64,
     pub(super) exchange: Exchange,
+    /// Names of servers and tenants by their counters.
     pub(super) names: BTreeMap<CounterKey, String>,
-    /// Own counters that have been published.
+    /// Counters of this gateway that have been published.
     published_counters: BTreeSet<CounterKey>,
-    /// Outliers, whether or not they are ejected here.
+    /// Outliers and their kinds of evidence, whether or not this gateway ejects them.
     pub(super) outliers: BTreeMap<u32, EvidenceKind>,
     pub(super) is_started: bool,
     is_leaving: bool,
@@ -99,8 +102,8 @@
 }
 
 impl GatewayState {
-    /// The state of the gateway that owns a slot of `slots`, in its process `incarnation`. `seed` feeds its random
-    /// choices.
+    /// Creates the state of the gateway with slot `slots.own()`, in its process `incarnation`. `seed` is the
+    /// seed of its random choices.
     pub fn new(
         settings: Settings,
         fleet_id: u32,
@@ -132,24 +135,25 @@
         }
     }
 
-    /// The cores: budgets are added, requested and spent here.
+    /// Returns the exchange, which has the budgets, counts and outlier reports.
     pub fn exchange(&mut self) -> &mut Exchange {
         &mut self.exchange
     }
 
-    /// All gateways that may be there.
+    /// Returns the slots of all configured gateways.
     pub fn slots(&self) -> &GatewaySlots {
         &self.slots
     }
 
-    /// Sets the members that the view holds to be alive.
+    /// Sets the members that are alive in the view.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = SocketAddr>) {
         let slots = &self.slots;
         self.exchange.set_peers(peers.into_iter().filter_map(|peer| slots.slot_of(peer)));
     }
 
-    /// The view has rejoined under `incarnation`. The next number is the same process, declared dead by mistake; a
-    /// later one shows that another process of this gateway ran meanwhile. Gives a line for the log in that case.
+    /// Handles that the view has rejoined as `incarnation`. If it is the next number, others had wrongly
+    /// declared this process dead. A later number shows that another process of this gateway ran in between:
+    /// the state restarts, and a line for the log is returned.
     pub fn handle_new_incarnation(&mut self, incarnation: u64) -> Option<String> {
         let is_superseded = incarnation > self.view_incarnation.saturating_add(1);
         self.view_incarnation = incarnation;
@@ -160,19 +164,19 @@
         self.metrics.superseded += 1;
         self.exchange.restart(self.incarnation);
         Some(format!(
-            "state: another process of this gateway was known; restarted as generation {incarnation}, lending \
-             nothing for one lease"
+            "state: another process of this gateway ran meanwhile; restarted as generation {incarnation}, \
+             lending nothing for one lease"
         ))
     }
 
-    /// Leaves: what the list gives this gateway belongs to the process that succeeds it.
+    /// Leaves the fleet. The units allocated to this gateway's slot now belong to its successor.
     pub fn leave(&mut self) {
         self.is_leaving = true;
         self.exchange.relinquish();
         self.exchange.set_peers([]);
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`.
     pub fn advance_to(&mut self, now: Duration) {
         self.exchange.advance_to(now);
     }
@@ -181,20 +185,20 @@
     ///
     /// # Errors
     ///
-    /// Says why it is rejected; it is counted, and has changed nothing.
+    /// Returns the reason if the datagram is rejected. A rejected datagram is counted and changes no state.
     pub fn handle_datagram(&mut self, from: SocketAddr, datagram: &[u8]) -> Result<(), DecodeError> {
         self.exchange.handle_datagram_from(self.slots.slot_of(from), datagram)?;
         self.metrics.received_datagrams += 1;
         Ok(())
     }
 
-    /// The next datagram to be sent, and where to.
+    /// Returns the next datagram to send, with its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let (slot, datagram) = self.exchange.next_datagram()?;
         Some((self.slots.address_of(slot)?, datagram))
     }
 
-    /// Takes in what this gateway observes now.
+    /// Records the observations of this gateway at `now`, and updates outliers and counts.
     pub fn observe(&mut self, now: Duration, observation: &LocalObservation) -> OutlierDecision {
         self.exchange.advance_to(now);
         let counters = own_counters(observation);
@@ -227,11 +231,12 @@
     }
 
     fn publish_counts(&mut self, counters: &BTreeMap<CounterKey, OwnCounter>) {
-        // Zero is published only for what was more before.
+        // A count of zero is published only for a counter whose published count was above zero before.
         let in_use = |key: &CounterKey| counters.get(key).is_some_and(|counter| counter.open_connections > 0);
         self.published_counters.extend(counters.keys().filter(|&key| in_use(key)));
         let used = self.published_counters.iter().filter(|&key| in_use(key)).count();
-        // Servers come and go: a row that consists mostly of those that went makes room.
+        // Servers are added and removed. Once the published counters fill half of the cells and most of them
+        // are unused, the unused ones are dropped and the counts restart under a later incarnation.
         if self.published_counters.len() > MAX_CELLS / 2 && used < self.published_counters.len() / 2 {
             self.published_counters.retain(in_use);
             self.incarnation += 1;
@@ -243,7 +248,8 @@
         }
     }
 
-    /// Reports the faults that were observed, and the successes of servers that anybody reports faults of.
+    /// Records the faults that were observed, and the successes of servers against which any gateway has
+    /// evidence.
     fn record_evidence(&mut self, now: Duration, observation: &LocalObservation) {
         let saturate = |count: u32| count.min(u32::from(u16::MAX)) as u16;
         let reports = self.exchange.outlier_reports_mut();
@@ -274,7 +280,7 @@
         }
         for &server in self.outliers.keys().filter(|server| !outliers.contains_key(server)) {
             let name = self.server_name(server);
-            decision.log_lines.push(format!("state: server {name} is no outlier any more"));
+            decision.log_lines.push(format!("state: server {name} is no longer an outlier"));
         }
         if enforce {
             decision.ejected = outliers.keys().copied().collect();
--- a/src/fleet/shared_state/mod.rs
+++ b/src/fleet/shared_state/mod.rs
@@ -1,5 +1,6 @@
-//! What the gateways of a tier share, in the daemon: its settings, what this gateway observes, and what follows from
-//! it. The state itself is [`ashtide_fleet::state`]. No sockets, no clock.
+//! State shared by the gateways of a fleet, in the daemon: settings, the observations of this gateway, and
+//! the outliers and counts derived from those of all gateways. Free of sockets and clocks. The state machine
+//! is in [`ashtide_fleet::state`].
 
 mod gateway_state;
 mod outcomes;
@@ -17,10 +18,10 @@
 
 use crate::quic::load_balancing::server_id_for_name;
 
-/// How often [`GatewayState::advance_to`] is to be called.
+/// Interval at which [`GatewayState::advance_to`] must be called.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The hash that stands for the name of a server or tenant in datagrams.
+/// Returns the hash that identifies a server or tenant in datagrams, from its name.
 pub fn name_hash(name: &str) -> u32 {
     u32::from_be_bytes(server_id_for_name(name))
 }
--- a/src/fleet/shared_state/outcomes.rs
+++ b/src/fleet/shared_state/outcomes.rs
@@ -1,4 +1,5 @@
-//! What this gateway's own connection attempts came to, by server: the evidence that it reports to others.
+//! Outcomes of this gateway's own connection attempts by server, which are the evidence that it reports to
+//! the others.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,24 +7,24 @@
 
 use crate::{Outcome, ServerId, Span, Time};
 
-/// How long the outcome of an attempt is evidence.
+/// Duration for which the outcome of an attempt is evidence.
 const OBSERVATION_WINDOW: Span = Span::from_micros(10_000_000);
 
-/// Kinds of evidence that attempts give.
+/// Kinds of evidence that connection attempts provide.
 pub const OBSERVED_KINDS: [EvidenceKind; 3] =
     [EvidenceKind::Failing, EvidenceKind::Silent, EvidenceKind::Overrun];
 
-/// Attempts at one server, and on how many of them each of [`OBSERVED_KINDS`] was observed.
+/// Numbers of attempts at one server, and of those on which each of [`OBSERVED_KINDS`] was observed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutcomeReport {
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Attempts on which each kind was observed.
+    /// Number of attempts on which each kind was observed, in the order of [`OBSERVED_KINDS`].
     pub observations: [u32; OBSERVED_KINDS.len()],
 }
 
 impl OutcomeReport {
-    /// Whether there were attempts and all succeeded.
+    /// Checks whether there were attempts and all of them succeeded.
     fn all_succeeded(&self) -> bool {
         self.attempts > 0 && self.observations == [0; OBSERVED_KINDS.len()]
     }
@@ -36,19 +37,22 @@
     }
 }
 
-/// Collects the outcomes of this gateway's own attempts since a server last succeeded, over the last ten seconds.
+/// Collector of the outcomes of this gateway's own attempts within the last ten seconds, by server.
 ///
-/// A server that fails is ejected at once and gets an attempt every second or two, so failures are few beside the
-/// successes before them: a failure clears earlier successes, and the first success clears earlier failures.
+/// A failing server is ejected at once and then gets an attempt only every second or two, so its failures are
+/// few compared with the successes before them. Therefore a failure clears earlier successes, and the first
+/// success clears earlier failures.
 #[derive(Debug, Clone, Default)]
 pub struct OutcomeReporter {
     servers: BTreeMap<ServerId, RecentOutcomes>,
 }
 
+/// Outcomes at one server within the window.
 #[derive(Debug, Clone, Default)]
 struct RecentOutcomes {
-    /// Since the last reports were taken.
+    /// Outcomes since the last reports were taken.
     latest: OutcomeReport,
+    /// Outcomes that earlier reports covered, oldest first.
     earlier: VecDeque<TimedReport>,
 }
 
@@ -75,7 +79,7 @@
         self.latest.observations[kind_index] += 1;
     }
 
-    /// The sum of all outcomes within the window, where there are any since the last call.
+    /// Returns the sum of all outcomes within the window; `None` if there are none since the last call.
     fn take_report(&mut self, now: Time) -> Option<OutcomeReport> {
         let is_updated = self.latest != OutcomeReport::default();
         if is_updated {
@@ -96,7 +100,7 @@
 }
 
 impl OutcomeReporter {
-    /// Records an attempt at `server` that succeeded, or on which a fault was observed.
+    /// Records an attempt at `server`, which succeeded if `fault` is `None`.
     pub fn record(&mut self, server: ServerId, fault: Option<EvidenceKind>) {
         let recent = self.servers.entry(server).or_default();
         match OBSERVED_KINDS.iter().position(|&kind| Some(kind) == fault) {
@@ -105,7 +109,8 @@
         }
     }
 
-    /// Records how an attempt, or an established connection, ended. An end that says nothing of the server is ignored.
+    /// Records the outcome of an attempt, or of an established connection. Outcomes that are no evidence
+    /// about the server are ignored.
     pub fn record_end(&mut self, server: ServerId, established: bool, outcome: Outcome) {
         let fault = match outcome {
             Outcome::Failed | Outcome::ConnectError | Outcome::Reset => EvidenceKind::Failing,
@@ -120,7 +125,7 @@
         self.record(server, Some(fault));
     }
 
-    /// The outcomes of those servers for which there are new ones since the last call.
+    /// Returns the reports of the servers that have new outcomes since the last call.
     pub fn take_reports(&mut self, now: Time) -> Vec<(ServerId, OutcomeReport)> {
         let mut reports = Vec::new();
         self.servers.retain(|&server, recent| {
--- a/src/fleet/shared_state/settings.rs
+++ b/src/fleet/shared_state/settings.rs
@@ -1,4 +1,4 @@
-//! The table `state` in the file of `--view`.
+//! Settings of the shared state, read from the table `state` in the file that `--view` names.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use super::MAX_GATEWAYS;
 
 const KEYS: [&str; 5] = ["gateways", "datagrams_per_s", "check", "judgements", "counts"];
-/// What errors put before the names of these keys.
+/// Prefix of the names of these keys in errors.
 const PREFIX: &str = "state.";
 
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
@@ -17,42 +17,44 @@
     minimum: 4,
     maximum: 1000,
     default: Some(24),
-    description: "Datagrams a second that this gateway sends of it at most, beside the view's.",
+    description: "Maximum datagrams per second for the shared state, in addition to those of the view.",
 };
 const OUTLIER_MODES: [(&str, OutlierMode); 3] =
     [("off", OutlierMode::Off), ("tell", OutlierMode::Report), ("use", OutlierMode::Enforce)];
 const CHECK_MODES: [(&str, bool); 2] = [("off", false), ("log", true)];
 
-const GATEWAYS_DESCRIPTION: &str = "All gateways that may be there, by what others know them by, in one order \
-                                    everywhere. Without it: the configuration's 'peers', at the port of 'listen'.";
-const CHECK_DESCRIPTION: &str = "Whether all of it is held against its invariants four times a second.";
-const OUTLIERS_DESCRIPTION: &str = "What gateways see of servers: not told, told and shown, or used as well.";
+const GATEWAYS_DESCRIPTION: &str = "Public addresses of all gateways, in the same order at all of them. \
+                                    Default: 'peers' in the configuration, at the port of 'listen'.";
+const CHECK_DESCRIPTION: &str = "Whether the invariants of the shared state are checked four times a second.";
+const OUTLIERS_DESCRIPTION: &str = "Use of outlier reports on servers: 'off', none are sent; 'tell', they \
+                                   are sent and outliers are shown; 'use', outliers also get no new \
+                                   connections.";
 const COUNTS_DESCRIPTION: &str =
-    "Whether open connections by server and tenant are counted over all gateways.";
+    "Whether open connections are counted over all gateways, by server and tenant.";
 
-/// What is done with outlier reports on servers.
+/// Use of outlier reports on servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutlierMode {
-    /// None are sent.
+    /// No reports are sent.
     Off,
-    /// They are sent, and what follows from them is only shown.
+    /// Reports are sent, and outliers are shown but still get new connections.
     Report,
-    /// Outliers get no new connections.
+    /// Reports are sent, and outliers get no new connections.
     Enforce,
 }
 
-/// The table `state` of the view's file.
+/// Settings of the shared state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// All gateways that may be there; none where the file leaves that to the configuration.
+    /// Addresses of all gateways; `None` if the file omits them, so that the configuration's `peers` apply.
     pub gateways: Option<Vec<SocketAddr>>,
-    /// Datagrams a second at most.
+    /// Maximum number of datagrams per second.
     pub max_datagrams_per_second: u32,
     /// Whether invariants are checked at each observation.
     pub check_invariants: bool,
-    /// What is done with outlier reports.
+    /// Use of outlier reports.
     pub outlier_mode: OutlierMode,
-    /// Whether open connections are counted.
+    /// Whether open connections are counted over all gateways.
     pub count_connections: bool,
 }
 
@@ -61,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Names the key that cannot be used.
+    /// Fails if a key is invalid, which the error names.
     pub fn parse(value: &Toml) -> Result<Self, InvalidKey> {
         let table = value.as_table().ok_or_else(|| InvalidKey::new("state", value, "a table"))?;
         check_known_keys(table, PREFIX, &KEYS)?;
@@ -101,14 +103,14 @@
     choices.iter().map(|&(name, _)| name).collect()
 }
 
-/// The JSON Schema of the table.
+/// Returns the JSON Schema of the table.
 pub fn schema() -> Json {
     json!({
         "type": "object", "additionalProperties": false,
-        "description": "What the gateways share beside the view. Without the table: nothing.",
+        "description": "State that gateways share besides the view. Without this table, none is shared.",
         "properties": {
-            "gateways": {"type": "array", "items": {"type": "string"}, "minItems": 1, "maxItems": MAX_GATEWAYS,
-                         "description": GATEWAYS_DESCRIPTION},
+            "gateways": {"type": "array", "items": {"type": "string"}, "minItems": 1,
+                         "maxItems": MAX_GATEWAYS, "description": GATEWAYS_DESCRIPTION},
             "datagrams_per_s": DATAGRAMS_PER_S.schema(),
             "check": {"enum": choice_names(&CHECK_MODES), "default": "off", "description": CHECK_DESCRIPTION},
             "judgements": {"enum": choice_names(&OUTLIER_MODES), "default": "tell",
--- a/src/fleet/shared_state/slots.rs
+++ b/src/fleet/shared_state/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of all gateways that may be there.
+//! Slots of all configured gateways.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 
 use super::super::settings_keys::InvalidKey;
 
-/// Gateways that a list may name.
+/// Maximum number of gateways in the list.
 pub const MAX_GATEWAYS: usize = 8192;
 
-/// All gateways that may be there, by slot: the same order at all of them.
+/// All configured gateways by slot. All gateways must have the same order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewaySlots {
     gateways: Vec<SocketAddr>,
@@ -19,11 +19,11 @@
 }
 
 impl GatewaySlots {
-    /// The slots of this list, one of which is that of the gateway at `own`.
+    /// Assigns a slot to each gateway of the list. `own` is the address of this gateway.
     ///
     /// # Errors
     ///
-    /// Fails where the list is too long, names a gateway twice, or does not name `own`.
+    /// Fails if the list is too long, has a gateway twice, or lacks `own`.
     pub fn new(gateways: Vec<SocketAddr>, own: SocketAddr) -> Result<Self, InvalidKey> {
         let key = "state.gateways";
         if gateways.len() > MAX_GATEWAYS {
@@ -31,13 +31,13 @@
             return Err(InvalidKey::new(key, found, format_args!("at most {MAX_GATEWAYS}")));
         }
         let mut slot_by_address = BTreeMap::new();
-        for (number, &gateway) in gateways.iter().enumerate() {
-            // At most MAX_GATEWAYS, so it fits.
-            if slot_by_address.insert(gateway, Slot(number as u16)).is_some() {
+        for (index, &gateway) in gateways.iter().enumerate() {
+            // The list has at most MAX_GATEWAYS entries, so the index fits into a u16.
+            if slot_by_address.insert(gateway, Slot(index as u16)).is_some() {
                 return Err(InvalidKey::new(key, format_args!("{gateway} twice"), "each gateway once"));
             }
         }
-        let expected = "a list that names this gateway, or 'peers' in the configuration that do";
+        let expected = "a list that names this gateway, or such a list as 'peers' in the configuration";
         let own = slot_by_address
             .get(&own)
             .copied()
@@ -45,27 +45,27 @@
         Ok(Self { gateways, slot_by_address, own })
     }
 
-    /// Number of slots.
+    /// Returns the number of slots.
     pub fn len(&self) -> u16 {
         self.gateways.len() as u16
     }
 
-    /// Always false: the list names this gateway.
+    /// Returns false, as the list has at least this gateway.
     pub fn is_empty(&self) -> bool {
         self.gateways.is_empty()
     }
 
-    /// The slot of this gateway.
+    /// Returns the slot of this gateway.
     pub fn own(&self) -> Slot {
         self.own
     }
 
-    /// The slot of the gateway at `address`.
+    /// Returns the slot of the gateway at `address`, if the list has it.
     pub fn slot_of(&self, address: SocketAddr) -> Option<Slot> {
         self.slot_by_address.get(&address).copied()
     }
 
-    /// The address of the gateway that has `slot`.
+    /// Returns the address of the gateway that has `slot`, if there is one.
     pub fn address_of(&self, slot: Slot) -> Option<SocketAddr> {
         self.gateways.get(usize::from(slot.0)).copied()
     }
--- a/src/fleet/shared_state/text.rs
+++ b/src/fleet/shared_state/text.rs
@@ -1,4 +1,4 @@
-//! The shared state as text of the admin endpoint.
+//! Texts of the admin endpoint about the shared state.
 
 use std::fmt::Write;
 
@@ -8,11 +8,11 @@
 use super::GatewayState;
 use crate::metrics::METRIC_PREFIX;
 
-/// Servers and tenants whose counts are shown at the admin endpoint.
+/// Maximum number of servers and tenants whose counts the admin endpoint shows.
 pub const MAX_DISPLAYED_COUNTERS: usize = 128;
 
 impl GatewayState {
-    /// Requests the totals that [`status_text`](Self::status_text) shows and that other gateways keep.
+    /// Requests the totals for [`status_text`](Self::status_text) that other gateways compute.
     pub fn request_totals(&mut self) {
         for key in self.displayed_counters() {
             let _ = self.exchange.fleet_total(key);
@@ -23,7 +23,7 @@
         self.names.keys().copied().take(MAX_DISPLAYED_COUNTERS).collect()
     }
 
-    /// What is known, for the admin endpoint.
+    /// Returns the status of the shared state for the admin endpoint.
     pub fn status_text(&mut self) -> String {
         let mut text = format!(
             "self slot={} slots={} generation={} started={} peers={}\n",
@@ -33,7 +33,8 @@
             if self.exchange.is_started() { "yes" } else { "no" },
             self.exchange.peers().len()
         );
-        // All totals first: reading one may ask another gateway for it.
+        // All totals are read first, as reading one may send a request to another gateway and thus needs
+        // `&mut self`.
         let keys = self.displayed_counters();
         let totals: Vec<_> = keys.into_iter().map(|key| (key, self.exchange.fleet_total(key))).collect();
         for (key, total) in totals {
@@ -74,7 +75,7 @@
         text.push('\n');
     }
 
-    /// The metrics, one a line.
+    /// Returns the metrics, one per line.
     pub fn metrics_text(&self) -> String {
         let mut text = String::new();
         let traffic = self.exchange.traffic();
@@ -109,7 +110,7 @@
     }
 }
 
-/// The name of a kind of evidence in the log and at the admin endpoint.
+/// Returns the name of a kind of evidence in the log and at the admin endpoint.
 pub(super) fn kind_name(kind: EvidenceKind) -> &'static str {
     match kind {
         EvidenceKind::Failing => "failing",
@@ -119,7 +120,7 @@
     }
 }
 
-/// The label of a rejected datagram in metrics.
+/// Returns the label of a rejected datagram in metrics.
 fn reason_name(reason: DecodeError) -> &'static str {
     match reason {
         DecodeError::Length => "length",
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -1,4 +1,4 @@
-//! The file of `--view`.
+//! Settings of the membership view, read from the file that `--view` names.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use super::super::settings_keys::{IntegerKey, InvalidKey, check_known_keys, parse_address, required_names};
 use super::super::shared_state::{self, GatewaySlots};
 
-/// Seeds that a file may name.
+/// Maximum number of seeds in a settings file.
 pub const MAX_SEEDS: usize = 64;
 
 const FLEET_ID: IntegerKey = IntegerKey {
@@ -18,106 +18,107 @@
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "The tier's key, the same at all its gateways and at none of another tier.",
+    description: "Key of the fleet: the same at all of its gateways, and unique among fleets.",
 };
 const SIZE: IntegerKey = IntegerKey {
     name: "size",
     minimum: 2,
     maximum: 8192,
     default: Some(9),
-    description: "About how many gateways there are; suspicions last by its logarithm.",
+    description: "Approximate number of gateways; the duration of a suspicion grows as its logarithm.",
 };
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
     name: "datagrams_per_s",
     minimum: 16,
     maximum: 1000,
     default: Some(24),
-    description: "Datagrams a second that this gateway sends at most.",
+    description: "Maximum number of datagrams per second that this gateway sends.",
 };
 const BURST: IntegerKey = IntegerKey {
     name: "burst",
     minimum: 16,
     maximum: 256,
     default: Some(48),
-    description: "How many of them at once.",
+    description: "Maximum number of datagrams that this gateway sends at once.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [FLEET_ID, SIZE, DATAGRAMS_PER_S, BURST];
 const OTHER_KEYS: [&str; 4] = ["listen", "public", "seeds", "state"];
 
 const LISTEN_DESCRIPTION: &str =
-    "Where this gateway hears, and what it is known by: an address of its own, not 0.0.0.0.";
+    "UDP address that this gateway listens on and is known by: an address of its own, not 0.0.0.0.";
 const PUBLIC_DESCRIPTION: &str =
-    "What the others know this gateway by, where addresses are translated on the way. Without it: 'listen'.";
-const SEEDS_DESCRIPTION: &str = "Gateways to join by, any that are usually there. Without it: the configuration's \
-                                 'peers', at the port of 'listen'. Empty where this is the first.";
+    "Address that other gateways reach this one at, if addresses are translated. Default: 'listen'.";
+const SEEDS_DESCRIPTION: &str = "Gateways through which this one joins, any that usually run. Default: 'peers' \
+                                 in the configuration, at the port of 'listen'. Empty for the first one.";
 
-/// Why the view's settings cannot be used.
+/// An error in the settings of the view.
 #[derive(Debug, thiserror::Error)]
 pub enum ViewError {
     /// The file cannot be read.
     #[error("view: {path}: {problem}")]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// Error that the operating system returned.
         problem: std::io::Error,
     },
     /// The file is not TOML.
     #[error("view: found {}; expected TOML", .0.to_string().trim())]
     Syntax(#[from] toml::de::Error),
-    /// A key's value, or its absence, cannot be used.
+    /// A key has an invalid value, is unknown, or is required and absent.
     #[error("view: {0}")]
     Key(#[from] InvalidKey),
 }
 
 impl ViewError {
-    /// The error followed by what an operator can do, for the log.
+    /// Returns the error and the operator's remedy, for the log.
     pub fn with_help(self) -> String {
         format!("{self}; {}", self.help())
     }
 
-    /// What an operator can do.
+    /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --view out",
+            Self::File { .. } => "name a file that this process may read, or omit --view",
             Self::Syntax(_) => "compare the file with deploy/view.toml",
-            Self::Key(_) => "correct the key; deploy/view.schema.json says what each may be",
+            Self::Key(_) => "correct the key; deploy/view.schema.json lists the keys and their values",
         }
     }
 }
 
-/// What the file of `--view` says.
+/// Settings of the membership view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Address that this gateway receives datagrams at.
+    /// UDP address on which this gateway receives datagrams.
     pub listen: SocketAddr,
-    /// Address that other gateways know this one by.
+    /// Address at which other gateways reach this one.
     pub public: SocketAddr,
-    /// Gateways to join by; none where the file leaves that to the configuration.
+    /// Gateways through which this one joins; `None` if the file omits them, so that the configuration's
+    /// `peers` apply.
     pub seeds: Option<Vec<SocketAddr>>,
     /// Settings of the membership protocol.
     pub view: ViewConfig,
-    /// Settings of the shared state; none where the file has no table for it.
+    /// Settings of the shared state; `None` if the file has no table `state`.
     pub shared_state: Option<shared_state::Settings>,
 }
 
 impl Settings {
-    /// Reads the file.
+    /// Reads the settings from the file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read, is not TOML, or has a key that cannot be used.
+    /// Fails if the file cannot be read, is not TOML, or has an invalid key.
     pub fn read(path: &Path) -> Result<Self, ViewError> {
         let text = std::fs::read_to_string(path)
             .map_err(|problem| ViewError::File { path: path.to_owned(), problem })?;
         Self::parse(&text)
     }
 
-    /// Parses the text of a file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, or names the key that cannot be used.
+    /// Fails if the text is not TOML or has an invalid key, which the error names.
     pub fn parse(text: &str) -> Result<Self, ViewError> {
         let table: Table = text.parse()?;
         let known: Vec<&str> =
@@ -139,12 +140,12 @@
         Ok(Self { listen, public, seeds, view, shared_state })
     }
 
-    /// The slots of all gateways that may be there. Where the file does not list them, they are `peers`, the
-    /// configuration's, at the port of `listen`.
+    /// Returns the slots of all gateways. If the file does not list the gateways, they are `peers` of the
+    /// configuration, at the port of `listen`.
     ///
     /// # Errors
     ///
-    /// Fails where neither names this gateway, or one is named twice.
+    /// Fails if the list lacks this gateway or has a gateway twice.
     pub fn gateway_slots(&self, peers: Option<&[SocketAddr]>) -> Result<GatewaySlots, ViewError> {
         let listed = self.shared_state.as_ref().and_then(|state| state.gateways.clone());
         let gateways = match (listed, peers) {
@@ -155,12 +156,12 @@
         Ok(GatewaySlots::new(gateways, self.public)?)
     }
 
-    /// The gateways to join by. Where the file does not list them, they are `peers`, the configuration's, at the port
-    /// of `listen`.
+    /// Returns the gateways through which this one joins. If the file does not list them, they are `peers` of
+    /// the configuration, at the port of `listen`.
     ///
     /// # Errors
     ///
-    /// Fails where neither names any.
+    /// Fails if neither the file nor the configuration has any.
     pub fn seeds_or_peers(&self, peers: Option<Vec<SocketAddr>>) -> Result<Vec<SocketAddr>, ViewError> {
         if let Some(seeds) = &self.seeds {
             return Ok(seeds.clone());
@@ -181,7 +182,7 @@
     let absent = Toml::String(String::new());
     let listen = parse_address("listen", table.get("listen").unwrap_or(&absent))?;
     if listen.ip().is_unspecified() || listen.port() == 0 {
-        let expected = "an address and port that others reach this gateway by";
+        let expected = "an address and port at which other gateways can reach this one";
         return Err(InvalidKey::new("listen", listen, expected));
     }
     Ok(listen)
@@ -194,7 +195,7 @@
     seeds.iter().map(|seed| parse_address("seeds", seed)).collect()
 }
 
-/// The JSON Schema of the file.
+/// Returns the JSON Schema of the settings file.
 pub fn schema() -> Json {
     let mut properties = serde_json::Map::new();
     properties.insert("listen".to_owned(), json!({"type": "string", "description": LISTEN_DESCRIPTION}));
@@ -213,7 +214,7 @@
     let required: Vec<&str> = std::iter::once("listen").chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "The fleet view's settings, the file of --view",
+        "title": "Settings of the membership view, the file of --view",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/src/fleet/view/text.rs
+++ b/src/fleet/view/text.rs
@@ -1,4 +1,4 @@
-//! The membership view as log lines, and as text of the admin endpoint.
+//! Texts of the log and the admin endpoint about the membership view.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     }
 }
 
-/// The log line of a change of the view.
+/// Returns the log line about a change of the view.
 pub fn change_log_line(change: &ViewChange) -> String {
     let member_line = |member: &Member, state: &str| {
         format!("view: member {} (generation {}) {state}", member.address, member.incarnation)
@@ -30,12 +30,15 @@
             own.incarnation
         ),
         ViewChange::Stalled(time) => {
-            format!("view: this process stalled for {} ms; it suspects nobody for that", time.as_millis())
+            format!(
+                "view: this process stalled for {} ms; it suspects no member because of that",
+                time.as_millis()
+            )
         }
     }
 }
 
-/// All members, one a line and this one first, at `now` by the view's time.
+/// Returns the members, one per line and this one first. `now` is the present time of the view.
 pub fn members_text(membership: &Membership, now: Duration) -> String {
     let own = membership.own();
     let mut text = format!("{} self generation={}\n", own.address, own.incarnation);
@@ -53,7 +56,7 @@
     text
 }
 
-/// The view's metrics, one a line.
+/// Returns the metrics of the view, one per line.
 pub fn metrics_text(membership: &Membership) -> String {
     let mut text = String::new();
     let mut write_metric = |name: &str, value: u64| {
--- a/tests/shared_state.rs
+++ b/tests/shared_state.rs
@@ -1,4 +1,5 @@
-//! State shared by gateways: settings, outcome reports, and gateways that exchange datagrams without sockets.
+//! Shared state of gateways: settings, outcome reports, and simulated gateways that exchange datagrams
+//! without sockets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 
 const SETTINGS_HEAD: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n[state]\n";
 
-fn parse_problem(rest: &str) -> String {
+fn parse_error(rest: &str) -> String {
     let settings = Settings::parse(&format!("{SETTINGS_HEAD}{rest}"));
     let slots = settings.and_then(|settings| settings.gateway_slots(None));
     slots.err().map(|error| error.to_string()).unwrap_or_default()
@@ -22,7 +23,7 @@
 
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
-    for (text, problem) in [
+    for (text, expected) in [
         ("fanout = 3", "state.fanout: found an unknown key; expected gateways"),
         ("datagrams_per_s = 3", "state.datagrams_per_s: found 3; expected a whole number from 4 to 1000"),
         ("judgements = \"some\"", "state.judgements: found \"some\"; expected one of off, tell, use"),
@@ -40,20 +41,20 @@
         ),
         ("", "state.gateways: found no 127.0.0.1:7946"),
     ] {
-        assert!(parse_problem(text).contains(problem), "{text}: {}", parse_problem(text));
+        assert!(parse_error(text).contains(expected), "{text}: {}", parse_error(text));
     }
-    let settings = Settings::parse(SETTINGS_HEAD).expect("good");
+    let settings = Settings::parse(SETTINGS_HEAD).expect("valid settings");
     let peers = ["127.0.0.2:1", "127.0.0.1:1"].map(|address| address.parse().expect("an address"));
-    let slots = settings.gateway_slots(Some(&peers)).expect("by the peers, at the view's port");
+    let slots = settings.gateway_slots(Some(&peers)).expect("the slots of the peers at the view's port");
     assert_eq!((slots.len(), slots.own().0), (2, 1));
-    let without_state = Settings::parse("listen = \"127.0.0.1:7946\"\ntier = 1\n").expect("good");
+    let without_state = Settings::parse("listen = \"127.0.0.1:7946\"\ntier = 1\n").expect("valid settings");
     assert_eq!(without_state.shared_state, None);
 }
 
 #[test]
-fn the_schema_has_the_bounds_and_the_choices() {
+fn the_schema_has_the_bounds_and_choices_of_the_parser() {
     let schema = schema();
-    for choice in schema["properties"]["judgements"]["enum"].as_array().expect("words") {
+    for choice in schema["properties"]["judgements"]["enum"].as_array().expect("an array") {
         let parsed = Settings::parse(&format!("{SETTINGS_HEAD}judgements = {choice}"));
         assert!(parsed.is_ok(), "{:?}", parsed.map_err(ViewError::with_help));
     }
@@ -75,9 +76,9 @@
     assert_eq!(reporter.take_reports(time_at(0)).len(), 1);
     reporter.record_end(server, false, Outcome::ConnectError);
     assert_eq!(reporter.take_reports(time_at(250)), [(server, report(1, 1, 0))]);
-    assert_eq!(reporter.take_reports(time_at(500)), [], "nothing new");
+    assert_eq!(reporter.take_reports(time_at(500)), [], "no new outcomes");
     reporter.record_end(server, false, Outcome::TimedOut);
-    // A client that left or a connection that ended normally is no evidence about the server.
+    // A cancelled attempt and a connection that ended normally are no evidence about the server.
     reporter.record_end(server, true, Outcome::Ok);
     reporter.record_end(server, false, Outcome::Cancelled);
     assert_eq!(reporter.take_reports(time_at(750)), [(server, report(2, 1, 1))]);
@@ -85,17 +86,17 @@
     assert_eq!(
         reporter.take_reports(time_at(1_000)),
         [(server, report(1, 0, 0))],
-        "well again at the first attempt"
+        "the first success clears the failures"
     );
     reporter.record_end(server, false, Outcome::Failed);
     assert_eq!(
         reporter.take_reports(time_at(12_000)),
         [(server, report(1, 1, 0))],
-        "and what is old is forgotten"
+        "outcomes older than the window are dropped"
     );
 }
 
-/// Open connections of a gateway to a server.
+/// Number of open connections from each gateway to a server.
 struct OpenConnections<'a> {
     server: &'a str,
     count: u32,
@@ -105,7 +106,7 @@
     OpenConnections { server, count }
 }
 
-/// Gateways whose datagrams arrive at once.
+/// Simulated gateways whose datagrams arrive without delay.
 struct Cluster {
     gateways: Vec<GatewayState>,
     addresses: Vec<SocketAddr>,
@@ -118,19 +119,20 @@
     fn new(size: u16) -> Self {
         let addresses: Vec<SocketAddr> =
             (0..size).map(|number| SocketAddr::from(([127, 0, 0, 1], 9_000 + number))).collect();
-        let settings =
-            Settings::parse(&format!("{SETTINGS_HEAD}check = \"log\"\njudgements = \"use\"")).expect("good");
-        let state = settings.shared_state.expect("the table");
-        let gateways = addresses.iter().enumerate().map(|(number, &own)| {
-            let slots = GatewaySlots::new(addresses.clone(), own).expect("its own is among them");
-            let mut gateway = GatewayState::new(state.clone(), 1, slots, 100, number as u64, Duration::ZERO);
+        let settings = Settings::parse(&format!("{SETTINGS_HEAD}check = \"log\"\njudgements = \"use\""))
+            .expect("valid settings");
+        let state = settings.shared_state.expect("a table for the shared state");
+        let gateways = addresses.iter().enumerate().map(|(index, &own)| {
+            let slots = GatewaySlots::new(addresses.clone(), own).expect("the list has its own address");
+            let mut gateway = GatewayState::new(state.clone(), 1, slots, 100, index as u64, Duration::ZERO);
             gateway.set_peers(addresses.iter().copied());
             gateway
         });
         Self { gateways: gateways.collect(), addresses: addresses.clone(), now: Duration::ZERO }
     }
 
-    /// Advances the time; these gateways report failures of server `a`, the others nothing.
+    /// Advances the time by `ms`. The gateways `failing_at` report failures of server `a`, the others report
+    /// nothing. Returns the decisions of the last observation, by gateway.
     fn advance(
         &mut self,
         ms: u64,
@@ -149,12 +151,12 @@
                         self.addresses.iter().position(|&address| address == destination).expect("a gateway");
                     self.gateways[receiver]
                         .handle_datagram(self.addresses[sender], &datagram)
-                        .expect("sound");
+                        .expect("a valid datagram");
                 }
             }
             if step % 5 == 0 {
                 decisions =
-                    (0..self.gateways.len()).map(|number| self.observe(number, failing_at, open)).collect();
+                    (0..self.gateways.len()).map(|index| self.observe(index, failing_at, open)).collect();
             }
         }
         decisions
@@ -162,7 +164,7 @@
 
     fn observe(
         &mut self,
-        number: usize,
+        gateway_index: usize,
         failing_at: &[usize],
         open: &[OpenConnections<'_>],
     ) -> OutlierDecision {
@@ -181,14 +183,14 @@
                 })
                 .collect(),
             tenants: vec![("north", 2)],
-            outcome_reports: match failing_at.contains(&number) {
+            outcome_reports: match failing_at.contains(&gateway_index) {
                 true => vec![(name_hash("a"), OutcomeReport { attempts: 4, observations: [4, 0, 0] })],
                 false => Vec::new(),
             },
         };
-        let decisions = self.gateways[number].observe(self.now, &observation);
-        assert_eq!(decisions.violation, None);
-        decisions
+        let decision = self.gateways[gateway_index].observe(self.now, &observation);
+        assert_eq!(decision.violation, None);
+        decision
     }
 }
 
@@ -197,10 +199,14 @@
     for (failing_at, ejected) in [(&[0, 1, 2][..], true), (&[0], false), (&[0, 4], false)] {
         let mut cluster = Cluster::new(5);
         let decisions = cluster.advance(6_000, failing_at, &[]);
-        for decisions in decisions {
-            assert_eq!(decisions.ejected.contains(&name_hash("a")), ejected, "seen by {failing_at:?}");
+        for decision in decisions {
+            assert_eq!(
+                decision.ejected.contains(&name_hash("a")),
+                ejected,
+                "failures reported by {failing_at:?}"
+            );
         }
-        // Without new attempts the server returns once the reports are old.
+        // Without new attempts, the server is no longer ejected once the reports have expired.
         let decisions = cluster.advance(12_000, &[], &[]);
         assert!(decisions.iter().all(|decision| decision.ejected.is_empty()), "{decisions:?}");
     }
@@ -231,10 +237,10 @@
     }
     let (_, datagram) = cluster.gateways[0].next_datagram().expect("a datagram");
     let own = cluster.addresses[0];
-    let another = cluster.addresses[2];
-    let stranger = "127.0.0.9:9000".parse().expect("an address");
-    assert_eq!(cluster.gateways[1].handle_datagram(another, &datagram), Err(DecodeError::Foreign));
-    assert_eq!(cluster.gateways[1].handle_datagram(stranger, &datagram), Err(DecodeError::Foreign));
+    let other_gateway = cluster.addresses[2];
+    let unknown_sender = "127.0.0.9:9000".parse().expect("an address");
+    assert_eq!(cluster.gateways[1].handle_datagram(other_gateway, &datagram), Err(DecodeError::Foreign));
+    assert_eq!(cluster.gateways[1].handle_datagram(unknown_sender, &datagram), Err(DecodeError::Foreign));
     assert_eq!(cluster.gateways[1].handle_datagram(own, &datagram), Ok(()));
     assert!(
         cluster.gateways[1]
@@ -243,6 +249,7 @@
     );
 }
 
+/// Returns the fleet-wide number of open connections to a server, as the status text shows it.
 fn open_connections(gateway: &mut GatewayState, name: &str) -> Option<u32> {
     gateway.request_totals();
     let text = gateway.status_text();
@@ -257,12 +264,13 @@
     assert_eq!(
         cluster.gateways[1].handle_new_incarnation(101),
         None,
-        "wrongly considered dead: the same incarnation"
+        "the next incarnation is the same process, wrongly declared dead"
     );
-    let line = cluster.gateways[1].handle_new_incarnation(500).expect("others know a later incarnation");
+    let line = cluster.gateways[1].handle_new_incarnation(500).expect("a line about another process");
     assert_eq!(
         line,
-        "state: another process of this gateway was known; restarted as generation 500, lending nothing for one lease"
+        "state: another process of this gateway ran meanwhile; restarted as generation 500, \
+         lending nothing for one lease"
     );
     cluster.advance(4_000, &[], &[open_to("a", 7), open_to("b", 1)]);
     cluster.gateways.iter_mut().for_each(GatewayState::request_totals);
