--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -48,8 +48,9 @@
     "UDP address that this gateway listens on and is known by: an address of its own, not 0.0.0.0.";
 const PUBLIC_DESCRIPTION: &str =
     "Address that other gateways reach this one at, if addresses are translated. Default: 'listen'.";
-const SEEDS_DESCRIPTION: &str = "Gateways through which this one joins, any that usually run. Default: 'peers' \
-                                 in the configuration, at the port of 'listen'. Empty for the first one.";
+const SEEDS_DESCRIPTION: &str = "Gateways through which this one joins, any that usually run. Default: \
+                                 'peers' in the configuration, at the port of 'listen'. Empty for the \
+                                 first one.";
 
 /// An error in the settings of the view.
 #[derive(Debug, thiserror::Error)]
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -160,8 +160,9 @@
 fn grantors_together_respect_the_limit_and_a_restart_creates_no_permit() {
     let (mut all, grantors, other) = gateways_and_grantors(KEY);
     let window = 2 * SECOND;
-    // The limit within a window is N + 2 sqrt(N) + 2, where N = 2.5 x 0.13 x 54 / 24 x 2 at the server's
-    // start: overload factor x initial capacity share x connections when full / warm-up time x window.
+    // The documented limit within a window is N + 2 sqrt(N) + 2, where N = 2.5 x 0.13 x 54 / 24 x 2 at the
+    // server's start: overload factor x initial capacity share x connections when full / warm-up time x
+    // window.
     let expected: f64 = 2.5 * 0.13 * CONNECTIONS_WHEN_FULL / 24.0 * 2.0;
     let allowed = expected + 2.0 * expected.sqrt() + 2.0;
     let granted = grant_times(&grantors, other, 2, None);
