--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -19,74 +19,72 @@
     minimum: 0,
     maximum: 511,
     default: None,
-    description: "Index of this gateway in 'gateways', from 0.",
+    description: "Which of 'gateways' this one is, from 0.",
 };
 const FLEET_ID: IntegerKey = IntegerKey {
     name: "tier",
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "Key of the fleet: the same at all of its gateways, and unique among fleets.",
+    description: "The tier's key, the same at all its gateways and at none of another tier.",
 };
 const VOTERS: IntegerKey = IntegerKey {
     name: "voters",
     minimum: 1,
     maximum: 9,
     default: Some(3),
-    description: "Number of acceptors, the first of 'gateways'; of 3 one may be unavailable, of 5 two.",
+    description: "So many of the first 'gateways' keep the table; of 3 one may be away, of 5 two.",
 };
 const MAX_OUT: IntegerKey = IntegerKey {
     name: "max_out",
     minimum: 1,
     maximum: 32,
     default: None,
-    description: "Maximum number of servers out for maintenance at once.",
+    description: "Servers that may be out at once.",
 };
 const MAX_GATEWAYS_OUT: IntegerKey = IntegerKey {
     name: "max_gateways",
     minimum: 0,
     maximum: 32,
     default: Some(1),
-    description: "Maximum number of gateways out for maintenance at once; fewer than half of 'voters'.",
+    description: "Gateways that may be out at once; fewer than half of the voters.",
 };
 const FLOOR: IntegerKey = IntegerKey {
     name: "floor",
     minimum: 0,
     maximum: 4096,
     default: Some(0),
-    description: "Minimum number of servers that must remain ready.",
+    description: "Ready servers that must be left.",
 };
 const LEASE_S: IntegerKey = IntegerKey {
     name: "lease_s",
     minimum: 2,
     maximum: 60,
     default: Some(6),
-    description: "Seconds that a gateway keeps a machine cordoned after its last request to the others.",
+    description: "How long a gateway keeps a machine out after it has last asked the others.",
 };
 const DRAIN_S: IntegerKey = IntegerKey {
     name: "drain_s",
     minimum: 1,
     maximum: 3600,
     default: Some(60),
-    description: "Maximum duration of a drain in seconds.",
+    description: "How long a drain may last.",
 };
 const WORK_S: IntegerKey = IntegerKey {
     name: "work_s",
     minimum: 0,
     maximum: 86400,
     default: Some(3600),
-    description: "Maximum seconds that a drained machine is out; 0: a server returns once drained.",
+    description: "How long a machine stays out at most once it is drained; 0: a server not at all.",
 };
 const INTEGER_KEYS: [IntegerKey; 9] =
     [SLOT, FLEET_ID, VOTERS, MAX_OUT, MAX_GATEWAYS_OUT, FLOOR, LEASE_S, DRAIN_S, WORK_S];
 const OTHER_KEYS: [&str; 3] = ["listen", "gateways", "folder"];
 
 const LISTEN_DESCRIPTION: &str =
-    "UDP address that this gateway listens on for the others. Default: its own address in 'gateways'.";
-const GATEWAYS_DESCRIPTION: &str =
-    "Addresses at which all gateways are reachable, listed in the same order at all of them.";
-const FOLDER_DESCRIPTION: &str =
-    "Folder of this gateway's acceptor state; it must persist across restarts of the machine.";
+    "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
+const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
+const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
 
 /// An error in the settings of maintenance.
 #[derive(Debug, thiserror::Error)]
@@ -118,9 +116,9 @@
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or omit --maintenance",
+            Self::File { .. } => "name a file that this process may read, or leave --maintenance out",
             Self::Syntax(_) => "compare the file with deploy/maintenance.toml",
-            Self::Key(_) => "correct the key; deploy/maintenance.schema.json lists the keys and their values",
+            Self::Key(_) => "correct the key; deploy/maintenance.schema.json says what each may be",
         }
     }
 }
@@ -220,7 +218,7 @@
         }
         let minority = (self.voters - 1) / 2;
         if self.max_gateways_out > minority && self.voters > 1 {
-            let expected = format_args!("at most {minority}, so that a majority of the voters remains");
+            let expected = format_args!("at most {minority}, so that a majority of the voters stays");
             return Err(InvalidKey::new("max_gateways", self.max_gateways_out, expected));
         }
         Ok(())
@@ -268,7 +266,7 @@
 }
 
 fn parse_reachable_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
-    let expected = "an address and a port that other gateways can reach, as \"127.0.0.1:7947\"";
+    let expected = "an address and a port that others reach, as \"127.0.0.1:7947\"";
     let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
     let is_reachable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
     let address = text.parse().ok().filter(is_reachable);
@@ -296,7 +294,7 @@
         ["folder", "gateways"].into_iter().chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "Settings of maintenance, the file of --maintenance",
+        "title": "Settings of taking machines out for work, the file of --maintenance",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -27,41 +27,41 @@
     minimum: 1,
     maximum: i32::MAX as u32,
     default: None,
-    description: "Version number of this file: incremented at each change, the same in identical copies.",
+    description: "Counted on by whoever changes this file, and the same in all copies of one text.",
 };
 const RESERVE: IntegerKey = IntegerKey {
     name: "reserve",
     minimum: 0,
     maximum: 1000,
     default: Some(100),
-    description: "Thousandths of each quota that are never lent; each gateway always has its part of them.",
+    description: "Thousandths of each quota that are never lent: each gateway has its part for certain.",
 };
 const BURST_MS: IntegerKey = IntegerKey {
     name: "burst_ms",
     minimum: 1,
     maximum: 60_000,
     default: Some(1000),
-    description: "Duration in ms for which unused units of the rate of new connections accumulate.",
+    description: "How long rights to new connections are stored that are not used.",
 };
 const MAX_WAIT_MS: IntegerKey = IntegerKey {
     name: "max_wait_ms",
     minimum: 1,
     maximum: 10_000,
     default: Some(2000),
-    description: "Maximum wait in ms that is sent to a rejected client.",
+    description: "The longest that a refused client is told to wait.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [GENERATION, RESERVE, BURST_MS, MAX_WAIT_MS];
 const OTHER_KEYS: [&str; 3] = ["vouched", "borrow", "partners"];
 const PARTNER_KEYS: [&str; 2] = ["per_s", "connections"];
 
-const CONFIRMED_DESCRIPTION: &str = "Whether an operator confirms that all running gateways are at this \
-                                     generation, as when another one is removed for good.";
-const BORROW_DESCRIPTION: &str = "Whether a partner may use units that another partner leaves unused at the \
-                                  same gateway, while no server sheds load.";
+const CONFIRMED_DESCRIPTION: &str =
+    "An operator's word that no gateway runs that is not at this generation: where one is gone for good.";
+const BORROW_DESCRIPTION: &str = "Whether what a partner leaves unused at a gateway may be used by another \
+                                 there, while no server refuses.";
 const PARTNERS_DESCRIPTION: &str =
-    "Quota of each partner over all gateways. Default: 'customers' in the settings.";
-const PER_S_DESCRIPTION: &str = "Maximum number of new connections per second.";
-const CONNECTIONS_DESCRIPTION: &str = "Maximum number of open connections. Default: unlimited.";
+    "Each partner's quota over all gateways. Without the table: the settings' customers.";
+const PER_S_DESCRIPTION: &str = "New connections a second.";
+const CONNECTIONS_DESCRIPTION: &str = "Open connections; without it they are not limited.";
 
 /// An error in the settings of the quotas.
 #[derive(Debug, thiserror::Error)]
@@ -94,10 +94,10 @@
     /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or omit --quota",
+            Self::File { .. } => "name a file that this process may read, or leave --quota out",
             Self::Syntax(_) => "compare the file with deploy/quota.toml",
-            Self::Key(_) => "correct the key; deploy/quota.schema.json lists the keys and their values",
-            Self::NoSharedState => "start with --view and a file that has this table, or omit --quota",
+            Self::Key(_) => "correct the key; deploy/quota.schema.json says what each may be",
+            Self::NoSharedState => "start with --view and a file that has the table, or leave --quota out",
         }
     }
 }
@@ -264,7 +264,7 @@
 fn check_partners(partners: &[TenantQuota]) -> Result<(), InvalidKey> {
     if partners.is_empty() || partners.len() > MAX_PARTNERS {
         let found = format_args!("{} partners", partners.len());
-        let expected = format_args!("1 to {MAX_PARTNERS}, in this file or as 'customers' in the settings");
+        let expected = format_args!("1 to {MAX_PARTNERS}, here or as the settings' customers");
         return Err(InvalidKey::new("partners", found, expected));
     }
     let mut partner_by_id = BTreeMap::new();
--- a/src/fleet/shared_state/settings.rs
+++ b/src/fleet/shared_state/settings.rs
@@ -17,20 +17,19 @@
     minimum: 4,
     maximum: 1000,
     default: Some(24),
-    description: "Maximum datagrams per second for the shared state, in addition to those of the view.",
+    description: "Datagrams a second that this gateway sends of it at most, beside the view's.",
 };
 const OUTLIER_MODES: [(&str, OutlierMode); 3] =
     [("off", OutlierMode::Off), ("tell", OutlierMode::Report), ("use", OutlierMode::Enforce)];
 const CHECK_MODES: [(&str, bool); 2] = [("off", false), ("log", true)];
 
-const GATEWAYS_DESCRIPTION: &str = "Public addresses of all gateways, in the same order at all of them. \
-                                    Default: 'peers' in the configuration, at the port of 'listen'.";
-const CHECK_DESCRIPTION: &str = "Whether the invariants of the shared state are checked four times a second.";
-const OUTLIERS_DESCRIPTION: &str = "Use of outlier reports on servers: 'off', none are sent; 'tell', they \
-                                   are sent and outliers are shown; 'use', outliers also get no new \
-                                   connections.";
+const GATEWAYS_DESCRIPTION: &str = "All gateways that may be there, by what others know them by, in one \
+                                   order everywhere. Without it: the configuration's 'peers', at the port \
+                                   of 'listen'.";
+const CHECK_DESCRIPTION: &str = "Whether all of it is held against its invariants four times a second.";
+const OUTLIERS_DESCRIPTION: &str = "What gateways see of servers: not told, told and shown, or used as well.";
 const COUNTS_DESCRIPTION: &str =
-    "Whether open connections are counted over all gateways, by server and tenant.";
+    "Whether open connections by server and tenant are counted over all gateways.";
 
 /// Use of outlier reports on servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -107,7 +106,7 @@
 pub fn schema() -> Json {
     json!({
         "type": "object", "additionalProperties": false,
-        "description": "State that gateways share besides the view. Without this table, none is shared.",
+        "description": "What the gateways share beside the view. Without the table: nothing.",
         "properties": {
             "gateways": {"type": "array", "items": {"type": "string"}, "minItems": 1,
                          "maxItems": MAX_GATEWAYS, "description": GATEWAYS_DESCRIPTION},
--- a/src/fleet/shared_state/slots.rs
+++ b/src/fleet/shared_state/slots.rs
@@ -37,7 +37,7 @@
                 return Err(InvalidKey::new(key, format_args!("{gateway} twice"), "each gateway once"));
             }
         }
-        let expected = "a list that names this gateway, or such a list as 'peers' in the configuration";
+        let expected = "a list that names this gateway, or 'peers' in the configuration that do";
         let own = slot_by_address
             .get(&own)
             .copied()
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -18,39 +18,39 @@
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "Key of the fleet: the same at all of its gateways, and unique among fleets.",
+    description: "The tier's key, the same at all its gateways and at none of another tier.",
 };
 const SIZE: IntegerKey = IntegerKey {
     name: "size",
     minimum: 2,
     maximum: 8192,
     default: Some(9),
-    description: "Approximate number of gateways; the duration of a suspicion grows as its logarithm.",
+    description: "About how many gateways there are; suspicions last by its logarithm.",
 };
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
     name: "datagrams_per_s",
     minimum: 16,
     maximum: 1000,
     default: Some(24),
-    description: "Maximum number of datagrams per second that this gateway sends.",
+    description: "Datagrams a second that this gateway sends at most.",
 };
 const BURST: IntegerKey = IntegerKey {
     name: "burst",
     minimum: 16,
     maximum: 256,
     default: Some(48),
-    description: "Maximum number of datagrams that this gateway sends at once.",
+    description: "How many of them at once.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [FLEET_ID, SIZE, DATAGRAMS_PER_S, BURST];
 const OTHER_KEYS: [&str; 4] = ["listen", "public", "seeds", "state"];
 
 const LISTEN_DESCRIPTION: &str =
-    "UDP address that this gateway listens on and is known by: an address of its own, not 0.0.0.0.";
+    "Where this gateway hears, and what it is known by: an address of its own, not 0.0.0.0.";
 const PUBLIC_DESCRIPTION: &str =
-    "Address that other gateways reach this one at, if addresses are translated. Default: 'listen'.";
-const SEEDS_DESCRIPTION: &str = "Gateways through which this one joins, any that usually run. Default: \
-                                 'peers' in the configuration, at the port of 'listen'. Empty for the \
-                                 first one.";
+    "What the others know this gateway by, where addresses are translated on the way. Without it: 'listen'.";
+const SEEDS_DESCRIPTION: &str = "Gateways to join by, any that are usually there. Without it: the \
+                                configuration's 'peers', at the port of 'listen'. Empty where this is the \
+                                first.";
 
 /// An error in the settings of the view.
 #[derive(Debug, thiserror::Error)]
@@ -80,9 +80,9 @@
     /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or omit --view",
+            Self::File { .. } => "name a file that this process may read, or leave --view out",
             Self::Syntax(_) => "compare the file with deploy/view.toml",
-            Self::Key(_) => "correct the key; deploy/view.schema.json lists the keys and their values",
+            Self::Key(_) => "correct the key; deploy/view.schema.json says what each may be",
         }
     }
 }
@@ -215,7 +215,7 @@
     let required: Vec<&str> = std::iter::once("listen").chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "Settings of the membership view, the file of --view",
+        "title": "The fleet view's settings, the file of --view",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
