--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -14,6 +14,9 @@
 /// Maximum number of gateways in a settings file.
 pub const MAX_GATEWAYS: usize = 512;
 
+// The descriptions and error texts of the keys are recorded in tests/fixtures/compatibility/fleet.
+
+/// Index of this gateway in `gateways`, from 0.
 const SLOT: IntegerKey = IntegerKey {
     name: "slot",
     minimum: 0,
@@ -21,6 +24,7 @@
     default: None,
     description: "Which of 'gateways' this one is, from 0.",
 };
+/// Key of the fleet: the same at all of its gateways, and unique among fleets.
 const FLEET_ID: IntegerKey = IntegerKey {
     name: "tier",
     minimum: 1,
@@ -28,6 +32,7 @@
     default: None,
     description: "The tier's key, the same at all its gateways and at none of another tier.",
 };
+/// Number of acceptors, which are the first of `gateways`. Of 3 acceptors one may be unavailable, of 5 two.
 const VOTERS: IntegerKey = IntegerKey {
     name: "voters",
     minimum: 1,
@@ -35,6 +40,7 @@
     default: Some(3),
     description: "So many of the first 'gateways' keep the table; of 3 one may be away, of 5 two.",
 };
+/// Maximum number of servers that are out for maintenance at once.
 const MAX_OUT: IntegerKey = IntegerKey {
     name: "max_out",
     minimum: 1,
@@ -42,6 +48,7 @@
     default: None,
     description: "Servers that may be out at once.",
 };
+/// Maximum number of gateways that are out for maintenance at once, fewer than half of the acceptors.
 const MAX_GATEWAYS_OUT: IntegerKey = IntegerKey {
     name: "max_gateways",
     minimum: 0,
@@ -49,6 +56,7 @@
     default: Some(1),
     description: "Gateways that may be out at once; fewer than half of the voters.",
 };
+/// Minimum number of servers that must remain ready.
 const FLOOR: IntegerKey = IntegerKey {
     name: "floor",
     minimum: 0,
@@ -56,6 +64,8 @@
     default: Some(0),
     description: "Ready servers that must be left.",
 };
+/// Duration in seconds for which a gateway keeps a machine cordoned after its last request to the other
+/// gateways.
 const LEASE_S: IntegerKey = IntegerKey {
     name: "lease_s",
     minimum: 2,
@@ -63,6 +73,7 @@
     default: Some(6),
     description: "How long a gateway keeps a machine out after it has last asked the others.",
 };
+/// Maximum duration of a drain in seconds.
 const DRAIN_S: IntegerKey = IntegerKey {
     name: "drain_s",
     minimum: 1,
@@ -70,6 +81,8 @@
     default: Some(60),
     description: "How long a drain may last.",
 };
+/// Maximum duration in seconds for which a drained machine is out. If it is 0, a server returns once it is
+/// drained.
 const WORK_S: IntegerKey = IntegerKey {
     name: "work_s",
     minimum: 0,
@@ -81,9 +94,12 @@
     [SLOT, FLEET_ID, VOTERS, MAX_OUT, MAX_GATEWAYS_OUT, FLOOR, LEASE_S, DRAIN_S, WORK_S];
 const OTHER_KEYS: [&str; 3] = ["listen", "gateways", "folder"];
 
+/// Description of `listen`, the UDP address on which this gateway receives datagrams from the others.
 const LISTEN_DESCRIPTION: &str =
     "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
+/// Description of `gateways`, the addresses of all gateways in the same order at all of them.
 const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
+/// Description of `folder`, which has the acceptor state and must persist across restarts of the machine.
 const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
 
 /// An error in the settings of maintenance.
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -22,6 +22,9 @@
 /// Divisor of floors, which are given in thousandths of a quota.
 const PERMILLE: u64 = 1_000;
 
+// The descriptions and error texts of the keys are recorded in tests/fixtures/compatibility/fleet.
+
+/// Version number of the file: incremented at each change, the same in identical copies.
 const GENERATION: IntegerKey = IntegerKey {
     name: "generation",
     minimum: 1,
@@ -29,6 +32,7 @@
     default: None,
     description: "Counted on by whoever changes this file, and the same in all copies of one text.",
 };
+/// Thousandths of each quota that are never lent, of which each gateway always has its part.
 const RESERVE: IntegerKey = IntegerKey {
     name: "reserve",
     minimum: 0,
@@ -36,6 +40,7 @@
     default: Some(100),
     description: "Thousandths of each quota that are never lent: each gateway has its part for certain.",
 };
+/// Duration in ms for which unused units of the rate of new connections accumulate.
 const BURST_MS: IntegerKey = IntegerKey {
     name: "burst_ms",
     minimum: 1,
@@ -43,6 +48,7 @@
     default: Some(1000),
     description: "How long rights to new connections are stored that are not used.",
 };
+/// Maximum wait in ms that is sent to a rejected client.
 const MAX_WAIT_MS: IntegerKey = IntegerKey {
     name: "max_wait_ms",
     minimum: 1,
@@ -54,13 +60,20 @@
 const OTHER_KEYS: [&str; 3] = ["vouched", "borrow", "partners"];
 const PARTNER_KEYS: [&str; 2] = ["per_s", "connections"];
 
+/// Description of `vouched`: an operator confirms that all running gateways are at this generation, as when
+/// one is removed for good.
 const CONFIRMED_DESCRIPTION: &str =
     "An operator's word that no gateway runs that is not at this generation: where one is gone for good.";
+/// Description of `borrow`: a partner may use units that another partner leaves unused at the same gateway,
+/// while no server sheds load.
 const BORROW_DESCRIPTION: &str = "Whether what a partner leaves unused at a gateway may be used by another \
                                  there, while no server refuses.";
+/// Description of `partners`, the quota of each partner over all gateways.
 const PARTNERS_DESCRIPTION: &str =
     "Each partner's quota over all gateways. Without the table: the settings' customers.";
+/// Description of `per_s`, the maximum number of new connections per second.
 const PER_S_DESCRIPTION: &str = "New connections a second.";
+/// Description of `connections`, the maximum number of open connections.
 const CONNECTIONS_DESCRIPTION: &str = "Open connections; without it they are not limited.";
 
 /// An error in the settings of the quotas.
--- a/src/fleet/shared_state/settings.rs
+++ b/src/fleet/shared_state/settings.rs
@@ -12,6 +12,9 @@
 /// Prefix of the names of these keys in errors.
 const PREFIX: &str = "state.";
 
+// The descriptions and error texts of the keys are recorded in tests/fixtures/compatibility/fleet.
+
+/// Maximum number of datagrams per second for the shared state, in addition to those of the view.
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
     name: "datagrams_per_s",
     minimum: 4,
@@ -19,15 +22,21 @@
     default: Some(24),
     description: "Datagrams a second that this gateway sends of it at most, beside the view's.",
 };
+/// Values of the key `judgements`.
 const OUTLIER_MODES: [(&str, OutlierMode); 3] =
     [("off", OutlierMode::Off), ("tell", OutlierMode::Report), ("use", OutlierMode::Enforce)];
+/// Values of the key `check`.
 const CHECK_MODES: [(&str, bool); 2] = [("off", false), ("log", true)];
 
+/// Description of `gateways`, the public addresses of all gateways in the same order at all of them.
 const GATEWAYS_DESCRIPTION: &str = "All gateways that may be there, by what others know them by, in one \
                                    order everywhere. Without it: the configuration's 'peers', at the port \
                                    of 'listen'.";
+/// Description of `check`: whether the invariants of the shared state are checked four times a second.
 const CHECK_DESCRIPTION: &str = "Whether all of it is held against its invariants four times a second.";
+/// Description of `judgements`, the use of outlier reports on servers.
 const OUTLIERS_DESCRIPTION: &str = "What gateways see of servers: not told, told and shown, or used as well.";
+/// Description of `counts`: whether open connections are counted over all gateways, by server and tenant.
 const COUNTS_DESCRIPTION: &str =
     "Whether open connections by server and tenant are counted over all gateways.";
 
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -13,6 +13,9 @@
 /// Maximum number of seeds in a settings file.
 pub const MAX_SEEDS: usize = 64;
 
+// The descriptions and error texts of the keys are recorded in tests/fixtures/compatibility/fleet.
+
+/// Key of the fleet: the same at all of its gateways, and unique among fleets.
 const FLEET_ID: IntegerKey = IntegerKey {
     name: "tier",
     minimum: 1,
@@ -20,6 +23,7 @@
     default: None,
     description: "The tier's key, the same at all its gateways and at none of another tier.",
 };
+/// Approximate number of gateways. The duration of a suspicion grows as its logarithm.
 const SIZE: IntegerKey = IntegerKey {
     name: "size",
     minimum: 2,
@@ -27,6 +31,7 @@
     default: Some(9),
     description: "About how many gateways there are; suspicions last by its logarithm.",
 };
+/// Maximum number of datagrams per second that this gateway sends for the view.
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
     name: "datagrams_per_s",
     minimum: 16,
@@ -34,6 +39,7 @@
     default: Some(24),
     description: "Datagrams a second that this gateway sends at most.",
 };
+/// Maximum number of datagrams that this gateway sends at once.
 const BURST: IntegerKey = IntegerKey {
     name: "burst",
     minimum: 16,
@@ -44,10 +50,14 @@
 const INTEGER_KEYS: [IntegerKey; 4] = [FLEET_ID, SIZE, DATAGRAMS_PER_S, BURST];
 const OTHER_KEYS: [&str; 4] = ["listen", "public", "seeds", "state"];
 
+/// Description of `listen`, the UDP address on which this gateway receives datagrams and by which others know
+/// it.
 const LISTEN_DESCRIPTION: &str =
     "Where this gateway hears, and what it is known by: an address of its own, not 0.0.0.0.";
+/// Description of `public`, the address at which other gateways reach this one if addresses are translated.
 const PUBLIC_DESCRIPTION: &str =
     "What the others know this gateway by, where addresses are translated on the way. Without it: 'listen'.";
+/// Description of `seeds`, the gateways through which this one joins. The first gateway has none.
 const SEEDS_DESCRIPTION: &str = "Gateways to join by, any that are usually there. Without it: the \
                                 configuration's 'peers', at the port of 'listen'. Empty where this is the \
                                 first.";
