--- a/src/bin/ashtide-adapter/error.rs
+++ b/src/bin/ashtide-adapter/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Error that ends the adapter before the input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A read from standard input or a write to standard output failed.
--- a/src/quic/initial.rs
+++ b/src/quic/initial.rs
@@ -62,9 +62,9 @@
 /// Endpoint that sends and encrypts a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Client, whose packets use the secret `client in`.
+    /// Client, whose secret is derived with the label `client in`.
     Client,
-    /// Server, whose packets use the secret `server in`.
+    /// Server, whose secret is derived with the label `server in`.
     Server,
 }
 
@@ -233,7 +233,7 @@
     packet
 }
 
-/// Pads frames to at least `min_length` bytes, and to no less than four. The header protection sample ends 16
+/// Pads frames to at least `min_length` bytes and at least four bytes. The header protection sample ends 16
 /// bytes after the packet number; four bytes of frames and the tag cover it.
 fn pad_frames(frames: &[u8], min_length: usize) -> Vec<u8> {
     let mut padded = frames.to_vec();
