--- a/tests/random_interleavings/invariants.rs
+++ b/tests/random_interleavings/invariants.rs
@@ -221,9 +221,9 @@
     }
 }
 
-/// Within the overload window, the processes that know the start time of a warming server choose it at most N
-/// + 2 sqrt(N) + 2 times in total (STANDING, on cold servers). N is the number of attempts in that window at
-/// the highest rate that does not overload the server.
+/// Within the overload window, the processes that know the start time of a warming server choose it at most
+/// `N + 2 sqrt(N) + 2` times in total (STANDING, on cold servers). N is the number of attempts in that window
+/// at the highest rate that does not overload the server.
 ///
 /// An attempt counts when its server is chosen, since that uses a permit.
 fn permits_within_limit(history: &History, occurrence: &Occurrence) -> CheckResult {
