--- a/tests/random_interleavings/frontend.rs
+++ b/tests/random_interleavings/frontend.rs
@@ -16,24 +16,36 @@
 /// A command from the engine to a front end.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendCommand {
+    /// Connects to a server for an attempt.
     Attempt { attempt: u32, server: ServerId, timeout: Span },
+    /// Closes the connection of an attempt that is not established.
     Close { attempt: u32 },
+    /// Permits the first byte of an attempt.
     SendFirstByte { attempt: u32 },
+    /// Confirms an accepted attempt: the front end forwards `UP` to the client.
     ForwardAccepted { attempt: u32 },
+    /// Sends the final answer of the engine to the client.
     Answer(FinalAnswer),
+    /// Migrates the client: ends its session, or cancels an attempt that the server has not accepted.
     Migrate,
+    /// Passes the established connection to this server to the successor process.
     HandOff(ServerId),
 }
 
 /// An event that a front end reports to its engine. The numbers are those of attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendEvent {
+    /// The connection to the server is open.
     Connected(u32),
     /// The server has accepted the request of this attempt with `UP`.
     Accepted(u32),
+    /// The attempt or its established connection has ended.
     Ended(u32, Outcome),
+    /// The client has left before it was served.
     ClientLeft,
+    /// The client has sent a message on an established connection.
     ClientMessage,
+    /// The server has sent a message on an established connection.
     ServerMessage,
     /// A load report of the server.
     Load(f64),
@@ -42,13 +54,18 @@
 /// An action that the simulation performs for a front end. The numbers are those of attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FrontendAction {
+    /// The front end reports an event to the engine.
     Report(FrontendEvent),
+    /// The front end connects to a server.
     Connect(u32, ServerId),
+    /// The front end writes the first byte of the request.
     FirstByte(u32),
+    /// The front end has written the last byte of the request.
     LastByte(u32),
     /// The front end closes the server's socket, with the outcome of the attempt or connection. The outcome
     /// is `None` if the front end reports no end to the engine.
     Close(u32, Option<Outcome>),
+    /// The front end sends the final answer to the client.
     FinalAnswer(ClientAnswer),
     /// The connection is established.
     Established(u32),
@@ -61,26 +78,36 @@
 /// An event on the connection to a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConnectionEvent {
+    /// The connection is open.
     Connected,
+    /// The server has refused the connection.
     Refused,
     /// The last byte of the request is written.
     Written,
     /// The connection is reset.
     Reset,
+    /// The server has sent a line.
     Line(Bytes),
 }
 
+/// The stage of the connection to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionStage {
+    /// The connection is not open yet.
     Connecting,
+    /// The connection is open, and the engine has not permitted the first byte yet.
     AwaitingPermission,
+    /// The first byte of the request is written, but not the last one.
     Writing,
+    /// The request is written, and the server has not responded yet.
     Written,
     /// The server has accepted the request, but the engine has not confirmed that yet.
     Accepted,
+    /// The front end has forwarded `UP` to the client.
     Established,
 }
 
+/// The connection of an attempt.
 #[derive(Debug)]
 struct ServerConnection {
     attempt: u32,
@@ -93,6 +120,7 @@
 
 /// The simulated front end of one client.
 pub struct SimulatedFrontend {
+    /// The request line of the client.
     pub open: Open,
     side: ClientSide,
     connection: Option<ServerConnection>,
@@ -123,6 +151,7 @@
         Self { open, side, connection: Some(connection), finished: false, fault }
     }
 
+    /// Returns the time that the client waits for its answer, or zero if its line gives none.
     pub fn client_timeout(&self) -> Duration {
         self.open.wait.unwrap_or_default()
     }
@@ -170,11 +199,13 @@
         }
     }
 
+    /// Ends the session of the client.
     fn finish(&mut self, actions: &mut Vec<FrontendAction>) {
         self.finished = true;
         actions.push(FrontendAction::Finished);
     }
 
+    /// Handles a command of the engine.
     pub fn handle_command(&mut self, command: FrontendCommand, actions: &mut Vec<FrontendAction>) {
         if self.finished {
             return;
--- a/tests/random_interleavings/history.rs
+++ b/tests/random_interleavings/history.rs
@@ -23,87 +23,38 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Occurrence {
     /// A front end has received the complete line of a client.
-    Arrived {
-        id: RequestId,
-        class: usize,
-        process: usize,
-        time_left: Span,
-    },
+    Arrived { id: RequestId, class: usize, process: usize, time_left: Span },
     /// The driver has passed the request to the engine.
-    Admitted {
-        id: RequestId,
-    },
+    Admitted { id: RequestId },
     /// A process has received the state and the start time of a server, from the list or from a cordon.
-    Listed {
-        process: usize,
-        server: ServerId,
-        ready: bool,
-        started_at: Option<Time>,
-    },
+    Listed { process: usize, server: ServerId, ready: bool, started_at: Option<Time> },
     /// A process has received the report that its watch has been closed or silent since then.
-    WatchLost {
-        process: usize,
-        silent_since: Time,
-    },
+    WatchLost { process: usize, silent_since: Time },
     /// A process has received the report that its watch is restored.
-    WatchRestored {
-        process: usize,
-    },
+    WatchRestored { process: usize },
     /// An engine has chosen a server.
-    Chosen {
-        id: RequestId,
-        attempt: u32,
-        server: ServerId,
-        timeout: Span,
-    },
+    Chosen { id: RequestId, attempt: u32, server: ServerId, timeout: Span },
     /// An engine has closed an attempt, because it timed out or was cancelled.
-    Abandoned {
-        id: RequestId,
-        attempt: u32,
-        timed_out: bool,
-    },
+    Abandoned { id: RequestId, attempt: u32, timed_out: bool },
     /// The driver has reported the end of an attempt to the engine.
-    AttemptEndReported {
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-    },
+    AttemptEndReported { id: RequestId, attempt: u32, outcome: Outcome },
     /// An engine has decided the final answer.
-    AnswerDecided {
-        id: RequestId,
-    },
-    FirstByte {
-        id: RequestId,
-        attempt: u32,
-    },
-    LastByte {
-        id: RequestId,
-        attempt: u32,
-    },
+    AnswerDecided { id: RequestId },
+    /// The front end writes the first byte of an attempt.
+    FirstByte { id: RequestId, attempt: u32 },
+    /// The front end has written the last byte of an attempt.
+    LastByte { id: RequestId, attempt: u32 },
     /// The front end has closed the socket of the attempt, with its outcome, or `None` if it reports no end
     /// to the engine.
-    Closed {
-        id: RequestId,
-        attempt: u32,
-        outcome: Option<Outcome>,
-    },
+    Closed { id: RequestId, attempt: u32, outcome: Option<Outcome> },
     /// The front end has sent the final answer to the client.
-    Answered {
-        id: RequestId,
-        answer: ClientAnswer,
-    },
+    Answered { id: RequestId, answer: ClientAnswer },
     /// The client has left before it was served.
-    ClientLeft {
-        id: RequestId,
-    },
+    ClientLeft { id: RequestId },
     /// The driver has reported the departure of the client to the engine.
-    DepartureReported {
-        id: RequestId,
-    },
+    DepartureReported { id: RequestId },
     /// The process of the request has exited.
-    ProcessExited {
-        id: RequestId,
-    },
+    ProcessExited { id: RequestId },
     /// A tick has ended.
     TimeAdvanced,
 }
@@ -147,10 +98,12 @@
     pub server: ServerId,
     pub first_byte_at: Option<Time>,
     pub last_byte_at: Option<Time>,
+    /// Whether the socket of the attempt is closed.
     pub closed: bool,
     /// Whether the server cannot have executed the request: it rejected it, or the connection was closed
     /// before the last byte.
     pub not_executed: bool,
+    /// The first end of the attempt that the engine observed.
     pub end: Option<AttemptEnd>,
 }
 
@@ -179,12 +132,16 @@
 /// The record of one request.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
+    /// The index of the class in the settings.
     pub class: usize,
+    /// The index of the process that received the request.
     pub process: usize,
     pub arrived_at: Time,
     pub admitted_at: Time,
+    /// The time from admission to the deadline.
     pub time_left: Span,
     pub attempts: Vec<AttemptRecord>,
+    /// The final answers that the client has received.
     pub answers: Vec<ClientAnswer>,
     /// The number of final answers that the engine has decided.
     pub answers_decided: u32,
@@ -248,6 +205,7 @@
         }
     }
 
+    /// Returns the deadline of the request.
     pub fn deadline(&self) -> Time {
         self.admitted_at + self.time_left
     }
--- a/tests/random_interleavings/invariants.rs
+++ b/tests/random_interleavings/invariants.rs
@@ -12,7 +12,7 @@
 /// The tolerance for spans that are rounded to microseconds in different orders.
 const ROUNDING: Span = Span::from_micros(2);
 
-/// The name of an invariant in violations.
+/// The name of an invariant. The function that checks it has the same name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     OneFinalAnswer,
@@ -162,7 +162,7 @@
     };
     match starting.earlier_execution().and_then(|attempt| attempt.first_byte_at) {
         Some(first) if history.now.since(first) > window + MAX_DELIVERY_DELAY => Err(format!(
-            "retry {:?} after the first attempt, allowed within {window:?}",
+            "retry {:?} after an attempt that may have been executed, allowed within {window:?}",
             history.now.since(first)
         )),
         _ => Ok(()),
@@ -197,7 +197,7 @@
     match starting.earlier_execution() {
         Some(executed) if history.class(starting.request).idempotency == Idempotency::NotIdempotent => {
             Err(format!(
-                "second attempt of a non-idempotent request, the first may have been executed: {executed:?}"
+                "non-idempotent request retried although an attempt may have been executed: {executed:?}"
             ))
         }
         _ => Ok(()),
@@ -262,7 +262,7 @@
     let request = history.request(id);
     let class = history.class(request);
     let time_left = request.deadline().since(history.now);
-    let is_close = |one: Span, other: Span| one <= other + ROUNDING && other <= one + ROUNDING;
+    let is_close = |left: Span, right: Span| left <= right + ROUNDING && right <= left + ROUNDING;
     let is_last_attempt =
         attempt + 1 >= history.settings.max_attempts || class.idempotency == Idempotency::NotIdempotent;
     let expected_timeout = class.latency_objective.max(time_left.scale(0.5)).min(time_left);
--- a/tests/random_interleavings/simulation.rs
+++ b/tests/random_interleavings/simulation.rs
@@ -34,6 +34,7 @@
 mod random_events;
 mod servers;
 
+/// The duration of a tick.
 const TICK_MS: i64 = 5;
 /// The maximum number of steps in one tick. More steps mean an infinite loop.
 const MAX_STEPS_PER_TICK: u32 = 20_000;
@@ -51,6 +52,7 @@
 const FLUSH_MS: i64 = 150;
 /// The connection quota of all tenants together.
 const QUOTA_CONNECTIONS: f64 = 600.0;
+/// The names of the request classes, in the order of [`classes`].
 const CLASSES: [&str; 6] = ["plain", "slow", "all", "zone", "cell", "once"];
 
 fn ms(ms: i64) -> Span {
@@ -79,37 +81,51 @@
 /// A report to the engine of a process.
 #[derive(Debug, Clone, PartialEq)]
 enum DriverReport {
+    /// A client has sent a request.
     Request(RequestId),
+    /// A front end reports an event.
     Frontend(RequestId, FrontendEvent),
+    /// The predecessor process has handed off an established connection to this server.
     AdoptedConnection(RequestId, ServerId),
+    /// Discovery has sent a list update.
     ListUpdate(ListUpdate, Vec<EndpointEntry>),
     /// A list update whose delivery to the engine an injected fault has delayed.
     LateListUpdate(ListUpdate, Vec<EndpointEntry>),
+    /// The watch is restored and the list is in sync.
     WatchRestored,
     /// The watch has ended: it is silent since this time, or was closed if `None`.
     WatchEnded(Option<Time>),
+    /// Another gateway has sent a datagram.
     Datagram(GatewayId, Vec<u8>),
     /// A server is cordoned (`true`) or uncordoned.
     Cordon(ServerId, bool),
+    /// The hash keys of the servers that a quorum of gateways has ejected.
     QuorumEjections(BTreeSet<u32>),
+    /// A sibling process reports its use of a server.
     SiblingState(ServerId, ServerUsage),
+    /// The process shuts down without a successor.
     GracefulShutdown,
+    /// The process shuts down and hands its connections off to its successor.
     HandOver,
 }
 
 /// A scheduled event of the simulation. The `usize` numbers are indices of processes.
 #[derive(Debug, Clone, PartialEq)]
 enum SimulationEvent {
+    /// A new client sends a request.
     ClientArrival,
     Report(usize, DriverReport),
     Command(RequestId, FrontendCommand),
+    /// An event on the connection of an attempt, with the number of the attempt.
     Connection(RequestId, u32, ConnectionEvent),
     ClientLine(RequestId, &'static [u8]),
     ClientDeparture(RequestId),
+    /// A random event occurs, such as a drain or a crash.
     RandomEvent,
     /// The process detects that its watch is silent since this time, or was closed if `None`.
     WatchEnd(usize, Option<Time>),
     WatchRestored(usize),
+    /// A gateway without a running process starts one.
     RestartGateway(u32),
     ShutdownDeadline(usize),
     ProcessExit(usize),
@@ -127,17 +143,24 @@
     /// The delivery time of the last report. Later reports are not delivered earlier, so that they remain in
     /// order.
     last_report_at: Time,
+    /// The delivery time of the last list update that was scheduled.
     last_list_update_at: Time,
+    /// Whether the watch delivers list updates.
     is_watching: bool,
     /// The endpoint list that the process has received.
     list: BTreeMap<ServerId, EndpointEntry>,
     cordoned: BTreeSet<ServerId>,
+    /// Whether the process has received the report that its watch has ended.
     has_lost_watch: bool,
+    /// Whether the full load of a server was recorded, which is done once per process.
     full_load_recorded: bool,
 }
 
+/// A client and its front end.
 struct Client {
+    /// The index of its process.
     process: usize,
+    /// The index of its request class.
     class: usize,
     frontend: SimulatedFrontend,
     /// The delivery time of the last command. Later commands are not delivered earlier, so that they remain
@@ -152,6 +175,7 @@
     now: Time,
     epoch: MonotonicEpoch,
     settings: Settings,
+    /// The number of gateways.
     gateways: u32,
     /// The longest time between the arrivals of two clients, in ms.
     max_arrival_interval_ms: i64,
@@ -160,10 +184,12 @@
     hung_until: Vec<Time>,
     processes: Vec<Process>,
     clients: BTreeMap<RequestId, Client>,
+    /// The scheduled events, by due time and sequence number.
     events: BTreeMap<(Time, u64), SimulationEvent>,
     last_event_number: u64,
     last_request_id: u32,
     arrivals_end_at: Time,
+    /// The commands of an engine that are to be performed next.
     commands: Vec<Command>,
     history: History,
     occurrences: Vec<(Time, Occurrence)>,
@@ -276,17 +302,19 @@
         self.events.insert((due_at, self.last_event_number), event);
     }
 
-    fn random_ms(&mut self, range: std::ops::Range<i64>) -> i64 {
+    /// Returns a random number of this range.
+    fn random_int(&mut self, range: std::ops::Range<i64>) -> i64 {
         self.rng.random_range(range)
     }
 
+    /// Returns `true` with this probability.
     fn chance(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
 
     /// Returns a random delivery delay of a report or a command.
     fn delivery_delay(&mut self) -> Span {
-        match self.random_ms(0..10) {
+        match self.random_int(0..10) {
             0 => MAX_DELIVERY_DELAY,
             1 | 2 => ms(TICK_MS),
             _ => Span::ZERO,
--- a/tests/random_interleavings/simulation/clients.rs
+++ b/tests/random_interleavings/simulation/clients.rs
@@ -5,8 +5,8 @@
 impl Simulation {
     pub(super) fn handle_client_arrival(&mut self) {
         if self.now < self.arrivals_end_at {
-            let wait = self.random_ms(0..self.max_arrival_interval_ms);
-            self.schedule_after(wait, SimulationEvent::ClientArrival);
+            let delay_ms = self.random_int(0..self.max_arrival_interval_ms);
+            self.schedule_after(delay_ms, SimulationEvent::ClientArrival);
             self.send_request();
         }
     }
@@ -33,7 +33,7 @@
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         let class = self.rng.random_range(0..CLASSES.len());
-        let time_left_ms = self.random_ms(300..2_400);
+        let time_left_ms = self.random_int(300..2_400);
         let group = if self.chance(0.3) {
             format!(",g={}", "x".repeat(self.rng.random_range(1..5)))
         } else {
@@ -44,15 +44,15 @@
         self.clients.insert(id, Client { process, class, frontend, last_command_at: self.now });
         self.record(Occurrence::Arrived { id, class, process, time_left: ms(time_left_ms) });
         self.report_to(process, DriverReport::Request(id));
-        match self.random_ms(0..20) {
+        match self.random_int(0..20) {
             0..=2 => {
-                let wait = self.random_ms(0..time_left_ms + 50);
-                self.schedule_after(wait, SimulationEvent::ClientDeparture(id));
+                let delay_ms = self.random_int(0..time_left_ms + 50);
+                self.schedule_after(delay_ms, SimulationEvent::ClientDeparture(id));
             }
             3 => {
-                let wait = self.random_ms(0..time_left_ms);
+                let delay_ms = self.random_int(0..time_left_ms);
                 let line: &[u8] = if self.chance(0.5) { b"OPEN again\r\n" } else { b"early\r\n" };
-                self.schedule_after(wait, SimulationEvent::ClientLine(id, line));
+                self.schedule_after(delay_ms, SimulationEvent::ClientLine(id, line));
             }
             _ => {}
         }
@@ -101,7 +101,7 @@
             FrontendAction::Connect(attempt, server) => self.connect(id, attempt, server),
             FrontendAction::FirstByte(attempt) => {
                 self.record(Occurrence::FirstByte { id, attempt });
-                let write_ms = if self.chance(0.2) { self.random_ms(0..60) } else { 0 };
+                let write_ms = if self.chance(0.2) { self.random_int(0..60) } else { 0 };
                 if write_ms > 0 && self.chance(0.4) {
                     self.schedule_after(
                         write_ms,
--- a/tests/random_interleavings/simulation/discovery.rs
+++ b/tests/random_interleavings/simulation/discovery.rs
@@ -43,9 +43,9 @@
             if !self.processes[process].is_watching {
                 continue;
             }
-            let wait = if self.chance(0.2) { self.random_ms(0..1_500) } else { self.random_ms(0..50) };
+            let delay_ms = if self.chance(0.2) { self.random_int(0..1_500) } else { self.random_int(0..50) };
             let last_update_at = &mut self.processes[process].last_list_update_at;
-            *last_update_at = (self.now + ms(wait)).max(*last_update_at);
+            *last_update_at = (self.now + ms(delay_ms)).max(*last_update_at);
             let delivered_at = *last_update_at;
             self.schedule_at(
                 delivered_at,
@@ -64,8 +64,8 @@
     pub(super) fn end_watch(&mut self, process: usize, silent_since: Option<Time>) {
         self.processes[process].is_watching = false;
         self.report_to(process, DriverReport::WatchEnded(silent_since));
-        let wait = if self.chance(0.3) { self.random_ms(2_000..7_000) } else { self.random_ms(0..800) };
-        self.schedule_after(wait, SimulationEvent::WatchRestored(process));
+        let delay_ms = if self.chance(0.3) { self.random_int(2_000..7_000) } else { self.random_int(0..800) };
+        self.schedule_after(delay_ms, SimulationEvent::WatchRestored(process));
     }
 
     /// Restores a watch. Discovery answers with a snapshot or a delta.
--- a/tests/random_interleavings/simulation/processes.rs
+++ b/tests/random_interleavings/simulation/processes.rs
@@ -93,8 +93,8 @@
         }
         let gateway = self.processes[process].gateway;
         if self.current_process(gateway).is_none() {
-            let wait = self.random_ms(0..800);
-            self.schedule_after(wait, SimulationEvent::RestartGateway(gateway));
+            let delay_ms = self.random_int(0..800);
+            self.schedule_after(delay_ms, SimulationEvent::RestartGateway(gateway));
         }
     }
 
@@ -331,7 +331,7 @@
         {
             *flags |= 1;
         }
-        let copies = match self.random_ms(0..20) {
+        let copies = match self.random_int(0..20) {
             0 | 1 => 0,
             2 => 2,
             _ => 1,
@@ -344,9 +344,9 @@
                 .filter(|&process| self.processes[process].gateway == to.0)
                 .collect();
             let Some(&process) = processes.choose(&mut self.rng) else { continue };
-            let wait = if self.chance(0.1) { self.random_ms(60..300) } else { self.random_ms(0..25) };
+            let delay_ms = if self.chance(0.1) { self.random_int(60..300) } else { self.random_int(0..25) };
             self.schedule_after(
-                wait,
+                delay_ms,
                 SimulationEvent::Report(process, DriverReport::Datagram(from, bytes.clone())),
             );
         }
--- a/tests/random_interleavings/simulation/random_events.rs
+++ b/tests/random_interleavings/simulation/random_events.rs
@@ -8,28 +8,27 @@
         if self.now >= self.arrivals_end_at {
             return;
         }
-        let wait = self.random_ms(20..400);
-        self.schedule_after(wait, SimulationEvent::RandomEvent);
+        let delay_ms = self.random_int(20..400);
+        self.schedule_after(delay_ms, SimulationEvent::RandomEvent);
         let running = self.running_processes();
         let (Some(&process), server) = (running.choose(&mut self.rng), self.rng.random_range(0..SERVERS))
         else {
             return;
         };
         let server_index = server as usize;
-        match self.random_ms(0..30) {
+        match self.random_int(0..30) {
             0..=3 => self.change_server_state(server_index, ServerState::Draining, false),
             4 | 5 => self.change_server_state(server_index, ServerState::Removed, false),
             6..=10 => self.change_server_state(server_index, ServerState::Ready, true),
             11 => self.change_server_state(server_index, ServerState::Ready, false),
             12 => {
-                // A snapshot lacks this server. When the watch is restored, a later list update contains it
-                // again.
+                // A snapshot lacks this server. The list update on the restored watch contains it again.
                 let mut incomplete = self.snapshot();
                 incomplete.retain(|entry| entry.server.0 != server);
                 self.count("incomplete snapshots");
                 self.report_to(process, DriverReport::ListUpdate(ListUpdate::Snapshot, incomplete));
-                let wait = self.random_ms(5..1_500);
-                self.schedule_after(wait, SimulationEvent::WatchRestored(process));
+                let delay_ms = self.random_int(5..1_500);
+                self.schedule_after(delay_ms, SimulationEvent::WatchRestored(process));
             }
             13 | 14 if self.processes[process].is_watching => {
                 self.count("closed watches");
@@ -39,8 +38,8 @@
                 // The watch delivers nothing from now on. The gateway detects the silence some seconds later.
                 self.count("silent watches");
                 self.processes[process].is_watching = false;
-                let wait = self.random_ms(2_200..5_500);
-                self.schedule_after(wait, SimulationEvent::WatchEnd(process, Some(self.now)));
+                let delay_ms = self.random_int(2_200..5_500);
+                self.schedule_after(delay_ms, SimulationEvent::WatchEnd(process, Some(self.now)));
             }
             18 | 19 => {
                 self.count("cordons");
@@ -67,7 +66,7 @@
                 self.hung_until[server_index] = self.now + ms(self.rng.random_range(500..4_000));
             }
             _ => {
-                for _ in 0..self.random_ms(3..25) {
+                for _ in 0..self.random_int(3..25) {
                     self.send_request();
                 }
             }
--- a/tests/random_interleavings/simulation/servers.rs
+++ b/tests/random_interleavings/simulation/servers.rs
@@ -5,22 +5,24 @@
 impl Simulation {
     pub(super) fn connect(&mut self, id: RequestId, attempt: u32, server: ServerId) {
         let state = self.servers[server.0 as usize].state;
-        let wait = match self.random_ms(0..10) {
-            0 => self.random_ms(0..MAX_CONNECT_MS),
-            1 => self.random_ms(0..300),
-            _ => self.random_ms(0..2) * TICK_MS,
+        let delay_ms = match self.random_int(0..10) {
+            0 => self.random_int(0..MAX_CONNECT_MS),
+            1 => self.random_int(0..300),
+            _ => self.random_int(0..2) * TICK_MS,
         };
         if state == ServerState::Removed || self.chance(0.05) {
-            return self
-                .schedule_after(wait, SimulationEvent::Connection(id, attempt, ConnectionEvent::Refused));
+            return self.schedule_after(
+                delay_ms,
+                SimulationEvent::Connection(id, attempt, ConnectionEvent::Refused),
+            );
         }
-        if wait > 300 {
+        if delay_ms > 300 {
             self.count("late connections");
         }
-        self.schedule_after(wait, SimulationEvent::Connection(id, attempt, ConnectionEvent::Connected));
+        self.schedule_after(delay_ms, SimulationEvent::Connection(id, attempt, ConnectionEvent::Connected));
         if self.chance(0.04) {
-            let wait = self.random_ms(0..wait + 40);
-            self.schedule_after(wait, SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset));
+            let delay_ms = self.random_int(0..delay_ms + 40);
+            self.schedule_after(delay_ms, SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset));
         }
     }
 
@@ -35,14 +37,14 @@
             return;
         }
         let response = match self.servers[server_index].state {
-            ServerState::Ready => self.random_ms(0..100),
-            ServerState::Draining => self.random_ms(55..90),
+            ServerState::Ready => self.random_int(0..100),
+            ServerState::Draining => self.random_int(55..90),
             ServerState::Removed => 85,
         };
-        let wait = match self.random_ms(0..10) {
-            0 => self.random_ms(0..1_200),
-            1..=3 => self.random_ms(0..200),
-            _ => self.random_ms(0..4) * TICK_MS,
+        let delay_ms = match self.random_int(0..10) {
+            0 => self.random_int(0..1_200),
+            1..=3 => self.random_int(0..200),
+            _ => self.random_int(0..4) * TICK_MS,
         };
         let line: &'static [u8] = match response {
             0..=59 => b"UP 7c1\r\n",
@@ -50,22 +52,24 @@
             72..=79 => b"ERR\r\n",
             80..=82 => b"MOVE\r\n",
             83..=91 => {
-                return self
-                    .schedule_after(wait, SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset));
+                return self.schedule_after(
+                    delay_ms,
+                    SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset),
+                );
             }
             92..=95 => b"UPP \r\n",
             _ => return,
         };
         self.schedule_after(
-            wait,
+            delay_ms,
             SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(line.into())),
         );
         if self.chance(0.1) {
             self.count("second responses");
             let line = [&b"UP 9\r\n"[..], b"BUSY\r\n", b"ERR\r\n"].choose(&mut self.rng).copied();
-            let wait = wait + self.random_ms(0..25);
+            let delay_ms = delay_ms + self.random_int(0..25);
             self.schedule_after(
-                wait,
+                delay_ms,
                 SimulationEvent::Connection(
                     id,
                     attempt,
@@ -92,31 +96,30 @@
     /// Schedules the messages on an established connection and its end.
     pub(super) fn schedule_established_traffic(&mut self, id: RequestId, attempt: u32) {
         let server_hangs = self.chance(0.1);
-        for _ in 0..self.random_ms(0..3) {
-            let wait = self.random_ms(0..2_500);
-            self.schedule_after(wait, SimulationEvent::ClientLine(id, b"reading 17\r\n"));
+        for _ in 0..self.random_int(0..3) {
+            let delay_ms = self.random_int(0..2_500);
+            self.schedule_after(delay_ms, SimulationEvent::ClientLine(id, b"reading 17\r\n"));
             if !server_hangs {
                 let line: &[u8] = if self.chance(0.3) { b"LOAD 1200\r\n" } else { b"ok\r\n" };
                 self.schedule_after(
-                    wait + 5,
+                    delay_ms + 5,
                     SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(line.into())),
                 );
             }
         }
-        let wait = self.random_ms(50..6_000);
-        match self.random_ms(0..10) {
-            0..=3 => self.schedule_after(wait, SimulationEvent::ClientDeparture(id)),
+        let delay_ms = self.random_int(50..6_000);
+        match self.random_int(0..10) {
+            0..=3 => self.schedule_after(delay_ms, SimulationEvent::ClientDeparture(id)),
             4 => self.schedule_after(
-                wait,
+                delay_ms,
                 SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(b"BYE\r\n"[..].into())),
             ),
             5 => self.schedule_after(
-                wait,
+                delay_ms,
                 SimulationEvent::Connection(id, attempt, ConnectionEvent::Line(b"MOVE\r\n"[..].into())),
             ),
-            6 | 7 => {
-                self.schedule_after(wait, SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset))
-            }
+            6 | 7 => self
+                .schedule_after(delay_ms, SimulationEvent::Connection(id, attempt, ConnectionEvent::Reset)),
             _ => {}
         }
     }
