--- a/src/net/fleet/maintenance/driver.rs
+++ b/src/net/fleet/maintenance/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a [`Replica`]: a UDP socket, a timer, and the acceptor's state on disk.
+//! Drives a [`Replica`] with a UDP socket, a timer and the acceptor state on disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 use crate::net::handover::unix_micros;
 use crate::net::messages::{DriverEvent, EventLoopHandle, ServerObservations};
 
-/// How often the replica is told the time.
+/// Interval at which the replica's time is advanced.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often it is told what this gateway observes, and is checked.
+/// Interval at which the replica receives this gateway's observations and its invariants are checked.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the event loop may take to say what it observes.
+/// Longest wait for the event loop to report its observations.
 const OBSERVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often a store is opened that another process of this gateway still has.
+/// Interval between attempts to open a store that another process of this gateway has locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 struct Driver {
@@ -41,11 +41,11 @@
     observed_at: Option<Instant>,
 }
 
-/// Drives the replica of the gateway `name` until `stop` turns true.
+/// Drives the replica of the gateway `name` until `stop` becomes true.
 ///
 /// # Errors
 ///
-/// Fails where the acceptor's state cannot be read or persisted.
+/// Returns an error if the acceptor state cannot be read or persisted.
 pub(super) async fn run(
     settings: Settings,
     name: String,
@@ -77,7 +77,7 @@
     driver.run(&mut receiver, &stop).await
 }
 
-/// Opens the store; waits for another process of this gateway that is about to leave.
+/// Opens the store. Waits while another process of this gateway, which is about to exit, has it locked.
 async fn open_store(settings: &Settings, name: &str) -> Result<(Store, PersistedVote), StoreError> {
     let (store, vote, problem) = loop {
         match Store::open(&settings.state_directory, name) {
@@ -104,18 +104,19 @@
         stop: &watch::Receiver<bool>,
     ) -> Result<(), StoreError> {
         let mut ticks = ticks();
-        // One byte more than a datagram, so that a longer one shows.
+        // One byte longer than the longest datagram, so that an overlong one is detected.
         let mut buffer = [0; MAX_DATAGRAM + 1];
         while !*stop.borrow() {
-            // Time first: after a stall, what has arrived meanwhile must not be taken for news of this moment.
+            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as if they had
+            // just been sent.
             tokio::select! {
                 biased;
                 _ = ticks.tick() => self.tick(receiver).await,
                 Some(queued) = receiver.commands.recv() => self.handle_command(queued),
                 received = self.socket.recv_from(&mut buffer) => {
-                    // A peer that is not there shows as an error of the socket, which changes nothing here.
+                    // The socket reports an error when a peer is unreachable; it needs no handling.
                     let Ok((length, _)) = received else { continue };
-                    // A rejected datagram is counted, and shown among the metrics.
+                    // Rejected datagrams are counted by the replica and exported as metrics.
                     let _ = self.replica.handle_datagram(self.epoch.elapsed(), &buffer[..length]);
                 }
             }
@@ -133,7 +134,7 @@
         self.replica.advance_to(self.epoch.elapsed());
     }
 
-    /// Checks the replica, and tells it what this gateway observes.
+    /// Checks the replica's invariants and passes this gateway's observations to it.
     async fn observe(&mut self) {
         if let Err(violation) = self.replica.check() {
             info!("maintenance: invariant violated: {violation}; {}", violation.help());
@@ -145,7 +146,7 @@
             self.event_loop.send(DriverEvent::InspectServers { names, reply }).await;
             observed.await.ok()
         };
-        // An event loop that is too busy is asked again; until then its last answer stands.
+        // If the event loop does not reply in time, the replica retains the last observations until the next request.
         if let Ok(Some(ServerObservations { ready, open_connections })) =
             timeout(OBSERVE_TIMEOUT, inspection).await
         {
@@ -158,7 +159,7 @@
     }
 
     fn handle_command(&mut self, QueuedCommand { command, reply }: QueuedCommand) {
-        let request = match command {
+        let request_id = match command {
             MaintenanceCommand::List => {
                 let _ = reply.send(Ok(queue_text(&self.replica)));
                 return;
@@ -170,8 +171,8 @@
             MaintenanceCommand::Cancel(name) => self.replica.cancel(&name),
             MaintenanceCommand::Done(name) => self.replica.complete(&name),
         };
-        match request {
-            Some(request) => drop(self.pending_replies.insert(request, reply)),
+        match request_id {
+            Some(request_id) => drop(self.pending_replies.insert(request_id, reply)),
             None => drop(reply.send(Err(CommandError::TooManyCommands))),
         }
     }
@@ -180,20 +181,20 @@
         self.settings.gateways.get(usize::from(slot.0)).copied()
     }
 
-    /// Performs what the replica wants, in its order: a vote is on disk before its answer leaves.
+    /// Performs the replica's actions in order: a vote is on disk before the reply to it is sent.
     async fn perform_actions(&mut self) -> Result<(), StoreError> {
         while let Some(action) = self.replica.next_action() {
             match action {
                 Action::Persist(vote) => self.store.persist(&vote)?,
                 Action::Send(slot, datagram) => {
                     if let Some(address) = self.gateway_address(slot) {
-                        // A datagram that cannot be sent is lost, as on the network; it is sent again.
+                        // A send error is equivalent to a loss in the network; the replica retransmits.
                         let _ = self.socket.send_to(&datagram, address).await;
                     }
                 }
                 Action::Drain { kind: MachineKind::Server, name, .. } => self.cordon(name, true).await,
                 Action::Return { kind: MachineKind::Server, name } => self.cordon(name, false).await,
-                // Whoever restarts a gateway moves its clients: this one only says whose turn it is.
+                // The restart of a gateway migrates its clients; maintenance only decides which gateway may restart.
                 Action::Drain { .. } | Action::Return { .. } => {}
                 Action::Answer { request_id, outcome } => self.answer(request_id, outcome),
                 Action::Log(line) => info!("{line}"),
@@ -209,7 +210,7 @@
     fn answer(&mut self, request_id: u64, outcome: RequestOutcome) {
         let result = match outcome {
             RequestOutcome::Committed => Ok("settled".to_owned()),
-            RequestOutcome::Rejected(why) => Err(CommandError::Rejected(why)),
+            RequestOutcome::Rejected(reason) => Err(CommandError::Rejected(reason)),
             RequestOutcome::Unknown => Err(CommandError::NoMajority),
         };
         if let Some(reply) = self.pending_replies.remove(&request_id) {
--- a/src/net/fleet/maintenance/mod.rs
+++ b/src/net/fleet/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Operators' maintenance commands and the driver that carries them out, on a thread of its own so that a slow disk
-//! keeps no client waiting.
+//! Operators' maintenance commands and the driver that executes them. The driver has its own thread, so that a slow
+//! disk does not delay clients.
 
 mod driver;
 
@@ -12,42 +12,42 @@
 use crate::fleet::maintenance::{MaintenanceCommand, Settings};
 use crate::net::messages::EventLoopHandle;
 
-/// Commands that may wait for the driver.
+/// Maximum number of commands queued for the driver.
 const MAX_QUEUED_COMMANDS: usize = 16;
 
-/// Why a command is not carried out.
+/// The reason why a command was not executed or its outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The queue of commands, or that of the replica, is full.
+    /// The command queue of the driver, or the request queue of the replica, is full.
     #[error("too many calls wait")]
     TooManyCommands,
-    /// The driver does not run.
+    /// The driver is not running.
     #[error("not carried out: no socket or no vote of this gateway's own so far; see the log")]
     NotRunning,
-    /// The queue of machines does not allow it.
+    /// The rules of the maintenance queue do not allow the change.
     #[error("{0}; {help}", help = .0.help())]
     Rejected(ChangeRejected),
-    /// It may be carried out yet.
+    /// No majority of the acceptors answered in time; the command may still be executed.
     #[error("no majority of the voters answered; ask again, which does no harm")]
     NoMajority,
 }
 
 type CommandResult = Result<String, CommandError>;
 
-/// A command, and where its result goes.
+/// A command and the channel for its result.
 struct QueuedCommand {
     command: MaintenanceCommand,
     reply: oneshot::Sender<CommandResult>,
 }
 
-/// Where the admin endpoint leaves commands, and reads metrics.
+/// The maintenance interface of the admin endpoint: queues commands for the driver and returns its metrics.
 pub struct MaintenanceService {
     commands: mpsc::Sender<QueuedCommand>,
     metrics: Arc<Mutex<String>>,
 }
 
 impl MaintenanceService {
-    /// A service, and where its commands are received.
+    /// Creates a service and the receiver of its commands.
     #[must_use]
     pub fn new() -> (Self, CommandReceiver) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
@@ -55,11 +55,11 @@
         (Self { commands: sender, metrics: metrics.clone() }, CommandReceiver { commands: receiver, metrics })
     }
 
-    /// Carries a command out; waits until it is settled.
+    /// Executes a command and waits for its result.
     ///
     /// # Errors
     ///
-    /// Says why it is not carried out.
+    /// Returns the reason if the command is not executed, or if its outcome is unknown.
     pub async fn execute(&self, command: MaintenanceCommand) -> CommandResult {
         let (reply, result) = oneshot::channel();
         let queued = QueuedCommand { command, reply };
@@ -67,14 +67,14 @@
         result.await.unwrap_or(Err(CommandError::NotRunning))
     }
 
-    /// The metrics as text; empty before there are any.
+    /// Returns the metrics as text; empty before the driver has published any.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         self.metrics.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// The other end of a [`MaintenanceService`].
+/// The driver's end of a [`MaintenanceService`].
 pub struct CommandReceiver {
     commands: mpsc::Receiver<QueuedCommand>,
     metrics: Arc<Mutex<String>>,
@@ -86,11 +86,12 @@
     }
 }
 
-/// Starts the driver's thread. It ends when `stop` turns true, or where the acceptor's state cannot be persisted.
+/// Starts the driver's thread. It ends when `stop` becomes true, or when the acceptor state cannot be read or
+/// persisted.
 ///
 /// # Errors
 ///
-/// Fails where no thread can be had.
+/// Returns an error if the runtime or the thread cannot be created.
 pub fn start(
     settings: Settings,
     name: String,
@@ -104,7 +105,7 @@
             let mut stopped = stop.clone();
             tokio::select! {
                 ended = driver::run(settings, name, receiver, event_loop, stop) => if let Err(error) = ended {
-                    info!("{error}; {}; this gateway takes no further part in maintenance", error.help());
+                    info!("{error}; {}; maintenance is disabled on this gateway until it restarts", error.help());
                 },
                 _ = stopped.wait_for(|&stop| stop) => {}
             }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Drivers of what the gateways of a fleet agree on and share: sockets, timers and files.
+//! Drivers of the fleet protocols (membership view, shared state, permits, quotas, maintenance): sockets, timers and
+//! files.
 
 pub mod incarnation_store;
 pub mod maintenance;
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -1,6 +1,7 @@
-//! Partners' quotas, where the event loop and the admin endpoint meet, and the file that outlives a process.
+//! Partners' quotas, shared by the event loop and the admin endpoint, and the file that stores the committed allocation
+//! across restarts.
 //!
-//! The lock is taken before the shared state's and never across a wait.
+//! Lock order: the lock of the quotas is taken before that of the shared state. Neither is held across an await.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,25 +19,26 @@
 
 static RATE_LIMITED_LOG: RateLimitedLog = RateLimitedLog::new("quota");
 
-/// Which exchange the rights come from.
+/// The source of the exchange that allocates usable units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ExchangeSource {
-    /// The shared state has not started: this gateway's floors.
+    /// The shared state has not started; the gateway uses its own floors.
     Standalone,
-    /// The shared state.
+    /// The exchange of the shared state.
     Shared,
-    /// The previous process was at a later generation than the file: this gateway's floors until it is read again.
+    /// The previous process committed to a later generation than that of the settings file. The gateway uses its own
+    /// floors until the settings are reloaded.
     StaleFile,
 }
 
 struct QuotaState {
     admission: Admission,
-    /// The rights where none are shared.
+    /// The exchange with this gateway's own floors, used while the shared one is not.
     standalone: Exchange,
     source: ExchangeSource,
 }
 
-/// The quotas of this gateway.
+/// Admission by the partners' quotas at this gateway.
 pub struct QuotaService {
     shared_state: Arc<SharedState>,
     path: Option<PathBuf>,
@@ -44,8 +46,8 @@
 }
 
 impl QuotaService {
-    /// Quotas by these settings, over the shared state of gateways with these slots. What this gateway commits to is
-    /// persisted in `folder`.
+    /// Creates the service for these settings, over the shared state of the gateways with these slots. The allocation
+    /// that this gateway commits to is persisted in `folder`; without a folder it is not persisted.
     pub fn new(
         settings: Settings,
         slots: &GatewaySlots,
@@ -63,8 +65,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something at the present time with the rights there are.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Admission, Duration, &mut Exchange) -> T) -> T {
+    /// Calls `operation` with the admission, the current time and the exchange in use.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut Admission, Duration, &mut Exchange) -> T) -> T {
         let mut guard = self.lock();
         let state = &mut *guard;
         self.shared_state.with_optional(|gateway, now| {
@@ -73,15 +75,16 @@
                 exchange.set_time(now);
                 self.start_sharing(state, exchange);
                 if state.source == ExchangeSource::Shared {
-                    return work(&mut state.admission, now, exchange);
+                    return operation(&mut state.admission, now, exchange);
                 }
             }
             state.standalone.advance_to(now);
-            work(&mut state.admission, now, &mut state.standalone)
+            operation(&mut state.admission, now, &mut state.standalone)
         })
     }
 
-    /// Takes the rights from the shared state from now on.
+    /// Switches to the exchange of the shared state, unless the persisted allocation has a later generation than the
+    /// settings.
     fn start_sharing(&self, state: &mut QuotaState, exchange: &mut Exchange) {
         if state.source == ExchangeSource::Shared {
             return;
@@ -94,14 +97,15 @@
             Err(stale) => {
                 state.source = ExchangeSource::StaleFile;
                 info!(
-                    "quota: {stale}; {}; admitting by this gateway's floors alone until then",
+                    "quota: {stale}; {}; until then, admission is limited to this gateway's own floors",
                     stale.help()
                 );
             }
         }
     }
 
-    /// What the previous process of this gateway has committed to.
+    /// Returns the allocation that the previous process of this gateway committed to; `None` if there is none or it
+    /// cannot be read.
     fn load_persisted(&self) -> Option<PersistedAllocation> {
         let text = storage::read_optional(self.path.as_ref()?);
         let persisted = match text {
@@ -109,13 +113,15 @@
             Err(problem) => Err(problem),
         };
         if let Err(problem) = &persisted {
-            RATE_LIMITED_LOG
-                .log(format_args!("cannot read what the previous process committed to: {problem}"));
+            RATE_LIMITED_LOG.log(format_args!(
+                "cannot read the allocation committed to by the previous process: {problem}"
+            ));
         }
         persisted.ok()
     }
 
-    /// Lets time pass; to be called every [`TICK_INTERVAL`](crate::fleet::quota::TICK_INTERVAL).
+    /// Advances the time, persists a changed allocation and checks the invariants. Must be called every
+    /// [`TICK_INTERVAL`](crate::fleet::quota::TICK_INTERVAL).
     pub fn tick(&self) {
         let lines = self.with(|admission, now, exchange| {
             let lines = admission.advance_to(now, exchange);
@@ -135,7 +141,7 @@
         match self.persist(&allocation) {
             Ok(()) => admission.mark_persisted(exchange, allocation),
             Err(problem) => RATE_LIMITED_LOG
-                .log(format_args!("cannot persist the allocation, so it is not committed to: {problem}")),
+                .log(format_args!("cannot persist the allocation: {problem}; not committing to it")),
         }
     }
 
@@ -145,7 +151,7 @@
         storage::replace_file(path, text.as_bytes())
     }
 
-    /// Takes over settings that were read again.
+    /// Applies reloaded settings. After an error, the settings in use are retained.
     pub fn reload(&self, settings: Settings) {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -159,16 +165,16 @@
         });
         match reloaded {
             Ok(line) => info!("{line}"),
-            Err(stale) => info!("quota: {stale}; the settings in use stay; {}", stale.help()),
+            Err(stale) => info!("quota: {stale}; retaining the settings in use; {}", stale.help()),
         }
     }
 
-    /// Each partner's rights and use, as text.
+    /// Returns each partner's usable units and use as text.
     pub fn status_text(&self) -> String {
         self.with(|admission, _, exchange| admission.status_text(exchange))
     }
 
-    /// The metrics, as text.
+    /// Returns the metrics as text.
     pub fn metrics_text(&self) -> String {
         self.with(|admission, _, exchange| admission.metrics_text(exchange))
     }
--- a/src/net/fleet/shared_state.rs
+++ b/src/net/fleet/shared_state.rs
@@ -1,7 +1,7 @@
-//! The shared state, where the event loop, the view's driver and the admin endpoint meet.
+//! The state shared with other gateways, as used by the event loop, the view's driver and the admin endpoint.
 //!
-//! The lock is held for one call of the cores and never across a wait: the event loop and the view's driver run on one
-//! thread, so only the admin endpoint can hold it against them, for the time that its text takes.
+//! The lock is held for a single operation and never across an await. The event loop and the view's driver run on one
+//! thread, so only the admin endpoint can delay them, for as long as it formats its text.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,13 +10,15 @@
 
 use crate::fleet::shared_state::GatewayState;
 
-/// A steady time that goes on while the machine sleeps: leases end for other gateways then, too.
+/// Returns a monotonic time that includes system suspend, because leases also expire at other gateways while this
+/// machine is suspended.
 fn time_since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), u32::try_from(now.tv_nsec).unwrap_or_default())
 }
 
-/// The shared state. There is none before the view has its socket; until then a gateway behaves as without it.
+/// The state shared with other gateways. It is absent until the view has bound its socket; until then a gateway behaves
+/// as if no state were shared.
 pub struct SharedState {
     epoch: Duration,
     gateway_state: Mutex<Option<GatewayState>>,
@@ -29,7 +31,7 @@
 }
 
 impl SharedState {
-    /// The present time of the cores here.
+    /// Returns the current time as used by the shared state and the quotas.
     pub fn now(&self) -> Duration {
         time_since_boot().saturating_sub(self.epoch)
     }
@@ -38,21 +40,21 @@
         self.gateway_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts with the state that `new` makes at the present time.
-    pub fn start(&self, new: impl FnOnce(Duration) -> GatewayState) {
+    /// Starts sharing with the state that `create` returns at the current time.
+    pub fn start(&self, create: impl FnOnce(Duration) -> GatewayState) {
         let now = self.now();
-        *self.lock() = Some(new(now));
+        *self.lock() = Some(create(now));
     }
 
-    /// Does something at the present time, with the state once it has started.
-    pub fn with_optional<T>(&self, work: impl FnOnce(Option<&mut GatewayState>, Duration) -> T) -> T {
+    /// Calls `operation` with the state, or `None` before it has started, and the current time.
+    pub fn with_optional<T>(&self, operation: impl FnOnce(Option<&mut GatewayState>, Duration) -> T) -> T {
         let now = self.now();
-        work(self.lock().as_mut(), now)
+        operation(self.lock().as_mut(), now)
     }
 
-    /// Does something with the state at the present time; none before it has started.
-    pub fn with<T>(&self, work: impl FnOnce(&mut GatewayState, Duration) -> T) -> Option<T> {
+    /// Calls `operation` with the state and the current time; returns `None` before the state has started.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut GatewayState, Duration) -> T) -> Option<T> {
         let now = self.now();
-        self.lock().as_mut().map(|state| work(state, now))
+        self.lock().as_mut().map(|state| operation(state, now))
     }
 }
--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -1,5 +1,5 @@
-//! Carries the datagrams of the membership view, and those of the shared state beside it, over a UDP socket of their
-//! own, and drives their timers.
+//! Sends and receives the datagrams of the membership view and of the shared state over one UDP socket, and drives their
+//! timers.
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use crate::fleet::view::{Settings, change_log_line, members_text, metrics_text};
 use crate::net::bind_retry::bind_udp_with_retry;
 
-/// Sleep where no timer is set.
+/// Longest sleep while no timer is set.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// The view, also for the admin endpoint, which reads it from a thread of its own.
+/// The membership view, shared by its driver and the admin endpoint, which reads it on another thread.
 pub struct SharedView {
     epoch: Instant,
     membership: Mutex<Option<Membership>>,
@@ -43,32 +43,32 @@
         self.membership.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with the view at the present time, once it has begun.
-    fn with<T>(&self, work: impl FnOnce(&mut Membership, Duration) -> T) -> Option<T> {
-        self.lock().as_mut().map(|membership| work(membership, self.now()))
+    /// Calls `operation` with the membership and the current time; returns `None` before the socket is bound.
+    fn with<T>(&self, operation: impl FnOnce(&mut Membership, Duration) -> T) -> Option<T> {
+        self.lock().as_mut().map(|membership| operation(membership, self.now()))
     }
 
-    /// The members as text; none before there is a socket.
+    /// Returns the members as text; `None` before the socket is bound.
     pub fn members_text(&self) -> Option<String> {
         self.with(|membership, now| members_text(membership, now))
     }
 
-    /// The metrics as text; empty before there is a socket.
+    /// Returns the metrics as text; empty before the socket is bound.
     pub fn metrics_text(&self) -> String {
         self.with(|membership, _| metrics_text(membership)).unwrap_or_default()
     }
 }
 
-/// The shared state that is carried beside the view.
+/// The shared state whose datagrams use the view's socket.
 pub struct SharedStateHandle {
-    /// Where it is kept.
+    /// The state itself, which the driver starts once the socket is bound.
     pub state: Arc<SharedState>,
-    /// All gateways that may be there.
+    /// The slots of all gateways that may be members of the fleet.
     pub slots: GatewaySlots,
 }
 
-/// Drives the view, and the shared state beside it, until `stop` turns true; then the others are told that this
-/// gateway leaves.
+/// Drives the view, and the shared state if there is one, until `stop` becomes true. It then notifies the other gateways
+/// that this one leaves.
 pub async fn run(
     settings: Settings,
     seeds: Vec<SocketAddr>,
@@ -108,7 +108,7 @@
             "view: listening on {listen} (fleet {fleet_id}, generation {incarnation}, {} seeds)",
             seeds.len()
         );
-        // The keys of a hash map are random enough: members only must not choose alike.
+        // The random keys of a hash map suffice as a seed: members only must not make the same random choices.
         let seed = std::hash::RandomState::new().build_hasher().finish();
         *view.lock() = Some(Membership::new(config, public, incarnation, seeds, seed, view.now()));
         let shared_state = shared_state.zip(state_settings).map(|(handle, settings)| {
@@ -126,7 +126,7 @@
     }
 
     async fn run(mut self, mut stop: watch::Receiver<bool>) {
-        // One byte more than a datagram, so that a longer one shows.
+        // One byte longer than the longest datagram, so that an overlong one is detected.
         let mut buffer = [0; MAX_DATAGRAM + 1];
         loop {
             self.handle_changes();
@@ -139,13 +139,14 @@
                 Some(_) => view_timeout.min(self.next_tick),
                 None => view_timeout,
             };
-            // Time first: after a stall, what has arrived meanwhile must not be taken for news of this moment.
+            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as if they had
+            // just been sent.
             tokio::select! {
                 biased;
                 _ = stop.wait_for(|&stop| stop) => self.leave(),
                 () = sleep_until(wake_at.into()) => self.handle_timeouts(view_timeout),
                 received = self.socket.recv_from(&mut buffer) => {
-                    // A peer that is not there shows as an error of the socket, which changes nothing here.
+                    // The socket reports an error when a peer is unreachable; it needs no handling.
                     if let Ok((length, from)) = received {
                         self.handle_datagram(from, &buffer[..length]);
                     }
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Logs and carries out what has changed in the view.
+    /// Logs changes of the view and applies them to the incarnation store and the shared state.
     fn handle_changes(&self) {
         let mut guard = self.view.lock();
         let Some(membership) = guard.as_mut() else { return };
@@ -174,6 +175,7 @@
         }
     }
 
+    /// Stores the later incarnation with which this gateway has rejoined, and passes it to the shared state.
     fn handle_rejoin(&self, incarnation: u64) {
         self.incarnations.store(incarnation);
         let line = self
@@ -192,7 +194,7 @@
             .with(|membership, _| std::iter::from_fn(|| membership.next_datagram()).collect())
             .unwrap_or_default();
         for (to, datagram) in from_view {
-            // A datagram that cannot be sent is lost, as on the network.
+            // A send error is equivalent to a loss in the network.
             let _ = self.socket.send_to(&datagram, to).await;
         }
         let from_state: Vec<_> = self
@@ -207,7 +209,7 @@
         }
     }
 
-    /// When the view has something to do, at the latest.
+    /// Returns the time of the view's next timeout, or a later wake-up if no timer is set.
     fn view_timeout(&self) -> Instant {
         let timeout = self.view.with(|membership, _| membership.next_timeout()).flatten();
         timeout.map_or_else(|| Instant::now() + IDLE_TIMEOUT, |timeout| self.view.epoch + timeout)
@@ -225,7 +227,7 @@
     }
 
     fn handle_datagram(&self, from: SocketAddr, datagram: &[u8]) {
-        // Rejected datagrams are counted by reason, and shown among the metrics.
+        // Rejected datagrams are counted by reason and exported as metrics.
         if let Some(state) = self.shared_state.as_ref().filter(|_| is_shared_state(datagram)) {
             state.with(|gateway, now| {
                 gateway.advance_to(now);
