--- a/src/net/fleet/incarnation_store.rs
+++ b/src/net/fleet/incarnation_store.rs
@@ -1,5 +1,5 @@
-//! Stores the incarnation of a gateway's process, so that the next process takes a later one even if the clock has
-//! been set back.
+//! Stores the incarnation of a gateway's process, so that the next process takes a later one even if the
+//! clock has been set back.
 
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
@@ -16,8 +16,8 @@
 }
 
 impl IncarnationStore {
-    /// Returns the store of the gateway `name` in `folder`. Without a folder nothing is stored, and incarnations
-    /// differ by the clock alone.
+    /// Returns the store of the gateway `name` in `folder`. Without a folder nothing is stored, and the
+    /// incarnation depends on the clock alone.
     pub fn new(folder: Option<&Path>, name: &str) -> Self {
         Self { path: folder.map(|folder| StateFolder::for_gateway(folder, name).file_path("generation")) }
     }
@@ -34,9 +34,7 @@
         let path = self.path.as_deref()?;
         let report = |problem: &dyn Display| {
             let path = path.display();
-            info!(
-                "view: cannot read {path}: {problem}; this process derives its generation from the clock alone"
-            );
+            info!("view: cannot read {path}: {problem}; this process uses the clock alone as its generation");
         };
         let text = storage::read_optional(path).map_err(|error| report(&error)).ok()??;
         text.trim().parse().map_err(|error| report(&error)).ok()
@@ -49,7 +47,7 @@
         {
             let path = path.display();
             info!(
-                "view: cannot write {path}: {error}; the next process will derive its generation from the clock alone"
+                "view: cannot write {path}: {error}; the next process will use the clock alone as its generation"
             );
         }
     }
--- a/src/net/fleet/maintenance/driver.rs
+++ b/src/net/fleet/maintenance/driver.rs
@@ -107,8 +107,8 @@
         // One byte longer than the longest datagram, so that an overlong one is detected.
         let mut buffer = [0; MAX_DATAGRAM + 1];
         while !*stop.borrow() {
-            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as if they had
-            // just been sent.
+            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as
+            // if they had just been sent.
             tokio::select! {
                 biased;
                 _ = ticks.tick() => self.tick(receiver).await,
@@ -146,7 +146,8 @@
             self.event_loop.send(DriverEvent::InspectServers { names, reply }).await;
             observed.await.ok()
         };
-        // If the event loop does not reply in time, the replica retains the last observations until the next request.
+        // If the event loop does not reply in time, the replica retains the last observations until the next
+        // request.
         if let Ok(Some(ServerObservations { ready, open_connections })) =
             timeout(OBSERVE_TIMEOUT, inspection).await
         {
@@ -194,7 +195,8 @@
                 }
                 Action::Drain { kind: MachineKind::Server, name, .. } => self.cordon(name, true).await,
                 Action::Return { kind: MachineKind::Server, name } => self.cordon(name, false).await,
-                // The restart of a gateway migrates its clients; maintenance only decides which gateway may restart.
+                // The restart of a gateway migrates its clients; maintenance only decides which gateway may
+                // restart.
                 Action::Drain { .. } | Action::Return { .. } => {}
                 Action::Answer { request_id, outcome } => self.answer(request_id, outcome),
                 Action::Log(line) => info!("{line}"),
--- a/src/net/fleet/maintenance/mod.rs
+++ b/src/net/fleet/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Operators' maintenance commands and the driver that executes them. The driver has its own thread, so that a slow
-//! disk does not delay clients.
+//! Operators' maintenance commands and the driver that executes them. The driver has its own thread, so that
+//! a slow disk does not delay clients.
 
 mod driver;
 
@@ -105,7 +105,8 @@
             let mut stopped = stop.clone();
             tokio::select! {
                 ended = driver::run(settings, name, receiver, event_loop, stop) => if let Err(error) = ended {
-                    info!("{error}; {}; maintenance is disabled on this gateway until it restarts", error.help());
+                    let help = error.help();
+                    info!("{error}; {help}; maintenance is disabled on this gateway until it restarts");
                 },
                 _ = stopped.wait_for(|&stop| stop) => {}
             }
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Drivers of the fleet protocols (membership view, shared state, permits, quotas, maintenance): sockets, timers and
-//! files.
+//! Drivers of the fleet protocols (membership view, shared state, permits, quotas, maintenance): sockets,
+//! timers and files.
 
 pub mod incarnation_store;
 pub mod maintenance;
--- a/src/net/fleet/permits.rs
+++ b/src/net/fleet/permits.rs
@@ -13,16 +13,17 @@
 use crate::net::messages::{DriverEvent, EventLoopHandle};
 use crate::net::rate_limited_log::RateLimitedLog;
 
-/// Maximum number of datagrams queued for the socket. Further ones are dropped, which senders handle like a loss in
-/// the network.
+/// Maximum number of datagrams queued for the socket. Further ones are dropped, which senders handle like a
+/// loss in the network.
 pub const SEND_QUEUE_LENGTH: usize = 64;
-/// Length of the receive buffer in bytes, one more than the longest datagram, so that an overlong one is detected.
+/// Length of the receive buffer in bytes, one more than the longest datagram, so that an overlong one is
+/// detected.
 const RECEIVE_BUFFER_LENGTH: usize = MAX_DATAGRAM_LENGTH + 1;
 
 static REJECTED_DATAGRAMS: RateLimitedLog = RateLimitedLog::new("permits");
 
-/// Sends and receives datagrams until the event loop ends. Datagrams queued before the socket is bound are dropped;
-/// until then the gateway receives no permits from others.
+/// Sends and receives datagrams until the event loop ends. Datagrams queued before the socket is bound are
+/// dropped; until then the gateway receives no permits from others.
 pub async fn run(
     peers: PeerAddresses,
     mut datagrams: mpsc::Receiver<PermitDatagram>,
--- a/src/net/fleet/quota.rs
+++ b/src/net/fleet/quota.rs
@@ -1,7 +1,8 @@
-//! Partners' quotas, shared by the event loop and the admin endpoint, and the file that stores the committed allocation
-//! across restarts.
+//! Partners' quotas, shared by the event loop and the admin endpoint, and the file that stores the committed
+//! allocation across restarts.
 //!
-//! Lock order: the lock of the quotas is taken before that of the shared state. Neither is held across an await.
+//! Lock order: the lock of the quotas is taken before that of the shared state. Neither is held across an
+//! await.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,8 +27,8 @@
     Standalone,
     /// The exchange of the shared state.
     Shared,
-    /// The previous process committed to a later generation than that of the settings file. The gateway uses its own
-    /// floors until the settings are reloaded.
+    /// The previous process committed to a later generation than that of the settings file. The gateway uses
+    /// its own floors until the settings are reloaded.
     StaleFile,
 }
 
@@ -46,8 +47,9 @@
 }
 
 impl QuotaService {
-    /// Creates the service for these settings, over the shared state of the gateways with these slots. The allocation
-    /// that this gateway commits to is persisted in `folder`; without a folder it is not persisted.
+    /// Creates the service for these settings, over the shared state of the gateways with these slots. The
+    /// allocation that this gateway commits to is persisted in `folder`; without a folder it is not
+    /// persisted.
     pub fn new(
         settings: Settings,
         slots: &GatewaySlots,
@@ -83,8 +85,8 @@
         })
     }
 
-    /// Switches to the exchange of the shared state, unless the persisted allocation has a later generation than the
-    /// settings.
+    /// Switches to the exchange of the shared state, unless the persisted allocation has a later generation
+    /// than the settings.
     fn start_sharing(&self, state: &mut QuotaState, exchange: &mut Exchange) {
         if state.source == ExchangeSource::Shared {
             return;
@@ -104,8 +106,8 @@
         }
     }
 
-    /// Returns the allocation that the previous process of this gateway committed to; `None` if there is none or it
-    /// cannot be read.
+    /// Returns the allocation that the previous process of this gateway committed to; `None` if there is none
+    /// or it cannot be read.
     fn load_persisted(&self) -> Option<PersistedAllocation> {
         let text = storage::read_optional(self.path.as_ref()?);
         let persisted = match text {
--- a/src/net/fleet/shared_state.rs
+++ b/src/net/fleet/shared_state.rs
@@ -1,7 +1,7 @@
 //! The state shared with other gateways, as used by the event loop, the view's driver and the admin endpoint.
 //!
-//! The lock is held for a single operation and never across an await. The event loop and the view's driver run on one
-//! thread, so only the admin endpoint can delay them, for as long as it formats its text.
+//! The lock is held for a single operation and never across an await. The event loop and the view's driver
+//! run on one thread, so only the admin endpoint can delay them, for as long as it formats its text.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use crate::fleet::shared_state::GatewayState;
 
-/// Returns a monotonic time that includes system suspend, because leases also expire at other gateways while this
-/// machine is suspended.
+/// Returns a monotonic time that includes system suspend, because leases also expire at other gateways while
+/// this machine is suspended.
 fn time_since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec.unsigned_abs(), u32::try_from(now.tv_nsec).unwrap_or_default())
 }
 
-/// The state shared with other gateways. It is absent until the view has bound its socket; until then a gateway behaves
-/// as if no state were shared.
+/// The state shared with other gateways. It is absent until the view has bound its socket; until then a
+/// gateway behaves as if no state were shared.
 pub struct SharedState {
     epoch: Duration,
     gateway_state: Mutex<Option<GatewayState>>,
--- a/src/net/fleet/view.rs
+++ b/src/net/fleet/view.rs
@@ -1,5 +1,5 @@
-//! Sends and receives the datagrams of the membership view and of the shared state over one UDP socket, and drives their
-//! timers.
+//! Sends and receives the datagrams of the membership view and of the shared state over one UDP socket, and
+//! drives their timers.
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -67,8 +67,8 @@
     pub slots: GatewaySlots,
 }
 
-/// Drives the view, and the shared state if there is one, until `stop` becomes true. It then notifies the other gateways
-/// that this one leaves.
+/// Drives the view, and the shared state if there is one, until `stop` becomes true. It then notifies the
+/// other gateways that this one leaves.
 pub async fn run(
     settings: Settings,
     seeds: Vec<SocketAddr>,
@@ -108,7 +108,8 @@
             "view: listening on {listen} (fleet {fleet_id}, generation {incarnation}, {} seeds)",
             seeds.len()
         );
-        // The random keys of a hash map suffice as a seed: members only must not make the same random choices.
+        // The random keys of a hash map suffice as a seed: members only must not make the same random
+        // choices.
         let seed = std::hash::RandomState::new().build_hasher().finish();
         *view.lock() = Some(Membership::new(config, public, incarnation, seeds, seed, view.now()));
         let shared_state = shared_state.zip(state_settings).map(|(handle, settings)| {
@@ -139,8 +140,8 @@
                 Some(_) => view_timeout.min(self.next_tick),
                 None => view_timeout,
             };
-            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as if they had
-            // just been sent.
+            // Time is advanced first: after a stall, datagrams that arrived meanwhile must not be handled as
+            // if they had just been sent.
             tokio::select! {
                 biased;
                 _ = stop.wait_for(|&stop| stop) => self.leave(),
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -1,4 +1,5 @@
-//! Maintenance of servers: settings, admin requests, and five daemons with faults between them.
+//! Maintenance of servers: its settings, admin requests, and five daemons under faults of processes and
+//! network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -14,8 +15,8 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-const VALID_SETTINGS: &str = "gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\nslot = 1\ntier = 1\nfolder = \
-                    \"/tmp\"\nmax_out = 2\n";
+const VALID_SETTINGS: &str = "gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\nslot = 1\ntier = 1\n\
+                              folder = \"/tmp\"\nmax_out = 2\n";
 
 #[test]
 fn schema_deploy_file_and_parser_have_the_same_keys_and_bounds() {
@@ -24,16 +25,20 @@
         serde_json::from_str(include_str!("../deploy/maintenance.schema.json")).expect("the schema is JSON");
     assert_eq!(stored, schema, "deploy/maintenance.schema.json should be:\n{schema:#}");
     let file = include_str!("../deploy/maintenance.toml");
-    Settings::parse(file).expect("deploy/maintenance.toml is good");
-    let table: toml::Table = file.parse().expect("TOML");
-    let keys = schema["properties"].as_object().expect("properties");
+    Settings::parse(file).expect("deploy/maintenance.toml is valid");
+    let table: toml::Table = file.parse().expect("the deploy file is TOML");
+    let keys = schema["properties"].as_object().expect("the schema has properties");
     let present: BTreeSet<&String> = table.keys().collect();
-    assert_eq!(keys.keys().collect::<BTreeSet<_>>(), present, "each key stands in the deploy file");
+    assert_eq!(
+        keys.keys().collect::<BTreeSet<_>>(),
+        present,
+        "deploy/maintenance.toml should contain each key of the schema"
+    );
     for (key, property) in keys.iter().filter(|(_, property)| property["type"] == "integer") {
         for out_of_range in
             [property["minimum"].as_i64().unwrap() - 1, property["maximum"].as_i64().unwrap() + 1]
         {
-            let mut table: toml::Table = VALID_SETTINGS.parse().expect("TOML");
+            let mut table: toml::Table = VALID_SETTINGS.parse().expect("the settings are TOML");
             table.insert(key.clone(), out_of_range.into());
             let parsed = Settings::parse(&table.to_string());
             let problem = parsed.err().map(|error| error.to_string()).unwrap_or_default();
@@ -44,8 +49,9 @@
 
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
-    let settings = Settings::parse(VALID_SETTINGS).expect("good");
-    assert_eq!(settings.listen, "127.0.0.1:2".parse::<SocketAddr>().expect("its own in the list"));
+    let settings = Settings::parse(VALID_SETTINGS).expect("the settings are valid");
+    // `listen` defaults to the gateway's own address in `gateways`.
+    assert_eq!(settings.listen, "127.0.0.1:2".parse::<SocketAddr>().expect("a socket address"));
     for (from, to, expected) in [
         ("slot = 1", "slot = 3", "slot: found 3; expected one of 3 gateways"),
         ("127.0.0.1:3", "127.0.0.1:1", "gateways: found 127.0.0.1:1 twice; expected"),
@@ -77,7 +83,7 @@
         ("maintenance done s-1", MaintenanceCommand::Done(server())),
     ] {
         assert_eq!(
-            AdminRequest::parse(line.as_bytes()).expect("a call"),
+            AdminRequest::parse(line.as_bytes()).expect("the request is valid"),
             AdminRequest::Maintenance(command),
             "{line}"
         );
@@ -94,52 +100,57 @@
 
 /// A gateway's answer to `maintenance list`.
 #[derive(Clone, Debug)]
-struct Snapshot {
+struct QueueReport {
     requested_at: Instant,
     answered_at: Instant,
+    /// Whether the gateway reports its copy of the queue as confirmed by a majority.
     agreed: bool,
+    /// Grants of the servers that the gateway cordons for maintenance.
     out: BTreeSet<Grant>,
-    /// State of the maintenance by server.
+    /// Maintenance states by server.
     states: BTreeMap<String, String>,
 }
 
-/// A server that a gateway keeps out, and the token of its grant.
+/// A server that a gateway cordons for maintenance, and the token of its grant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Grant {
     server: String,
     token: u64,
 }
 
-/// The beginning or end of a time in which a server is out at a gateway.
+/// The beginning or end of an interval in which a server is out at a gateway.
 struct Edge {
     time: Instant,
     begins: bool,
     server: String,
 }
 
-/// What all gateways together have granted.
+/// Totals of the grants over all gateways.
 struct GrantTotals {
+    /// The most servers that were out at once.
     most_out: usize,
+    /// Number of distinct grant tokens.
     tokens: usize,
 }
 
-/// All snapshots by gateway; `None` where a gateway didn't answer.
+/// All queue reports by gateway; `None` for a request that the gateway did not answer in time.
 #[derive(Default)]
-struct SnapshotLog(Mutex<[Vec<Option<Snapshot>>; GATEWAYS]>);
+struct QueueReports(Mutex<[Vec<Option<QueueReport>>; GATEWAYS]>);
 
-impl SnapshotLog {
-    fn last(&self, gateway: usize) -> Option<Snapshot> {
+impl QueueReports {
+    fn last(&self, gateway: usize) -> Option<QueueReport> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)[gateway].last().cloned().flatten()
     }
 
-    /// Counts the tokens and the most servers out at once over all gateways. A server is out at a gateway between two
-    /// answers with the same grant, so late answers can only lower the count.
+    /// Counts the grant tokens and the most servers out at once over all gateways. A server counts as out at
+    /// a gateway from one answer to the next request if both answers contain the same grant, so delayed
+    /// answers can only lower the count.
     fn grant_totals(&self) -> GrantTotals {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut edges = Vec::new();
         let mut tokens = BTreeSet::new();
-        for snapshots in all.iter() {
-            for pair in snapshots.windows(2) {
+        for reports in all.iter() {
+            for pair in reports.windows(2) {
                 let [Some(earlier), Some(later)] = pair else { continue };
                 for grant in earlier.out.intersection(&later.out) {
                     tokens.insert(grant.token);
@@ -152,7 +163,7 @@
                 }
             }
         }
-        // At the same time, ends come before beginnings.
+        // Of edges with the same time, ends sort before beginnings.
         edges.sort_by_key(|edge| (edge.time, edge.begins));
         let mut out = BTreeMap::<String, usize>::new();
         let mut most_out = 0;
@@ -164,23 +175,24 @@
         GrantTotals { most_out, tokens: tokens.len() }
     }
 
-    /// A server whose maintenance went back to an earlier state at some gateway, if any.
+    /// Returns a description of a server whose maintenance returned to an earlier state at some gateway;
+    /// `None` if there is none.
     fn find_state_regression(&self) -> Option<String> {
         let order = ["queued", "draining", "out", "released"];
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        for snapshots in all.iter() {
+        for reports in all.iter() {
             let mut last: BTreeMap<&str, usize> = BTreeMap::new();
-            for snapshot in snapshots.iter().flatten().filter(|snapshot| snapshot.agreed) {
-                for (name, state) in &snapshot.states {
-                    let now = order.iter().position(|known| known == state)?;
-                    let before = last.insert(name, now).unwrap_or(now);
-                    if before > now {
-                        return Some(format!("{name} was {} and is {state}", order[before]));
+            for report in reports.iter().flatten().filter(|report| report.agreed) {
+                for (name, state) in &report.states {
+                    let position = order.iter().position(|known| known == state)?;
+                    let previous = last.insert(name, position).unwrap_or(position);
+                    if previous > position {
+                        return Some(format!("{name} changed from {} to {state}", order[previous]));
                     }
                 }
-                // A server that is no longer listed was released.
+                // A server that is no longer listed has been released.
                 for (name, position) in &mut last {
-                    if !snapshot.states.contains_key(*name) {
+                    if !report.states.contains_key(*name) {
                         *position = 3;
                     }
                 }
@@ -190,11 +202,11 @@
     }
 }
 
-fn parse_snapshot(text: &str, requested_at: Instant) -> Option<Snapshot> {
+fn parse_report(text: &str, requested_at: Instant) -> Option<QueueReport> {
     let mut lines = text.strip_suffix("EOF\n")?.lines();
     let agreed = lines.next()?.contains(" agreed,");
     let token = |line: &str| line.split("token=").nth(1)?.split(' ').next()?.parse().ok();
-    let mut snapshot = Snapshot {
+    let mut report = QueueReport {
         requested_at,
         answered_at: Instant::now(),
         agreed,
@@ -206,23 +218,26 @@
         let first = fields.next()?;
         let second = fields.next()?;
         if first == "kept-out" {
-            snapshot.out.insert(Grant { server: second.to_owned(), token: token(line)? });
+            report.out.insert(Grant { server: second.to_owned(), token: token(line)? });
         } else {
-            snapshot.states.insert(first.to_owned(), second.to_owned());
+            report.states.insert(first.to_owned(), second.to_owned());
         }
     }
-    Some(snapshot)
+    Some(report)
 }
 
+/// Five daemons with maintenance, and a task for each that polls its queue.
 struct Cluster {
     fleet: Fleet,
+    /// Proxies between the gateways, which inject network faults.
     mesh: ProxyMesh,
-    own: Vec<SocketAddr>,
+    /// Addresses on which the gateways listen, behind the proxies.
+    listen: Vec<SocketAddr>,
     folder: PathBuf,
     max_out: usize,
     daemons: Vec<Daemon>,
     admin_addresses: Arc<Mutex<Vec<SocketAddr>>>,
-    snapshots: Arc<SnapshotLog>,
+    reports: Arc<QueueReports>,
     pollers: tokio::task::JoinSet<()>,
 }
 
@@ -234,25 +249,26 @@
 
 impl Cluster {
     async fn start(folder_suffix: &str, max_out: usize) -> Self {
-        let fleet = Fleet::start(SERVERS).await.expect("stand-ins");
+        let fleet = Fleet::start(SERVERS).await.expect("the mock servers start");
         let reserved: Vec<_> =
-            (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-        let own: Vec<SocketAddr> =
-            reserved.iter().map(|socket| socket.local_addr().expect("its address")).collect();
+            (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free")).collect();
+        let local_address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
+        let listen: Vec<SocketAddr> = reserved.iter().map(local_address).collect();
         drop(reserved);
-        let mesh = ProxyMesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &own, 1).await.expect("relays");
+        let mesh =
+            ProxyMesh::open(IpAddr::V4(Ipv4Addr::LOCALHOST), &listen, 1).await.expect("the proxies start");
         let folder =
-            std::env::temp_dir().join(format!("ashtide-work-{}-{folder_suffix}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+            std::env::temp_dir().join(format!("ashtide-maintenance-{}-{folder_suffix}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         let mut cluster = Self {
             fleet,
             mesh,
-            own,
+            listen,
             folder,
             max_out,
             daemons: Vec::new(),
             admin_addresses: Arc::default(),
-            snapshots: Arc::default(),
+            reports: Arc::default(),
             pollers: tokio::task::JoinSet::new(),
         };
         for number in 0..GATEWAYS {
@@ -261,36 +277,33 @@
                 .admin_addresses
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .push(daemon.door.expect("a door"));
+                .push(daemon.door.expect("the daemon has an admin endpoint"));
             cluster.daemons.push(daemon);
         }
         cluster.spawn_pollers();
         cluster
-            .wait_until("a tier that agrees", 30, |cluster| {
-                (0..GATEWAYS)
-                    .all(|number| cluster.snapshots.last(number).is_some_and(|snapshot| snapshot.agreed))
+            .wait_until("agreement of all gateways", 30, |cluster| {
+                (0..GATEWAYS).all(|number| cluster.reports.last(number).is_some_and(|report| report.agreed))
             })
             .await;
         cluster
     }
 
-    /// Polls the maintenance list of each gateway.
+    /// Polls the maintenance queue of each gateway every 40 ms.
     fn spawn_pollers(&mut self) {
         for number in 0..GATEWAYS {
             let admin_addresses = self.admin_addresses.clone();
-            let snapshots = self.snapshots.clone();
+            let reports = self.reports.clone();
             self.pollers.spawn(async move {
                 loop {
                     let admin_address =
                         admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number];
                     let requested_at = Instant::now();
-                    let snapshot =
+                    let report =
                         timeout(Duration::from_millis(400), ask(admin_address, "maintenance list")).await;
-                    let snapshot = snapshot
-                        .ok()
-                        .and_then(Result::ok)
-                        .and_then(|text| parse_snapshot(&text, requested_at));
-                    snapshots.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(snapshot);
+                    let report =
+                        report.ok().and_then(Result::ok).and_then(|text| parse_report(&text, requested_at));
+                    reports.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(report);
                     sleep(Duration::from_millis(40)).await;
                 }
             });
@@ -303,118 +316,119 @@
             "gateways = {}\nslot = {number}\nlisten = \"{}\"\ntier = 9\nfolder = \"{}\"\nvoters = {GATEWAYS}\n\
              max_out = {}\nfloor = 7\nlease_s = 2\ndrain_s = 2\nwork_s = 1\n",
             json!(self.mesh.public()),
-            self.own[number],
+            self.listen[number],
             self.folder.display(),
             self.max_out,
         );
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the settings file is written");
         let options = Options {
             config: json!({"name": format!("g{number}"), "operator": "127.0.0.1:0"}),
             arguments: vec!["--maintenance".into(), file.into()],
             ..Options::default()
         };
         let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-        Daemon::start(program, &self.fleet, &options).await.expect("a daemon")
+        Daemon::start(program, &self.fleet, &options).await.expect("the daemon starts")
     }
 
-    /// Restarts a gateway with its stored state.
+    /// Starts a new process of a gateway with its stored state.
     async fn restart(&mut self, number: usize) {
         let daemon = self.start_daemon(number).await;
         self.admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] =
-            daemon.door.expect("a door");
+            daemon.door.expect("the daemon has an admin endpoint");
         self.daemons[number] = daemon;
     }
 
-    async fn wait_until(&self, what: &str, seconds: u64, condition: impl Fn(&Self) -> bool) {
-        let end = Instant::now() + Duration::from_secs(seconds);
+    async fn wait_until(&self, awaited: &str, timeout_s: u64, condition: impl Fn(&Self) -> bool) {
+        let end = Instant::now() + Duration::from_secs(timeout_s);
         while !condition(self) {
-            let last: Vec<_> = (0..GATEWAYS).map(|number| self.snapshots.last(number)).collect();
-            assert!(Instant::now() < end, "waited {seconds} s for {what}: {last:#?}");
+            let last: Vec<_> = (0..GATEWAYS).map(|number| self.reports.last(number)).collect();
+            assert!(Instant::now() < end, "waited {timeout_s} s for {awaited}; last reports: {last:#?}");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
     async fn request_six_servers(&self) {
         for server in 0..6 {
-            let call = format!("maintenance request s-{server} a new disk");
+            let request = format!("maintenance request s-{server} a new disk");
             let end = Instant::now() + Duration::from_secs(10);
             loop {
-                let answer = self.daemons[server % GATEWAYS].call(&call).await.expect("an answer");
-                // Accepted, or already known when the first answer was late.
+                let answer =
+                    self.daemons[server % GATEWAYS].call(&request).await.expect("the request is answered");
+                // Accepted, or queued already by an earlier request whose answer was delayed.
                 if answer.starts_with("200") || answer.contains("waits or is out already") {
                     break;
                 }
-                assert!(Instant::now() < end, "{answer}");
+                assert!(Instant::now() < end, "request for s-{server} not accepted within 10 s: {answer}");
             }
         }
     }
 
-    /// The gateway that executes the current grant, as this gateway reports it.
+    /// Returns the gateway that executes the current grant, as this gateway reports it.
     async fn grant_holder(&self, gateway: usize) -> Option<usize> {
         let text = self.daemons[gateway].call("maintenance list").await.ok()?;
         text.split("holder=").nth(1)?.split(' ').next()?.parse().ok()
     }
 
-    /// Waits until the queue is empty at all gateways and checks the grants.
+    /// Waits until the queue is empty at all gateways, then checks the grants.
     async fn expect_completion(&self) {
         self.wait_until("an empty queue", 60, |cluster| {
             (0..GATEWAYS).all(|number| {
-                let last = cluster.snapshots.last(number);
-                last.is_some_and(|snapshot| snapshot.agreed && snapshot.states.is_empty())
+                let last = cluster.reports.last(number);
+                last.is_some_and(|report| report.agreed && report.states.is_empty())
             })
         })
         .await;
-        let GrantTotals { most_out, tokens } = self.snapshots.grant_totals();
-        println!("{most_out} out at most, {tokens} tokens seen");
-        assert_eq!(most_out, self.max_out, "so many were out at once");
-        assert_eq!(self.snapshots.find_state_regression(), None);
-        assert!(tokens >= 6, "{tokens} grants were seen, six machines were asked for");
+        let GrantTotals { most_out, tokens } = self.reports.grant_totals();
+        println!("at most {most_out} servers out at once, {tokens} grants observed");
+        assert_eq!(most_out, self.max_out, "the most servers out at once should equal max_out");
+        assert_eq!(self.reports.find_state_regression(), None);
+        assert!(tokens >= 6, "{tokens} grants observed, expected one for each of the six requests");
     }
 }
 
 #[tokio::test]
-async fn the_granting_gateway_is_killed_while_draining_and_a_stalled_one_resumes_with_an_old_grant() {
+async fn grants_respect_the_limit_when_the_holder_is_killed_and_a_stalled_gateway_resumes() {
     let mut cluster = Cluster::start("killed", 2).await;
     cluster.request_six_servers().await;
     let has_grant = |number: usize| {
-        move |cluster: &Cluster| {
-            cluster.snapshots.last(number).is_some_and(|snapshot| !snapshot.out.is_empty())
-        }
+        move |cluster: &Cluster| cluster.reports.last(number).is_some_and(|report| !report.out.is_empty())
     };
-    cluster.wait_until("a first grant", 10, has_grant(0)).await;
-    let holder = cluster.grant_holder(0).await.expect("it has a holder");
-    cluster.daemons[holder].kill().await.expect("killed");
+    cluster.wait_until("the first grant", 10, has_grant(0)).await;
+    let holder = cluster.grant_holder(0).await.expect("the grant has a holder");
+    cluster.daemons[holder].kill().await.expect("the daemon is killed");
+    // Another gateway is stalled while it reports a grant, and resumes with that grant out of date.
     let stalled = (holder + 1) % GATEWAYS;
-    cluster.wait_until("a grant that is known to the one that falls asleep", 20, has_grant(stalled)).await;
-    cluster.daemons[stalled].stall(true).expect("stopped");
+    cluster.wait_until("a grant at the gateway that will be stalled", 20, has_grant(stalled)).await;
+    cluster.daemons[stalled].stall(true).expect("the daemon is stopped");
     sleep(Duration::from_secs(6)).await;
-    cluster.daemons[stalled].stall(false).expect("on again");
+    cluster.daemons[stalled].stall(false).expect("the daemon is resumed");
     cluster.restart(holder).await;
     cluster.expect_completion().await;
 }
 
 #[tokio::test]
-async fn partitions_never_exceed_the_limit_and_all_gateways_restart_while_servers_are_queued() {
+async fn grants_respect_the_limit_under_a_partition_and_restarts_of_all_gateways() {
     let mut cluster = Cluster::start("halves", 3).await;
     cluster.request_six_servers().await;
     for (majority, minority) in [([0, 1, 2].as_slice(), [3, 4].as_slice())] {
         cluster.mesh.set(majority, minority, Link::CUT);
         cluster.mesh.set(minority, majority, Link::CUT);
         sleep(Duration::from_secs(4)).await;
-        // The minority keeps no server out and accepts no request.
-        let last = cluster.snapshots.last(4).expect("it answers");
+        // The minority cordons no server and rejects requests.
+        let last = cluster.reports.last(4).expect("gateway 4 answers");
         assert!(!last.agreed && last.out.is_empty(), "{last:?}");
-        let answer = cluster.daemons[4].call("maintenance request s-9").await.expect("an answer");
+        let answer =
+            cluster.daemons[4].call("maintenance request s-9").await.expect("the request is answered");
         assert!(answer.starts_with("400"), "{answer}");
         cluster.mesh.set(majority, minority, Link::PERFECT);
         cluster.mesh.set(minority, majority, Link::PERFECT);
     }
     for number in 0..GATEWAYS {
-        cluster.daemons[number].kill().await.expect("killed");
+        cluster.daemons[number].kill().await.expect("the daemon is killed");
         cluster.restart(number).await;
         cluster
-            .wait_until("a restarted gateway that agrees", 20, |cluster| {
-                cluster.snapshots.last(number).is_some_and(|snapshot| snapshot.agreed)
+            .wait_until("agreement of the restarted gateway", 20, |cluster| {
+                cluster.reports.last(number).is_some_and(|report| report.agreed)
             })
             .await;
     }
@@ -423,17 +437,19 @@
 
 #[tokio::test]
 async fn maintenance_requests_are_rejected_without_the_option() {
-    let fleet = Fleet::start(1).await.expect("stand-ins");
+    let fleet = Fleet::start(1).await.expect("the mock servers start");
     let options = Options { config: json!({"operator": "127.0.0.1:0"}), ..Options::default() };
-    let daemon =
-        Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options).await.expect("one");
-    let answer = daemon.call("maintenance list").await.expect("an answer");
+    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options)
+        .await
+        .expect("the daemon starts");
+    let answer = daemon.call("maintenance list").await.expect("the request is answered");
     assert!(answer.starts_with("400 no maintenance"), "{answer}");
-    assert!(!daemon.call("counters").await.expect("an answer").contains("maintenance"));
-    let admin_address = daemon.door.expect("a door").to_string();
+    assert!(!daemon.call("counters").await.expect("the request is answered").contains("maintenance"));
+    let admin_address = daemon.door.expect("the daemon has an admin endpoint").to_string();
     let program = env!("CARGO_BIN_EXE_ashtide");
-    let call = ["maintenance", "--door", &admin_address, "request", "s-0", "--reason", "a new disk"];
-    let output = tokio::process::Command::new(program).args(call).output().await.expect("it runs");
+    let arguments = ["maintenance", "--door", &admin_address, "request", "s-0", "--reason", "a new disk"];
+    let output =
+        tokio::process::Command::new(program).args(arguments).output().await.expect("the program runs");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stdout).starts_with("400 no maintenance"));
 }
