--- a/src/net/fleet/incarnation_store.rs
+++ b/src/net/fleet/incarnation_store.rs
@@ -47,7 +47,7 @@
         {
             let path = path.display();
             info!(
-                "view: cannot write {path}: {error}; the next process will use the clock alone as its generation"
+                "view: cannot write {path}: {error}; the next process uses the clock alone as its generation"
             );
         }
     }
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -479,8 +479,8 @@
     let folder = TemporaryFolder::new("incarnations");
     let path = StateFolder::for_gateway(&folder.0, "n0").file_path("generation");
     assert_eq!(path.file_name().and_then(|name| name.to_str()), Some("ashtide.n0.generation"));
-    // A stored incarnation before the present time, an invalid one and a missing file lead to one by the
-    // clock.
+    // If the stored incarnation is earlier than the clock, invalid or missing, the new one is the clock's
+    // time.
     for (stored, expected) in [
         (Some("99999999999999\n"), Some("100000000000000\n")),
         (Some("99999999999999"), Some("100000000000000\n")),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -373,8 +373,8 @@
     fleet
 }
 
-/// Returns the number of requests within a window beyond which a server of this age is overloaded: N + 2
-/// sqrt(N) + 2, the requirement for cold servers. `fill` is the number of connections that fill the server
+/// Returns the number of requests within a window beyond which a server of this age is overloaded, as
+/// required for cold servers: N + 2 sqrt(N) + 2. `fill` is the number of connections that fill the server
 /// when warm; it starts with the least capacity of the settings and warms up in their longest time. Computed
 /// independently of the code under test.
 fn overload_threshold(age: i64, fill: f64) -> f64 {
