--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,3 +1,3 @@
-//! The admin endpoint's protocol: what operators may ask of a running gateway, and the answers.
+//! Protocol of the admin endpoint: the requests of operators to a running gateway, and its responses.
 
 pub mod protocol;
--- a/src/admin/protocol.rs
+++ b/src/admin/protocol.rs
@@ -1,69 +1,69 @@
-//! Requests of operators: one line in, one response out.
+//! Requests and responses of the admin endpoint. A request is one line of text and gets one response.
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
 use crate::fleet::maintenance::MaintenanceCommand;
 
-/// Longest request in bytes, its end of line included: a command and a server's name.
+/// Maximum length of a request in bytes, its end of line included. It admits a command with a server's name.
 pub const MAX_REQUEST_LENGTH: usize = 512;
 
-/// A request of an operator.
+/// Request of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Query whether this process is ready to serve.
     Health,
-    /// The metrics.
+    /// Query of the metrics.
     Metrics,
-    /// The gateways of the tier.
+    /// Query of the gateways of the fleet.
     Members,
-    /// A command to the maintenance queue.
+    /// Command to the maintenance queue.
     Maintenance(MaintenanceCommand),
-    /// What the gateways of the tier share.
+    /// Query of the state that the gateways of the fleet share.
     SharedState,
-    /// Quotas of tenants.
+    /// Query of the tenants' quotas.
     Quota,
-    /// Cordon or uncordon a server.
+    /// Cordon or uncordon of a server.
     Cordon {
         /// Name of the server.
         server: String,
-        /// Whether it is to be cordoned.
+        /// Whether the server is to be cordoned; otherwise it is uncordoned.
         cordon: bool,
     },
 }
 
-/// Why a request is answered with code 400.
+/// Reason for answering a request with code 400.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminRequestError {
-    /// Not one of the commands.
+    /// The first word of the request is no command.
     #[error("no such call")]
     UnknownCommand,
-    /// A command without its server, or with more arguments than it takes.
+    /// The command has fewer or more arguments than it requires.
     #[error("wrong number of words")]
     WrongArgumentCount,
-    /// Not printable text.
+    /// The request is not UTF-8 or contains control characters.
     #[error("not printable text")]
     NotPrintable,
-    /// More than [`MAX_REQUEST_LENGTH`] bytes without an end of line.
+    /// The first [`MAX_REQUEST_LENGTH`] bytes contain no end of line.
     #[error("over {MAX_REQUEST_LENGTH} bytes")]
     TooLong,
-    /// The connection ended before the line.
+    /// The connection ended before the end of the line.
     #[error("no end of line")]
     Truncated,
-    /// The line was not complete in time.
+    /// The end of the line was not received in time.
     #[error("no call in time")]
     TimedOut,
-    /// The socket failed.
+    /// Reading from or writing to the socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
 impl AdminRequest {
-    /// Parses a request, without its end of line.
+    /// Parses a request whose end of line has been removed.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the request.
+    /// Fails if the request is not printable text, names no command, or has the wrong number of arguments.
     pub fn parse(line: &[u8]) -> Result<Self, AdminRequestError> {
         let text = std::str::from_utf8(line).map_err(|_| AdminRequestError::NotPrintable)?;
         if text.chars().any(char::is_control) {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Decodes a request whose line ends with CRLF or LF.
+/// Decoder of a request whose line ends with CRLF or LF.
 #[derive(Debug, Default)]
 pub struct AdminRequestCodec;
 
@@ -138,12 +138,12 @@
     }
 }
 
-/// The response to a request that was carried out.
+/// Returns the response to a request that was carried out.
 pub fn success_response(message: &str) -> Bytes {
     format!("200 {message}\n").into()
 }
 
-/// The response to a request that was not carried out, with the reason.
+/// Returns the response to a request that was not carried out, with the reason.
 pub fn error_response(reason: impl std::fmt::Display) -> Bytes {
     format!("400 {reason}\n").into()
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// Why a configuration cannot be used.
+/// Error of a configuration that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A required key is missing.
@@ -11,36 +11,39 @@
     /// The value of a key is invalid.
     #[error("{key}: {problem}")]
     InvalidValue {
-        /// The key.
+        /// Path of the key, or name of the environment variable.
         key: String,
-        /// What is wrong with its value.
+        /// Reason why the value is invalid.
         problem: String,
     },
-    /// A file cannot be read.
+    /// A file cannot be read or parsed.
     #[error("{path}: {problem}")]
     UnreadableFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Reason why the file cannot be read or parsed.
         problem: String,
     },
     /// A key of a file is missing or invalid.
     #[error("{error}, in {path}")]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the key.
+        /// Error of the key.
         error: Box<ConfigError>,
     },
 }
 
 impl ConfigError {
-    /// The error of a file that cannot be read.
+    /// Returns the error of a file that cannot be read or parsed.
     pub(super) fn unreadable_file(path: &Path, problem: &impl ToString) -> Self {
         Self::UnreadableFile { path: path.to_owned(), problem: problem.to_string() }
     }
 
-    /// Adds the file to the error of a key; keys of the environment are not the file's.
+    /// Adds the path of the file to the error of a key.
+    ///
+    /// Errors of environment variables are returned unchanged, as the file is not at fault. `ROUTER_CONFIG`
+    /// is the exception: its error concerns the contents of the file that it names.
     pub(super) fn in_file(self, path: &Path) -> Self {
         let key = match &self {
             Self::Missing(key) => key,
@@ -54,7 +57,7 @@
     }
 }
 
-/// The error of a key with an invalid value.
+/// Returns the error of a key with an invalid value.
 pub(super) fn invalid_value(key: impl Into<String>, problem: impl ToString) -> ConfigError {
     ConfigError::InvalidValue { key: key.into(), problem: problem.to_string() }
 }
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file, with environment variables over it.
+//! Configuration file, some of whose keys are overridden by environment variables.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use crate::discovery::EndpointList;
 use crate::settings::{PlatformSettings, remove_nulls};
 
-/// A key that an environment variable overrides.
+/// Key of the configuration file and the environment variable that overrides it.
 struct Override {
     key: &'static str,
     variable: &'static str,
@@ -25,7 +25,7 @@
     Override { key: "operator", variable: "ROUTER_OPERATOR" },
 ];
 
-/// Keys of the file, apart from those of [`PeerAddresses`].
+/// Keys of the configuration file, except those of [`PeerAddresses`].
 #[derive(Deserialize)]
 #[serde(expecting = "struct Told")]
 pub(super) struct ConfigFile {
@@ -44,13 +44,13 @@
     pub(super) settings: Option<PlatformSettings>,
 }
 
-/// Deserializes an address; an error shows the text that is none.
+/// Deserializes a socket address. The error contains the text that is not an address.
 fn deserialize_address<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<SocketAddr>, D::Error> {
     let text = String::deserialize(deserializer)?;
     text.parse().map(Some).map_err(|error| D::Error::custom(format_args!("'{text}': {error}")))
 }
 
-/// Deserializes a seed: hex digits, or a number.
+/// Deserializes a seed, which is a string of hex digits or an integer.
 fn deserialize_seed<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     match Value::deserialize(deserializer)? {
         Value::String(digits) => u64::from_str_radix(&digits, 16).map_err(D::Error::custom),
@@ -58,13 +58,13 @@
     }
 }
 
-/// Reads a file as JSON. Blocks.
+/// Reads a JSON file. Blocks.
 pub(super) fn read_json(path: &Path) -> Result<Value, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|error| ConfigError::unreadable_file(path, &error))?;
     serde_json::from_str(&text).map_err(|error| ConfigError::unreadable_file(path, &error))
 }
 
-/// Removes keys without a value and applies the environment variables.
+/// Removes keys whose value is `null` and overrides keys by environment variables, which `variable` returns.
 pub(super) fn override_by_environment(
     mut json: Value,
     variable: &impl Fn(&str) -> Option<String>,
@@ -82,7 +82,8 @@
     Ok(json)
 }
 
-/// Deserializes the overridden object; an error names the key, or the variable that overrides it.
+/// Deserializes the object that [`override_by_environment`] returns. The error names the key at fault, or the
+/// environment variable that overrides it.
 pub(super) fn deserialize<T: DeserializeOwned>(
     json: &Value,
     variable: &impl Fn(&str) -> Option<String>,
@@ -98,7 +99,8 @@
     })
 }
 
-/// The addresses of the other gateways, where there are any and the settings allow messages to them.
+/// Returns the addresses of the fleet's gateways; `None` if the file has no `peer_listen` or the settings do
+/// not allow messages between gateways.
 pub(super) fn peer_addresses(
     json: &Value,
     settings: &PlatformSettings,
--- a/src/config/frontends.rs
+++ b/src/config/frontends.rs
@@ -1,4 +1,5 @@
-//! The file of the front ends that the platform does not know: QUIC, and the virtual router that gates it.
+//! Deploy file of the front ends that the platform does not configure: QUIC, and the virtual router (VRRP)
+//! that gates it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -12,28 +13,30 @@
 use crate::quic::load_balancing::MIN_ROUTABLE_ID_LENGTH;
 use crate::vrrp::VirtualRouterConfig;
 
-/// Shortest reset key in bytes.
+/// Minimum length of the reset key in bytes.
 const MIN_RESET_KEY_LENGTH: usize = 16;
-/// Shortest time in milliseconds after which a QUIC connection counts as idle.
+/// Minimum idle time-out of a QUIC connection in milliseconds.
 const MIN_IDLE_MS: u32 = 1000;
-/// Least number that is no configuration of routable connection ids.
+/// Exclusive upper limit of the configuration number in routable connection ids. QUIC-LB has three bits for
+/// it and reserves the value 7 for ids that are not routable.
 const CONFIG_ROTATION_LIMIT: u8 = 7;
-/// Longest interval between advertisements in milliseconds: VRRP has 12 bits of hundredths of a second.
+/// Maximum interval between advertisements in milliseconds: VRRP encodes it in 12 bits as hundredths of a
+/// second.
 const MAX_INTERVAL_MS: u32 = 40_950;
-/// Virtual addresses of a router at most.
+/// Maximum number of virtual addresses of a virtual router.
 const MAX_ADDRESSES: usize = 16;
 
 /// Configuration of the front ends.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Fronts")]
 pub struct FrontendConfig {
-    /// The QUIC front end.
+    /// Configuration of the QUIC front end; `None` if the gateway has none.
     pub quic: Option<QuicConfig>,
-    /// Its virtual router.
+    /// Configuration of the virtual router that gates the QUIC front end; `None` if it is not gated.
     pub vrrp: Option<VrrpConfig>,
 }
 
-/// Name of [`QuicConfig`] in the texts of errors, which operators know.
+/// Alias that retains the name `QuicFront` for [`QuicConfig`] in serde's error messages.
 type QuicFront = QuicConfig;
 
 /// Configuration of the QUIC front end.
@@ -41,39 +44,41 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, remote = "QuicFront")]
 pub struct QuicConfig {
-    /// Address for clients.
+    /// UDP address on which the front end receives datagrams of clients.
     pub listen: SocketAddr,
-    /// Class of its connections, as the settings name it.
+    /// Name of the class of all QUIC connections, which the settings have to define.
     pub class: String,
-    /// Tenant of its connections.
+    /// Name of the tenant of all QUIC connections; `None` if they belong to no tenant.
     pub tenant: Option<String>,
-    /// How long an Initial may wait for its server, in milliseconds.
+    /// Maximum time that an Initial waits for the selection of a server, in milliseconds.
     pub deadline_ms: u32,
-    /// Length in bytes of the connection ids that servers issue.
+    /// Length of the connection ids that servers issue, in bytes.
     #[serde_inline_default(12)]
     pub id_length: usize,
-    /// Number of the configuration in those ids.
+    /// Configuration number (config rotation) in the connection ids that servers issue.
     #[serde(default)]
     pub rotation: u8,
-    /// The site's shared key of reset tokens, in hex. Without it the key is random: clients do not recognize resets and
-    /// notice the end of a connection by their own time-outs.
+    /// Key of stateless reset tokens in hex, which the gateways and servers of a site share. If it is `None`,
+    /// the key is random: clients do not recognize resets then, and detect the end of a connection by their
+    /// own time-outs.
     pub reset_key: Option<String>,
-    /// Sockets to servers at most: one for each address that a connection is seen under.
+    /// Maximum number of sockets to servers. A connection has one for each client address from which it
+    /// sends.
     #[serde_inline_default(256)]
     pub paths: usize,
-    /// A connection that has been silent for so many milliseconds is over.
+    /// Idle time-out of a connection in milliseconds: the time without datagrams after which it is removed.
     #[serde_inline_default(30_000)]
     pub idle_ms: u32,
 }
 
 impl<'de> Deserialize<'de> for QuicConfig {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The derived function.
+        // Calls the inherent function that `serde(remote)` derives.
         Self::deserialize(deserializer)
     }
 }
 
-/// Name of [`VrrpConfig`] in the texts of errors, which operators know.
+/// Alias that retains the name `VrrpFront` for [`VrrpConfig`] in serde's error messages.
 type VrrpFront = VrrpConfig;
 
 /// Configuration of the virtual router that gates the QUIC front end.
@@ -81,50 +86,51 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, remote = "VrrpFront")]
 pub struct VrrpConfig {
-    /// Virtual router id.
+    /// Virtual router id (VRID).
     #[serde(rename = "router")]
     pub virtual_router_id: u8,
-    /// Priority; the owner of the address has 255.
+    /// Priority in the election of the active router. The owner of the virtual addresses has 255.
     pub priority: u8,
-    /// Milliseconds between advertisements, a multiple of 10.
+    /// Interval between advertisements in milliseconds. It is a multiple of 10, as VRRP encodes hundredths of
+    /// a second.
     #[serde_inline_default(1000)]
     pub interval_ms: u32,
-    /// Whether it takes over from an active router of lower priority.
+    /// Whether the router takes over from an active router of lower priority.
     #[serde_inline_default(true)]
     pub preempt: bool,
-    /// Where it receives advertisements.
+    /// Address on which the router receives advertisements.
     pub listen: SocketAddr,
-    /// The other routers of the same id.
+    /// Addresses of the other routers with the same virtual router id.
     pub peers: Vec<SocketAddr>,
-    /// The virtual addresses.
+    /// Virtual addresses of the router.
     #[serde(default)]
     pub addresses: Vec<Ipv4Addr>,
 }
 
 impl<'de> Deserialize<'de> for VrrpConfig {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The derived function.
+        // Calls the inherent function that `serde(remote)` derives.
         Self::deserialize(deserializer)
     }
 }
 
 impl FrontendConfig {
-    /// Reads and checks a file. Blocks.
+    /// Reads and validates a deploy file. Blocks.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read, and on a missing or invalid key, which the error names.
+    /// Fails if the file cannot be read, or if a key is missing or invalid; the error names the key.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text =
             std::fs::read_to_string(path).map_err(|error| ConfigError::unreadable_file(path, &error))?;
         Self::parse(&text).map_err(|error| ConfigError::unreadable_file(path, &error))
     }
 
-    /// Checks the text of a file.
+    /// Parses and validates the text of a deploy file.
     ///
     /// # Errors
     ///
-    /// Fails on a missing or invalid key, which the error names.
+    /// Fails if a key is missing or invalid; the error names the key.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let config: Self = toml::from_str(text).map_err(|error| invalid_value("deploy file", error))?;
         if let Some(quic) = &config.quic {
@@ -139,7 +145,7 @@
 }
 
 impl QuicConfig {
-    /// The bytes of the reset key; `None` where there is none or it is not hex.
+    /// Returns the bytes of the reset key; `None` if it is absent or not hex.
     pub fn reset_key_bytes(&self) -> Option<Vec<u8>> {
         self.reset_key.as_deref().and_then(decode_hex)
     }
@@ -161,7 +167,7 @@
 }
 
 impl VrrpConfig {
-    /// The configuration of the state machine.
+    /// Returns the configuration of the VRRP state machine.
     pub fn virtual_router_config(&self) -> VirtualRouterConfig {
         VirtualRouterConfig {
             virtual_router_id: self.virtual_router_id,
@@ -182,11 +188,12 @@
     }
 }
 
+/// Returns the error of an invalid value for `key` unless `condition` holds.
 fn require(condition: bool, key: &str, problem: &str) -> Result<(), ConfigError> {
     if condition { Ok(()) } else { Err(invalid_value(key, problem)) }
 }
 
-/// Decodes hex digits; `None` where they are none or an odd number.
+/// Decodes hex digits; returns `None` if the text contains other characters or its length is odd.
 pub fn decode_hex(digits: &str) -> Option<Vec<u8>> {
     if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
         return None;
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,35 +1,40 @@
-//! Limits on resources, and the capacity for clients that follows from them.
+//! Resource limits of the process, and the capacity for clients that results from them.
 
 use serde::Deserialize;
 use smart_default::SmartDefault;
 
-/// Connections to the admin endpoint at most.
+/// Maximum number of connections to the admin endpoint.
 pub const MAX_ADMIN_CONNECTIONS: usize = 12;
-/// Descriptors of the admin endpoint: its connections, its listener and its runtime.
+/// Number of descriptors that are reserved for the admin endpoint: its connections, its listener and its
+/// runtime.
 pub(super) const ADMIN_DESCRIPTORS: usize = MAX_ADMIN_CONNECTIONS + 4;
-/// Descriptors for what is neither a client nor its server: the runtime and standard streams, listeners, discovery, health
-/// checks, and sockets that are closed a moment after they stop counting, as those of evicted clients.
+/// Number of descriptors that are reserved for purposes other than client and server connections: the
+/// runtime, standard streams, listeners, discovery and health checks. They also cover sockets that are closed
+/// shortly after they are no longer counted, such as those of evicted clients.
 pub(super) const RESERVED_DESCRIPTORS: usize = 32;
-/// Clients without a session that can always connect.
+/// Number of pending clients (without a session) for which descriptors are always available, if the limits
+/// allow it.
 const MIN_PENDING_CLIENTS: usize = 52;
-/// Memory that the two sockets of a session may use at most: a line each way and the bookkeeping.
+/// Upper bound of the memory that a session uses, in bytes: the buffers of its two sockets, with a line in
+/// each direction, and bookkeeping.
 const BYTES_PER_SESSION: usize = 32 << 10;
 
-/// Limits that the platform sets.
+/// Resource limits that the platform sets for the process.
 #[derive(Debug, Clone, Deserialize, SmartDefault)]
 #[serde(default, expecting = "struct Limits")]
 pub struct ResourceLimits {
-    /// Memory in megabytes.
+    /// Maximum memory in MiB.
     #[default = 256]
     pub memory_mb: usize,
-    /// Open descriptors.
+    /// Maximum number of open descriptors.
     #[default = 1024]
     #[serde(rename = "sockets")]
     pub descriptors: usize,
 }
 
 impl ResourceLimits {
-    /// The capacity for clients beside `other_descriptors`, within the memory.
+    /// Returns the capacity for clients within both limits, if `other_descriptors` are reserved for other
+    /// purposes.
     pub fn capacity(&self, other_descriptors: usize) -> Capacity {
         let memory_bytes = self.memory_mb << 20;
         let descriptors_by_memory = 2 * (memory_bytes / 2 / BYTES_PER_SESSION).max(2);
@@ -43,28 +48,29 @@
     }
 }
 
-/// Descriptors that are kept free of sessions.
+/// Returns the number of `descriptors` that sessions may not use, so that pending clients can connect.
 fn min_pending_clients(descriptors: usize) -> usize {
     MIN_PENDING_CLIENTS.min(descriptors / 3)
 }
 
-/// Capacity for clients.
+/// Capacity for clients, in descriptors and in sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
-    /// Descriptors of clients and of the connections to their servers.
+    /// Number of descriptors for clients and for the connections to their servers.
     pub descriptors: usize,
-    /// Clients with a session, which has two descriptors.
+    /// Maximum number of clients with a session. A session uses two descriptors.
     pub max_sessions: usize,
 }
 
 impl Capacity {
-    /// Clients that may have a session while a sibling uses `sibling_descriptors`.
+    /// Returns the maximum number of sessions while siblings use `sibling_descriptors`.
     pub fn session_limit(&self, sibling_descriptors: usize) -> usize {
         let unavailable = sibling_descriptors + min_pending_clients(self.descriptors);
         self.max_sessions.min(self.descriptors.saturating_sub(unavailable) / 2)
     }
 
-    /// Clients that may be without a session while so many have one and a sibling uses `sibling_descriptors`.
+    /// Returns the maximum number of pending clients (without a session) while there are `sessions` clients
+    /// with a session and siblings use `sibling_descriptors`.
     pub fn pending_limit(&self, sessions: usize, sibling_descriptors: usize) -> usize {
         self.descriptors.saturating_sub(2 * sessions + sibling_descriptors).max(1)
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! Configuration: read, checked and given defaults here alone.
+//! Configuration of a gateway. Only this module reads and validates it and supplies defaults.
 //!
-//! A gateway is configured by environment variables and by the JSON file that one of them names. The front ends that the
-//! platform does not know have a TOML file of their own. Every error names the key at fault.
+//! A gateway is configured by environment variables and by a JSON file, which `ROUTER_CONFIG` names. The
+//! front ends that the platform does not configure have a TOML file of their own. Every error names the key
+//! at fault.
 
 mod error;
 mod file;
@@ -28,38 +29,41 @@
 use file::ConfigFile;
 use limits::{ADMIN_DESCRIPTORS, RESERVED_DESCRIPTORS};
 
-/// A longer deadline than this counts as this for the time between SIGTERM and SIGKILL.
+/// Upper limit of the longest class deadline in the calculation of the shutdown grace period, which is the
+/// time that the platform allows between SIGTERM and SIGKILL.
 const MAX_GRACE_DEADLINE: Duration = Duration::from_secs(3);
-/// What the platform adds to the longest deadline.
+/// Time that the platform adds to the longest class deadline for the shutdown grace period.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Configuration of a gateway.
 pub struct Config {
-    /// Name of the gateway, the same after a restart.
+    /// Name of the gateway. A gateway has the same name after a restart.
     pub name: String,
-    /// Address for clients.
+    /// TCP address on which the gateway accepts clients.
     pub listen_address: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Descriptor of an inherited client listener.
+    /// Descriptor of an inherited client listener; `None` if the process binds its own.
     pub inherited_listener: Option<i32>,
-    /// Folder for what processes of this gateway share and persist.
+    /// Folder in which the processes of this gateway share and persist state; `None` if state is not
+    /// persisted.
     pub state_folder: Option<PathBuf>,
-    /// Address of the admin endpoint, where there is one.
+    /// Address of the admin endpoint; `None` if there is none.
     pub admin_address: Option<SocketAddr>,
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Resources that the process may use.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// Endpoint list of an earlier time, perhaps outdated.
+    /// Endpoint list that applies until discovery sends one; it may be outdated. `None` if there is none.
     pub initial_list: Option<EndpointList>,
-    /// The other gateways, where the settings allow messages to them.
+    /// Addresses of the fleet's gateways; `None` if they are not configured or the settings do not allow
+    /// messages between gateways.
     pub peers: Option<PeerAddresses>,
-    /// Settings of the platform.
+    /// Settings that the platform supplies.
     pub settings: PlatformSettings,
-    /// Longest time that a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     pub shutdown_grace: Duration,
-    /// Values that a reload is compared with.
+    /// Values at the start, with which a reload is compared.
     pub reload_baseline: ReloadBaseline,
 }
 
@@ -68,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Fails on a missing or invalid key, which the error names.
+    /// Fails if the file cannot be read, or if a key is missing or invalid; the error names the key.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let path = variable("ROUTER_CONFIG").ok_or(ConfigError::Missing("ROUTER_CONFIG"))?;
         let path = PathBuf::from(path);
@@ -78,13 +82,14 @@
         Ok(config)
     }
 
-    /// Checks the object of the configuration file; environment variables override it.
+    /// Parses and validates the JSON object of the configuration file, whose keys environment variables
+    /// override.
     ///
     /// # Errors
     ///
-    /// Fails on a missing or invalid key, which the error names.
+    /// Fails if a key is missing or invalid; the error names the key.
     pub fn from_json(json: Value, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let reload_baseline = ReloadBaseline::of(&json);
+        let reload_baseline = ReloadBaseline::from_json(&json);
         let object = file::override_by_environment(json, &variable)?;
         let config_file: ConfigFile = file::deserialize(&object, &variable)?;
         let name = config_file.name.ok_or(ConfigError::Missing("name"))?;
@@ -115,12 +120,13 @@
         })
     }
 
-    /// The capacity for clients beside `other_descriptors` and those of the admin endpoint.
+    /// Returns the capacity for clients, if `other_descriptors` are reserved in addition to those of the
+    /// admin endpoint.
     pub fn capacity(&self, other_descriptors: usize) -> Capacity {
         self.limits.capacity(other_descriptors + self.admin_descriptors())
     }
 
-    /// Descriptors that the process reserves for itself, `other_descriptors` among them.
+    /// Returns the number of descriptors that are not available for clients, `other_descriptors` included.
     pub fn reserved_descriptors(&self, other_descriptors: usize) -> usize {
         RESERVED_DESCRIPTORS + other_descriptors + self.admin_descriptors()
     }
--- a/src/config/peers.rs
+++ b/src/config/peers.rs
@@ -1,29 +1,29 @@
-//! Addresses of the other gateways.
+//! Addresses of the gateways of a fleet.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// Addresses of the gateways of a tier, as they reach each other.
+/// Addresses at which the gateways of a fleet receive messages from each other.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(expecting = "struct Peers")]
 pub struct PeerAddresses {
-    /// Where this gateway receives.
+    /// Address on which this gateway receives messages.
     #[serde(rename = "peer_listen")]
     pub listen: SocketAddr,
-    /// Address of each gateway, by its index.
+    /// Address of each gateway, in the order of the gateways' indices.
     #[serde(rename = "peers", default)]
     pub by_index: Vec<SocketAddr>,
-    /// One address that stands for all of them.
+    /// Single address that represents all gateways; `None` if there is none.
     #[serde(rename = "peers_all")]
     pub shared: Option<SocketAddr>,
-    /// Index of this gateway.
+    /// Index of this gateway in `by_index`.
     #[serde(skip)]
     pub own_index: u32,
 }
 
 impl PeerAddresses {
-    /// The addresses of all gateways but this one.
+    /// Returns the addresses of all gateways except this one.
     pub fn other_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let own_index = self.own_index as usize;
         let others = self.by_index.iter().enumerate().filter(move |&(index, _)| index != own_index);
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads of the configuration file while the process runs.
+//! Reloading of the configuration file while the process runs.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,32 +7,35 @@
 
 use super::{Config, ConfigError, file};
 
-/// Keys that take effect at a start only. `seed` and `known` are of a start by nature.
+/// Keys whose changes take effect only at the next start. `seed` and `known` are not listed: they are used
+/// only at start by definition, so that a change of them needs no warning.
 const KEYS_READ_AT_START: [&str; 8] =
     ["name", "listen", "operator", "limits", "settings", "peer_listen", "peers", "peers_all"];
 
-/// What a reload is compared with.
+/// Configuration at the start of the process, with which a reload is compared.
 #[derive(Debug, Clone, Default)]
 pub struct ReloadBaseline {
+    /// Path of the configuration file.
     path: PathBuf,
-    /// Values of [`KEYS_READ_AT_START`] at the start, whatever was read since.
+    /// Values of [`KEYS_READ_AT_START`] at the start of the process, in their order. Reloads do not change
+    /// them.
     active_values: Vec<Value>,
 }
 
-/// What a reload changes.
+/// Changes by a reload of the configuration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReloadOutcome {
-    /// Address of discovery from now on.
+    /// Address of the discovery service after the reload.
     pub discovery_address: SocketAddr,
-    /// Keys that have changed and take effect after a restart.
+    /// Keys that have changed since the start and take effect only after a restart.
     pub keys_needing_restart: Vec<&'static str>,
-    /// What is valid and perhaps not intended.
+    /// Warnings about values that are valid but possibly unintended.
     pub warnings: Vec<String>,
 }
 
 impl ReloadBaseline {
-    /// The baseline of a process that starts with this object.
-    pub(super) fn of(json: &Value) -> Self {
+    /// Returns the baseline of a process that starts with the JSON object of its configuration file.
+    pub(super) fn from_json(json: &Value) -> Self {
         Self { path: PathBuf::new(), active_values: values_read_at_start(json) }
     }
 
@@ -40,11 +43,12 @@
         self.path = path;
     }
 
-    /// Reads the file again. Blocks.
+    /// Reads the configuration file again. Blocks.
     ///
     /// # Errors
     ///
-    /// Fails on a missing or invalid key, which the error names; the running configuration stays in place then.
+    /// Fails if the file cannot be read, or if a key is missing or invalid; the error names the key. The
+    /// running configuration remains in effect then.
     pub fn reload_from_file(
         &self,
         variable: impl Fn(&str) -> Option<String>,
@@ -53,23 +57,23 @@
         self.reload_from_json(json, variable).map_err(|error| error.in_file(&self.path))
     }
 
-    /// Checks the file's new object.
+    /// Validates the new JSON object of the configuration file and compares it with the baseline.
     ///
-    /// The environment was set at the start and cannot follow the file, so the file's `discovery` overrides the
-    /// environment here.
+    /// Unlike at the start, `discovery` in the file overrides the environment: environment variables are set
+    /// at the start and cannot change with the file.
     ///
     /// # Errors
     ///
-    /// Fails on a missing or invalid key, which the error names.
+    /// Fails if a key is missing or invalid; the error names the key.
     pub fn reload_from_json(
         &self,
         json: Value,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<ReloadOutcome, ConfigError> {
-        let file_names_discovery = json["discovery"] != Value::Null;
+        let file_has_discovery = json["discovery"] != Value::Null;
         let new_values = values_read_at_start(&json);
         let config = Config::from_json(json, |name| match name {
-            "ROUTER_DISCOVERY" if file_names_discovery => None,
+            "ROUTER_DISCOVERY" if file_has_discovery => None,
             _ => variable(name),
         })?;
         Ok(ReloadOutcome {
--- a/src/handover/deployment.rs
+++ b/src/handover/deployment.rs
@@ -1,4 +1,4 @@
-//! Identity of a deployment.
+//! Identity of a deployment, by which processes recognize the messages and state files that concern them.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,37 +6,45 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies the deployment that a process, its messages and its state file belong to.
+/// Identity of the deployment that a process, its messages and its state file belong to.
 ///
-/// Several deployments may share a folder, also under one gateway name.
+/// Several deployments may share a state folder, even with the same gateway name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Deployment {
-    /// Full name of the gateway; in file names some of its characters are replaced.
+    /// Full name of the gateway. File names contain it with some characters replaced, so that different names
+    /// may have the same file name.
     pub name: String,
-    /// Address of the client listener; `None` where the system chose the port.
+    /// Address of the client listener; `None` if the system chose the port.
     #[serde(rename = "listen")]
     pub listen_address: Option<SocketAddr>,
-    /// Inode of the client listener, where it is inherited.
+    /// Inode of the client listener's socket; `None` if the listener is not inherited.
     #[serde(rename = "socket")]
     pub listener_inode: Option<u64>,
-    /// Classes that the settings define.
+    /// Names of the classes that the settings define.
     pub classes: BTreeSet<String>,
-    /// Tenants that the settings define.
+    /// Names of the tenants that the settings define.
     pub tenants: BTreeSet<String>,
 }
 
 impl Deployment {
-    /// Whether both are one deployment, so that each may use what the other has sent or stored.
+    /// Checks whether both identify the same deployment, so that each may use what the other has sent or
+    /// stored.
     ///
-    /// - The name stays the same over restarts: another name is another deployment.
-    /// - Processes that share a listener have the same clients, whatever else an upgrade changes.
-    /// - Only one deployment can have an address, and an upgrade keeps it: another address is another deployment.
-    /// - Deployments without a common tenant serve different customers. Where one of them names no tenants, the
-    ///   classes decide. One common name is enough, as names may be added, removed or changed.
+    /// The rules apply in this order:
     ///
-    /// State without a deployment, as older versions wrote it, is not compared here: it is always used, so that an
-    /// upgrade does not lose the cordons of operators.
+    /// 1. Different names mean different deployments, because a gateway has the same name after a restart.
+    /// 2. A shared inherited listener means the same deployment: the processes have the same clients,
+    ///    whatever else an upgrade changes. The addresses are compared along with the inodes, as an inode
+    ///    number may be reused.
+    /// 3. Different listener addresses mean different deployments: only one deployment can listen on an
+    ///    address, and an upgrade does not change it.
+    /// 4. Deployments without a common tenant serve different customers and are different. If one of them
+    ///    defines no tenants, the classes are compared instead. One common name suffices, because an upgrade
+    ///    may add, remove or rename others.
+    ///
+    /// State without a deployment, as older versions wrote it, is not compared here: it is always used, so
+    /// that an upgrade does not lose the cordons of operators.
     pub fn is_same_deployment(&self, other: &Self) -> bool {
         if self.name != other.name {
             return false;
@@ -44,7 +52,7 @@
         if self.shares_listener_with(other) {
             return true;
         }
-        !self.listens_elsewhere_than(other) && self.may_have_clients_of(other)
+        !self.has_other_address_than(other) && self.may_share_clients_with(other)
     }
 
     fn shares_listener_with(&self, other: &Self) -> bool {
@@ -53,21 +61,22 @@
             && self.listener_inode == other.listener_inode
     }
 
-    fn listens_elsewhere_than(&self, other: &Self) -> bool {
-        self.listen_address.zip(other.listen_address).is_some_and(|(own, others)| own != others)
+    fn has_other_address_than(&self, other: &Self) -> bool {
+        let both_addresses = self.listen_address.zip(other.listen_address);
+        both_addresses.is_some_and(|(own_address, other_address)| own_address != other_address)
     }
 
-    fn may_have_clients_of(&self, other: &Self) -> bool {
+    fn may_share_clients_with(&self, other: &Self) -> bool {
         have_common_name(&self.tenants, &other.tenants)
             .or(have_common_name(&self.classes, &other.classes))
             .unwrap_or(true)
     }
 }
 
-/// Whether two sets of names overlap; `None` where one of them is empty.
+/// Checks whether two sets of names overlap; returns `None` if either is empty.
 fn have_common_name(first: &BTreeSet<String>, second: &BTreeSet<String>) -> Option<bool> {
-    let both_known = !first.is_empty() && !second.is_empty();
-    both_known.then(|| !first.is_disjoint(second))
+    let both_defined = !first.is_empty() && !second.is_empty();
+    both_defined.then(|| !first.is_disjoint(second))
 }
 
 impl fmt::Display for Deployment {
--- a/src/handover/established_connection.rs
+++ b/src/handover/established_connection.rs
@@ -1,56 +1,58 @@
-//! An established connection on its way to the successor: the datagram that travels with its two sockets.
+//! Handoff of an established connection to the successor: the datagram that is sent together with its two
+//! sockets.
 
 use bytes::{Buf, Bytes};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Longest datagram in bytes: the rest of a line for each side, and what was read behind it.
+/// Maximum length of a handoff datagram in bytes. It has to contain, for each side, the remainder of a line
+/// and the bytes that were read after that line.
 pub const MAX_HANDOFF_LENGTH: usize = 64 << 10;
 
-/// Why a datagram cannot be decoded.
+/// Error of decoding a handoff datagram.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoffDecodeError {
-    /// No end of the header.
+    /// The datagram contains no end of the header line.
     #[error("no head")]
     MissingHeader,
-    /// Not a header of this version.
+    /// The header line is not a JSON header of this version.
     #[error("{0}")]
     MalformedHeader(#[from] serde_json::Error),
-    /// The sections do not have the length that the header declares.
+    /// The total length of the sections differs from the length that the header declares.
     #[error("{declared} bytes told, {found} found")]
     LengthMismatch {
-        /// Bytes that the header declares.
+        /// Length of all sections in bytes as the header declares it.
         declared: usize,
-        /// Bytes behind the header.
+        /// Number of bytes after the header.
         found: usize,
     },
 }
 
-/// Bytes that were read of one side and are still to be written to the other.
+/// Bytes that were read from one side and are not yet written to the other.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PendingBytes {
-    /// Rest of a line whose beginning has been written already.
+    /// Remainder of a line whose beginning has already been written.
     pub line_remainder: Bytes,
-    /// Bytes read from the socket behind that line.
+    /// Bytes that were read from the socket after that line.
     pub read_ahead: Bytes,
 }
 
-/// An established connection that is handed over, apart from its two sockets.
+/// Established connection that is handed off, without its two sockets.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EstablishedConnection {
-    /// Name of its server.
+    /// Name of the connection's server.
     pub server: String,
-    /// The client's `OPEN` line as it came.
+    /// `OPEN` line of the client as received, with its end of line.
     pub open_line: Bytes,
-    /// Bytes from the server for the client.
+    /// Bytes from the server that are still to be written to the client.
     pub to_client: PendingBytes,
-    /// Bytes from the client for the server.
+    /// Bytes from the client that are still to be written to the server.
     pub to_server: PendingBytes,
 }
 
-/// Name of [`HandoffHeader`] in the texts of errors, which operators know.
+/// Alias that retains the name `Head` for [`HandoffHeader`] in serde's error messages.
 type Head = HandoffHeader;
 
-/// First line of the datagram, before the sections.
+/// First line of the datagram, which precedes the sections.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "Head")]
 struct HandoffHeader {
@@ -61,7 +63,7 @@
 
 impl<'de> Deserialize<'de> for HandoffHeader {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The derived function.
+        // Calls the inherent function that `serde(remote)` derives.
         Self::deserialize(deserializer)
     }
 }
@@ -73,6 +75,7 @@
 }
 
 impl EstablishedConnection {
+    /// Returns the sections in the order in which they follow the header.
     fn sections(&self) -> [&Bytes; 5] {
         [
             &self.open_line,
@@ -83,7 +86,7 @@
         ]
     }
 
-    /// Encodes the datagram; `None` where it would exceed [`MAX_HANDOFF_LENGTH`].
+    /// Encodes the datagram; returns `None` if it would exceed [`MAX_HANDOFF_LENGTH`].
     pub fn encode(&self) -> Option<Vec<u8>> {
         let sections = self.sections();
         let header = HandoffHeader { server: self.server.clone(), section_lengths: sections.map(Bytes::len) };
@@ -97,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the datagram is incomplete or has another form.
+    /// Fails if the datagram is incomplete or malformed.
     pub fn decode(mut datagram: Bytes) -> Result<Self, HandoffDecodeError> {
         let header_length =
             datagram.iter().position(|&byte| byte == b'\n').ok_or(HandoffDecodeError::MissingHeader)?;
@@ -109,13 +112,13 @@
         if declared != found {
             return Err(HandoffDecodeError::LengthMismatch { declared, found });
         }
-        let [open_line, client_line, client_read_ahead, server_line, server_read_ahead] =
+        let [open_line, client_remainder, client_read_ahead, server_remainder, server_read_ahead] =
             section_lengths.map(|length| datagram.split_to(length));
         Ok(Self {
             server,
             open_line,
-            to_client: PendingBytes { line_remainder: client_line, read_ahead: client_read_ahead },
-            to_server: PendingBytes { line_remainder: server_line, read_ahead: server_read_ahead },
+            to_client: PendingBytes { line_remainder: client_remainder, read_ahead: client_read_ahead },
+            to_server: PendingBytes { line_remainder: server_remainder, read_ahead: server_read_ahead },
         })
     }
 }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of one gateway: a line of JSON each.
+//! Messages between the processes of one gateway. Each message is one line of JSON.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -7,47 +7,49 @@
 use super::ProcessState;
 use crate::discovery::EndpointList;
 
-/// Longest message in bytes, its end of line excluded: a list of thousands of servers.
+/// Upper limit of a message in bytes, its end of line included. It admits an endpoint list of thousands of
+/// servers.
 pub const MAX_MESSAGE_LENGTH: usize = 1 << 20;
 
-/// Why a message cannot be read.
+/// Error of reading a message from a sibling.
 #[derive(Debug, thiserror::Error)]
 pub enum SiblingMessageError {
-    /// More than [`MAX_MESSAGE_LENGTH`] bytes without an end of line.
+    /// The message has more than [`MAX_MESSAGE_LENGTH`] bytes, its end of line included.
     #[error("over {MAX_MESSAGE_LENGTH} bytes")]
     TooLong,
-    /// Not a message of this version.
+    /// The line is not a JSON message of this version.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// The socket failed.
+    /// Reading from the socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// A message to a sibling.
+/// Message to a sibling.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiblingMessage {
-    /// The endpoint list of the sender.
+    /// Endpoint list of the sender.
     List(EndpointList),
-    /// The state of the sender.
+    /// Process state of the sender.
     State(ProcessState),
 }
 
 impl SiblingMessage {
     /// Encodes the message with its end of line.
     pub fn encode_line(&self) -> Bytes {
-        // Names and numbers only: this does not fail.
+        // Serialization does not fail, as messages contain only strings, numbers and maps with string keys.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line.into()
     }
 }
 
-/// Decodes the messages of a stream.
+/// Decoder of the messages in a byte stream.
 #[derive(Debug, Default)]
 pub struct SiblingMessageCodec {
-    /// Bytes of the buffer that are known to hold no end of line.
+    /// Number of leading bytes of the buffer that are known to contain no end of line, so that they are not
+    /// scanned again.
     scanned_length: usize,
 }
 
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Leaves a last message without an end of line unread.
+    /// Decodes the complete messages that remain; an incomplete last line stays in the buffer.
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<SiblingMessage>, SiblingMessageError> {
         self.decode(buffer)
     }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,7 +1,9 @@
-//! State that the processes of one gateway exchange during an upgrade, and state that outlives them.
+//! State that the processes of one gateway exchange during an upgrade, and state that is stored across
+//! restarts.
 //!
-//! Encodes and decodes messages, files and datagrams and merges what several processes report. Performs no I/O:
-//! [`crate::net::handover`] and [`crate::net::connection_handoff`] drive the sockets and files.
+//! This module encodes and decodes messages, files and datagrams, and merges the states that several
+//! processes report. It performs no I/O: [`crate::net::handover`] and [`crate::net::connection_handoff`]
+//! drive the sockets and files.
 
 mod cordons;
 mod deployment;
--- a/src/handover/persisted_state.rs
+++ b/src/handover/persisted_state.rs
@@ -1,4 +1,4 @@
-//! State that outlives a process.
+//! State that a process stores for the processes that start after it.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,12 +8,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct Kept")]
 pub struct PersistedState {
-    /// Deployment that wrote it; `None` in files of older versions.
+    /// Deployment of the process that wrote the file; `None` in files of older versions.
     #[serde(rename = "whose")]
     pub deployment: Option<Deployment>,
-    /// Whether clients no longer restore connections of before the start.
+    /// Whether the restore phase is over, in which clients restore connections that they had before the
+    /// start.
     #[serde(rename = "begun")]
     pub restore_phase_over: bool,
-    /// Servers that operators have cordoned.
+    /// Cordons and uncordons by operators.
     pub cordons: Cordons,
 }
--- a/src/handover/process_state.rs
+++ b/src/handover/process_state.rs
@@ -1,4 +1,4 @@
-//! State that a process publishes to its siblings, the other processes of the same gateway.
+//! State that a process publishes to its siblings, which are the other processes of the same gateway.
 
 use std::collections::BTreeMap;
 
@@ -6,81 +6,86 @@
 
 use super::{Cordons, Deployment};
 
-/// What a process uses of one server.
+/// Connections, recovery tokens and permits of one server that a process uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct Share")]
 pub struct ServerUsage {
-    /// Open connections, attempts included.
+    /// Number of open connections to the server, attempts included.
     #[serde(rename = "open")]
     pub open_connections: u32,
-    /// Connections that it may still send while the server recovers.
+    /// Recovery tokens that the process has left: the number of connections that it may still send to the
+    /// server while the server recovers.
     #[serde(rename = "budget")]
     pub recovery_tokens: f64,
-    /// The last of this gateway's slow-start permits at the server that it has used.
+    /// Number of the last slow-start permit of this gateway for the server that the process has used.
     #[serde(rename = "spent")]
     pub last_used_permit: u64,
-    /// The last slow-start permit that it has granted as the server's grantor.
+    /// Number of the last slow-start permit that the process has granted while its gateway was the server's
+    /// grantor.
     #[serde(rename = "granted")]
     pub last_granted_permit: u64,
 }
 
-/// State of a process, as it publishes it.
+/// State of a process as published to its siblings.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct State")]
 pub struct ProcessState {
-    /// Deployment of the process; `None` for older versions.
+    /// Deployment of the process; `None` if it runs an older version.
     #[serde(rename = "whose")]
     pub deployment: Option<Deployment>,
-    /// Rank among the processes of the gateway: the highest is the successor. See [`rank_after`].
+    /// Rank of the process among those of the gateway, as [`rank_after`] assigns it. The ready process of the
+    /// highest rank is the successor of the others.
     #[serde(rename = "started")]
     pub rank: u64,
-    /// Whether it accepts clients.
+    /// Whether the process accepts clients.
     pub ready: bool,
-    /// Whether it takes over the established connections of a process that shuts down.
+    /// Whether the process adopts the established connections of a sibling that shuts down.
     #[serde(rename = "adopts")]
     pub adopts_connections: bool,
-    /// Whether clients no longer restore connections of before the start.
+    /// Whether the restore phase is over, in which clients restore connections that they had before the
+    /// start.
     #[serde(rename = "begun")]
     pub restore_phase_over: bool,
-    /// Descriptors in use or reserved.
+    /// Number of descriptors that the process uses or reserves.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
-    /// Usage of each server, by its name.
+    /// Usage of each server by the process, keyed by server name.
     #[serde(rename = "shares")]
     pub server_usage: BTreeMap<String, ServerUsage>,
-    /// Servers that operators have cordoned.
+    /// Cordons and uncordons by operators.
     pub cordons: Cordons,
 }
 
-/// The rank of a process that starts at `unix_micros` beside processes of these ranks.
+/// Returns the rank of a process that starts at `unix_micros` while siblings have `existing_ranks`.
 ///
-/// It is higher than all of them, even where the wall clock was stepped back between two starts, and differs from that
-/// of a process that starts at the same time.
+/// The rank is higher than all existing ranks, even if the wall clock was stepped back between two starts. In
+/// that case the process id is part of the rank, so that two processes that start concurrently get different
+/// ranks.
 pub fn rank_after(unix_micros: u64, existing_ranks: impl Iterator<Item = u64>, process_id: u32) -> u64 {
     let rank_above = |highest: u64| highest.saturating_add(1).saturating_add(process_id.into());
-    let least_rank = existing_ranks.max().map_or(0, rank_above);
-    unix_micros.max(least_rank)
+    let minimum_rank = existing_ranks.max().map_or(0, rank_above);
+    unix_micros.max(minimum_rank)
 }
 
-/// Summary of all siblings of a process.
+/// Aggregated state of all siblings of a process.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SiblingSummary {
-    /// Whether a younger one accepts the clients.
+    /// Whether a sibling of higher rank accepts clients.
     pub has_ready_successor: bool,
-    /// Rank of the youngest of those that takes over established connections.
+    /// Highest rank of a successor that adopts established connections; `None` if there is none.
     pub successor_rank: Option<u64>,
-    /// Whether the restore phase is over for one of them.
+    /// Whether the restore phase is over for at least one sibling.
     pub restore_phase_over: bool,
-    /// Descriptors that they use, in total.
+    /// Total number of descriptors that the siblings use or reserve.
     pub descriptors: usize,
-    /// Usage of each server, in total, by its name.
+    /// Total usage of each server by the siblings, keyed by server name.
     pub server_usage: BTreeMap<String, ServerUsage>,
-    /// Servers that operators have cordoned at any of them.
+    /// Merged cordons and uncordons of all siblings.
     pub cordons: Cordons,
 }
 
 impl SiblingSummary {
-    /// Aggregates the states of siblings, as seen by the process of `own_rank`.
+    /// Aggregates the states of the siblings of the process with rank `own_rank`.
     pub fn aggregate<'a>(own_rank: u64, siblings: impl Iterator<Item = &'a ProcessState>) -> Self {
         let mut summary = Self::default();
         siblings.for_each(|sibling| summary.add(own_rank, sibling));
@@ -104,7 +109,8 @@
 }
 
 impl ServerUsage {
-    /// Adds what a sibling uses. A permit that any process has used or granted is used or granted for all.
+    /// Adds the usage of a sibling. Counts are summed. Of permit numbers the maximum applies, because a
+    /// permit that one process has used or granted counts as used or granted in all processes.
     fn add(&mut self, sibling: &Self) {
         self.open_connections += sibling.open_connections;
         self.recovery_tokens += sibling.recovery_tokens;
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! The settings object as it is written. Unknown keys are skipped.
+//! Serialized form of the settings object. Unknown keys are ignored.
 
 use serde::{Deserialize, Deserializer};
 use serde_inline_default::serde_inline_default;
@@ -8,9 +8,10 @@
 use super::span_from_seconds;
 use crate::decision::interface::{DeduplicationScope, Idempotency};
 
-/// Name of [`ClassSettings`] in the texts of errors, which operators know.
+/// Alias that retains the name `FactsClass` for [`ClassSettings`] in serde's error messages.
 type FactsClass = ClassSettings;
 
+/// Entry of the list of classes. Times are in seconds.
 #[serde_inline_default]
 #[derive(Deserialize)]
 #[serde(remote = "FactsClass", rename_all = "camelCase")]
@@ -33,11 +34,12 @@
 
 impl<'de> Deserialize<'de> for ClassSettings {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The derived function.
+        // Calls the inherent function that `serde(remote)` derives.
         Self::deserialize(deserializer)
     }
 }
 
+/// Side effects of a class's requests, which determine whether a request may be repeated.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum FactsEffect")]
 enum EffectSetting {
@@ -68,9 +70,10 @@
     }
 }
 
-/// Name of [`CustomerSettings`] in the texts of errors, which operators know.
+/// Alias that retains the name `Customer` for [`CustomerSettings`] in serde's error messages.
 type Customer = CustomerSettings;
 
+/// Entry of the list of customers, which are the tenants.
 #[derive(Deserialize)]
 #[serde(remote = "Customer", rename_all = "camelCase")]
 pub(super) struct CustomerSettings {
@@ -81,12 +84,12 @@
 
 impl<'de> Deserialize<'de> for CustomerSettings {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The derived function.
+        // Calls the inherent function that `serde(remote)` derives.
         Self::deserialize(deserializer)
     }
 }
 
-/// Lists whose entries belong to the class or the customer at the same place.
+/// Lists whose entries apply to the class or the customer at the same index.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct FamilyInfo {
@@ -96,6 +99,7 @@
     pub(super) connection_quotas: Vec<f64>,
 }
 
+/// Limits of the gateway's behaviour, and functions that it may use. Times are in seconds.
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default, expecting = "struct Limits")]
 pub(super) struct LimitSettings {
@@ -112,6 +116,7 @@
     pub(super) connect_timeout: f64,
 }
 
+/// Prices of operations, which the decision module takes into account.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default, expecting = "struct FactsPrices")]
 pub(super) struct PriceSettings {
@@ -123,6 +128,7 @@
     pub(super) migration: f64,
 }
 
+/// Rules that the decisions of the gateway have to observe. Times are in seconds.
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default, expecting = "struct Rules")]
 pub(super) struct RuleSettings {
@@ -146,7 +152,8 @@
     pub(super) overload_window: f64,
 }
 
-/// Removes every `null`, which means the same as a missing key; in a list it stands for zero.
+/// Removes every key whose value is `null`, which is equivalent to a missing key. In a list, `null` is
+/// replaced by zero.
 pub(crate) fn remove_nulls(value: &mut Value) {
     match value {
         Value::Object(fields) => {
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the settings.
+//! Errors of the platform's settings.
 
-/// Why the settings cannot be used.
+/// Error of settings that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The text is not JSON.
@@ -9,17 +9,17 @@
     /// A key has the wrong type or an unknown value; the error names the key.
     #[error(transparent)]
     InvalidValue(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// A name stands twice in a list.
+    /// A name occurs twice in a list.
     #[error(transparent)]
     DuplicateName(#[from] DuplicateNameError),
 }
 
-/// A name that stands twice in a list of the settings.
+/// Error of a name that occurs twice in a list of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct DuplicateNameError {
-    /// The second place where the name stands.
+    /// Key of the second occurrence of the name.
     pub key: String,
-    /// The name, and why it may stand once only.
+    /// Text that contains the name and the reason why it has to be unique.
     pub problem: String,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's settings, as the simulator's first message and the configuration file carry them.
+//! Settings of the platform, which the simulator's first message and the configuration file contain.
 
 mod document;
 mod error;
@@ -17,23 +17,23 @@
 pub use error::{DuplicateNameError, SettingsError};
 pub use names::{Interner, NameTables, group_id};
 
-/// Rounds seconds to whole microseconds; what is not a number counts as zero.
+/// Converts seconds to a span, rounded to the nearest microsecond. NaN is converted to zero.
 pub fn span_from_seconds(seconds: f64) -> Span {
     Span::from_micros((seconds * 1e6).round() as i64)
 }
 
-/// Quota of a tenant over all gateways.
+/// Quota of a tenant, which applies to all gateways together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantQuota {
     /// Name of the tenant.
     pub name: String,
-    /// New connections a second.
+    /// Maximum rate of new connections per second.
     pub connections_per_second: f64,
-    /// Open connections; `None` where they are not limited.
+    /// Maximum number of open connections; `None` if it is not limited.
     pub max_open_connections: Option<u64>,
 }
 
-/// The settings of the platform.
+/// Settings of the platform. Missing keys have defaults.
 #[derive(Deserialize, SmartDefault)]
 #[serde(rename_all = "camelCase", default, expecting = "struct Facts")]
 pub struct PlatformSettings {
@@ -62,12 +62,12 @@
 }
 
 impl PlatformSettings {
-    /// Reads the settings object.
+    /// Parses and validates the JSON settings object.
     ///
     /// # Errors
     ///
-    /// Fails on a key of the wrong type or with an unknown value, and on a name that stands twice; the error names the
-    /// key.
+    /// Fails if the text is not JSON, if a key has the wrong type or an unknown value, or if a name occurs
+    /// twice in a list; the error names the key.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut value = serde_json::from_str(text)?;
         remove_nulls(&mut value);
@@ -76,21 +76,24 @@
         Ok(settings)
     }
 
-    /// Checks that each name stands once in its list.
+    /// Checks that the names in each list are unique.
     ///
-    /// Requests use names and everything else the place in the list: behind a duplicate, requests would be judged by the
-    /// settings of another name. An empty name is valid, as `c=` asks for it.
+    /// Requests refer to an entry by its name, and all other code by its index. After a duplicate, the
+    /// numbers of the names would differ from the indices, and the settings of another name would apply to
+    /// requests. An empty name is valid, as a request with `c=` refers to it.
     ///
     /// # Errors
     ///
-    /// Names the key of the first duplicate.
+    /// Fails if a name occurs twice; the error names the key of the first duplicate.
     pub fn validate(&self) -> Result<(), DuplicateNameError> {
         require_unique("classes", self.classes.iter().map(|class| class.name.as_str()))?;
         require_unique("customers", self.customers.iter().map(|customer| customer.name.as_str()))
     }
 
-    /// What is valid and perhaps not intended: a list whose entries belong to those of another list, and that has another
-    /// length. A missing entry means no limit, and a superfluous one is ignored.
+    /// Returns warnings about settings that are valid but possibly unintended.
+    ///
+    /// A warning is returned for a list whose length differs from that of the list to whose entries it
+    /// applies. A missing entry means no limit, and a superfluous entry is ignored.
     pub fn warnings(&self) -> Vec<String> {
         let info = &self.family_info;
         let classes = self.classes.len();
@@ -102,7 +105,7 @@
         objectives.into_iter().chain(quotas).collect()
     }
 
-    /// Numbers the names that the settings define.
+    /// Assigns numbers to the names that the settings define.
     pub fn name_tables(&self) -> NameTables {
         NameTables {
             zones: self.zones.iter().chain([&self.zone]).collect(),
@@ -113,22 +116,23 @@
         }
     }
 
-    /// Time after which a connection that is not established has failed.
+    /// Returns the time after which an attempt to connect to a server has failed if the connection is not
+    /// established.
     pub fn connect_timeout(&self) -> Span {
         span_from_seconds(self.limits.connect_timeout)
     }
 
-    /// Index of this gateway in its tier.
+    /// Returns the index of this gateway in the fleet.
     pub fn gateway_index(&self) -> u32 {
         self.gateway_index
     }
 
-    /// Whether gateways may send messages to each other.
+    /// Checks whether gateways may send messages to each other.
     pub fn allows_peer_messages(&self) -> bool {
         self.limits.peers
     }
 
-    /// The tenants that have a quota.
+    /// Returns the quotas of the tenants that have one.
     pub fn tenant_quotas(&self) -> Vec<TenantQuota> {
         let with_quota = self.customers.iter().enumerate().filter(|(_, customer)| customer.quota_per_s > 0.0);
         let quotas = with_quota.map(|(index, customer)| TenantQuota {
@@ -139,18 +143,19 @@
         quotas.collect()
     }
 
-    /// Limit on the open connections of a customer; a limit below one means none.
+    /// Returns the maximum number of open connections of the customer at index `customer`; `None` if there is
+    /// no limit, which a value below one means.
     fn max_open_connections(&self, customer: usize) -> Option<u64> {
         let limit = self.family_info.connection_quotas.get(customer).copied()?;
         (limit >= 1.0).then_some(limit as u64)
     }
 
-    /// The longest deadline of all classes.
+    /// Returns the longest deadline of all classes.
     pub fn longest_deadline(&self) -> Span {
         span_from_seconds(self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max))
     }
 
-    /// The settings of the decision module, for a gateway whose zone is in `names`.
+    /// Returns the settings of the decision module. `names` supplies the number of the gateway's zone.
     pub fn balancer_settings(&self, names: &NameTables) -> Settings {
         let LimitSettings { max_attempts, health_checks, peers, cancellation, .. } = self.limits;
         let rules = &self.rules;
@@ -228,11 +233,12 @@
     }
 }
 
-/// The value at an index; zero, which means no limit, behind the end.
+/// Returns the value at an index; zero, which means no limit, if the list is shorter.
 fn value_at(values: &[f64], index: usize) -> f64 {
     values.get(index).copied().unwrap_or(0.0)
 }
 
+/// Returns an error if a name occurs twice; `list` is the key of the list.
 fn require_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), DuplicateNameError> {
     let mut seen = HashSet::new();
     for (index, name) in names.enumerate() {
@@ -245,7 +251,8 @@
     Ok(())
 }
 
-/// Warns of a list that is not empty and has another length than the list that its entries belong to.
+/// Returns a warning if the list `key` is not empty and its length differs from `expected_length`, the length
+/// of the list to whose entries it applies.
 fn length_warning(key: &str, length: usize, list: &str, expected_length: usize) -> Option<String> {
     (length > 0 && length != expected_length).then(|| {
         format!("settings.familyInfo.{key}: {length} figures for {expected_length} {list}, taken by place")
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,10 +1,11 @@
-//! Numbers for the names of the settings.
+//! Numbers that identify the names of the settings in the decision module.
 
 use std::collections::HashMap;
 
 use crate::decision::interface::GroupId;
 
-/// The number of a group, the same at all gateways: an FNV-1a hash, as a table of names would grow without bound.
+/// Returns the number of a group, which is the 32-bit FNV-1a hash of its name. It is the same at all
+/// gateways, and needs no table of names, which would grow without bound.
 pub fn group_id(name: &str) -> GroupId {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -12,7 +13,7 @@
     GroupId(hash)
 }
 
-/// Numbers names in the order of their first appearance.
+/// Table that assigns numbers to names in the order of their first occurrence, from zero.
 #[derive(Default)]
 pub struct Interner {
     numbers: HashMap<String, u32>,
@@ -20,7 +21,7 @@
 }
 
 impl Interner {
-    /// The number of a name; a new name gets the next number.
+    /// Returns the number of a name. A new name is assigned the next number.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -31,12 +32,12 @@
         number
     }
 
-    /// The number of a name that was interned before.
+    /// Returns the number of a name; `None` if the name has not been interned.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// All names, by their numbers.
+    /// Returns all names in the order of their numbers.
     pub fn names(&self) -> &[String] {
         &self.names
     }
@@ -52,16 +53,16 @@
     }
 }
 
-/// The names that the settings define, with the numbers that the decision module uses.
+/// Tables of names, with the numbers by which the decision module refers to them.
 pub struct NameTables {
-    /// Zones, those of the settings first.
+    /// Names of zones. Those that the settings define are first.
     pub zones: Interner,
-    /// Kinds of machine, those of the settings first.
+    /// Names of machine kinds. Those that the settings define are first.
     pub kinds: Interner,
-    /// Servers, in the order of their first appearance.
+    /// Names of servers, in the order of their first occurrence.
     pub servers: Interner,
-    /// Classes, in the order of the settings.
+    /// Names of classes, in the order of the settings.
     pub classes: Interner,
-    /// Tenants, in the order of the settings.
+    /// Names of tenants, in the order of the settings.
     pub tenants: Interner,
 }
