--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! Upgrades of the daemon's binary in every order, with a stand-in for the process that must fail in time.
+//! Handover between two processes of one gateway during an upgrade. Mock processes take the place of siblings
+//! that exit, hang or do not answer at a given moment.
 
 mod site;
 
@@ -19,289 +20,320 @@
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::time::Instant;
 
-/// SIGKILL comes no earlier after SIGTERM, with the deadline of 3 s that the daemon is told.
-const KILLED: Duration = Duration::from_millis(3700);
+/// Minimum time between SIGTERM and SIGKILL, for the class deadline of 3 s that the daemons are configured
+/// with.
+const MIN_KILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// When a stand-in says that it started: after everyone.
-const LATER: u64 = u64::MAX / 2;
+/// Rank of the mock successor. It is higher than the ranks of all daemons.
+const SUCCESSOR_RANK: u64 = u64::MAX / 2;
 
-/// A successor that the test plays: it is met, ready, and receives where it says.
-struct Successor {
+/// Mock successor that reports itself ready and receives handed off connections.
+struct MockSuccessor {
     _link: UnixStream,
-    inbox: HandoffReceiver,
-    path: PathBuf,
+    handoff_receiver: HandoffReceiver,
+    handoff_path: PathBuf,
 }
 
-fn sockets(site: &Site) -> Vec<PathBuf> {
-    let all = std::fs::read_dir(&site.folder).expect("the folder").flatten().map(|it| it.path());
-    all.filter(|path| path.extension().is_some_and(|it| it == "sock")).collect()
+/// Returns the sockets at which processes accept links from their siblings.
+fn sibling_sockets(site: &Site) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(&site.folder).expect("readable state folder").flatten();
+    let paths = entries.map(|entry| entry.path());
+    paths.filter(|path| path.extension().is_some_and(|extension| extension == "sock")).collect()
 }
 
-impl Successor {
-    async fn of(site: &Site, daemon: &Daemon) -> Self {
-        let path = site.folder.join(format!("ashtide.shared.{LATER}.inbox"));
-        let inbox = HandoffReceiver::bind(&path).expect("bound");
-        let mut link = UnixStream::connect(&sockets(site)[0]).await.expect("it listens");
-        let state =
-            ProcessState { rank: LATER, ready: true, adopts_connections: true, ..ProcessState::default() };
-        link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("told");
-        daemon.says("handover: the successor accepts clients").await.expect("met");
-        Self { _link: link, inbox, path }
+impl MockSuccessor {
+    /// Links to the daemon and waits until the daemon has logged that its successor accepts clients.
+    async fn start(site: &Site, daemon: &Daemon) -> Self {
+        let handoff_path = site.folder.join(format!("ashtide.shared.{SUCCESSOR_RANK}.inbox"));
+        let handoff_receiver = HandoffReceiver::bind(&handoff_path).expect("bound handoff socket");
+        let mut link = UnixStream::connect(&sibling_sockets(site)[0]).await.expect("link to the daemon");
+        let state = ProcessState {
+            rank: SUCCESSOR_RANK,
+            ready: true,
+            adopts_connections: true,
+            ..ProcessState::default()
+        };
+        link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("sent state");
+        daemon.says("handover: the successor accepts clients").await.expect("log line of the daemon");
+        Self { _link: link, handoff_receiver, handoff_path }
     }
 }
 
-/// A daemon with connections that stand.
-async fn standing(site: &Site, count: usize) -> (Daemon, Options, Vec<(LineClient, Attempt)>) {
-    let (shared, at) = site.shared();
+/// Starts a daemon and establishes `count` connections through it.
+async fn start_with_connections(site: &Site, count: usize) -> (Daemon, Options, Vec<(LineClient, Attempt)>) {
+    let (shared, gateway_address) = site.shared();
     let options = Options { shared: Some(shared), ..site.options(&json!({})) };
     let daemon = site.start(&options).await;
-    let mut all = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..count {
-        all.push(site.standing(at).await);
+        connections.push(site.standing(gateway_address).await);
     }
-    (daemon, options, all)
+    (daemon, options, connections)
 }
 
-/// All clients are told to move and the process ends well, before it is killed.
-async fn all_moved(daemon: Daemon, clients: Vec<(LineClient, Attempt)>, asked: Instant) -> Vec<String> {
-    for (mut client, _server) in clients {
-        assert!(client.is_moved().await.expect("an end"), "cut off");
+/// Asserts that all clients are sent `MOVE`, and that the daemon exits successfully before SIGKILL would be
+/// sent. Returns the daemon's log lines.
+async fn assert_all_moved(
+    daemon: Daemon,
+    connections: Vec<(LineClient, Attempt)>,
+    terminated_at: Instant,
+) -> Vec<String> {
+    for (mut client, _server) in connections {
+        assert!(client.is_moved().await.expect("end of the connection"), "closed without MOVE");
     }
-    let (status, said) = daemon.end().await.expect("it ends");
-    assert!(status.success() && asked.elapsed() < KILLED, "{status} after {:?}", asked.elapsed());
-    said
+    let (status, log_lines) = daemon.end().await.expect("exit of the daemon");
+    let elapsed = terminated_at.elapsed();
+    assert!(status.success() && elapsed < MIN_KILL_DELAY, "{status} after {elapsed:?}");
+    log_lines
 }
 
 #[tokio::test]
-async fn a_successor_that_dies_before_it_takes_a_connection_costs_a_move() {
+async fn clients_are_moved_if_the_successor_exits_before_the_handoff() {
     let site = Site::new(2).await;
-    let (daemon, _options, clients) = standing(&site, 6).await;
-    let successor = Successor::of(&site, &daemon).await;
-    // Its link is not seen to end before the passing has begun; its inbox' file is there, and nobody at it.
-    drop(successor.inbox);
-    assert!(successor.path.exists());
-    let asked = Instant::now();
-    daemon.terminate().expect("it runs");
-    let said = all_moved(daemon, clients, asked).await;
-    assert!(said.iter().any(|line| line == "handover: passes 6 connections to its successor"), "{said:?}");
+    let (daemon, _options, connections) = start_with_connections(&site, 6).await;
+    let successor = MockSuccessor::start(&site, &daemon).await;
+    // The link stays open, so the daemon starts the handoff. The file of the handoff socket still exists, but
+    // no process receives from it.
+    drop(successor.handoff_receiver);
+    assert!(successor.handoff_path.exists());
+    let terminated_at = Instant::now();
+    daemon.terminate().expect("running daemon");
+    let log_lines = assert_all_moved(daemon, connections, terminated_at).await;
+    let handoff_line = "handover: passes 6 connections to its successor";
+    assert!(log_lines.iter().any(|line| line == handoff_line), "{log_lines:?}");
 }
 
 #[tokio::test]
-async fn a_successor_whose_queue_is_full_costs_a_move_in_time() {
+async fn clients_are_moved_in_time_if_the_handoff_queue_is_full() {
     let site = Site::new(2).await;
-    let (daemon, _options, clients) = standing(&site, 6).await;
-    let successor = Successor::of(&site, &daemon).await;
-    // What one sender may have under way is bounded, too: full is full for one that has sent nothing.
+    let (daemon, _options, connections) = start_with_connections(&site, 6).await;
+    let successor = MockSuccessor::start(&site, &daemon).await;
+    // The send buffer of one sender is limited, too. The receiver's queue is full when a new sender cannot
+    // send its first datagram.
     let mut fillers = Vec::new();
     loop {
-        let filler = UnixDatagram::unbound().expect("a socket");
-        filler.set_nonblocking(true).expect("set");
-        filler.connect(&successor.path).expect("it receives");
-        let sent = std::iter::repeat_with(|| filler.send(b"x")).take_while(Result::is_ok).count();
+        let filler = UnixDatagram::unbound().expect("datagram socket");
+        filler.set_nonblocking(true).expect("non-blocking socket");
+        filler.connect(&successor.handoff_path).expect("connected handoff socket");
+        let sent_count = std::iter::repeat_with(|| filler.send(b"x")).take_while(Result::is_ok).count();
         fillers.push(filler);
-        if sent == 0 {
+        if sent_count == 0 {
             break;
         }
-        assert!(fillers.len() < 100, "a queue without end");
+        assert!(fillers.len() < 100, "the queue is not full after {} senders", fillers.len());
     }
-    let asked = Instant::now();
-    daemon.terminate().expect("it runs");
-    let mut moved = Vec::new();
-    for (mut client, server) in clients {
-        assert!(client.is_moved().await.expect("an end"), "cut off");
-        moved.push(asked.elapsed());
+    let terminated_at = Instant::now();
+    daemon.terminate().expect("running daemon");
+    let mut move_delays = Vec::new();
+    for (mut client, server) in connections {
+        assert!(client.is_moved().await.expect("end of the connection"), "closed without MOVE");
+        move_delays.push(terminated_at.elapsed());
         drop(server);
     }
-    // 0.8 s for room in the queue; the rest is the machine's.
-    assert!(moved.iter().all(|&at| at < Duration::from_millis(2500)), "{moved:?}");
-    all_moved(daemon, Vec::new(), asked).await;
+    // The daemon waits 0.8 s for space in the queue. The remaining time allows for a slow machine.
+    assert!(move_delays.iter().all(|&delay| delay < Duration::from_millis(2500)), "{move_delays:?}");
+    assert_all_moved(daemon, Vec::new(), terminated_at).await;
 }
 
 #[tokio::test]
-async fn what_was_read_behind_the_first_lines_goes_along() {
+async fn a_handoff_includes_the_bytes_that_were_read_ahead() {
     let site = Site::new(1).await;
-    let (shared, at) = site.shared();
+    let (shared, gateway_address) = site.shared();
     let daemon = site.start(&Options { shared: Some(shared), ..site.options(&json!({})) }).await;
-    // Both sides say more than their first line at once, and stop half way through a line.
-    let mut client = TcpStream::connect(at).await.expect("taken");
-    client.write_all(b"OPEN 1 2 c=meter,d=3000,g=1\r\nearly\r\nhal").await.expect("heard");
+    // Both sides send more than their first line at once, and end in the middle of a line.
+    let mut client = TcpStream::connect(gateway_address).await.expect("connected client");
+    client.write_all(b"OPEN 1 2 c=meter,d=3000,g=1\r\nearly\r\nhal").await.expect("sent request");
     let mut server = site.attempt().await;
-    server.stream.write_all(b"UP r\r\nfirst\r\nsec").await.expect("heard");
-    // What is passed on before the hand-over, as far as it goes by lines.
-    let mut seen = [0; 13];
-    within("the answer", client.read_exact(&mut seen)).await.expect("in time").expect("read");
-    assert_eq!(&seen, b"UP r\r\nfirst\r\n");
-    let mut seen = [0; 7];
-    within("the early line", server.stream.read_exact(&mut seen)).await.expect("in time").expect("read");
-    assert_eq!(&seen, b"early\r\n");
-    let successor = Successor::of(&site, &daemon).await;
-    daemon.terminate().expect("it runs");
-    let ReceivedConnection { connection: standing, client: to_client, server: to_server } =
-        within("the connection", successor.inbox.receive()).await.expect("in time").expect("whole");
-    let (status, _) = daemon.end().await.expect("it ends");
+    server.stream.write_all(b"UP r\r\nfirst\r\nsec").await.expect("sent answer");
+    // Complete lines are forwarded before the handoff.
+    let mut received = [0; 13];
+    within("the answer", client.read_exact(&mut received)).await.expect("in time").expect("read");
+    assert_eq!(&received, b"UP r\r\nfirst\r\n");
+    let mut received = [0; 7];
+    within("the early line", server.stream.read_exact(&mut received)).await.expect("in time").expect("read");
+    assert_eq!(&received, b"early\r\n");
+    let successor = MockSuccessor::start(&site, &daemon).await;
+    daemon.terminate().expect("running daemon");
+    let handed_off = within("the connection", successor.handoff_receiver.receive()).await.expect("in time");
+    let ReceivedConnection { connection, client: client_socket, server: server_socket } =
+        handed_off.expect("valid handoff");
+    let (status, _) = daemon.end().await.expect("exit of the daemon");
     assert!(status.success(), "{status}");
-    // The rest of both streams: what was passed on, what goes along, and what comes later.
-    let stream = |fd| {
-        let stream = std::net::TcpStream::from(fd);
-        stream.set_nonblocking(true).expect("set");
-        TcpStream::from_std(stream).expect("a socket")
+    // In both directions, the pending bytes of the handoff and the bytes sent later continue the forwarded
+    // lines.
+    let to_stream = |descriptor| {
+        let stream = std::net::TcpStream::from(descriptor);
+        stream.set_nonblocking(true).expect("non-blocking socket");
+        TcpStream::from_std(stream).expect("socket of the runtime")
     };
-    let ends = [
-        (stream(to_client), &standing.to_client, &mut client, &b"sec"[..]),
-        (stream(to_server), &standing.to_server, &mut server.stream, &b"hal"[..]),
+    let directions = [
+        (to_stream(client_socket), &connection.to_client, &mut client, &b"sec"[..]),
+        (to_stream(server_socket), &connection.to_server, &mut server.stream, &b"hal"[..]),
     ];
-    for (mut ours, PendingBytes { line_remainder: begun, read_ahead: behind }, theirs, half) in ends {
-        for part in [&begun[..], &behind[..], b"ond\r\n"] {
-            ours.write_all(part).await.expect("it stands");
+    for (mut handed_off, pending, remote, line_start) in directions {
+        let PendingBytes { line_remainder, read_ahead } = pending;
+        for part in [&line_remainder[..], &read_ahead[..], b"ond\r\n"] {
+            handed_off.write_all(part).await.expect("open connection");
         }
-        let mut seen = vec![0; half.len() + 5];
-        within("the rest", theirs.read_exact(&mut seen)).await.expect("in time").expect("read");
-        assert_eq!(seen, [half, b"ond\r\n"].concat(), "{begun:?} {behind:?}");
+        let mut received = vec![0; line_start.len() + 5];
+        within("the rest", remote.read_exact(&mut received)).await.expect("in time").expect("read");
+        assert_eq!(received, [line_start, b"ond\r\n"].concat(), "{line_remainder:?} {read_ahead:?}");
     }
     assert_eq!(
-        (&standing.server[..], &standing.open_line[..]),
+        (&connection.server[..], &connection.open_line[..]),
         ("s-0", &b"OPEN 1 2 c=meter,d=3000,g=1\r\n"[..])
     );
 }
 
 #[tokio::test]
-async fn a_drain_told_to_one_of_the_two_holds_at_the_other() {
+async fn an_endpoint_list_of_a_sibling_takes_effect() {
     let site = Site::new(2).await;
     let addresses = site.addresses();
-    let news = |index, first, second| {
-        let news = list(index, &[(addresses[0], first), (addresses[1], second)]);
-        SiblingMessage::List(serde_json::from_value(news).expect("a list")).encode_line()
+    let list_message = |index, first_status, second_status| {
+        let list = list(index, &[(addresses[0], first_status), (addresses[1], second_status)]);
+        SiblingMessage::List(serde_json::from_value(list).expect("endpoint list")).encode_line()
     };
-    let older = UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound");
-    let state = || {
+    let older_process =
+        UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound sibling socket");
+    let state_message = || {
         SiblingMessage::State(ProcessState { rank: 1, ready: true, ..ProcessState::default() }).encode_line()
     };
-    let first = [news(5, "SERVING", "DRAINING"), state()].concat();
-    let met = tokio::spawn(async move {
-        let (mut link, _) = older.accept().await.expect("met");
-        link.write_all(&first).await.expect("told");
+    let first_messages = [list_message(5, "SERVING", "DRAINING"), state_message()].concat();
+    let accepted_link = tokio::spawn(async move {
+        let (mut link, _) = older_process.accept().await.expect("link of the daemon");
+        link.write_all(&first_messages).await.expect("sent messages");
         link
     });
-    // Discovery that cannot be reached: all it knows is the list it was given and what the older one tells.
-    let (shared, at) = site.shared();
+    // Discovery is unreachable, so the daemon has only its configured list and the lists of the older
+    // process.
+    let (shared, gateway_address) = site.shared();
     let options = site.options(&json!({"discovery": "127.0.0.1:1"}));
     let daemon = site.start(&Options { shared: Some(shared), ..options }).await;
-    let mut link = met.await.expect("met");
-    let mut clients = Vec::new();
+    let mut link = accepted_link.await.expect("link of the daemon");
+    let mut connections = Vec::new();
     for _ in 0..8 {
-        let (client, attempt) = site.standing(at).await;
-        assert_eq!(attempt.server, 0, "told at the meeting");
-        clients.push((client, attempt));
+        let (client, attempt) = site.standing(gateway_address).await;
+        assert_eq!(attempt.server, 0, "the first list has s-1 as draining");
+        connections.push((client, attempt));
     }
-    link.write_all(&news(6, "DRAINING", "SERVING")).await.expect("told");
-    let next = clients.iter_mut().map(|(client, _)| Box::pin(client.next()));
-    let (moved, ..) = within("a MOVE", select_all(next)).await.expect("in time");
-    assert_eq!(moved.expect("a line").as_deref(), Some("MOVE"));
-    assert_eq!(site.standing(at).await.1.server, 1, "told later");
+    link.write_all(&list_message(6, "DRAINING", "SERVING")).await.expect("sent list");
+    let next_lines = connections.iter_mut().map(|(client, _)| Box::pin(client.next()));
+    let (line, ..) = within("a MOVE", select_all(next_lines)).await.expect("in time");
+    assert_eq!(line.expect("a line").as_deref(), Some("MOVE"));
+    assert_eq!(site.standing(gateway_address).await.1.server, 1, "the second list has s-0 as draining");
     drop(daemon);
 }
 
 #[tokio::test]
-async fn a_cordon_called_at_either_is_known_to_both() {
+async fn a_cordon_at_one_process_takes_effect_at_its_sibling() {
     let site = Site::new(3).await;
-    let (first, options, _clients) = standing(&site, 1).await;
+    let (first, options, _connections) = start_with_connections(&site, 1).await;
     let second = site.start(&options).await;
-    first.says("handover: the successor accepts clients").await.expect("met");
-    assert!(first.call("cordon s-0").await.expect("an answer").starts_with("200"));
-    second.says("operator: s-0 is out").await.expect("known");
-    assert!(second.call("cordon s-1").await.expect("an answer").starts_with("200"));
-    first.says("operator: s-1 is out").await.expect("known");
-    assert!(second.call("uncordon s-0").await.expect("an answer").starts_with("200"));
-    first.says("operator: s-0 is back").await.expect("known");
+    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
+    assert!(first.call("cordon s-0").await.expect("response").starts_with("200"));
+    second.says("operator: s-0 is out").await.expect("log line of the second process");
+    assert!(second.call("cordon s-1").await.expect("response").starts_with("200"));
+    first.says("operator: s-1 is out").await.expect("log line of the first process");
+    assert!(second.call("uncordon s-0").await.expect("response").starts_with("200"));
+    first.says("operator: s-0 is back").await.expect("log line of the first process");
 }
 
 #[tokio::test]
-async fn both_told_to_stop_at_once_move_everyone() {
+async fn all_clients_are_moved_if_both_processes_are_terminated_at_once() {
     let site = Site::new(2).await;
-    let (first, options, mut clients) = standing(&site, 8).await;
+    let (first, options, mut connections) = start_with_connections(&site, 8).await;
     let second = site.start(&options).await;
-    first.says("handover: the successor accepts clients").await.expect("met");
-    let at = options.shared.as_ref().expect("shared").listener.local_addr().expect("bound");
+    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
+    let listener = &options.shared.as_ref().expect("shared listener").listener;
+    let gateway_address = listener.local_addr().expect("bound listener");
     for _ in 0..4 {
-        clients.push(site.standing(at).await);
+        connections.push(site.standing(gateway_address).await);
     }
-    let asked = Instant::now();
-    first.terminate().expect("it runs");
-    second.terminate().expect("it runs");
-    all_moved(first, clients, asked).await;
-    all_moved(second, Vec::new(), asked).await;
-    assert!(sockets(&site).is_empty(), "{:?}", sockets(&site));
+    let terminated_at = Instant::now();
+    first.terminate().expect("running daemon");
+    second.terminate().expect("running daemon");
+    assert_all_moved(first, connections, terminated_at).await;
+    assert_all_moved(second, Vec::new(), terminated_at).await;
+    assert!(sibling_sockets(&site).is_empty(), "{:?}", sibling_sockets(&site));
 }
 
 #[tokio::test]
-async fn an_older_process_that_hangs_keeps_nobody_waiting_and_hands_over_once_it_goes_on() {
+async fn a_stalled_older_process_delays_no_start_and_hands_off_after_it_resumes() {
     let site = Site::new(2).await;
-    let (first, options, clients) = standing(&site, 4).await;
-    let at = options.shared.as_ref().expect("shared").listener.local_addr().expect("bound");
-    first.stall(true).expect("it runs");
-    // Three more that say nothing: all are waited for at once.
-    let mut silent = Vec::new();
-    for number in 1..=3 {
-        let path = site.folder.join(format!("ashtide.shared.{number}.sock"));
-        silent.push(UnixListener::bind(path).expect("bound"));
+    let (first, options, connections) = start_with_connections(&site, 4).await;
+    let listener = &options.shared.as_ref().expect("shared listener").listener;
+    let gateway_address = listener.local_addr().expect("bound listener");
+    first.stall(true).expect("running daemon");
+    // Three more siblings do not answer. The daemon has to wait for all of them concurrently.
+    let mut silent_siblings = Vec::new();
+    for rank in 1..=3 {
+        let path = site.folder.join(format!("ashtide.shared.{rank}.sock"));
+        silent_siblings.push(UnixListener::bind(path).expect("bound sibling socket"));
     }
-    let started = Instant::now();
+    let start_time = Instant::now();
     let second = site.start(&options).await;
-    let took = started.elapsed();
-    assert!(took < Duration::from_millis(1900), "{took:?}: one after the other");
+    let start_duration = start_time.elapsed();
+    assert!(
+        start_duration < Duration::from_millis(1900),
+        "start took {start_duration:?}: the daemon waited for its siblings one after the other"
+    );
     assert_eq!(
         second
             .said()
             .iter()
-            .filter(|it| it.ends_with("handover: the previous process has sent no state in time"))
+            .filter(|line| line.ends_with("handover: the previous process has sent no state in time"))
             .count(),
         4
     );
-    let _new = site.standing(at).await;
-    first.stall(false).expect("it runs");
-    first.says("handover: the successor accepts clients").await.expect("met");
-    first.terminate().expect("it runs");
-    let (status, _) = first.end().await.expect("it ends");
+    let _new_connection = site.standing(gateway_address).await;
+    first.stall(false).expect("running daemon");
+    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
+    first.terminate().expect("running daemon");
+    let (status, _) = first.end().await.expect("exit of the daemon");
     assert!(status.success(), "{status}");
-    for (mut client, mut server) in clients {
-        client.say("still").await.expect("it stands");
+    for (mut client, mut server) in connections {
+        client.say("still").await.expect("open connection");
         let mut line = [0; 7];
-        within("its line", server.stream.read_exact(&mut line)).await.expect("in time").expect("it stands");
+        within("its line", server.stream.read_exact(&mut line)).await.expect("in time").expect("a line");
         assert_eq!(&line, b"still\r\n");
     }
     drop(second);
 }
 
 #[tokio::test]
-async fn a_stop_while_it_meets_one_that_says_nothing_ends_in_time() {
+async fn a_daemon_that_waits_for_a_silent_sibling_stops_in_time() {
     let site = Site::new(1).await;
-    let older = UnixListener::bind(site.folder.join("ashtide.n0.1.sock")).expect("bound");
+    let silent_sibling =
+        UnixListener::bind(site.folder.join("ashtide.n0.1.sock")).expect("bound sibling socket");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
                         "settings": {"classes": [{"name": "meter", "deadline": 3.0}]}});
-    let file = site.folder.join("config.json");
-    std::fs::write(&file, config.to_string()).expect("written");
+    let config_path = site.folder.join("config.json");
+    std::fs::write(&config_path, config.to_string()).expect("written configuration");
     let mut daemon = tokio::process::Command::from(Command::new(env!("CARGO_BIN_EXE_ashtide")))
-        .env("ROUTER_CONFIG", &file)
+        .env("ROUTER_CONFIG", &config_path)
         .env("TMPDIR", &site.folder)
         .env_remove("ROUTER_OPERATOR")
         .stderr(Stdio::null())
         .kill_on_drop(true)
         .spawn()
-        .expect("it starts");
-    let (_link, _) = within("a link", older.accept()).await.expect("in time").expect("met");
-    let asked = Instant::now();
-    let id = daemon.id().and_then(|id| rustix::process::Pid::from_raw(id as i32)).expect("it runs");
-    rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("it runs");
-    let status = within("its end", daemon.wait()).await.expect("in time").expect("an end");
-    assert!(status.success() && asked.elapsed() < KILLED, "{status} after {:?}", asked.elapsed());
+        .expect("started daemon");
+    let (_link, _) =
+        within("a link", silent_sibling.accept()).await.expect("in time").expect("accepted link");
+    let terminated_at = Instant::now();
+    let process_id =
+        daemon.id().and_then(|id| rustix::process::Pid::from_raw(id as i32)).expect("running daemon");
+    rustix::process::kill_process(process_id, rustix::process::Signal::TERM).expect("running daemon");
+    let status = within("its end", daemon.wait()).await.expect("in time").expect("exit status");
+    let elapsed = terminated_at.elapsed();
+    assert!(status.success() && elapsed < MIN_KILL_DELAY, "{status} after {elapsed:?}");
 }
 
 #[tokio::test]
-async fn a_word_without_its_sender_is_an_older_versions_and_is_taken() {
+async fn a_state_message_without_a_deployment_is_accepted_as_of_an_older_version() {
     let site = Site::new(2).await;
-    let (daemon, _options, _clients) = standing(&site, 1).await;
-    let mut link = UnixStream::connect(&sockets(&site)[0]).await.expect("it listens");
-    let word = r#"{"state":{"started":7,"ready":true,"cordons":{"s-0":{"at":9,"out":true}}}}"#;
-    link.write_all(format!("{word}\n").as_bytes()).await.expect("told");
-    daemon.says("operator: s-0 is out").await.expect("taken");
+    let (daemon, _options, _connections) = start_with_connections(&site, 1).await;
+    let mut link = UnixStream::connect(&sibling_sockets(&site)[0]).await.expect("link to the daemon");
+    let message = r#"{"state":{"started":7,"ready":true,"cordons":{"s-0":{"at":9,"out":true}}}}"#;
+    link.write_all(format!("{message}\n").as_bytes()).await.expect("sent message");
+    daemon.says("operator: s-0 is out").await.expect("log line of the daemon");
 }
