--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -1,5 +1,5 @@
-//! What processes of one gateway write for each other and keep for their successors: bytes and readings of the
-//! versions that are in use.
+//! Compatibility of the messages, handoff datagrams and state files that processes of one gateway exchange:
+//! their bytes, and how those of all versions in use are decoded.
 
 mod transcripts;
 
@@ -20,20 +20,21 @@
 use tokio_util::codec::Decoder;
 use transcripts::{assert_outcomes, assert_written, bytes, escape, unescape};
 
-fn names(names: &[&str]) -> BTreeSet<String> {
+fn name_set(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|&name| name.to_owned()).collect()
 }
 
 fn deployment() -> Deployment {
     Deployment {
         name: "north/1 \"a\"".to_owned(),
-        listen_address: Some("10.0.0.1:8080".parse().expect("an address")),
+        listen_address: Some("10.0.0.1:8080".parse().expect("valid address")),
         listener_inode: Some(4_211),
-        classes: names(&["read", "pay"]),
-        tenants: names(&["acme"]),
+        classes: name_set(&["read", "pay"]),
+        tenants: name_set(&["acme"]),
     }
 }
 
+/// Returns cordons with changes that are recorded out of order and after the clock was stepped back.
 fn cordons() -> Cordons {
     let mut cordons = Cordons::default();
     cordons.record("s-1", CordonChange { timestamp: 1_800_000_000_000_000, cordoned: true });
@@ -46,8 +47,8 @@
     cordons
 }
 
-fn state() -> ProcessState {
-    let share = ServerUsage {
+fn process_state() -> ProcessState {
+    let usage = ServerUsage {
         open_connections: 3,
         recovery_tokens: 0.5,
         last_used_permit: 7,
@@ -60,132 +61,132 @@
         adopts_connections: true,
         restore_phase_over: true,
         descriptors: 40,
-        server_usage: BTreeMap::from([("s-1".to_owned(), share), ("s-0".to_owned(), ServerUsage::default())]),
+        server_usage: BTreeMap::from([("s-1".to_owned(), usage), ("s-0".to_owned(), ServerUsage::default())]),
         cordons: cordons(),
     }
 }
 
-fn list() -> EndpointList {
+fn endpoint_list() -> EndpointList {
     serde_json::from_str(
         r#"{"index": 9, "snapshot": true, "endpoints": [
-            {"name": "s-0", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1, "status": "DRAINING",
-             "weight": 1.5, "since_ms": 7},
+            {"name": "s-0", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1,
+             "status": "DRAINING", "weight": 1.5, "since_ms": 7},
             {"name": "s-1", "address": "[::1]:9", "status": "SERVING"},
             {"name": "s-2", "address": "127.0.0.1:10", "status": "DELETED"}]}"#,
     )
-    .expect("a list")
+    .expect("valid endpoint list")
 }
 
-fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("JSON")
+fn to_json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("serializable value")
 }
 
-fn joined(names: &BTreeSet<String>) -> String {
+fn format_names(names: &BTreeSet<String>) -> String {
     names.iter().map(|name| format!("[{name}]")).collect()
 }
 
-fn encode_deployment(whose: Option<&Deployment>) -> String {
-    let Some(Deployment { name, listen_address: listen, listener_inode: socket, classes, tenants }) = whose
-    else {
+/// Formats a deployment as in the fixtures.
+fn format_deployment(deployment: Option<&Deployment>) -> String {
+    let Some(Deployment { name, listen_address, listener_inode, classes, tenants }) = deployment else {
         return "none".to_owned();
     };
-    let listen = listen.map_or("none".to_owned(), |listen| listen.to_string());
-    let socket = socket.map_or("none".to_owned(), |socket| socket.to_string());
-    format!("{name} listen {listen} socket {socket} classes {} tenants {}", joined(classes), joined(tenants))
+    let address = listen_address.map_or("none".to_owned(), |address| address.to_string());
+    let inode = listener_inode.map_or("none".to_owned(), |inode| inode.to_string());
+    let (classes, tenants) = (format_names(classes), format_names(tenants));
+    format!("{name} listen {address} socket {inode} classes {classes} tenants {tenants}")
 }
 
-fn encode_cordons(cordons: &Cordons) -> String {
-    format!("{} out {}", json(cordons), cordons.cordoned_servers().collect::<Vec<_>>().join(" "))
+/// Formats cordons as in the fixtures.
+fn format_cordons(cordons: &Cordons) -> String {
+    format!("{} out {}", to_json(cordons), cordons.cordoned_servers().collect::<Vec<_>>().join(" "))
 }
 
-fn encode_kept(kept: &PersistedState) -> String {
-    let PersistedState { deployment: whose, restore_phase_over: begun, cordons } = kept;
-    let whose = encode_deployment(whose.as_ref());
-    format!("deployment {whose}\nbegun {begun}\ncordons {}", encode_cordons(cordons))
+/// Formats the contents of a state file as in the fixtures.
+fn format_persisted_state(state: &PersistedState) -> String {
+    let PersistedState { deployment, restore_phase_over, cordons } = state;
+    let deployment = format_deployment(deployment.as_ref());
+    format!("deployment {deployment}\nbegun {restore_phase_over}\ncordons {}", format_cordons(cordons))
 }
 
-fn encode_word(word: &SiblingMessage) -> String {
-    match word {
+/// Formats a message as in the fixtures.
+fn format_message(message: &SiblingMessage) -> String {
+    match message {
         SiblingMessage::List(list) => {
             let mut text = format!("list index {} snapshot {}", list.index, list.snapshot);
-            for it in &list.endpoints {
-                let _ = write!(text, "\n{} {} {} {}", it.name, it.address, it.zone, it.kind);
-                let _ = write!(text, " {} {} {} {}", it.cell, json(&it.status), it.weight, it.since_ms);
+            for entry in &list.endpoints {
+                let status = to_json(&entry.status);
+                let _ = write!(text, "\n{} {} {} {}", entry.name, entry.address, entry.zone, entry.kind);
+                let _ = write!(text, " {} {status} {} {}", entry.cell, entry.weight, entry.since_ms);
             }
             text
         }
         SiblingMessage::State(state) => {
             let ProcessState {
-                deployment: whose,
-                rank: started,
+                deployment,
+                rank,
                 ready,
-                adopts_connections: adopts,
-                restore_phase_over: begun,
-                descriptors: sockets,
-                server_usage: shares,
+                adopts_connections,
+                restore_phase_over,
+                descriptors,
+                server_usage,
                 cordons,
             } = state;
-            let mut text = format!("state deployment {}\n", encode_deployment(whose.as_ref()));
-            let _ = write!(
-                text,
-                "started {started} ready {ready} adopts {adopts} begun {begun} sockets {sockets}"
-            );
-            for (
-                server,
-                ServerUsage {
-                    open_connections: open,
-                    recovery_tokens: budget,
-                    last_used_permit: spent,
-                    last_granted_permit: granted,
-                },
-            ) in shares
-            {
-                let _ =
-                    write!(text, "\n{server} open {open} budget {budget} spent {spent} granted {granted}");
+            let mut text = format!("state deployment {}\n", format_deployment(deployment.as_ref()));
+            let _ = write!(text, "started {rank} ready {ready} adopts {adopts_connections}");
+            let _ = write!(text, " begun {restore_phase_over} sockets {descriptors}");
+            for (server, usage) in server_usage {
+                let ServerUsage { open_connections, recovery_tokens, last_used_permit, last_granted_permit } =
+                    usage;
+                let _ = write!(text, "\n{server} open {open_connections} budget {recovery_tokens}");
+                let _ = write!(text, " spent {last_used_permit} granted {last_granted_permit}");
             }
-            text + "\ncordons " + &encode_cordons(cordons)
+            text + "\ncordons " + &format_cordons(cordons)
         }
     }
 }
 
-fn encode_standing(standing: &EstablishedConnection) -> String {
-    let EstablishedConnection { server, open_line: open, to_client, to_server } = standing;
-    let mut text = format!("server {}\nopen {}", escape(server.as_bytes()), escape(open));
-    for PendingBytes { line_remainder: begun, read_ahead: behind } in [to_client, to_server] {
-        let _ = write!(text, "\nbegun {}\nbehind {}", escape(begun), escape(behind));
+/// Formats an established connection as in the fixtures.
+fn format_connection(connection: &EstablishedConnection) -> String {
+    let EstablishedConnection { server, open_line, to_client, to_server } = connection;
+    let mut text = format!("server {}\nopen {}", escape(server.as_bytes()), escape(open_line));
+    for PendingBytes { line_remainder, read_ahead } in [to_client, to_server] {
+        let _ = write!(text, "\nbegun {}\nbehind {}", escape(line_remainder), escape(read_ahead));
     }
     text
 }
 
-fn read_words(input: &[u8]) -> String {
+/// Decodes the messages of a stream and formats them and the undecoded rest, or the error, as in the
+/// fixtures.
+fn decode_messages(input: &[u8]) -> String {
     let mut codec = SiblingMessageCodec::default();
     let mut buffer = BytesMut::from(input);
     let mut text = String::new();
     loop {
         match codec.decode_eof(&mut buffer) {
-            Ok(Some(word)) => text += &(encode_word(&word) + "\n"),
+            Ok(Some(message)) => text += &(format_message(&message) + "\n"),
             Ok(None) => return text + &format!("rest {}", escape(&buffer)),
             Err(error) => return text + &format!("error {error}"),
         }
     }
 }
 
-/// A folder of the test's own, removed at its end.
+/// Temporary folder of a test, which is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
-    fn new(topic: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("ashtide-fixed-{topic}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+    fn new(test_name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("ashtide-fixed-{test_name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("created folder");
         Self(path)
     }
 
-    fn files(&self) -> Vec<String> {
-        let entries = std::fs::read_dir(&self.0).expect("the folder").flatten();
-        let mut files: Vec<String> =
-            entries.map(|entry| entry.file_name().into_string().expect("a plain name")).collect();
-        files.sort();
-        files
+    /// Returns the names of all files, sorted.
+    fn file_names(&self) -> Vec<String> {
+        let entries = std::fs::read_dir(&self.0).expect("readable folder").flatten();
+        let mut names: Vec<String> =
+            entries.map(|entry| entry.file_name().into_string().expect("UTF-8 name")).collect();
+        names.sort();
+        names
     }
 }
 
@@ -196,102 +197,112 @@
 }
 
 #[test]
-fn the_state_file_has_its_name_and_its_bytes() {
+fn the_state_file_is_named_and_encoded_as_recorded() {
     let folder = Folder::new("written");
-    let place = StateFolder::for_deployment(&folder.0, deployment());
-    place
+    let state_folder = StateFolder::for_deployment(&folder.0, deployment());
+    state_folder
         .store(&PersistedState { deployment: None, restore_phase_over: true, cordons: cordons() })
-        .expect("kept");
-    assert_eq!(folder.files(), ["ashtide.north_1__a_.kept"]);
-    let written = std::fs::read(folder.0.join("ashtide.north_1__a_.kept")).expect("written");
+        .expect("stored state");
+    assert_eq!(folder.file_names(), ["ashtide.north_1__a_.kept"]);
+    let written = std::fs::read(folder.0.join("ashtide.north_1__a_.kept")).expect("state file");
     assert_written("handover/state_file.json", &written);
-    let read = place.load();
+    let loaded = state_folder.load();
     assert_eq!(
-        encode_kept(&read),
-        encode_kept(&PersistedState {
+        format_persisted_state(&loaded),
+        format_persisted_state(&PersistedState {
             deployment: Some(deployment()),
             restore_phase_over: true,
             cordons: cordons()
         })
     );
-    // Another deployment of the same name keeps its own beside it.
-    let other =
-        Deployment { listen_address: Some("10.0.0.2:8080".parse().expect("an address")), ..deployment() };
-    let other = StateFolder::for_deployment(&folder.0, Deployment { listener_inode: None, ..other });
-    other.store(&PersistedState::default()).expect("kept");
-    assert_eq!(folder.files(), ["ashtide.north_1__a_.2.kept", "ashtide.north_1__a_.kept"]);
-    let written = std::fs::read(folder.0.join("ashtide.north_1__a_.2.kept")).expect("written");
+    // Another deployment of the same name has its own file in the same folder.
+    let other_deployment = Deployment {
+        listen_address: Some("10.0.0.2:8080".parse().expect("valid address")),
+        listener_inode: None,
+        ..deployment()
+    };
+    let other_state_folder = StateFolder::for_deployment(&folder.0, other_deployment);
+    other_state_folder.store(&PersistedState::default()).expect("stored state");
+    assert_eq!(folder.file_names(), ["ashtide.north_1__a_.2.kept", "ashtide.north_1__a_.kept"]);
+    let written = std::fs::read(folder.0.join("ashtide.north_1__a_.2.kept")).expect("second state file");
     assert_written("handover/second_state_file.json", &written);
 }
 
 #[test]
-fn state_files_of_all_versions_are_read() {
+fn state_files_of_all_versions_decode_as_recorded() {
     assert_outcomes("handover/state_files.txt", 30, |input| {
         match serde_json::from_slice::<PersistedState>(&unescape(input)) {
-            Ok(kept) => encode_kept(&kept),
+            Ok(state) => format_persisted_state(&state),
             Err(error) => format!("error {error}"),
         }
     });
 }
 
 #[test]
-fn a_state_file_that_does_not_say_whose_it_is_is_taken() {
+fn a_state_file_without_a_deployment_is_loaded() {
     let folder = Folder::new("older");
-    let place = StateFolder::for_deployment(&folder.0, deployment());
+    let state_folder = StateFolder::for_deployment(&folder.0, deployment());
     let file = folder.0.join("ashtide.north_1__a_.kept");
-    let older = r#"{"begun":true,"cordons":{"s-0":{"at":9,"out":true}}}"#;
-    std::fs::write(&file, older).expect("written");
-    let kept = place.load();
-    assert!(kept.restore_phase_over && kept.cordons.is_cordoned("s-0") && kept.deployment.is_none());
-    std::fs::write(&file, &older[..20]).expect("written");
-    assert_eq!(encode_kept(&place.load()), encode_kept(&PersistedState::default()));
+    let older_version = r#"{"begun":true,"cordons":{"s-0":{"at":9,"out":true}}}"#;
+    std::fs::write(&file, older_version).expect("written file");
+    let loaded = state_folder.load();
+    assert!(loaded.restore_phase_over && loaded.cordons.is_cordoned("s-0") && loaded.deployment.is_none());
+    // A truncated file is ignored.
+    std::fs::write(&file, &older_version[..20]).expect("written file");
+    assert_eq!(
+        format_persisted_state(&state_folder.load()),
+        format_persisted_state(&PersistedState::default())
+    );
 }
 
 #[tokio::test]
-async fn the_files_of_a_process_have_their_names() {
+async fn the_files_of_a_process_are_named_as_recorded() {
     let folder = Folder::new("names");
-    let place = StateFolder::for_gateway(&folder.0, "north/1");
-    assert!(place.bind_handoff_receiver(17).is_some());
-    assert_eq!(folder.files(), ["ashtide.north_1.17.inbox"]);
-    assert_eq!(place.file_path("generation"), folder.0.join("ashtide.north_1.generation"));
-    let later = u64::MAX - (1 << 40);
-    std::fs::write(folder.0.join(format!("ashtide.north_1.{later}.sock")), "").expect("written");
-    std::fs::write(folder.0.join(format!("ashtide.north_1.{}.inbox", u64::MAX)), "").expect("written");
-    assert_eq!(place.next_rank(), later + 1 + u64::from(std::process::id()));
-    place.remove_sockets(17);
-    place.remove_sockets(later);
-    assert_eq!(folder.files(), [format!("ashtide.north_1.{}.inbox", u64::MAX)]);
+    let state_folder = StateFolder::for_gateway(&folder.0, "north/1");
+    assert!(state_folder.bind_handoff_receiver(17).is_some());
+    assert_eq!(folder.file_names(), ["ashtide.north_1.17.inbox"]);
+    assert_eq!(state_folder.file_path("generation"), folder.0.join("ashtide.north_1.generation"));
+    // The next rank is above that of every sibling socket, but handoff sockets (`.inbox`) do not count.
+    let high_rank = u64::MAX - (1 << 40);
+    std::fs::write(folder.0.join(format!("ashtide.north_1.{high_rank}.sock")), "").expect("written file");
+    std::fs::write(folder.0.join(format!("ashtide.north_1.{}.inbox", u64::MAX)), "").expect("written file");
+    assert_eq!(state_folder.next_rank(), high_rank + 1 + u64::from(std::process::id()));
+    state_folder.remove_sockets(17);
+    state_folder.remove_sockets(high_rank);
+    assert_eq!(folder.file_names(), [format!("ashtide.north_1.{}.inbox", u64::MAX)]);
     assert_eq!(CLOCK_OFFSET_VARIABLE, "ASHTIDE_CLOCK_OFFSET_MS");
 }
 
 #[test]
-fn messages_between_processes_have_their_bytes() {
-    let words = [
-        SiblingMessage::List(list()),
-        SiblingMessage::State(state()),
+fn messages_are_encoded_as_recorded() {
+    let messages = [
+        SiblingMessage::List(endpoint_list()),
+        SiblingMessage::State(process_state()),
         SiblingMessage::State(ProcessState::default()),
     ];
-    let lines: Vec<u8> = words.iter().flat_map(|word| word.encode_line().to_vec()).collect();
+    let lines: Vec<u8> = messages.iter().flat_map(|message| message.encode_line().to_vec()).collect();
     assert_written("handover/messages.jsonl", &lines);
-    let expected = words.iter().map(|word| encode_word(word) + "\n").collect::<String>() + "rest ";
-    assert_eq!(read_words(&bytes("handover/messages.jsonl")), expected);
+    let expected =
+        messages.iter().map(|message| format_message(message) + "\n").collect::<String>() + "rest ";
+    assert_eq!(decode_messages(&bytes("handover/messages.jsonl")), expected);
 }
 
 #[test]
-fn messages_of_all_versions_are_read() {
-    assert_outcomes("handover/messages.txt", 33, |input| read_words(&unescape(input)));
+fn messages_of_all_versions_decode_as_recorded() {
+    assert_outcomes("handover/messages.txt", 33, |input| decode_messages(&unescape(input)));
 }
 
 #[test]
 fn a_message_that_is_too_long_is_an_error() {
-    assert_eq!(read_words(&vec![b'x'; 1 << 20]), "error over 1048576 bytes");
-    let longest = [vec![b'7'; (1 << 20) - 1], b"\n".to_vec()].concat();
-    assert!(read_words(&longest).starts_with("error expected value at "), "{}", read_words(&longest));
-    let longer = [vec![b'7'; 1 << 20], b"\n".to_vec()].concat();
-    assert_eq!(read_words(&longer), "error over 1048576 bytes");
+    assert_eq!(decode_messages(&vec![b'x'; 1 << 20]), "error over 1048576 bytes");
+    let longest_allowed = [vec![b'7'; (1 << 20) - 1], b"\n".to_vec()].concat();
+    let outcome = decode_messages(&longest_allowed);
+    assert!(outcome.starts_with("error expected value at "), "{outcome}");
+    let too_long = [vec![b'7'; 1 << 20], b"\n".to_vec()].concat();
+    assert_eq!(decode_messages(&too_long), "error over 1048576 bytes");
 }
 
-fn standing() -> EstablishedConnection {
+fn established_connection() -> EstablishedConnection {
     EstablishedConnection {
         server: "s-\n0".to_owned(),
         open_line: Bytes::from_static(b"OPEN 1 2 c=meter,d=3000,g=1\r\n"),
@@ -307,62 +318,73 @@
 }
 
 #[test]
-fn a_connection_that_is_handed_on_has_its_bytes() {
-    let datagram = standing().encode().expect("short enough");
+fn a_handoff_datagram_is_encoded_as_recorded() {
+    let datagram = established_connection().encode().expect("within the maximum length");
     assert_written("handover/connection.bin", &datagram);
-    let read = EstablishedConnection::decode(Bytes::from(bytes("handover/connection.bin"))).expect("read");
-    assert_eq!(encode_standing(&read), encode_standing(&standing()));
-    let empty = EstablishedConnection::default().encode().expect("short enough");
+    let decoded =
+        EstablishedConnection::decode(Bytes::from(bytes("handover/connection.bin"))).expect("valid datagram");
+    assert_eq!(format_connection(&decoded), format_connection(&established_connection()));
+    let empty = EstablishedConnection::default().encode().expect("within the maximum length");
     assert_written("handover/empty_connection.bin", &empty);
-    let with = |length| {
+    let encode_open_line = |length| {
         EstablishedConnection { open_line: vec![b'x'; length].into(), ..EstablishedConnection::default() }
             .encode()
     };
-    // The head has 40 bytes, with the five digits of the one length.
-    assert_eq!((with(65_536 - 40).map(|it| it.len()), with(65_536 - 39)), (Some(65_536), None));
+    // The header has 40 bytes, including the five digits of the length of the `OPEN` line.
+    assert_eq!(
+        (encode_open_line(65_536 - 40).map(|datagram| datagram.len()), encode_open_line(65_536 - 39)),
+        (Some(65_536), None)
+    );
 }
 
 #[test]
-fn connections_that_were_handed_on_are_read() {
+fn handoff_datagrams_of_all_versions_decode_as_recorded() {
     assert_outcomes("handover/connections.txt", 18, |input| {
         match EstablishedConnection::decode(unescape(input).into()) {
-            Ok(standing) => encode_standing(&standing),
+            Ok(connection) => format_connection(&connection),
             Err(error) => format!("error {error}"),
         }
     });
 }
 
 #[tokio::test]
-async fn a_connection_is_one_datagram_with_two_descriptors_beside_it() {
+async fn a_handoff_is_one_datagram_with_two_descriptors() {
     let folder = Folder::new("passed");
     let path = folder.0.join("raw");
-    let raw = UnixDatagram::bind(&path).expect("bound");
-    let heir = Successor::connect(&path, 7).expect("connected");
-    let (one, two) = UnixDatagram::pair().expect("a pair");
-    let datagram = standing().encode().expect("short enough");
-    heir.hand_off(&datagram, [one.as_fd(), two.as_fd()]).await.expect("taken");
+    let raw_receiver = UnixDatagram::bind(&path).expect("bound socket");
+    let successor = Successor::connect(&path, 7).expect("connected successor");
+    let (client_socket, server_socket) = UnixDatagram::pair().expect("socket pair");
+    let datagram = established_connection().encode().expect("within the maximum length");
+    successor
+        .hand_off(&datagram, [client_socket.as_fd(), server_socket.as_fd()])
+        .await
+        .expect("sent handoff");
     let mut received = vec![0; 1 << 17];
-    let length = raw.recv(&mut received).expect("a datagram");
+    let length = raw_receiver.recv(&mut received).expect("received datagram");
     assert_eq!(&received[..length], &bytes("handover/connection.bin")[..]);
 
     let path = folder.0.join("inbox");
-    let inbox = HandoffReceiver::bind(&path).expect("bound");
-    let heir = Successor::connect(&path, 8).expect("connected");
-    heir.hand_off(&bytes("handover/connection.bin"), [one.as_fd(), two.as_fd()]).await.expect("taken");
-    let ReceivedConnection { connection: read, client: first, server: second } =
-        inbox.receive().await.expect("whole");
-    assert_eq!(encode_standing(&read), encode_standing(&standing()));
-    // The client's socket is the first: what is written to it comes out at the second one's end.
-    UnixDatagram::from(first).send(b"to the server's end").expect("sent");
-    let length = UnixDatagram::from(second).recv(&mut received).expect("a datagram");
+    let receiver = HandoffReceiver::bind(&path).expect("bound handoff socket");
+    let successor = Successor::connect(&path, 8).expect("connected successor");
+    successor
+        .hand_off(&bytes("handover/connection.bin"), [client_socket.as_fd(), server_socket.as_fd()])
+        .await
+        .expect("sent handoff");
+    let ReceivedConnection { connection, client, server } = receiver.receive().await.expect("valid handoff");
+    assert_eq!(format_connection(&connection), format_connection(&established_connection()));
+    // The first descriptor is the client's. The two sockets are a pair, so the server's receives what the
+    // client's sends.
+    UnixDatagram::from(client).send(b"to the server's end").expect("sent datagram");
+    let length = UnixDatagram::from(server).recv(&mut received).expect("received datagram");
     assert_eq!(&received[..length], b"to the server's end");
 
-    let sender = UnixDatagram::unbound().expect("a socket");
-    sender.connect(&path).expect("connected");
+    // Datagrams without descriptors are errors, as are those with a malformed header.
+    let sender = UnixDatagram::unbound().expect("datagram socket");
+    sender.connect(&path).expect("connected handoff socket");
     let mut errors = String::new();
     for datagram in [&bytes("handover/connection.bin")[..], b"no head", b"{}\n"] {
-        sender.send(datagram).expect("sent");
-        let error = inbox.receive().await.expect_err("no connection");
+        sender.send(datagram).expect("sent datagram");
+        let error = receiver.receive().await.expect_err("invalid handoff");
         errors += &format!("{} {error}\n", error.kind());
     }
     assert_written("handover/receive_errors.txt", errors.as_bytes());
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,6 +1,7 @@
-//! The page of errors names every variant of the types it stands for.
+//! Completeness of docs/errors.md: it has to list every variant of the error enums that operators may
+//! encounter.
 
-/// Sources whose errors the page lists.
+/// Sources that define the error enums.
 const SOURCES: [&str; 21] = [
     include_str!("../src/net/connect.rs"),
     include_str!("../src/engine/invariants.rs"),
@@ -24,47 +25,63 @@
     include_str!("../crates/ashtide-fault-injection/src/violation.rs"),
     include_str!("../crates/ashtide-fault-injection/src/lib.rs"),
 ];
+/// Page that lists the errors.
 const PAGE: &str = include_str!("../docs/errors.md");
 
-/// The error enums of a source, each with its variants: a variant follows its `#[error(...)]`.
-fn enums(source: &str) -> Vec<(&str, Vec<&str>)> {
-    let mut found = Vec::new();
-    for part in
-        source.split("#[derive(").filter(|part| part.split(')').next().is_some_and(|it| it.contains("Error")))
-    {
-        let Some((_, rest)) = part.split_once("pub enum ") else { continue };
-        let name = rest.split([' ', '<']).next().unwrap_or_default();
-        let body = rest.split("\n}").next().unwrap_or_default();
-        let variants = body.split("#[error(").skip(1).filter_map(|it| {
-            let line = it.split_once(")]\n")?.1.trim_start();
-            line.split(|c: char| !c.is_alphanumeric()).next()
+/// An error enum of a source.
+struct ErrorEnum {
+    name: &'static str,
+    variants: Vec<&'static str>,
+}
+
+/// Returns the error enums of a source. A variant is the identifier that follows an `#[error(...)]`
+/// attribute.
+fn error_enums(source: &'static str) -> Vec<ErrorEnum> {
+    let mut enums = Vec::new();
+    let derives_error = |item: &&str| item.split(')').next().is_some_and(|derives| derives.contains("Error"));
+    for item in source.split("#[derive(").filter(derives_error) {
+        let Some((_, definition)) = item.split_once("pub enum ") else { continue };
+        let name = definition.split([' ', '<']).next().unwrap_or_default();
+        let body = definition.split("\n}").next().unwrap_or_default();
+        let variants = body.split("#[error(").skip(1).filter_map(|attribute| {
+            let variant = attribute.split_once(")]\n")?.1.trim_start();
+            variant.split(|character: char| !character.is_alphanumeric()).next()
         });
-        found.push((name, variants.collect()));
+        enums.push(ErrorEnum { name, variants: variants.collect() });
     }
-    found
+    enums
 }
 
 #[test]
-fn the_page_lists_every_error_with_what_to_do() {
-    let mut sections = 0;
-    let mut variants = 0;
-    for (name, all) in SOURCES.into_iter().flat_map(enums) {
-        let tables: Vec<&str> = PAGE
-            .split("## ")
-            .filter(|it| it.lines().next().is_some_and(|it| it.ends_with(&format!("`{name}`"))))
-            .collect();
-        assert!(!tables.is_empty(), "no section for `{name}`");
-        sections += 1;
-        for variant in all {
-            let row = |line: &&str| line.starts_with(&format!("| `{variant}` |"));
-            let rows: Vec<&str> = tables.iter().flat_map(|it| it.lines()).filter(row).collect();
-            assert!(!rows.is_empty(), "`{name}::{variant}` is not on the page");
+fn the_page_lists_every_error_with_its_remedy() {
+    let mut enum_count = 0;
+    let mut variant_count = 0;
+    for ErrorEnum { name, variants } in SOURCES.into_iter().flat_map(error_enums) {
+        let heading_end = format!("`{name}`");
+        let has_heading =
+            |section: &&str| section.lines().next().is_some_and(|heading| heading.ends_with(&heading_end));
+        let sections: Vec<&str> = PAGE.split("## ").filter(has_heading).collect();
+        assert!(!sections.is_empty(), "docs/errors.md has no section for `{name}`");
+        enum_count += 1;
+        for variant in variants {
+            let row_start = format!("| `{variant}` |");
+            let is_row = |line: &&str| line.starts_with(&row_start);
+            let rows: Vec<&str> =
+                sections.iter().flat_map(|section| section.lines()).filter(is_row).collect();
+            assert!(!rows.is_empty(), "docs/errors.md has no row for `{name}::{variant}`");
             for row in rows {
-                let last = row.trim_end_matches(" |").rsplit("| ").next().unwrap_or_default();
-                assert!(last.len() > 10, "what to do about `{name}::{variant}`?");
+                let remedy = row.trim_end_matches(" |").rsplit("| ").next().unwrap_or_default();
+                assert!(
+                    remedy.len() > 10,
+                    "docs/errors.md has no remedy for `{name}::{variant}`: {remedy:?}"
+                );
             }
-            variants += 1;
+            variant_count += 1;
         }
     }
-    assert!(sections >= 10 && variants >= 50, "{sections} types, {variants} variants were found at all");
+    // Guards against a parser that finds no errors.
+    assert!(
+        enum_count >= 10 && variant_count >= 50,
+        "found {enum_count} error enums with {variant_count} variants, expected at least 10 with 50"
+    );
 }
