--- a/src/admin/protocol.rs
+++ b/src/admin/protocol.rs
@@ -35,7 +35,7 @@
 /// Reason for answering a request with code 400.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminRequestError {
-    /// The first word of the request is no command.
+    /// The first word of the request is not a command.
     #[error("no such call")]
     UnknownCommand,
     /// The command has fewer or more arguments than it requires.
--- a/src/handover/cordons.rs
+++ b/src/handover/cordons.rs
@@ -70,7 +70,7 @@
         last.is_some_and(|last| last.cordoned) != change.cordoned
     }
 
-    /// Merges the changes that another process knows and returns the servers that they cordon or uncordon.
+    /// Merges the changes of another process and returns the servers that they cordon or uncordon.
     pub fn merge(&mut self, other: &Self) -> Vec<CordonTransition> {
         let mut transitions = Vec::new();
         for (server, change) in &other.0 {
--- a/tests/compatibility_cli.rs
+++ b/tests/compatibility_cli.rs
@@ -1,5 +1,5 @@
-//! Compatibility of the daemon's command line: standard output, standard error and exit code of each call are
-//! compared with fixtures that were recorded once and never change.
+//! Compatibility of the daemon's command line: standard output, standard error and exit code of each
+//! invocation are compared with fixtures that were recorded once and never change.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -28,8 +28,8 @@
     );
 }
 
-/// Working directory of the calls, so that their arguments need no absolute paths, which would differ between
-/// machines. It is removed on drop.
+/// Working directory of the invocations, so that their arguments need no absolute paths, which would differ
+/// between machines. It is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -50,8 +50,9 @@
         command.output().expect("output of the command")
     }
 
-    /// Returns the record of a call as in the fixtures: the command line, its output and its exit code.
-    fn record_call(&self, environment: &[(&str, &str)], arguments: &[&str]) -> String {
+    /// Returns the record of an invocation as in the fixtures: the command line, its output and its exit
+    /// code.
+    fn record_invocation(&self, environment: &[(&str, &str)], arguments: &[&str]) -> String {
         let output = self.run(environment, arguments);
         let mut text = String::new();
         for (name, value) in environment {
@@ -79,7 +80,7 @@
 #[test]
 fn help_and_unknown_arguments_are_as_recorded() {
     let folder = Folder::new("help");
-    let calls: [&[&str]; 29] = [
+    let invocations: [&[&str]; 29] = [
         &["--help"],
         &["-h"],
         &["help"],
@@ -110,7 +111,8 @@
         &["maintenance", "--door", "nowhere", "list"],
         &["--fronts", "a.toml", "serve"],
     ];
-    let found: String = calls.iter().map(|arguments| folder.record_call(&[], arguments)).collect();
+    let found: String =
+        invocations.iter().map(|arguments| folder.record_invocation(&[], arguments)).collect();
     assert_fixture("help.txt", &found);
 }
 
@@ -140,7 +142,7 @@
     let invalid_entries: String =
         (0..120).map(|number| server_entry(&format!("s-{number}"), "nowhere")).collect();
     folder.write("many.toml", &list_file(&invalid_entries));
-    let calls: [&[&str]; 23] = [
+    let invocations: [&[&str]; 23] = [
         &["check", "good.toml"],
         &["check", "good.toml", "--json"],
         &["check", "--json", "good.toml", "more.toml", "good.json"],
@@ -165,7 +167,8 @@
         &["check", "wrong.json", "nowhere.toml"],
         &["check", "."],
     ];
-    let found: String = calls.iter().map(|arguments| folder.record_call(&[], arguments)).collect();
+    let found: String =
+        invocations.iter().map(|arguments| folder.record_invocation(&[], arguments)).collect();
     assert_fixture("check.txt", &found);
 }
 
@@ -213,8 +216,8 @@
 }
 
 /// Runs a command against a mock gateway that sends `response` to one request. Returns the request and the
-/// record of the call. The argument `ADDRESS` stands for the gateway's address; without it, the environment
-/// contains the address.
+/// record of the invocation. The argument `ADDRESS` is replaced by the gateway's address; without it, the
+/// environment contains the address.
 fn record_request(folder: &Folder, arguments: &[&str], response: &str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
     let address = listener.local_addr().expect("bound listener").to_string();
@@ -233,7 +236,7 @@
         arguments.iter().map(|&argument| if argument == "ADDRESS" { &address } else { argument }).collect();
     let environment = [("ROUTER_OPERATOR", address.as_str())];
     let environment = if arguments.contains(&address.as_str()) { &[][..] } else { &environment[..] };
-    let record = folder.record_call(environment, &arguments).replace(&address, "ADDRESS");
+    let record = folder.record_invocation(environment, &arguments).replace(&address, "ADDRESS");
     let request = gateway.join().expect("request");
     format!("call: '{}'\n{record}", request.escape_ascii())
 }
@@ -241,14 +244,14 @@
 #[test]
 fn maintenance_commands_are_as_recorded() {
     let folder = Folder::new("maintenance");
-    let mut found = folder.record_call(&[], &["maintenance", "list"]);
-    found += &folder.record_call(&[("ROUTER_OPERATOR", "nowhere")], &["maintenance", "list"]);
+    let mut found = folder.record_invocation(&[], &["maintenance", "list"]);
+    found += &folder.record_invocation(&[("ROUTER_OPERATOR", "nowhere")], &["maintenance", "list"]);
     // No process listens on this address, as its listener is dropped.
     let unused_address =
         TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("free port");
     let arguments = ["maintenance", "--door", &unused_address.to_string(), "done", "s-1"];
-    found += &folder.record_call(&[], &arguments).replace(&unused_address.to_string(), "ADDRESS");
-    let calls: [(&[&str], &str); 8] = [
+    found += &folder.record_invocation(&[], &arguments).replace(&unused_address.to_string(), "ADDRESS");
+    let invocations: [(&[&str], &str); 8] = [
         (&["maintenance", "list"], "200 nothing\nmore\n"),
         (&["maintenance", "--door", "ADDRESS", "list"], "200 nothing\n"),
         (&["maintenance", "--door", "ADDRESS", "request", "s-1"], "200 queued\n"),
@@ -258,7 +261,7 @@
         (&["maintenance", "--door", "ADDRESS", "cancel", "s-1"], "503 no quorum\n"),
         (&["maintenance", "--door", "ADDRESS", "cancel", "s-1"], ""),
     ];
-    for (arguments, response) in calls {
+    for (arguments, response) in invocations {
         found += &record_request(&folder, arguments, response);
     }
     assert_fixture("maintenance.txt", &found);
