--- a/src/config/frontends.rs
+++ b/src/config/frontends.rs
@@ -50,7 +50,8 @@
     pub class: String,
     /// Name of the tenant of all QUIC connections; `None` if they belong to no tenant.
     pub tenant: Option<String>,
-    /// Maximum time that an Initial waits for the selection of a server, in milliseconds.
+    /// Client timeout of a connection's request: the maximum time that an Initial waits for its server, in
+    /// milliseconds.
     pub deadline_ms: u32,
     /// Length of the connection ids that servers issue, in bytes.
     #[serde_inline_default(12)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -45,8 +45,8 @@
     pub discovery_address: SocketAddr,
     /// Descriptor of an inherited client listener; `None` if the process binds its own.
     pub inherited_listener: Option<i32>,
-    /// Folder in which the processes of this gateway share and persist state; `None` if state is not
-    /// persisted.
+    /// Folder in which the processes of this gateway share and persist state; `None` if state is
+    /// neither shared nor persisted.
     pub state_folder: Option<PathBuf>,
     /// Address of the admin endpoint; `None` if there is none.
     pub admin_address: Option<SocketAddr>,
--- a/src/handover/process_state.rs
+++ b/src/handover/process_state.rs
@@ -20,8 +20,8 @@
     /// Number of the last slow-start permit of this gateway for the server that the process has used.
     #[serde(rename = "spent")]
     pub last_used_permit: u64,
-    /// Number of the last slow-start permit that the process has granted while its gateway was the server's
-    /// grantor.
+    /// Number of the last slow-start permit that the process has granted while its gateway was a
+    /// grantor of the server.
     #[serde(rename = "granted")]
     pub last_granted_permit: u64,
 }
