--- a/crates/ashtide-bench/src/real.rs
+++ b/crates/ashtide-bench/src/real.rs
@@ -11,7 +11,7 @@
 use ashtide_client::{Address, Client, Session, SessionEvent, SessionRequest, Settings};
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::fleet::Fleet;
-use ashtide_testkit::{RehearsalError, within};
+use ashtide_testkit::{ScenarioError, within};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Fails where something cannot be started or does not come in time.
-pub async fn wave(daemon: &Path, sessions: usize, processes: usize) -> Result<Wave, RehearsalError> {
+pub async fn wave(daemon: &Path, sessions: usize, processes: usize) -> Result<Wave, ScenarioError> {
     let fleet = Fleet::start(4).await?;
     // Two descriptors a session, on a balancer that may get them all but for its share, and some to spare.
     let sockets = (2 * sessions / PAIR * 6 / 5 + 512).min(19_900);
@@ -64,7 +64,7 @@
             .spawn()?;
         let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
         let (Some(stdin), Some(stdout)) = (stdin, stdout) else {
-            return Err(RehearsalError::Late("a client process"));
+            return Err(ScenarioError::TimedOut("a client process"));
         };
         let heard = heard.clone();
         tokio::spawn(async move {
@@ -103,17 +103,17 @@
     hear: &mut mpsc::Receiver<String>,
     processes: usize,
     word: &'static str,
-) -> Result<Vec<u64>, RehearsalError> {
+) -> Result<Vec<u64>, ScenarioError> {
     let mut figures = Vec::new();
     let all = async {
         for _ in 0..processes {
             let line = hear.recv().await.unwrap_or_default();
-            let Some(rest) = line.strip_prefix(word) else { return Err(RehearsalError::Late(word)) };
+            let Some(rest) = line.strip_prefix(word) else { return Err(ScenarioError::TimedOut(word)) };
             figures.extend(rest.split_whitespace().filter_map(|figure| figure.parse::<u64>().ok()));
         }
         Ok(())
     };
-    timeout(LONGEST, all).await.map_err(|_| RehearsalError::Late(word))??;
+    timeout(LONGEST, all).await.map_err(|_| ScenarioError::TimedOut(word))??;
     Ok(figures)
 }
 
--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -20,7 +20,7 @@
 
 use std::io;
 
-use ashtide_testkit::RehearsalError;
+use ashtide_testkit::ScenarioError;
 
 pub use checks::{violations, worst_slow_start_window};
 pub use history::{Answer, CloseReason, Entry, Event, ExitCause, History};
@@ -53,11 +53,11 @@
         /// Which gateway.
         gateway: usize,
         /// What went wrong.
-        problem: RehearsalError,
+        problem: ScenarioError,
     },
     /// Stand-in servers or discovery could not be started.
     #[error("stand-ins: {0}")]
-    StandIns(#[from] RehearsalError),
+    StandIns(#[from] ScenarioError),
     /// The play went on for longer than its plan says, and was given up.
     #[error("the play took over {found_ms} ms, expected {expected_ms} ms at most")]
     DeadlineExceeded {
--- a/crates/ashtide-fault-injection/src/run.rs
+++ b/crates/ashtide-fault-injection/src/run.rs
@@ -10,7 +10,7 @@
 use ashtide::discovery::EndpointStatus;
 use ashtide::net::handover::CLOCK_OFFSET_VARIABLE;
 use ashtide_testkit::clients::LineClient;
-use ashtide_testkit::daemon::{Daemon, Options, ask, lay};
+use ashtide_testkit::daemon::{Daemon, Options, merge_json, send_admin_command};
 use ashtide_testkit::fleet::Fleet;
 use ashtide_testkit::ledger::Arrival;
 use serde_json::{Value, json};
@@ -249,7 +249,7 @@
         });
         let mut over = plan.config.clone();
         substitute_in_json(&mut over, &peers.placeholders(gateway));
-        lay(&over, &mut config);
+        merge_json(&over, &mut config);
         let mut arguments = Vec::new();
         for (number, (socket, net)) in plan.sockets.iter().zip(&self.nets[1..]).enumerate() {
             let (file, mut marks) = (self.file(gateway, number), net.placeholders(gateway));
@@ -279,7 +279,7 @@
         self.texts.insert((gateway, socket), text.to_owned());
         std::fs::write(&file, substitute(text, &marks))?;
         for at in self.process_indices(gateway, false) {
-            self.running[at].daemon.hang_up()?;
+            self.running[at].daemon.send_sighup()?;
         }
         Ok(())
     }
@@ -302,7 +302,7 @@
         locked(&self.client_load.targets).push(gate);
         let mut watchers = JoinSet::new();
         watchers.spawn(health_check_loop(self.client_load.clone(), number, daemon.lines));
-        if let Some(door) = daemon.door {
+        if let Some(door) = daemon.admin_address {
             watchers.spawn(admin_poll_loop(self.client_load.clone(), number, door, self.plan.clone()));
         }
         let (asked, again) = (false, false);
@@ -394,7 +394,7 @@
     async fn reap_exited(&mut self) -> Result<(), FaultRunError> {
         let mut at = 0;
         while at < self.running.len() {
-            let Some(status) = self.running[at].daemon.ended()? else {
+            let Some(status) = self.running[at].daemon.exit_status()? else {
                 at += 1;
                 continue;
             };
@@ -529,7 +529,7 @@
 
     fn stall(&mut self, at: usize, stalled: bool) -> Result<(), FaultRunError> {
         let process = &self.running[at];
-        process.daemon.stall(stalled)?;
+        process.daemon.set_suspended(stalled)?;
         self.client_load.record(Event::Stalled { process: process.number, stalled });
         Ok(())
     }
@@ -558,7 +558,7 @@
         }
         let (mut told, mut expected) = (Vec::new(), 0);
         for process in &self.running {
-            let Some(door) = process.daemon.door else { continue };
+            let Some(door) = process.daemon.admin_address else { continue };
             let text = sample_admin(door, &[CALL.to_owned()]).await.2.remove(CALL).unwrap_or_default();
             // A second process of one name has no part in it.
             if text.starts_with("self ") {
@@ -589,7 +589,7 @@
             let known = self.fleet.known()["endpoints"].as_array().map_or(0, Vec::len) as f64;
             for process in &self.running {
                 there.insert(process.gateway);
-                let Some(door) = process.daemon.door else { continue };
+                let Some(door) = process.daemon.admin_address else { continue };
                 let (ready, figures, _) = sample_admin(door, &[]).await;
                 let standing =
                     self.client_load.standing().get(&process.number).copied().unwrap_or_default() as f64;
@@ -669,7 +669,7 @@
 
 /// What a door says now.
 async fn sample_admin(door: SocketAddr, calls: &[String]) -> AdminState {
-    let said = async |call: &str| timeout(ADMIN_TIMEOUT, ask(door, call)).await.ok()?.ok();
+    let said = async |call: &str| timeout(ADMIN_TIMEOUT, send_admin_command(door, call)).await.ok()?.ok();
     let ready = said("health").await.map(|answer| answer.starts_with("200"));
     if ready.is_none() {
         return AdminState::default();
--- a/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
+++ b/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_testkit::scenarios::{MIGRANTS, NAMES, play};
+use ashtide_testkit::scenarios::{MIGRATION_CLIENTS, NAMES, run_scenario};
 
 const USAGE: &str = "usage: ashtide-testkit [--daemon FILE] [--clients N] [SCENARIO ...]";
 /// Stand-in clients that a rehearsal may have: it checks correctness and is no load.
@@ -17,7 +17,8 @@
 
 fn asked() -> Result<Asked, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut asked = Asked { daemon: own.with_file_name("ashtide"), clients: MIGRANTS, names: Vec::new() };
+    let mut asked =
+        Asked { daemon: own.with_file_name("ashtide"), clients: MIGRATION_CLIENTS, names: Vec::new() };
     let mut arguments = std::env::args().skip(1);
     while let Some(argument) = arguments.next() {
         let mut value = || arguments.next().ok_or(USAGE);
@@ -57,7 +58,7 @@
     };
     let mut failed = 0;
     for name in &asked.names {
-        match runtime.block_on(play(name, &asked.daemon, asked.clients)) {
+        match runtime.block_on(run_scenario(name, &asked.daemon, asked.clients)) {
             Ok(checks) => {
                 for check in &checks.0 {
                     let word = if check.passed { "pass" } else { "FAIL" };
--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -17,7 +17,7 @@
 use tokio_util::codec::FramedRead;
 
 use crate::fleet::{CLIENT_ID, PACKET, crypto_frame};
-use crate::{ID_LENGTH, RESET_KEY, RehearsalError, within};
+use crate::{ID_LENGTH, RESET_KEY, ScenarioError, within};
 use ashtide::config::decode_hex;
 use ashtide::quic::header::{MIN_INITIAL_DATAGRAM, write_long_header};
 use ashtide::quic::initial::{self, Side};
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Fails where the daemon takes no connection.
-    pub async fn connect(address: SocketAddr) -> Result<Self, RehearsalError> {
+    pub async fn connect(address: SocketAddr) -> Result<Self, ScenarioError> {
         let (read, write) = within("a connection", TcpStream::connect(address)).await??.into_split();
         Ok(Self { lines: FramedRead::new(read, LineCodec::default()), write })
     }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Fails where neither comes.
-    pub async fn blurt(&mut self, bytes: &[u8]) -> Result<Option<String>, RehearsalError> {
+    pub async fn blurt(&mut self, bytes: &[u8]) -> Result<Option<String>, ScenarioError> {
         let _ = within("an end to sending", self.write.write_all(bytes)).await?;
         self.next().await
     }
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Fails where the daemon takes no connection or does not answer.
-    pub async fn open(address: SocketAddr, number: u64) -> Result<(Self, String), RehearsalError> {
+    pub async fn open(address: SocketAddr, number: u64) -> Result<(Self, String), ScenarioError> {
         let mut client = Self::connect(address).await?;
         // An id is fresh for each connection; the other figures are the client's own.
         static OPENED: AtomicU64 = AtomicU64::new(1 << 32);
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Fails where the connection has ended.
-    pub async fn begin(&mut self, part: &str) -> Result<(), RehearsalError> {
+    pub async fn begin(&mut self, part: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(part.as_bytes()).await?)
     }
 
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Fails where the connection has ended.
-    pub async fn say(&mut self, line: &str) -> Result<(), RehearsalError> {
+    pub async fn say(&mut self, line: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(format!("{line}\r\n").as_bytes()).await?)
     }
 
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Fails where neither comes.
-    pub async fn next(&mut self) -> Result<Option<String>, RehearsalError> {
+    pub async fn next(&mut self) -> Result<Option<String>, ScenarioError> {
         let line = within("a line", self.lines.next()).await?.and_then(Result::ok);
         Ok(line.map(|line| String::from_utf8_lossy(&line).trim_end().to_owned()))
     }
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Fails where nothing comes.
-    pub async fn echoes(&mut self, line: &str) -> Result<bool, RehearsalError> {
+    pub async fn echoes(&mut self, line: &str) -> Result<bool, ScenarioError> {
         self.say(line).await?;
         Ok(self.next().await?.as_deref() == Some(line))
     }
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// Fails where nothing comes.
-    pub async fn is_moved(&mut self) -> Result<bool, RehearsalError> {
+    pub async fn is_moved(&mut self) -> Result<bool, ScenarioError> {
         Ok(self.next().await?.as_deref() == Some("MOVE") && self.next().await?.is_none())
     }
 }
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// Fails where the system has no sockets.
-    pub async fn open(sockets: usize, daemon: SocketAddr) -> Result<Self, RehearsalError> {
+    pub async fn open(sockets: usize, daemon: SocketAddr) -> Result<Self, ScenarioError> {
         let (sender, inbox) = mpsc::channel(1024);
         let (mut all, mut readers) = (Vec::new(), JoinSet::new());
         for _ in 0..sockets {
--- a/crates/ashtide-testkit/src/daemon.rs
+++ b/crates/ashtide-testkit/src/daemon.rs
@@ -16,10 +16,10 @@
 use tokio::task::JoinHandle;
 
 use crate::fleet::Fleet;
-use crate::{ID_LENGTH, RESET_KEY, RehearsalError, within};
+use crate::{ID_LENGTH, RESET_KEY, ScenarioError, within};
 
 /// How long the daemon of a scenario gives an Initial, in milliseconds.
-pub const DEADLINE_MS: u32 = 1500;
+pub const INITIAL_DEADLINE_MS: u32 = 1500;
 
 /// What a scenario's daemon is to have.
 #[derive(Debug, Clone, Default)]
@@ -51,11 +51,11 @@
 }
 
 /// Lays one JSON value over another: objects key by key, all else in its place.
-pub fn lay(over: &Value, under: &mut Value) {
+pub fn merge_json(over: &Value, under: &mut Value) {
     match (over, under) {
         (Value::Object(over), Value::Object(under)) => {
             for (key, value) in over {
-                lay(value, under.entry(key).or_insert(Value::Null));
+                merge_json(value, under.entry(key).or_insert(Value::Null));
             }
         }
         (Value::Null, _) => {}
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// Fails where nobody answers.
-pub async fn ask(door: SocketAddr, call: &str) -> Result<String, RehearsalError> {
+pub async fn send_admin_command(door: SocketAddr, call: &str) -> Result<String, ScenarioError> {
     let mut caller = within("a caller's connection", TcpStream::connect(door)).await??;
     caller.write_all(format!("{call}\n").as_bytes()).await?;
     let mut answer = String::new();
@@ -92,7 +92,7 @@
     /// Where it takes QUIC.
     pub quic: Option<SocketAddr>,
     /// Where it takes calls.
-    pub door: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     child: Child,
     log: JoinHandle<()>,
     said: watch::Receiver<Vec<String>>,
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Fails where it does not start or does not say that it listens.
-    pub async fn start(program: &Path, fleet: &Fleet, options: &Options) -> Result<Self, RehearsalError> {
+    pub async fn start(program: &Path, fleet: &Fleet, options: &Options) -> Result<Self, ScenarioError> {
         static STARTED: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = STARTED.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let files = std::env::temp_dir().join(format!("ashtide-{}-{number}", std::process::id()));
@@ -134,7 +134,7 @@
         if options.shared.is_some() || !options.view.is_empty() {
             config["operator"] = json!("127.0.0.1:0");
         }
-        lay(&options.config, &mut config);
+        merge_json(&options.config, &mut config);
         let has_door = !config["operator"].is_null();
         std::fs::write(files.join("config.json"), config.to_string())?;
         let mut command = match &options.shared {
@@ -164,7 +164,7 @@
         };
         if options.paths > 0 {
             let text = format!(
-                "[quic]\nlisten = \"127.0.0.1:0\"\nclass = \"meter\"\ndeadline_ms = {DEADLINE_MS}\n\
+                "[quic]\nlisten = \"127.0.0.1:0\"\nclass = \"meter\"\ndeadline_ms = {INITIAL_DEADLINE_MS}\n\
                  id_length = {ID_LENGTH}\nreset_key = \"{RESET_KEY}\"\npaths = {}\n{}",
                 options.paths, options.vrrp
             );
@@ -178,12 +178,12 @@
             command.arg("--view").arg(files.join("view.toml"));
         }
         let mut child = command.stdin(stdin).stderr(Stdio::piped()).kill_on_drop(true).spawn()?;
-        let stderr = child.stderr.take().ok_or(RehearsalError::Late("the daemon's log"))?;
+        let stderr = child.stderr.take().ok_or(ScenarioError::TimedOut("the daemon's log"))?;
         let mut lines = BufReader::new(stderr).lines();
         let (mut said, mut text, mut quic, mut door) = (Vec::new(), None, None, None);
         while text.is_none() || (options.paths > 0 && quic.is_none()) || (has_door && door.is_none()) {
             let line = within("the daemon's word that it listens", lines.next_line()).await??;
-            let line = line.ok_or(RehearsalError::Late("a daemon that stays"))?;
+            let line = line.ok_or(ScenarioError::TimedOut("a daemon that stays"))?;
             let at =
                 line.split_once("listens on ").and_then(|(_, rest)| rest.split(',').next()?.parse().ok());
             if line.starts_with("quic: ") {
@@ -206,8 +206,8 @@
                 log.send_modify(|said| said.push(line));
             }
         });
-        let lines = text.ok_or(RehearsalError::Late("the lines front"))?;
-        Ok(Self { lines, quic, door, child, log, said, files, config })
+        let lines = text.ok_or(ScenarioError::TimedOut("the lines front"))?;
+        Ok(Self { lines, quic, admin_address: door, child, log, said, files, config })
     }
 
     /// Replaces a key of the configuration file, and sends SIGHUP to this daemon.
@@ -215,7 +215,7 @@
     /// # Errors
     ///
     /// Fails where the file cannot be written or the daemon is no longer there.
-    pub fn reload(&mut self, key: &str, value: Value) -> Result<(), RehearsalError> {
+    pub fn reload(&mut self, key: &str, value: Value) -> Result<(), ScenarioError> {
         self.config[key] = value;
         std::fs::write(self.files.join("next.json"), self.config.to_string())?;
         std::fs::rename(self.files.join("next.json"), self.files.join("config.json"))?;
@@ -233,7 +233,7 @@
     }
 
     /// What it has logged so far.
-    pub fn said(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.said.borrow().clone()
     }
 
@@ -242,13 +242,13 @@
     /// # Errors
     ///
     /// Fails where it does not become so.
-    pub async fn log_has(
+    pub async fn wait_for_log(
         &self,
         what: &'static str,
         holds: impl Fn(&[String]) -> bool,
-    ) -> Result<(), RehearsalError> {
+    ) -> Result<(), ScenarioError> {
         let holds = |said: &Vec<String>| holds(said);
-        within(what, self.said.clone().wait_for(holds)).await?.map_err(|_| RehearsalError::Late(what))?;
+        within(what, self.said.clone().wait_for(holds)).await?.map_err(|_| ScenarioError::TimedOut(what))?;
         Ok(())
     }
 
@@ -257,7 +257,7 @@
     /// # Errors
     ///
     /// Fails where it is no longer there.
-    pub fn hang_up(&self) -> Result<(), RehearsalError> {
+    pub fn send_sighup(&self) -> Result<(), ScenarioError> {
         self.signal(Signal::HUP)
     }
 
@@ -266,11 +266,11 @@
     /// # Errors
     ///
     /// Fails where none comes.
-    pub async fn says(&self, beginning: &'static str) -> Result<(), RehearsalError> {
+    pub async fn wait_for_log_line(&self, beginning: &'static str) -> Result<(), ScenarioError> {
         let begins = |said: &Vec<String>| said.iter().any(|line| line.starts_with(beginning));
         within(beginning, self.said.clone().wait_for(begins))
             .await?
-            .map_err(|_| RehearsalError::Late(beginning))?;
+            .map_err(|_| ScenarioError::TimedOut(beginning))?;
         Ok(())
     }
 
@@ -279,8 +279,9 @@
     /// # Errors
     ///
     /// Fails where the daemon has no door or does not answer.
-    pub async fn call(&self, call: &str) -> Result<String, RehearsalError> {
-        ask(self.door.ok_or(RehearsalError::Late("a door for operators"))?, call).await
+    pub async fn send_command(&self, call: &str) -> Result<String, ScenarioError> {
+        send_admin_command(self.admin_address.ok_or(ScenarioError::TimedOut("a door for operators"))?, call)
+            .await
     }
 
     /// Sends SIGTERM to this daemon.
@@ -288,7 +289,7 @@
     /// # Errors
     ///
     /// Fails where it is no longer there.
-    pub fn terminate(&self) -> Result<(), RehearsalError> {
+    pub fn terminate(&self) -> Result<(), ScenarioError> {
         self.signal(Signal::TERM)
     }
 
@@ -297,13 +298,13 @@
     /// # Errors
     ///
     /// Fails where it is no longer there.
-    pub fn stall(&self, stalled: bool) -> Result<(), RehearsalError> {
+    pub fn set_suspended(&self, stalled: bool) -> Result<(), ScenarioError> {
         self.signal(if stalled { Signal::STOP } else { Signal::CONT })
     }
 
-    fn signal(&self, signal: Signal) -> Result<(), RehearsalError> {
+    fn signal(&self, signal: Signal) -> Result<(), ScenarioError> {
         let id = self.child.id().and_then(|id| Pid::from_raw(i32::try_from(id).ok()?));
-        let id = id.ok_or(RehearsalError::Late("a daemon that runs"))?;
+        let id = id.ok_or(ScenarioError::TimedOut("a daemon that runs"))?;
         kill_process(id, signal).map_err(std::io::Error::from)?;
         Ok(())
     }
@@ -313,17 +314,17 @@
     /// # Errors
     ///
     /// Fails where it is no longer there.
-    pub async fn kill(&mut self) -> Result<(), RehearsalError> {
+    pub async fn kill(&mut self) -> Result<(), ScenarioError> {
         Ok(self.child.kill().await?)
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     /// Its process id; none once it has ended and that was seen.
-    pub fn id(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.id()
     }
 
@@ -332,7 +333,7 @@
     /// # Errors
     ///
     /// Fails where the system cannot tell.
-    pub fn ended(&mut self) -> Result<Option<ExitStatus>, RehearsalError> {
+    pub fn exit_status(&mut self) -> Result<Option<ExitStatus>, ScenarioError> {
         Ok(self.child.try_wait()?)
     }
 
@@ -341,7 +342,7 @@
     /// # Errors
     ///
     /// Fails where it does not end.
-    pub async fn end(mut self) -> Result<(ExitStatus, Vec<String>), RehearsalError> {
+    pub async fn wait_for_exit(mut self) -> Result<(ExitStatus, Vec<String>), ScenarioError> {
         let status = within("the daemon's end", self.child.wait()).await??;
         let _ = (&mut self.log).await;
         let log = self.said.borrow().clone();
--- a/crates/ashtide-testkit/src/fleet.rs
+++ b/crates/ashtide-testkit/src/fleet.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::FramedRead;
 
 use crate::ledger::{Arrival, Ledger, Out};
-use crate::{ID_LENGTH, RehearsalError};
+use crate::{ID_LENGTH, ScenarioError};
 use ashtide::discovery::{Endpoint, EndpointList, EndpointStatus};
 use ashtide::quic::header::MIN_INITIAL_DATAGRAM;
 use ashtide::quic::initial::{self, CONNECTION_REFUSED, Side};
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    async fn start(name: String, ledger: Ledger) -> Result<Self, RehearsalError> {
+    async fn start(name: String, ledger: Ledger) -> Result<Self, ScenarioError> {
         let (lines, quic) = Self::bind().await?;
         let address = lines.local_addr()?;
         let (seen, mood) = (Arc::new(Seen::default()), watch::Sender::new(Mood::Well));
@@ -89,14 +89,14 @@
         Ok(Self { name, address, seen, mood, fails, tasks })
     }
 
-    async fn bind() -> Result<(TcpListener, UdpSocket), RehearsalError> {
+    async fn bind() -> Result<(TcpListener, UdpSocket), ScenarioError> {
         for _ in 0..PORT_TRIES {
             let lines = TcpListener::bind("127.0.0.1:0").await?;
             if let Ok(quic) = UdpSocket::bind(lines.local_addr()?).await {
                 return Ok((lines, quic));
             }
         }
-        Err(RehearsalError::Late("a port free for both TCP and UDP"))
+        Err(ScenarioError::TimedOut("a port free for both TCP and UDP"))
     }
 
     /// Changes its behaviour.
@@ -347,7 +347,7 @@
     /// # Errors
     ///
     /// Fails where the system has no ports for them.
-    pub async fn start(servers: usize) -> Result<Self, RehearsalError> {
+    pub async fn start(servers: usize) -> Result<Self, ScenarioError> {
         Self::start_in(&vec!["here"; servers]).await
     }
 
@@ -356,7 +356,7 @@
     /// # Errors
     ///
     /// Fails where the system has no ports for them.
-    pub async fn start_in(zones: &[impl AsRef<str>]) -> Result<Self, RehearsalError> {
+    pub async fn start_in(zones: &[impl AsRef<str>]) -> Result<Self, ScenarioError> {
         let (mut all, ledger) = (Vec::new(), Ledger::default());
         let mut list = List { version: 1, ..List::default() };
         for (number, zone) in zones.iter().enumerate() {
@@ -377,7 +377,7 @@
     /// # Errors
     ///
     /// Fails where the system has no port for it.
-    pub async fn move_discovery(&mut self) -> Result<(), RehearsalError> {
+    pub async fn move_discovery(&mut self) -> Result<(), ScenarioError> {
         let entries = self.list.borrow().entries.clone();
         let list = List { version: 1, entries, late: Duration::ZERO };
         let old = std::mem::replace(&mut self.list, watch::Sender::new(list));
@@ -400,7 +400,7 @@
     /// # Errors
     ///
     /// Fails where the system has no port for it.
-    pub async fn add(&mut self, zone: &str, since_ms: u64) -> Result<usize, RehearsalError> {
+    pub async fn add(&mut self, zone: &str, since_ms: u64) -> Result<usize, ScenarioError> {
         let number = self.servers.len();
         let server = Server::start(format!("s-{number}"), self.ledger.clone()).await?;
         self.list.send_modify(|list| {
--- a/crates/ashtide-testkit/src/lib.rs
+++ b/crates/ashtide-testkit/src/lib.rs
@@ -17,20 +17,20 @@
 /// Length of the ids that stand-in servers issue.
 pub const ID_LENGTH: usize = 12;
 /// Any single step of a scenario ends by then.
-pub const STEP: Duration = Duration::from_secs(10);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a scenario could not be played.
 #[derive(Debug, thiserror::Error)]
-pub enum RehearsalError {
+pub enum ScenarioError {
     /// The system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Something that had to come did not.
     #[error("{0} did not come in time")]
-    Late(&'static str),
+    TimedOut(&'static str),
     /// There is no scenario of this name.
     #[error("no scenario '{0}'")]
-    Unknown(String),
+    UnknownScenario(String),
 }
 
 /// One thing that a scenario looked at.
@@ -65,11 +65,11 @@
     }
 }
 
-/// Waits for something within [`STEP`].
+/// Waits for something within [`STEP_TIMEOUT`].
 ///
 /// # Errors
 ///
 /// Fails where it does not come.
-pub async fn within<T>(what: &'static str, event: impl Future<Output = T>) -> Result<T, RehearsalError> {
-    tokio::time::timeout(STEP, event).await.map_err(|_| RehearsalError::Late(what))
+pub async fn within<T>(what: &'static str, event: impl Future<Output = T>) -> Result<T, ScenarioError> {
+    tokio::time::timeout(STEP_TIMEOUT, event).await.map_err(|_| ScenarioError::TimedOut(what))
 }
--- a/crates/ashtide-testkit/src/relay.rs
+++ b/crates/ashtide-testkit/src/relay.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::RehearsalError;
+use crate::ScenarioError;
 
 /// What the network does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Fails where the system has no port for it.
-    pub async fn start(target: SocketAddr) -> Result<Self, RehearsalError> {
+    pub async fn start(target: SocketAddr) -> Result<Self, ScenarioError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (address, weather) = (listener.local_addr()?, watch::Sender::new(Weather::Fair));
         let (seen, mut tasks) = (weather.subscribe(), JoinSet::new());
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -9,9 +9,9 @@
 use tokio::time::{Duration, Instant};
 
 use crate::clients::{Clients, LineClient, Pool, short};
-use crate::daemon::{DEADLINE_MS, Daemon, Options, Shared};
+use crate::daemon::{Daemon, INITIAL_DEADLINE_MS, Options, Shared};
 use crate::fleet::{Fleet, Mood};
-use crate::{Checks, ID_LENGTH, RehearsalError, within};
+use crate::{Checks, ID_LENGTH, ScenarioError, within};
 use ashtide::discovery::EndpointStatus;
 use ashtide::quic::ConnectionId;
 use ashtide::quic::initial::CONNECTION_REFUSED;
@@ -34,7 +34,7 @@
     "return",
 ];
 /// Clients of the migration scenario, unless told otherwise.
-pub const MIGRANTS: usize = 2000;
+pub const MIGRATION_CLIENTS: usize = 2000;
 /// Sockets over which many stand-in clients speak.
 const SOCKETS: usize = 32;
 /// Sockets towards servers for scenarios with few clients.
@@ -49,7 +49,7 @@
 /// # Errors
 ///
 /// Fails where it cannot be played to its end.
-pub async fn play(name: &str, program: &Path, migrants: usize) -> Result<Checks, RehearsalError> {
+pub async fn run_scenario(name: &str, program: &Path, migrants: usize) -> Result<Checks, ScenarioError> {
     match name {
         "migration" => migration(program, migrants).await,
         "unknown-id" => unknown_id(program).await,
@@ -64,15 +64,15 @@
         "inheritance" => inheritance(program).await,
         "vrrp-failover" => vrrp_failover(program).await,
         "return" => mass_return(program).await,
-        other => Err(RehearsalError::Unknown(other.to_owned())),
+        other => Err(ScenarioError::UnknownScenario(other.to_owned())),
     }
 }
 
 /// A fleet, a daemon with the QUIC front, and where that listens.
-async fn set_up(program: &Path, servers: usize, paths: usize) -> Result<Stage, RehearsalError> {
+async fn set_up(program: &Path, servers: usize, paths: usize) -> Result<Stage, ScenarioError> {
     let fleet = Fleet::start(servers).await?;
     let daemon = Daemon::start(program, &fleet, &Options { paths, ..Options::default() }).await?;
-    let quic = daemon.quic.ok_or(RehearsalError::Late("the QUIC front"))?;
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
     Ok(Stage { fleet, daemon, pool: Pool::open(SOCKETS, quic).await? })
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Stage {
-    async fn line_clients(&self, count: usize) -> Result<(Vec<LineClient>, usize), RehearsalError> {
+    async fn line_clients(&self, count: usize) -> Result<(Vec<LineClient>, usize), ScenarioError> {
         let (mut clients, mut up) = (Vec::new(), 0);
         for number in 0..count as u64 {
             let (client, answer) = LineClient::open(self.daemon.lines, number).await?;
@@ -95,10 +95,10 @@
 }
 
 /// Clients that change their address mid-session, half of them under a new id.
-async fn migration(program: &Path, count: usize) -> Result<Checks, RehearsalError> {
+async fn migration(program: &Path, count: usize) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let Stage { fleet, mut daemon, mut pool } = set_up(program, 4, 2 * count + 64).await?;
-    let quic = daemon.quic.ok_or(RehearsalError::Late("the QUIC front"))?;
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
     let mut clients = Clients::new(count, 1);
     let all: Vec<usize> = (0..count).collect();
     checks.equal("every connection comes up", clients.open(&mut pool).await, 0);
@@ -117,12 +117,12 @@
     checks.equal("no server got a packet of another's client", fleet.sum(|seen| &seen.misplaced), 0);
     checks.equal("no client was placed twice", fleet.sum(|seen| &seen.taken), count as u64);
     checks.equal("no client was reset", clients.all.iter().map(|c| c.resets).sum::<u32>(), 0);
-    checks.that("the daemon still runs", daemon.runs(), "its process");
+    checks.that("the daemon still runs", daemon.is_running(), "its process");
     Ok(checks)
 }
 
 /// Ids that belong to nobody.
-async fn unknown_id(program: &Path) -> Result<Checks, RehearsalError> {
+async fn unknown_id(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let Stage { fleet, mut daemon, mut pool } = set_up(program, 2, FEW_PATHS).await?;
     let mut clients = Clients::new(3, 2);
@@ -162,12 +162,12 @@
         tries += 1;
     }
     checks.equal("an unknown id of a listed server goes there", fleet.sum(|seen| &seen.misplaced), 1);
-    checks.that("the daemon still runs", daemon.runs(), "its process");
+    checks.that("the daemon still runs", daemon.is_running(), "its process");
     Ok(checks)
 }
 
 /// Servers that turn away, say nothing, or are not there.
-async fn refusal(program: &Path) -> Result<Checks, RehearsalError> {
+async fn refusal(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     for mood in [Mood::Refuses, Mood::Silent] {
         let Stage { fleet, mut daemon, mut pool } = set_up(program, 2, FEW_PATHS).await?;
@@ -188,20 +188,20 @@
             refused,
             format!("{answer:?}"),
         );
-        let within = Duration::from_millis(u64::from(DEADLINE_MS) + 100);
+        let within = Duration::from_millis(u64::from(INITIAL_DEADLINE_MS) + 100);
         checks.that(&format!("{mood:?}: within the deadline"), took <= within, format!("{took:?}"));
         if mood == Mood::Refuses {
-            let half = Duration::from_millis(u64::from(DEADLINE_MS) * 2 / 3);
+            let half = Duration::from_millis(u64::from(INITIAL_DEADLINE_MS) * 2 / 3);
             checks.that("Refuses: long before the deadline", took <= half, format!("{took:?}"));
         }
         checks.equal(&format!("{mood:?}: no server took it"), fleet.sum(|seen| &seen.taken), 0);
-        checks.that("the daemon still runs", daemon.runs(), "its process");
+        checks.that("the daemon still runs", daemon.is_running(), "its process");
     }
     Ok(checks)
 }
 
 /// A server that drains and then leaves the list.
-async fn drain(program: &Path) -> Result<Checks, RehearsalError> {
+async fn drain(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let mut stage = set_up(program, 3, FEW_PATHS).await?;
     let (mut lines, up) = stage.line_clients(FEW).await?;
@@ -239,7 +239,7 @@
                 said = moved?;
             }
         }
-        Ok::<_, RehearsalError>(said)
+        Ok::<_, ScenarioError>(said)
     });
     let (mut sent_away, mut stayed) = (1, 0);
     for said in futures_util::future::join_all(fates).await {
@@ -261,7 +261,7 @@
     checks.equal("QUIC clients there are reset once", resets, quic_there);
     let others: Vec<usize> = (0..FEW).filter(|&at| clients.all[at].server != Some(there)).collect();
     checks.equal("QUIC clients elsewhere go on", clients.talk(&mut stage.pool, &others, 1).await, 0);
-    checks.that("the daemon still runs", stage.daemon.runs(), "its process");
+    checks.that("the daemon still runs", stage.daemon.is_running(), "its process");
     Ok(checks)
 }
 
@@ -269,7 +269,7 @@
 const GONE: Duration = Duration::from_millis(2500);
 
 /// A server that dies, and one that goes silent.
-async fn loss(program: &Path) -> Result<Checks, RehearsalError> {
+async fn loss(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let mut stage = set_up(program, 2, FEW_PATHS).await?;
     let (mut lines, up) = stage.line_clients(4).await?;
@@ -317,12 +317,12 @@
     );
     let unheard = clients.exchange(&mut stage.pool, &all, say, |c| c.resets > 0).await;
     checks.equal("QUIC clients of dead servers are reset", unheard, 0);
-    checks.that("the daemon still runs", stage.daemon.runs(), "its process");
+    checks.that("the daemon still runs", stage.daemon.is_running(), "its process");
     Ok(checks)
 }
 
 /// A planned stop.
-async fn stop(program: &Path) -> Result<Checks, RehearsalError> {
+async fn stop(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let mut stage = set_up(program, 2, FEW_PATHS).await?;
     let (mut lines, up) = stage.line_clients(FEW).await?;
@@ -344,7 +344,7 @@
     }
     let resets = clients.all.iter().filter(|c| c.resets == 1).count();
     checks.equal("QUIC clients are reset once", resets, FEW);
-    let (status, _) = stage.daemon.end().await?;
+    let (status, _) = stage.daemon.wait_for_exit().await?;
     checks.that("the daemon ends well", status.success(), status);
     let took = start.elapsed();
     checks.that("before it would be killed", took < Duration::from_millis(3700), format!("{took:?}"));
@@ -353,7 +353,7 @@
 
 /// The configuration is replaced: once by one that cannot be used, once by one with another
 /// discovery, and again during a planned stop.
-async fn reload(program: &Path) -> Result<Checks, RehearsalError> {
+async fn reload(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     // The old service's versions are ahead of those of the new one.
@@ -363,7 +363,7 @@
     let (mut lines, up) = stage.line_clients(FEW).await?;
     checks.equal("line clients come up", up, FEW);
     stage.daemon.reload("discovery", "nowhere".into())?;
-    stage.daemon.says("reload: discovery: 'nowhere'").await?;
+    stage.daemon.wait_for_log_line("reload: discovery: 'nowhere'").await?;
     let (more, up) = stage.line_clients(1).await?;
     checks.equal("an unusable file does no harm", up, 1);
     lines.extend(more);
@@ -381,20 +381,20 @@
     lines.swap_remove(at);
     stage.daemon.terminate()?;
     stage.daemon.reload("listen", "127.0.0.1:1".into())?;
-    stage.daemon.says("reload: listen has changed").await?;
+    stage.daemon.wait_for_log_line("reload: listen has changed").await?;
     let mut moved = 1;
     for client in &mut lines {
         moved += usize::from(client.is_moved().await?);
     }
     checks.equal("all clients are told to move", moved, FEW + 1);
     checks.that("the draining server had clients", taken > 0, taken);
-    let (status, _) = stage.daemon.end().await?;
+    let (status, _) = stage.daemon.wait_for_exit().await?;
     checks.that("the daemon ends well", status.success(), status);
     Ok(checks)
 }
 
 /// A list that is pushed is followed like one that is asked for.
-async fn pushed(program: &Path) -> Result<Checks, RehearsalError> {
+async fn pushed(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     let options = Options { pushed: true, ..Options::default() };
@@ -424,7 +424,7 @@
 
 /// A process that leaves passes its standing connections to its successor, whatever is on its way in them;
 /// a successor that stalls or has gone costs no client more than a `MOVE`.
-async fn inheritance(program: &Path) -> Result<Checks, RehearsalError> {
+async fn inheritance(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     let (shared, at) = one_balancer()?;
@@ -438,12 +438,12 @@
         lines.push(client);
     }
     let second = Daemon::start(program, &fleet, &options).await?;
-    first.says("handover: the successor accepts clients").await?;
+    first.wait_for_log_line("handover: the successor accepts clients").await?;
     for client in &mut lines {
         client.begin("whole\r\nhal").await?;
     }
     first.terminate()?;
-    let (status, _) = first.end().await?;
+    let (status, _) = first.wait_for_exit().await?;
     checks.that("the first ends well", status.success(), status);
     let mut whole = 0;
     for client in &mut lines {
@@ -454,18 +454,18 @@
     checks.equal("no line is lost or cut, and nobody is moved", whole, FEW);
     let taken = fleet.sum(|seen| &seen.taken);
     checks.equal("no server saw a connection come anew", taken, FEW as u64);
-    let counters = second.call("counters").await?;
+    let counters = second.send_command("counters").await?;
     let counted = counters.contains(&format!("router_in_progress {FEW}\n"));
     checks.that("the second counts them", counted, counters);
 
     // One that stalls takes what its queue holds; the others are moved, and those it holds go on later.
     let third = Daemon::start(program, &fleet, &options).await?;
-    second.says("handover: the successor accepts clients").await?;
-    third.stall(true)?;
+    second.wait_for_log_line("handover: the successor accepts clients").await?;
+    third.set_suspended(true)?;
     second.terminate()?;
-    let (status, _) = second.end().await?;
+    let (status, _) = second.wait_for_exit().await?;
     checks.that("the second ends well beside a stalled successor", status.success(), status);
-    third.stall(false)?;
+    third.set_suspended(false)?;
     let (mut stayed, mut moved) = (Vec::new(), 0);
     for mut client in lines {
         client.say("and now").await?;
@@ -486,7 +486,7 @@
         sent_away += usize::from(client.is_moved().await?);
     }
     checks.equal("the last moves its clients", sent_away, there);
-    let (status, _) = third.end().await?;
+    let (status, _) = third.wait_for_exit().await?;
     checks.that("the last ends well", status.success(), status);
     let left = std::fs::read_dir(&folder)?.flatten().map(|it| it.file_name());
     let left: Vec<_> = left.filter(|name| !name.to_string_lossy().ends_with(".kept")).collect();
@@ -496,7 +496,7 @@
 }
 
 /// Clients that say nothing, nonsense, too much, or what belongs to others.
-async fn rude(program: &Path) -> Result<Checks, RehearsalError> {
+async fn rude(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     let options = Options { sockets: SMALL, ..Options::default() };
@@ -517,7 +517,7 @@
     checks.that("a usual client comes up among the silent", answer.starts_with("UP "), answer);
     let ends = silent.iter_mut().map(|(since, client)| async move {
         let word = client.next().await?;
-        Ok::<_, RehearsalError>((word, since.elapsed()))
+        Ok::<_, ScenarioError>((word, since.elapsed()))
     });
     let mut late = 0;
     for end in futures_util::future::join_all(ends).await {
@@ -571,12 +571,12 @@
     let seen = start.elapsed() < EARLY && word.as_deref().is_some_and(|word| word.starts_with("UP "));
     checks.that("an early line does not hide that the client leaves", seen, format!("{word:?}"));
     checks.that("the usual client has its connection still", good.echoes("hello").await?, "its echo");
-    checks.that("the daemon still runs", stage.daemon.runs(), "its process");
+    checks.that("the daemon still runs", stage.daemon.is_running(), "its process");
     Ok(checks)
 }
 
 /// What the processes of one balancer share, and where its clients come.
-fn one_balancer() -> Result<(Shared, std::net::SocketAddr), RehearsalError> {
+fn one_balancer() -> Result<(Shared, std::net::SocketAddr), ScenarioError> {
     static PLAYED: AtomicU64 = AtomicU64::new(0);
     let number = PLAYED.fetch_add(1, Ordering::Relaxed);
     let listener = Arc::new(std::net::TcpListener::bind("127.0.0.1:0")?);
@@ -587,7 +587,7 @@
 }
 
 /// A new version beside the old: the listener is inherited, and the two meet in their folder.
-async fn upgrade(program: &Path) -> Result<Checks, RehearsalError> {
+async fn upgrade(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     let (shared, at) = one_balancer()?;
@@ -604,8 +604,8 @@
         lines.push(client);
     }
     let mut second = Daemon::start(program, &fleet, &options).await?;
-    first.says("handover: the successor accepts clients").await?;
-    let health = second.call("health").await?;
+    first.wait_for_log_line("handover: the successor accepts clients").await?;
+    let health = second.send_command("health").await?;
     checks.that("the second is ready", health.starts_with("200"), health);
     let open = "OPEN 00000000000000aa 77 c=meter,d=3000,g=1,at=s-0\r\n";
     let word = LineClient::connect(at).await?.blurt(open.as_bytes()).await?;
@@ -614,16 +614,16 @@
     checks.that("a client comes up at the second", answer.starts_with("UP "), answer);
     lines.push(client);
     let passed = |text: &str| text.contains(&format!("passed_total{{category=\"meter\"}} {FEW}\n"));
-    checks.that("and not at the first", passed(&first.call("counters").await?), "its count");
+    checks.that("and not at the first", passed(&first.send_command("counters").await?), "its count");
 
     let taken = |fleet: &Fleet, server: usize| fleet.servers[server].seen.taken.load(Ordering::Relaxed);
     for (call, answer) in [("cordon s-0", "200"), ("cordon s-0", "200"), ("cordon s-9", "400")] {
-        let said = second.call(call).await?;
+        let said = second.send_command(call).await?;
         checks.that(call, said.starts_with(answer), said);
     }
     // It outlives a process, holds in the next, and is taken back there.
     let mut third = Daemon::start(program, &fleet, &options).await?;
-    second.says("handover: the successor accepts clients").await?;
+    second.wait_for_log_line("handover: the successor accepts clients").await?;
     let before = taken(&fleet, 0);
     for number in 0..FEW as u64 {
         let (client, answer) = LineClient::open(at, 400 + number).await?;
@@ -631,9 +631,9 @@
         drop(client);
     }
     checks.equal("nothing new is sent to a server that is out", taken(&fleet, 0), before);
-    let said = third.call("uncordon s-0").await?;
+    let said = third.send_command("uncordon s-0").await?;
     checks.that("a call back is answered", said.starts_with("200"), said);
-    second.says("operator: s-0 is back").await?;
+    second.wait_for_log_line("operator: s-0 is back").await?;
     let mut tries = 0;
     while taken(&fleet, 0) == before && tries < PATIENT as u64 {
         tries += 1;
@@ -643,17 +643,17 @@
 
     // A third that is killed leaves the clients to the second again.
     third.kill().await?;
-    second.says("handover: this process accepts clients").await?;
+    second.wait_for_log_line("handover: this process accepts clients").await?;
 
     first.terminate()?;
-    let (status, _) = first.end().await?;
+    let (status, _) = first.wait_for_exit().await?;
     let mut kept = 0;
     for client in &mut lines[..FEW] {
         kept += usize::from(client.echoes("still here").await?);
     }
     checks.equal("all clients of the first go on at the second", kept, FEW);
     checks.that("the first ends well", status.success(), status);
-    checks.that("the second still runs", second.runs(), "its process");
+    checks.that("the second still runs", second.is_running(), "its process");
     checks.that("its clients have their connections", lines[FEW].echoes("hello").await?, "an echo");
     drop(second);
     std::fs::remove_dir_all(folder)?;
@@ -668,7 +668,7 @@
 const EARLY: Duration = Duration::from_millis(1200);
 
 /// Two copies, one virtual router.
-async fn vrrp_failover(program: &Path) -> Result<Checks, RehearsalError> {
+async fn vrrp_failover(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(2).await?;
     // An address of their own: other tests pick ports of 127.0.0.1 at the same time.
@@ -699,14 +699,14 @@
         becomes(&second, true, &mut series).await?,
         "it serves",
     );
-    first.end().await?;
+    first.wait_for_exit().await?;
     let mut again = Daemon::start(program, &fleet, &high).await?;
     checks.that("the first is active again", becomes(&again, true, &mut series).await?, "it serves");
     checks.that("and the second steps back", becomes(&second, false, &mut series).await?, "it serves not");
     again.kill().await?;
     checks.that("it takes over when the first dies", becomes(&second, true, &mut series).await?, "it serves");
     second.terminate()?;
-    let (status, log) = second.end().await?;
+    let (status, log) = second.wait_for_exit().await?;
     checks.that("the daemon ends well", status.success(), status);
     let states: Vec<&str> = log.iter().filter_map(|line| line.strip_prefix("vrrp: router 7 is ")).collect();
     checks.equal("its states", states, vec!["Backup", "Active", "Backup", "Active", "Initialize"]);
@@ -714,8 +714,8 @@
 }
 
 /// Whether a copy takes a new connection now: an Initial, and a fence behind it.
-async fn takes(daemon: &Daemon, series: &mut u64) -> Result<bool, RehearsalError> {
-    let quic = daemon.quic.ok_or(RehearsalError::Late("the QUIC front"))?;
+async fn takes(daemon: &Daemon, series: &mut u64) -> Result<bool, ScenarioError> {
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
     let mut pool = Pool::open(1, quic).await?;
     *series += 1;
     let mut clients = Clients::new(1, *series);
@@ -728,7 +728,7 @@
     Ok(clients.all[0].id.is_some())
 }
 
-async fn becomes(daemon: &Daemon, taking: bool, series: &mut u64) -> Result<bool, RehearsalError> {
+async fn becomes(daemon: &Daemon, taking: bool, series: &mut u64) -> Result<bool, ScenarioError> {
     for _ in 0..PATIENT {
         if takes(daemon, series).await? == taking {
             return Ok(true);
@@ -747,7 +747,7 @@
 const RETURNED: Duration = Duration::from_secs(9);
 
 /// A balancer that is killed: devices that use the client library come back spread, one attempt at a time.
-async fn mass_return(program: &Path) -> Result<Checks, RehearsalError> {
+async fn mass_return(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let fleet = Fleet::start(3).await?;
     let options = Options { sockets: 2 * DEVICES + 128, ..Options::default() };
@@ -762,9 +762,9 @@
     let mut sessions = Vec::new();
     for number in 0..DEVICES {
         let builder = Client::builder().addresses(addresses.clone()).settings(settings.clone());
-        let client = builder.build().map_err(|_| RehearsalError::Late("a client"))?;
+        let client = builder.build().map_err(|_| ScenarioError::TimedOut("a client"))?;
         let wish = SessionRequest::new("meter", format!("device-{number}"), Duration::from_secs(3));
-        sessions.push(client.connect(wish).await.map_err(|_| RehearsalError::Late("a session"))?);
+        sessions.push(client.connect(wish).await.map_err(|_| ScenarioError::TimedOut("a session"))?);
     }
     let before = fleet.ledger.arrivals().len();
     checks.equal("every device comes up with one attempt", before, DEVICES);
@@ -796,6 +796,6 @@
     let ratio = peak * slots.len() as f64 / returned.len().max(1) as f64;
     checks.that("and in no wave", ratio <= RETURN_PEAK, format!("peak {ratio:.2} times the mean"));
     checks.equal("no two attempts of a device overlapped", fleet.ledger.overlapping(), 0);
-    checks.that("the other balancer still runs", second.runs(), "its process");
+    checks.that("the other balancer still runs", second.is_running(), "its process");
     Ok(checks)
 }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -148,7 +148,7 @@
             expect_reconnected(session).await;
             expect_echo(session, "still here").await;
         }
-        assert_eq!(first.end().await.unwrap().0.code(), Some(0));
+        assert_eq!(first.wait_for_exit().await.unwrap().0.code(), Some(0));
         let metrics = client.metrics().await.0;
         assert_eq!((metrics.moved, metrics.broken, fleet.ledger.overlapping()), (16, 0, 0));
     });
--- a/tests/compatibility_admin.rs
+++ b/tests/compatibility_admin.rs
@@ -237,7 +237,7 @@
     let subsystems = ["router_view_", "router_state_", "router_quota_", "router_maintenance_"];
     let mut metrics = String::new();
     for _ in 0..200 {
-        metrics = daemon.call("counters").await.expect("response");
+        metrics = daemon.send_command("counters").await.expect("response");
         if subsystems.iter().all(|prefix| metrics.contains(prefix)) {
             break;
         }
--- a/tests/compatibility_client_lines.rs
+++ b/tests/compatibility_client_lines.rs
@@ -45,7 +45,7 @@
 async fn start(fleet: &Fleet, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
     let daemon = Daemon::start(program, fleet, &options).await.expect("a daemon");
-    daemon.says("discovery: ").await.expect("it watches");
+    daemon.wait_for_log_line("discovery: ").await.expect("it watches");
     daemon
 }
 
@@ -311,7 +311,7 @@
         let end = client.end().await;
         let _ = writeln!(found, "{what} => {end}");
     }
-    let (status, _) = daemon.end().await.expect("it ends");
+    let (status, _) = daemon.wait_for_exit().await.expect("it ends");
     let _ = writeln!(found, "exit code {}", status.code().expect("no signal"));
     assert_fixture("stop.txt", &found);
 }
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -72,7 +72,7 @@
     let next = daemon.config_file().with_extension("next");
     std::fs::write(&next, text).expect("written");
     std::fs::rename(&next, daemon.config_file()).expect("in place");
-    daemon.hang_up().expect("it runs");
+    daemon.send_sighup().expect("it runs");
 }
 
 fn times(said: &[String], beginning: &str) -> usize {
@@ -138,7 +138,7 @@
         open.push((class, site.asking(at, class, wait(class)).await));
     }
     daemon.reload("settings", turned()).expect("it runs");
-    daemon.says("reload: settings has changed").await.expect("read");
+    daemon.wait_for_log_line("reload: settings has changed").await.expect("read");
     sleep(BRIEF_OVER).await;
     // What was out at the reload, and what comes after it.
     for round in 0..2 {
@@ -167,7 +167,7 @@
     for unknown in ["new", "late"] {
         assert_eq!(ask(at, unknown, 3_000).await.next().await.expect("an answer").as_deref(), Some("ERR"));
     }
-    let text = daemon.call("counters").await.expect("figures");
+    let text = daemon.send_command("counters").await.expect("figures");
     let figures = ["passed", "dropped", "bad_gateway", "upstream_tries"];
     for (class, due) in
         [("pay", [0, 0, 2, 2]), ("read", [2, 0, 0, 4]), ("book", [2, 0, 0, 4]), ("brief", [0, 2, 0, 2])]
@@ -178,7 +178,7 @@
     assert!(!text.contains("\"new\"") && !text.contains("\"late\""), "{text}");
     // The time to leave is that of the deadlines it was started with.
     daemon.terminate().expect("it runs");
-    daemon.says("ashtide: asked to stop, leaving within 3700 ms").await.expect("leaves");
+    daemon.wait_for_log_line("ashtide: asked to stop, leaving within 3700 ms").await.expect("leaves");
 }
 
 #[tokio::test]
@@ -202,26 +202,29 @@
                 line.starts_with("reload: ") && line.ends_with("; keeping the configuration that is active");
             whole && line.contains(why) && line.contains(&path)
         };
-        daemon.log_has("the bad file", |said| said.iter().any(named)).await.expect("named");
+        daemon.wait_for_log("the bad file", |said| said.iter().any(named)).await.expect("named");
         let (mut client, mut attempt) = site.asking(daemon.lines, "pay", 30_000).await;
         attempt.say("UP r").await;
         assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
     }
-    assert_eq!(times(&daemon.said(), "reload: settings"), 2, "the two that are refused");
+    assert_eq!(times(&daemon.log_lines(), "reload: settings"), 2, "the two that are refused");
     // Told as often as it is read, until it is put back.
     let was = daemon.config()["settings"].clone();
     for number in 1..=2 {
         daemon.reload("settings", turned()).expect("it runs");
         let told = |said: &[String]| times(said, "reload: settings has changed") == number;
-        daemon.log_has("the change", told).await.expect("told");
+        daemon.wait_for_log("the change", told).await.expect("told");
     }
-    let read = times(&daemon.said(), "reload: discovery stays");
+    let read = times(&daemon.log_lines(), "reload: discovery stays");
     daemon.reload("settings", was).expect("it runs");
-    daemon.log_has("a third", |said| times(said, "reload: discovery stays") > read).await.expect("read");
+    daemon.wait_for_log("a third", |said| times(said, "reload: discovery stays") > read).await.expect("read");
     // Its lines come together: a fourth one bounds them.
-    daemon.hang_up().expect("it runs");
-    daemon.log_has("a fourth", |said| times(said, "reload: discovery stays") > read + 1).await.expect("read");
-    assert_eq!(times(&daemon.said(), "reload: settings has changed"), 2, "{:?}", daemon.said());
+    daemon.send_sighup().expect("it runs");
+    daemon
+        .wait_for_log("a fourth", |said| times(said, "reload: discovery stays") > read + 1)
+        .await
+        .expect("read");
+    assert_eq!(times(&daemon.log_lines(), "reload: settings has changed"), 2, "{:?}", daemon.log_lines());
 }
 
 /// Opens the pipe at this path once the daemon reads there: the file that it waits for.
@@ -251,29 +254,29 @@
     let daemon = site.start(&site.options(&json!({}))).await;
     let good = daemon.config().to_string();
     lay_pipe(&daemon);
-    daemon.hang_up().expect("it runs");
+    daemon.send_sighup().expect("it runs");
     let mut reading = pipe(&daemon.config_file()).await;
     for _ in 0..3 {
-        daemon.hang_up().expect("it runs");
+        daemon.send_sighup().expect("it runs");
         // Served meanwhile, and the signal has been seen by then.
         let _ = site.standing(daemon.lines).await;
     }
     reading.write_all(good.as_bytes()).expect("written");
     drop(reading);
-    daemon.says("reload: discovery stays").await.expect("read");
+    daemon.wait_for_log_line("reload: discovery stays").await.expect("read");
     let mut reading = pipe(&daemon.config_file()).await;
     reading.write_all(good.as_bytes()).expect("written");
     drop(reading);
     let read = |number| move |said: &[String]| times(said, "reload: discovery stays") == number;
-    daemon.log_has("the second", read(2)).await.expect("read");
+    daemon.wait_for_log("the second", read(2)).await.expect("read");
     rewrite(&daemon, &good);
-    daemon.log_has("a third", read(3)).await.expect("read");
+    daemon.wait_for_log("a third", read(3)).await.expect("read");
     // A disk that hangs.
     lay_pipe(&daemon);
-    daemon.hang_up().expect("it runs");
+    daemon.send_sighup().expect("it runs");
     let _reading = pipe(&daemon.config_file()).await;
     daemon.terminate().expect("it runs");
-    let (status, said) = daemon.end().await.expect("it ends");
+    let (status, said) = daemon.wait_for_exit().await.expect("it ends");
     assert!(status.success() && times(&said, "reload: ") == 3, "{status}: {said:?}");
 }
 
@@ -282,14 +285,14 @@
     let site = Site::new(2).await;
     let one = site.start(&site.options(&json!({"name": "a.b"}))).await;
     let two = site.start(&site.options(&json!({"name": "a_b"}))).await;
-    two.log_has("the other", |said| {
+    two.wait_for_log("the other", |said| {
         said.iter()
             .any(|line| line.contains("process belongs to another deployment, 'a.b'; leaving it alone"))
     })
     .await
     .expect("told apart");
     for (daemon, server) in [(&one, "s-0"), (&two, "s-1")] {
-        let answer = daemon.call(&format!("cordon {server}")).await.expect("an answer");
+        let answer = daemon.send_command(&format!("cordon {server}")).await.expect("an answer");
         assert!(answer.starts_with("200"), "{answer}");
     }
     // Both take clients, each at the server that it has left.
@@ -304,8 +307,9 @@
     end(two).await;
     for (name, out) in [("a_b", "s-1"), ("a.b", "s-0")] {
         let daemon = site.start(&site.options(&json!({"name": name}))).await;
-        daemon.log_has("its cordon", |said| times(said, "operator: ") >= 2).await.expect("kept");
-        let cordons: Vec<_> = daemon.said().into_iter().filter(|line| line.ends_with(" is out")).collect();
+        daemon.wait_for_log("its cordon", |said| times(said, "operator: ") >= 2).await.expect("kept");
+        let cordons: Vec<_> =
+            daemon.log_lines().into_iter().filter(|line| line.ends_with(" is out")).collect();
         assert_eq!(cordons, [format!("operator: {out} is out")], "{name}");
         end(daemon).await;
     }
@@ -325,27 +329,27 @@
     };
     let mut first = site.start(&options(&["meter"], &[], Some(&shared))).await;
     let _ = site.standing(at).await;
-    assert!(first.call("cordon s-0").await.expect("an answer").starts_with("200"));
+    assert!(first.send_command("cordon s-0").await.expect("an answer").starts_with("200"));
     // An upgrade may rename its only class: the listener is the same.
     let mut second = site.start(&options(&["metre"], &["acme"], Some(&shared))).await;
-    second.says("handover: received state from the previous process").await.expect("met");
-    second.says("operator: s-0 is out").await.expect("kept");
+    second.wait_for_log_line("handover: received state from the previous process").await.expect("met");
+    second.wait_for_log_line("operator: s-0 is out").await.expect("kept");
     first.kill().await.expect("it ran");
-    assert!(second.call("cordon s-0").await.expect("an answer").starts_with("200"));
+    assert!(second.send_command("cordon s-0").await.expect("an answer").starts_with("200"));
     second.kill().await.expect("it ran");
     let file = site.folder.join("ashtide.shared.kept");
     let theirs = std::fs::read(&file).expect("kept");
     // Another customer's, under the same name and with the same class.
     let mut third = site.start(&options(&["metre"], &["bolt"], None)).await;
-    third.says("handover: ").await.expect("said");
+    third.wait_for_log_line("handover: ").await.expect("said");
     let named = |line: &String| {
         line.starts_with(&format!(
             "handover: state file {}: it belongs to the deployment 'shared' on {at}; leaving it alone",
             file.display()
         ))
     };
-    assert!(third.said().iter().any(named), "{:?}", third.said());
-    assert!(!third.said().iter().any(|line| line.ends_with("is out")), "{:?}", third.said());
+    assert!(third.log_lines().iter().any(named), "{:?}", third.log_lines());
+    assert!(!third.log_lines().iter().any(|line| line.ends_with("is out")), "{:?}", third.log_lines());
     // Their run has begun, and ours has not: `at=` is open, the server that they have out is used.
     let mut client = ashtide_testkit::clients::LineClient::connect(third.lines).await.expect("taken");
     client.say("OPEN 00000000000000aa 77 c=metre,t=bolt,d=3000,g=1,at=s-0").await.expect("heard");
@@ -353,11 +357,11 @@
     assert_eq!(attempt.server, 0);
     attempt.say("UP r").await;
     assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
-    assert!(third.call("cordon s-1").await.expect("an answer").starts_with("200"));
+    assert!(third.send_command("cordon s-1").await.expect("an answer").starts_with("200"));
     third.kill().await.expect("it ran");
     assert_eq!(std::fs::read(&file).expect("kept"), theirs, "byte for byte");
     let fourth = site.start(&options(&["metre", "more"], &["bolt", "more"], None)).await;
-    fourth.says("operator: s-1 is out").await.expect("ours");
+    fourth.wait_for_log_line("operator: s-1 is out").await.expect("ours");
 }
 
 #[test]
@@ -458,8 +462,10 @@
     within("an end", link.read_to_end(&mut said)).await.expect("in time").expect("let go");
     let apart =
         |line: &&String| line.contains("process belongs to another deployment, 'a_b'; leaving it alone");
-    daemon.log_has("both", |said| said.iter().filter(apart).count() == 2).await.expect("told apart");
-    assert!(!daemon.said().iter().any(|line| line.contains("is out") || line.contains("accepts clients")));
+    daemon.wait_for_log("both", |said| said.iter().filter(apart).count() == 2).await.expect("told apart");
+    assert!(
+        !daemon.log_lines().iter().any(|line| line.contains("is out") || line.contains("accepts clients"))
+    );
     // It still takes clients, and its server is on its list.
     let _ = site.standing(daemon.lines).await;
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -97,21 +97,22 @@
     let idle_clients: Vec<_> =
         (0..IDLE_CLIENTS).map(|_| tokio::spawn(run_idle_client(daemon.lines))).collect();
     // Waits until the idle clients use the daemon's entire capacity.
-    daemon.says("discovery: ").await.expect("a failed call");
+    daemon.wait_for_log_line("discovery: ").await.expect("a failed call");
     sleep(Duration::from_millis(1500)).await;
-    let health =
-        timeout(RECOVERY_TIMEOUT, daemon.call("health")).await.expect("an answer of the admin endpoint");
+    let health = timeout(RECOVERY_TIMEOUT, daemon.send_command("health"))
+        .await
+        .expect("an answer of the admin endpoint");
     assert!(health.expect("answered").contains("not ready"), "not ready without an endpoint list");
 
     let listener = TcpListener::bind(fleet.discovery).await.expect("the same port");
     let recovered_at = Instant::now();
     let discovery = tokio::spawn(serve_list(listener, list));
     let mut connections = connect_clients(&daemon, recovered_at).await;
-    assert!(daemon.call("health").await.expect("answered").contains("ready"));
+    assert!(daemon.send_command("health").await.expect("answered").contains("ready"));
     for client in &mut connections {
         assert!(client.echoes("still here").await.expect("an echo"), "established connections remain usable");
     }
-    assert!(daemon.runs());
+    assert!(daemon.is_running());
     idle_clients.iter().chain([&discovery]).for_each(tokio::task::JoinHandle::abort);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -54,7 +54,10 @@
             ..ProcessState::default()
         };
         link.write_all(&SiblingMessage::State(state).encode_line()).await.expect("sent state");
-        daemon.says("handover: the successor accepts clients").await.expect("log line of the daemon");
+        daemon
+            .wait_for_log_line("handover: the successor accepts clients")
+            .await
+            .expect("log line of the daemon");
         Self { _link: link, handoff_receiver, handoff_path }
     }
 }
@@ -81,7 +84,7 @@
     for (mut client, _server) in connections {
         assert!(client.is_moved().await.expect("end of the connection"), "closed without MOVE");
     }
-    let (status, log_lines) = daemon.end().await.expect("exit of the daemon");
+    let (status, log_lines) = daemon.wait_for_exit().await.expect("exit of the daemon");
     let elapsed = terminated_at.elapsed();
     assert!(status.success() && elapsed < MIN_KILL_DELAY, "{status} after {elapsed:?}");
     log_lines
@@ -157,7 +160,7 @@
     let handed_off = within("the connection", successor.handoff_receiver.receive()).await.expect("in time");
     let ReceivedConnection { connection, client: client_socket, server: server_socket } =
         handed_off.expect("valid handoff");
-    let (status, _) = daemon.end().await.expect("exit of the daemon");
+    let (status, _) = daemon.wait_for_exit().await.expect("exit of the daemon");
     assert!(status.success(), "{status}");
     // In both directions, the pending bytes of the handoff and the bytes sent later continue the forwarded
     // lines.
@@ -229,13 +232,16 @@
     let site = Site::new(3).await;
     let (first, options, _connections) = start_with_connections(&site, 1).await;
     let second = site.start(&options).await;
-    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
-    assert!(first.call("cordon s-0").await.expect("response").starts_with("200"));
-    second.says("operator: s-0 is out").await.expect("log line of the second process");
-    assert!(second.call("cordon s-1").await.expect("response").starts_with("200"));
-    first.says("operator: s-1 is out").await.expect("log line of the first process");
-    assert!(second.call("uncordon s-0").await.expect("response").starts_with("200"));
-    first.says("operator: s-0 is back").await.expect("log line of the first process");
+    first
+        .wait_for_log_line("handover: the successor accepts clients")
+        .await
+        .expect("log line of the first process");
+    assert!(first.send_command("cordon s-0").await.expect("response").starts_with("200"));
+    second.wait_for_log_line("operator: s-0 is out").await.expect("log line of the second process");
+    assert!(second.send_command("cordon s-1").await.expect("response").starts_with("200"));
+    first.wait_for_log_line("operator: s-1 is out").await.expect("log line of the first process");
+    assert!(second.send_command("uncordon s-0").await.expect("response").starts_with("200"));
+    first.wait_for_log_line("operator: s-0 is back").await.expect("log line of the first process");
 }
 
 #[tokio::test]
@@ -243,7 +249,10 @@
     let site = Site::new(2).await;
     let (first, options, mut connections) = start_with_connections(&site, 8).await;
     let second = site.start(&options).await;
-    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
+    first
+        .wait_for_log_line("handover: the successor accepts clients")
+        .await
+        .expect("log line of the first process");
     let listener = &options.shared.as_ref().expect("shared listener").listener;
     let gateway_address = listener.local_addr().expect("bound listener");
     for _ in 0..4 {
@@ -263,7 +272,7 @@
     let (first, options, connections) = start_with_connections(&site, 4).await;
     let listener = &options.shared.as_ref().expect("shared listener").listener;
     let gateway_address = listener.local_addr().expect("bound listener");
-    first.stall(true).expect("running daemon");
+    first.set_suspended(true).expect("running daemon");
     // Three more siblings do not answer. The daemon has to wait for all of them concurrently.
     let mut silent_siblings = Vec::new();
     for rank in 1..=3 {
@@ -279,17 +288,20 @@
     );
     assert_eq!(
         second
-            .said()
+            .log_lines()
             .iter()
             .filter(|line| line.ends_with("handover: the previous process has sent no state in time"))
             .count(),
         4
     );
     let _new_connection = site.standing(gateway_address).await;
-    first.stall(false).expect("running daemon");
-    first.says("handover: the successor accepts clients").await.expect("log line of the first process");
+    first.set_suspended(false).expect("running daemon");
+    first
+        .wait_for_log_line("handover: the successor accepts clients")
+        .await
+        .expect("log line of the first process");
     first.terminate().expect("running daemon");
-    let (status, _) = first.end().await.expect("exit of the daemon");
+    let (status, _) = first.wait_for_exit().await.expect("exit of the daemon");
     assert!(status.success(), "{status}");
     for (mut client, mut server) in connections {
         client.say("still").await.expect("open connection");
@@ -335,5 +347,5 @@
     let mut link = UnixStream::connect(&sibling_sockets(&site)[0]).await.expect("link to the daemon");
     let message = r#"{"state":{"started":7,"ready":true,"cordons":{"s-0":{"at":9,"out":true}}}}"#;
     link.write_all(format!("{message}\n").as_bytes()).await.expect("sent message");
-    daemon.says("operator: s-0 is out").await.expect("log line of the daemon");
+    daemon.wait_for_log_line("operator: s-0 is out").await.expect("log line of the daemon");
 }
--- a/tests/late_connection.rs
+++ b/tests/late_connection.rs
@@ -147,7 +147,7 @@
     let options = Options { known: Some(first_list), config: config(), ..Options::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
     let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
-    daemon.says("discovery: ").await.expect("a watch");
+    daemon.wait_for_log_line("discovery: ").await.expect("a watch");
 
     let mut client = LineClient::connect(daemon.lines).await.expect("accepted");
     client.say("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("sent");
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -10,7 +10,7 @@
 use ashtide::admin::protocol::AdminRequest;
 use ashtide::fleet::maintenance::{MaintenanceCommand, MaintenanceError, Settings, schema};
 use ashtide_fault_injection::{Link, ProxyMesh};
-use ashtide_testkit::daemon::{Daemon, Options, ask};
+use ashtide_testkit::daemon::{Daemon, Options, send_admin_command};
 use ashtide_testkit::fleet::Fleet;
 use serde_json::json;
 use tokio::time::{sleep, timeout};
@@ -277,7 +277,7 @@
                 .admin_addresses
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .push(daemon.door.expect("the daemon has an admin endpoint"));
+                .push(daemon.admin_address.expect("the daemon has an admin endpoint"));
             cluster.daemons.push(daemon);
         }
         cluster.spawn_pollers();
@@ -299,8 +299,11 @@
                     let admin_address =
                         admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number];
                     let requested_at = Instant::now();
-                    let report =
-                        timeout(Duration::from_millis(400), ask(admin_address, "maintenance list")).await;
+                    let report = timeout(
+                        Duration::from_millis(400),
+                        send_admin_command(admin_address, "maintenance list"),
+                    )
+                    .await;
                     let report =
                         report.ok().and_then(Result::ok).and_then(|text| parse_report(&text, requested_at));
                     reports.0.lock().unwrap_or_else(PoisonError::into_inner)[number].push(report);
@@ -334,7 +337,7 @@
     async fn restart(&mut self, number: usize) {
         let daemon = self.start_daemon(number).await;
         self.admin_addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] =
-            daemon.door.expect("the daemon has an admin endpoint");
+            daemon.admin_address.expect("the daemon has an admin endpoint");
         self.daemons[number] = daemon;
     }
 
@@ -352,8 +355,10 @@
             let request = format!("maintenance request s-{server} a new disk");
             let end = Instant::now() + Duration::from_secs(10);
             loop {
-                let answer =
-                    self.daemons[server % GATEWAYS].call(&request).await.expect("the request is answered");
+                let answer = self.daemons[server % GATEWAYS]
+                    .send_command(&request)
+                    .await
+                    .expect("the request is answered");
                 // Accepted, or queued already by an earlier request whose answer was delayed.
                 if answer.starts_with("200") || answer.contains("waits or is out already") {
                     break;
@@ -365,7 +370,7 @@
 
     /// Returns the gateway that executes the current grant, as this gateway reports it.
     async fn grant_holder(&self, gateway: usize) -> Option<usize> {
-        let text = self.daemons[gateway].call("maintenance list").await.ok()?;
+        let text = self.daemons[gateway].send_command("maintenance list").await.ok()?;
         text.split("holder=").nth(1)?.split(' ').next()?.parse().ok()
     }
 
@@ -399,9 +404,9 @@
     // Another gateway is stalled while it reports a grant, and resumes with that grant out of date.
     let stalled = (holder + 1) % GATEWAYS;
     cluster.wait_until("a grant at the gateway that will be stalled", 20, has_grant(stalled)).await;
-    cluster.daemons[stalled].stall(true).expect("the daemon is stopped");
+    cluster.daemons[stalled].set_suspended(true).expect("the daemon is stopped");
     sleep(Duration::from_secs(6)).await;
-    cluster.daemons[stalled].stall(false).expect("the daemon is resumed");
+    cluster.daemons[stalled].set_suspended(false).expect("the daemon is resumed");
     cluster.restart(holder).await;
     cluster.expect_completion().await;
 }
@@ -417,8 +422,10 @@
         // The minority cordons no server and rejects requests.
         let last = cluster.reports.last(4).expect("gateway 4 answers");
         assert!(!last.agreed && last.out.is_empty(), "{last:?}");
-        let answer =
-            cluster.daemons[4].call("maintenance request s-9").await.expect("the request is answered");
+        let answer = cluster.daemons[4]
+            .send_command("maintenance request s-9")
+            .await
+            .expect("the request is answered");
         assert!(answer.starts_with("400"), "{answer}");
         cluster.mesh.set(majority, minority, Link::PERFECT);
         cluster.mesh.set(minority, majority, Link::PERFECT);
@@ -442,10 +449,10 @@
     let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options)
         .await
         .expect("the daemon starts");
-    let answer = daemon.call("maintenance list").await.expect("the request is answered");
+    let answer = daemon.send_command("maintenance list").await.expect("the request is answered");
     assert!(answer.starts_with("400 no maintenance"), "{answer}");
-    assert!(!daemon.call("counters").await.expect("the request is answered").contains("maintenance"));
-    let admin_address = daemon.door.expect("the daemon has an admin endpoint").to_string();
+    assert!(!daemon.send_command("counters").await.expect("the request is answered").contains("maintenance"));
+    let admin_address = daemon.admin_address.expect("the daemon has an admin endpoint").to_string();
     let program = env!("CARGO_BIN_EXE_ashtide");
     let arguments = ["maintenance", "--door", &admin_address, "request", "s-0", "--reason", "a new disk"];
     let output =
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -150,7 +150,10 @@
         (1, before),
         "rejected, not placed"
     );
-    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a log line for operators");
+    daemon
+        .wait_for_log_line("discovery: endpoint list is older than 6 s")
+        .await
+        .expect("a log line for operators");
     // Established connections are served in the meantime.
     for mut client in clients.into_iter().take(2) {
         assert!(client.echoes("still here").await.expect("an echo"));
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashtide_testkit::clients::LineClient;
-use ashtide_testkit::daemon::{Daemon, Options, Shared, lay};
+use ashtide_testkit::daemon::{Daemon, Options, Shared, merge_json};
 use ashtide_testkit::fleet::{Fleet, chunk};
 use ashtide_testkit::within;
 use futures_util::FutureExt;
@@ -113,7 +113,7 @@
     /// A daemon's options: a door, this site's servers and folder, and `config` over it all.
     pub fn options(&self, config: &Value) -> Options {
         let mut all = json!({"operator": "127.0.0.1:0", "discovery": self.discovery});
-        lay(config, &mut all);
+        merge_json(config, &mut all);
         Options {
             known: Some(self.known.clone()),
             config: all,
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -7,7 +7,7 @@
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::fleet::{Fleet, Mood};
-use ashtide_testkit::{RehearsalError, within};
+use ashtide_testkit::{ScenarioError, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
@@ -55,7 +55,7 @@
     ended_at: Instant,
 }
 
-async fn read_to_end(client: &mut LineClient) -> Result<ReceivedLines, RehearsalError> {
+async fn read_to_end(client: &mut LineClient) -> Result<ReceivedLines, ScenarioError> {
     let mut lines = Vec::new();
     while let Some(line) = client.next().await? {
         lines.push(line);
@@ -144,7 +144,7 @@
     );
 
     expect_lines(&mut clients, terminated_at).await;
-    let (status, _) = daemon.end().await.expect("the daemon exits");
+    let (status, _) = daemon.wait_for_exit().await.expect("the daemon exits");
     assert!(
         status.success() && terminated_at.elapsed() < KILL_DELAY,
         "{status} after {:?}",
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -46,7 +46,7 @@
 
 /// Requests the daemon's metrics and returns one of them.
 async fn read_metric(daemon: &Daemon, name: &str) -> u64 {
-    let text = daemon.call("counters").await.expect("an answer to counters");
+    let text = daemon.send_command("counters").await.expect("an answer to counters");
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok());
     value.unwrap_or_else(|| panic!("no metric {name} in {text}"))
 }
@@ -170,8 +170,8 @@
         assert_eq!(client.next().await.expect("the second line in time"), Some(format!("and {line}")));
     }
     // The endpoint list and operators' calls are subject to the same faults.
-    daemon.says("discovery: ").await.expect("the daemon opens a watch");
-    assert!(daemon.call("health").await.expect("an answer to health").starts_with("200"));
+    daemon.wait_for_log_line("discovery: ").await.expect("the daemon opens a watch");
+    assert!(daemon.send_command("health").await.expect("an answer to health").starts_with("200"));
     let counts = preload.counts().expect("counts of the injected faults");
     assert!(counts.short >= MIN_FAULTS && counts.interrupt >= MIN_FAULTS, "{counts:?}");
 }
@@ -194,7 +194,7 @@
         options.environment.extend(preload.environment.iter().cloned());
         let second = site.start(&options).await;
         first
-            .says("handover: the successor accepts clients")
+            .wait_for_log_line("handover: the successor accepts clients")
             .await
             .expect("the predecessor reports its successor");
         // Both processes apply a call that either of them receives, and the later call overrides the earlier
@@ -205,12 +205,15 @@
             (&first, "cordon s-1", "operator: s-1 is out"),
             (&second, "uncordon s-1", "operator: s-1 is back"),
         ] {
-            assert!(process.call(call).await.expect("an answer to the call").starts_with("200"), "{call}");
-            first.says(log_line).await.expect("the predecessor applies the call");
-            second.says(log_line).await.expect("the successor applies the call");
+            assert!(
+                process.send_command(call).await.expect("an answer to the call").starts_with("200"),
+                "{call}"
+            );
+            first.wait_for_log_line(log_line).await.expect("the predecessor applies the call");
+            second.wait_for_log_line(log_line).await.expect("the successor applies the call");
         }
         first.terminate().expect("terminating the predecessor");
-        let (status, log) = first.end().await.expect("the predecessor exits");
+        let (status, log) = first.wait_for_exit().await.expect("the predecessor exits");
         assert!(status.success(), "{status}");
         assert!(log.iter().any(|line| line == "handover: passes 4 connections to its successor"), "{log:?}");
         for (client, server) in &mut clients {
@@ -231,7 +234,7 @@
     let mut fleet = Fleet::start(2).await.expect("starting the servers");
     let faults = SystemFaults { clock_step_ms, ..SystemFaults::default() };
     let (daemon, _preload) = start_daemon(&fleet, faults, Options::default()).await;
-    daemon.says("discovery: ").await.expect("the daemon opens a watch");
+    daemon.wait_for_log_line("discovery: ").await.expect("the daemon opens a watch");
     let (_established, failures) = open_clients(daemon.lines, CLIENTS).await;
     assert!(failures.is_empty(), "clients not established: {failures:?}");
     let started_at = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
@@ -278,13 +281,13 @@
     // The established client ensures that the daemon has started, which also writes a state file.
     let _client = site.standing(at).await;
     assert!(
-        first.call("cordon s-1").await.expect("an answer to cordon").starts_with("200"),
+        first.send_command("cordon s-1").await.expect("an answer to cordon").starts_with("200"),
         "the first write must succeed"
     );
     // Send calls until the result of one cannot be persisted. That call is the last one.
     let mut last_call = None;
     for call in ["cordon s-0", "cordon s-2", "uncordon s-2", "uncordon s-0"].into_iter().cycle().take(20) {
-        if first.call(call).await.expect("an answer to the call").contains("not kept") {
+        if first.send_command(call).await.expect("an answer to the call").contains("not kept") {
             last_call = Some(call);
             break;
         }
@@ -294,13 +297,17 @@
     sleep(Duration::from_millis(1_500)).await;
     first.kill().await.expect("killing the running daemon");
     let second = site.start(&options).await;
-    second.says("operator: s-1 is out").await.expect("the cordon of s-1 was persisted");
+    second.wait_for_log_line("operator: s-1 is out").await.expect("the cordon of s-1 was persisted");
     // The daemon reads its persisted state before it opens the watch.
-    second.says("discovery: ").await.expect("the daemon opens a watch");
+    second.wait_for_log_line("discovery: ").await.expect("the daemon opens a watch");
     let (call, server) = last_call.split_once(' ').expect("a call and its server");
-    let cordoned = second.said().iter().any(|line| *line == format!("operator: {server} is out"));
-    assert_eq!(cordoned, call == "cordon", "after {last_call}: {:?}", second.said());
-    assert!(second.said().iter().all(|line| !line.contains("starting without it")), "{:?}", second.said());
+    let cordoned = second.log_lines().iter().any(|line| *line == format!("operator: {server} is out"));
+    assert_eq!(cordoned, call == "cordon", "after {last_call}: {:?}", second.log_lines());
+    assert!(
+        second.log_lines().iter().all(|line| !line.contains("starting without it")),
+        "{:?}",
+        second.log_lines()
+    );
     let files =
         std::fs::read_dir(&site.folder).expect("the state folder").flatten().map(|entry| entry.path());
     let staged: Vec<_> =
--- a/tests/testkit.rs
+++ b/tests/testkit.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
-use ashtide_testkit::scenarios::{MIGRANTS, play};
+use ashtide_testkit::scenarios::{MIGRATION_CLIENTS, run_scenario};
 
 fn rehearse(name: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let checks = runtime
-        .block_on(play(name, Path::new(env!("CARGO_BIN_EXE_ashtide")), MIGRANTS))
+        .block_on(run_scenario(name, Path::new(env!("CARGO_BIN_EXE_ashtide")), MIGRATION_CLIENTS))
         .expect("the scenario is played to its end");
     let failed: Vec<_> = checks.0.iter().filter(|check| !check.passed).collect();
     assert!(checks.passed(), "{failed:#?}");
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -121,7 +121,7 @@
 
     /// Returns the other gateway's status in this daemon's view; `None` if the view does not list it.
     async fn member_seen_by(&self, observer: usize, other: usize) -> Option<MemberStatus> {
-        let text = self.daemons[observer].call("members").await.expect("members is answered");
+        let text = self.daemons[observer].send_command("members").await.expect("members is answered");
         assert!(text.ends_with("EOF\n"), "{text}");
         let row = text.lines().find(|line| line.starts_with(&format!("{} ", self.addresses[other])))?;
         let mut fields = row.split(' ').skip(1);
@@ -162,7 +162,7 @@
     }
 
     async fn metric(&self, gateway: usize, name: &str) -> u64 {
-        let text = self.daemons[gateway].call("counters").await.expect("counters is answered");
+        let text = self.daemons[gateway].send_command("counters").await.expect("counters is answered");
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("router_view_{name} ")));
         line.and_then(|value| value.parse().ok())
             .unwrap_or_else(|| panic!("metric {name} not found in: {text}"))
@@ -180,16 +180,16 @@
     cluster.daemons[2].kill().await.expect("the daemon is killed");
     cluster.wait_for_state(&[0, 1], 2, "dead", first - 1, 30).await;
     let dead = format!("view: member {} (generation {first}) is dead", cluster.addresses[2]);
-    cluster.daemons[0].says(dead.leak()).await.expect("the death is logged");
+    cluster.daemons[0].wait_for_log_line(dead.leak()).await.expect("the death is logged");
     cluster.daemons[2] = cluster.start_daemon(2).await;
     let second = cluster.wait_for_state(&[0, 1], 2, "alive", first, 20).await;
     assert_eq!(cluster.metric(0, "false_deaths_total").await, 0, "a restart does not count as a false death");
 
     // A gateway that is stalled until both others report it as dead rejoins with a later incarnation once it
     // resumes, and suspects no other gateway meanwhile.
-    cluster.daemons[2].stall(true).expect("the daemon is stopped");
+    cluster.daemons[2].set_suspended(true).expect("the daemon is stopped");
     cluster.wait_for_state(&[0, 1], 2, "dead", second - 1, 30).await;
-    cluster.daemons[2].stall(false).expect("the daemon is resumed");
+    cluster.daemons[2].set_suspended(false).expect("the daemon is resumed");
     cluster.wait_for_state(&[0, 1], 2, "alive", second, 20).await;
     cluster.wait_for_state(&[2], 0, "alive", 0, 20).await;
     cluster.wait_for_state(&[2], 1, "alive", 0, 20).await;
@@ -214,8 +214,8 @@
     let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options)
         .await
         .expect("the daemon starts");
-    let members = daemon.call("members").await;
-    let counters = daemon.call("counters").await;
+    let members = daemon.send_command("members").await;
+    let counters = daemon.send_command("counters").await;
     let _ = std::fs::remove_dir_all(&folder);
     assert!(members.expect("members is answered").starts_with("400 no view"));
     assert!(!counters.expect("counters is answered").contains("view"));
--- a/tests/watches/daemon.rs
+++ b/tests/watches/daemon.rs
@@ -83,7 +83,10 @@
     sleep_until(synced_at + Duration::from_millis(6500)).await;
     let OpenedClients { clients: _rejected_clients, rejected } = open_clients(daemon, 2).await;
     assert_eq!(rejected, 2, "the list has expired after 6 s");
-    daemon.says("discovery: endpoint list is older than 6 s").await.expect("a log line on the expired list");
+    daemon
+        .wait_for_log_line("discovery: endpoint list is older than 6 s")
+        .await
+        .expect("a log line on the expired list");
 }
 
 #[tokio::test]
@@ -94,7 +97,7 @@
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
-    daemon.says("discovery: ").await.expect("the log line of the watch");
+    daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
     watch.reset();
     never_answer(service, true);
     expect_validity_of_six_seconds(&daemon, synced_at).await;
@@ -118,7 +121,7 @@
     watch.send_list(&fleet.known()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
-    daemon.says("discovery: ").await.expect("the log line of the watch");
+    daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
     daemon.reload("discovery", json!(new.address)).expect("a running daemon");
     watch.wait_until_closed().await;
     never_answer(new, false);
@@ -131,7 +134,7 @@
     let Deployment { fleet, mut daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
-    daemon.says("discovery: ").await.expect("the log line of the watch");
+    daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
     let unused = unused_address();
     daemon.reload("discovery", json!(unused.address)).expect("a running daemon");
     watch.wait_until_closed().await;
@@ -145,7 +148,7 @@
 async fn expect_watch_line(daemon: &Daemon, address: SocketAddr, after_version: u64) {
     let line: &'static str =
         Box::leak(format!("discovery: watching {address} after version {after_version}:").into());
-    daemon.says(line).await.expect("the log line of the watch");
+    daemon.wait_for_log_line(line).await.expect("the log line of the watch");
 }
 
 #[tokio::test]
@@ -266,8 +269,8 @@
         start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
     let mut watch = service.accept_request().await;
     watch.send_list(&fleet.known()).await;
-    daemon.says("discovery: ").await.expect("the log line of the watch");
-    let id = daemon.id().expect("a running daemon");
+    daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
+    let id = daemon.process_id().expect("a running daemon");
     let limit = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
     let pid = rustix::process::Pid::from_raw(id.cast_signed());
     rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit)
