--- a/crates/ashtide-bench/src/real.rs
+++ b/crates/ashtide-bench/src/real.rs
@@ -10,7 +10,7 @@
 
 use ashtide_client::{Address, Client, Session, SessionEvent, SessionRequest, Settings};
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::mock_backend::MockBackend;
 use ashtide_testkit::{ScenarioError, within};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -38,15 +38,15 @@
 ///
 /// Fails where something cannot be started or does not come in time.
 pub async fn wave(daemon: &Path, sessions: usize, processes: usize) -> Result<Wave, ScenarioError> {
-    let fleet = Fleet::start(4).await?;
+    let backend = MockBackend::start(4).await?;
     // Two descriptors a session, on a balancer that may get them all but for its share, and some to spare.
     let sockets = (2 * sessions / PAIR * 6 / 5 + 512).min(19_900);
     let options = Options { sockets, memory_mb: 1024, ..Options::default() };
     let mut near = Vec::new();
     let mut far = Vec::new();
     for _ in 0..PAIR {
-        near.push(Daemon::start(daemon, &fleet, &options).await?);
-        far.push(Daemon::start(daemon, &fleet, &options).await?);
+        near.push(Daemon::start(daemon, &backend, &options).await?);
+        far.push(Daemon::start(daemon, &backend, &options).await?);
     }
     let near_at = near.iter().map(|daemon| format!("{}@near", daemon.lines));
     let addresses: Vec<String> =
@@ -80,13 +80,13 @@
     all_say(&mut hear, processes, "up").await?;
     // A connection that breaks soon after it stood is spread wider still; these are to be usual ones.
     tokio::time::sleep(STOOD).await;
-    let before = fleet.ledger.arrivals().len();
+    let before = backend.attempt_log.arrivals().len();
     let cut = Instant::now();
     for daemon in &mut near {
         daemon.kill().await?;
     }
     let waits = all_say(&mut hear, processes, "back").await?;
-    let arrivals = fleet.ledger.arrivals()[before..]
+    let arrivals = backend.attempt_log.arrivals()[before..]
         .iter()
         .map(|arrival| arrival.at.duration_since(cut).as_micros() as u64)
         .collect();
@@ -95,7 +95,7 @@
         drop(stdin);
         within("the end of a client process", child.wait()).await??;
     }
-    Ok(Wave::of(sessions, arrivals, waits, fleet.ledger.overlapping()))
+    Ok(Wave::of(sessions, arrivals, waits, backend.attempt_log.overlap_count()))
 }
 
 /// Waits until every process has said this; what figures it said with it.
--- a/crates/ashtide-fault-injection/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -126,7 +126,7 @@
         loop {
             let start = Instant::now();
             if let Ok(mut client) = LineClient::connect(server).await {
-                let _ = client.echoes("PING").await;
+                let _ = client.receives_echo("PING").await;
             }
             let took = start.elapsed();
             if took > HARNESS_DELAY_THRESHOLD {
@@ -241,7 +241,7 @@
         answered(Answer::NotSent);
         return RequestOutcome::Retry(RETRY_BACKOFF);
     };
-    if client.say(line).await.is_err() {
+    if client.send_line(line).await.is_err() {
         answered(Answer::NotSent);
         return RequestOutcome::Retry(RETRY_BACKOFF);
     }
@@ -321,7 +321,7 @@
                 }
                 said += 1;
                 // A connection that has broken shows by its end.
-                let _ = client.say(&format!("m {said}")).await;
+                let _ = client.send_line(&format!("m {said}")).await;
             }
             () = sleep_until(until), if now == Phase::Running => return CloseReason::ClientFinished,
             _ = phase.changed() => {}
--- a/crates/ashtide-fault-injection/src/run.rs
+++ b/crates/ashtide-fault-injection/src/run.rs
@@ -9,10 +9,10 @@
 
 use ashtide::discovery::EndpointStatus;
 use ashtide::net::handover::CLOCK_OFFSET_VARIABLE;
+use ashtide_testkit::attempt_log::Arrival;
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options, merge_json, send_admin_command};
-use ashtide_testkit::fleet::Fleet;
-use ashtide_testkit::ledger::Arrival;
+use ashtide_testkit::mock_backend::MockBackend;
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
@@ -137,7 +137,7 @@
     program: &'a Path,
     plan: Arc<FaultPlan>,
     client_load: Arc<ClientLoad>,
-    fleet: Fleet,
+    backend: MockBackend,
     /// Where gateways take clients.
     lines: Vec<SocketAddr>,
     /// The network of `peer_listen`, and those of the plan's further sockets.
@@ -174,7 +174,7 @@
 impl<'a> Harness<'a> {
     async fn open(program: &'a Path, plan: &FaultPlan) -> Result<History, FaultRunError> {
         let zones: Vec<String> = (0..plan.servers).map(|server| zone(server % plan.zones)).collect();
-        let fleet = Fleet::start_in(&zones).await?;
+        let backend = MockBackend::start_in(&zones).await?;
         let host = host();
         let held = (0..plan.gateways).map(|_| std::net::TcpListener::bind((host, 0)));
         let held = held.collect::<Result<Vec<_>, _>>()?;
@@ -191,7 +191,7 @@
             program,
             plan: Arc::new(plan.clone()),
             client_load: world,
-            fleet,
+            backend,
             lines,
             nets,
             folder,
@@ -203,7 +203,7 @@
         let tier_now = &tier;
         let starts = there.map(|gateway| async move {
             let options = tier_now.options(gateway, false, plan.initial_clock_offset_ms(gateway))?;
-            let daemon = Daemon::start(program, &tier_now.fleet, &options).await;
+            let daemon = Daemon::start(program, &tier_now.backend, &options).await;
             daemon
                 .map(|daemon| (gateway, daemon))
                 .map_err(|problem| FaultRunError::Gateway { gateway, problem })
@@ -286,7 +286,7 @@
 
     async fn start(&mut self, gateway: usize, twin: bool, clock_ms: i64) -> Result<(), FaultRunError> {
         let options = self.options(gateway, twin, clock_ms)?;
-        let daemon = Daemon::start(self.program, &self.fleet, &options).await;
+        let daemon = Daemon::start(self.program, &self.backend, &options).await;
         let daemon = daemon.map_err(|problem| FaultRunError::Gateway { gateway, problem })?;
         self.register_process(gateway, twin, daemon);
         Ok(())
@@ -325,7 +325,7 @@
         let load = tokio::spawn(offer_load(self.client_load.clone(), plan.clone()));
         let load = AbortOnDrop(load);
         let _minder = AbortOnDrop(tokio::spawn(
-            self.client_load.clone().measure_harness_delay(self.fleet.servers[0].address),
+            self.client_load.clone().measure_harness_delay(self.backend.servers[0].address),
         ));
         for step in &plan.steps {
             self.watch_until(moment(step.at_ms)).await?;
@@ -360,12 +360,12 @@
     }
 
     fn history(&self) -> History {
-        for (number, arrival) in (1..).zip(self.fleet.ledger.arrivals()) {
+        for (number, arrival) in (1..).zip(self.backend.attempt_log.arrivals()) {
             let event = Event::Attempt {
                 request: String::from_utf8_lossy(&arrival.id).into_owned(),
                 server: arrival.server.to_string(),
                 receipt: Arrival::receipt(&arrival.server, number),
-                until_us: arrival.until.map(|until| self.client_load.at(until)),
+                until_us: arrival.ended_at.map(|ended_at| self.client_load.at(ended_at)),
             };
             self.client_load.record_at(self.client_load.at(arrival.at), event);
         }
@@ -496,26 +496,28 @@
             }
             FaultAction::Add { zone: at } => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let server = self.fleet.add(&zone(*at), unix.as_millis() as u64).await?;
+                let server = self.backend.add(&zone(*at), unix.as_millis() as u64).await?;
                 self.listed(server, "SERVING", true);
             }
             FaultAction::Drain { server } => {
-                self.fleet.set(*server, EndpointStatus::Draining);
+                self.backend.set_status(*server, EndpointStatus::Draining);
                 self.listed(*server, "DRAINING", false);
             }
             FaultAction::Fail { server, gateways } => {
                 let of = if gateways.is_empty() { &everyone } else { gateways };
                 let beginnings = of.iter().map(|&gateway| request_id_prefix(gateway).into_bytes()).collect();
-                self.fleet.servers[*server].fail(beginnings);
+                self.backend.servers[*server].reset_requests_with_prefixes(beginnings);
             }
             FaultAction::Rewrite { socket, gateways, file } => {
                 for &gateway in if gateways.is_empty() { &everyone } else { gateways } {
                     self.rewrite(gateway, *socket, file)?;
                 }
             }
-            FaultAction::Recover { server } => self.fleet.servers[*server].fail(Vec::new()),
+            FaultAction::Recover { server } => {
+                self.backend.servers[*server].reset_requests_with_prefixes(Vec::new())
+            }
             FaultAction::Remove { server } => {
-                self.fleet.remove(*server);
+                self.backend.remove(*server);
                 self.listed(*server, "DELETED", false);
             }
         }
@@ -523,7 +525,7 @@
     }
 
     fn listed(&self, server: usize, status: &str, cold: bool) {
-        let server = self.fleet.servers[server].name.clone();
+        let server = self.backend.servers[server].name.clone();
         self.client_load.record(Event::EndpointListed { server, status: status.to_owned(), cold });
     }
 
@@ -586,7 +588,7 @@
             self.reap_exited().await?;
             let mut differs = Vec::new();
             let mut there = BTreeSet::new();
-            let known = self.fleet.known()["endpoints"].as_array().map_or(0, Vec::len) as f64;
+            let known = self.backend.endpoint_list()["endpoints"].as_array().map_or(0, Vec::len) as f64;
             for process in &self.running {
                 there.insert(process.gateway);
                 let Some(door) = process.daemon.admin_address else { continue };
@@ -643,7 +645,7 @@
     loop {
         let pong = timeout(PING.1, async {
             let mut client = LineClient::connect(lines).await.ok()?;
-            client.say("PING").await.ok()?;
+            client.send_line("PING").await.ok()?;
             client.next().await.ok()?
         });
         let open = pong.await.is_ok_and(|word| word.as_deref() == Some("PONG"));
--- a/crates/ashtide-testkit/src/ledger.rs
+++ b/crates/ashtide-testkit/src/attempt_log.rs
@@ -14,7 +14,7 @@
 
 /// Attempts by key, and when each arrived.
 #[derive(Debug, Clone, Default)]
-pub struct Ledger(Arc<Mutex<Inside>>);
+pub struct AttemptLog(Arc<Mutex<Inside>>);
 
 #[derive(Debug, Default)]
 struct Inside {
@@ -35,11 +35,11 @@
     /// The request's id.
     pub id: Bytes,
     /// When it was answered or its connection ended; it is out until then.
-    pub until: Option<Instant>,
+    pub ended_at: Option<Instant>,
     /// Marked as a retry.
     pub retry: bool,
     /// Marked as coming back after a move or a break.
-    pub again: bool,
+    pub reconnect: bool,
 }
 
 impl Arrival {
@@ -51,19 +51,19 @@
 
 /// An attempt that is out; it is no longer so once this is dropped.
 #[derive(Debug)]
-pub struct Out {
-    ledger: Ledger,
+pub struct OpenAttempt {
+    ledger: AttemptLog,
     key: Bytes,
     number: u64,
 }
 
-impl Ledger {
+impl AttemptLog {
     fn inside(&self) -> MutexGuard<'_, Inside> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// An attempt has arrived at this server.
-    pub fn arrived(&self, server: &Arc<str>, open: &Open) -> Out {
+    pub fn record_arrival(&self, server: &Arc<str>, open: &Open) -> OpenAttempt {
         let at = Instant::now();
         let key = open
             .raw
@@ -81,16 +81,16 @@
             at,
             server: server.clone(),
             id: Bytes::copy_from_slice(&open.id),
-            until: None,
+            ended_at: None,
             retry: said(b",r=1"),
-            again: said(b",again=1"),
+            reconnect: said(b",again=1"),
         });
         let others = inside.open.entry(key.clone()).or_default();
         others.insert(number, at);
         if others.len() > 1 {
             tokio::spawn(self.clone().overlaps(key.clone(), number));
         }
-        Out { ledger: self.clone(), key, number }
+        OpenAttempt { ledger: self.clone(), key, number }
     }
 
     /// Counts an overlap if an older attempt of this key is still out a little later.
@@ -102,7 +102,7 @@
     }
 
     /// Attempts that overlapped with an older one of the same key.
-    pub fn overlapping(&self) -> u64 {
+    pub fn overlap_count(&self) -> u64 {
         self.inside().overlaps
     }
 
@@ -112,18 +112,18 @@
     }
 }
 
-impl Out {
+impl OpenAttempt {
     /// Its number among all attempts of the ledger, from 1.
     pub fn number(&self) -> u64 {
         self.number
     }
 }
 
-impl Drop for Out {
+impl Drop for OpenAttempt {
     fn drop(&mut self) {
         let mut inside = self.ledger.inside();
         if let Some(arrival) = inside.arrivals.get_mut(self.number as usize - 1) {
-            arrival.until = Some(Instant::now());
+            arrival.ended_at = Some(Instant::now());
         }
         if let Some(all) = inside.open.get_mut(&self.key) {
             all.remove(&self.number);
--- a/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
+++ b/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
@@ -62,7 +62,7 @@
             Ok(checks) => {
                 for check in &checks.0 {
                     let word = if check.passed { "pass" } else { "FAIL" };
-                    println!("{word} {name}: {} ({})", check.name, check.seen);
+                    println!("{word} {name}: {} ({})", check.name, check.observed);
                     failed += usize::from(!check.passed);
                 }
             }
--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::FramedRead;
 
-use crate::fleet::{CLIENT_ID, PACKET, crypto_frame};
+use crate::mock_backend::{CLIENT_ID_LENGTH, PACKET_LENGTH, crypto_frame};
 use crate::{ID_LENGTH, RESET_KEY, ScenarioError, within};
 use ashtide::config::decode_hex;
 use ashtide::quic::header::{MIN_INITIAL_DATAGRAM, write_long_header};
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Fails where neither comes.
-    pub async fn blurt(&mut self, bytes: &[u8]) -> Result<Option<String>, ScenarioError> {
+    pub async fn send_and_receive(&mut self, bytes: &[u8]) -> Result<Option<String>, ScenarioError> {
         let _ = within("an end to sending", self.write.write_all(bytes)).await?;
         self.next().await
     }
@@ -71,7 +71,7 @@
         // An id is fresh for each connection; the other figures are the client's own.
         static OPENED: AtomicU64 = AtomicU64::new(1 << 32);
         let id = OPENED.fetch_add(1, Ordering::Relaxed);
-        client.say(&format!("OPEN {id:016x} {number:016x} c=meter,d=3000,g={number:x}")).await?;
+        client.send_line(&format!("OPEN {id:016x} {number:016x} c=meter,d=3000,g={number:x}")).await?;
         let answer = client.next().await?.unwrap_or_default();
         Ok((client, answer))
     }
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Fails where the connection has ended.
-    pub async fn begin(&mut self, part: &str) -> Result<(), ScenarioError> {
+    pub async fn send_partial_line(&mut self, part: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(part.as_bytes()).await?)
     }
 
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Fails where the connection has ended.
-    pub async fn say(&mut self, line: &str) -> Result<(), ScenarioError> {
+    pub async fn send_line(&mut self, line: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(format!("{line}\r\n").as_bytes()).await?)
     }
 
@@ -109,8 +109,8 @@
     /// # Errors
     ///
     /// Fails where nothing comes.
-    pub async fn echoes(&mut self, line: &str) -> Result<bool, ScenarioError> {
-        self.say(line).await?;
+    pub async fn receives_echo(&mut self, line: &str) -> Result<bool, ScenarioError> {
+        self.send_line(line).await?;
         Ok(self.next().await?.as_deref() == Some(line))
     }
 
@@ -119,19 +119,19 @@
     /// # Errors
     ///
     /// Fails where nothing comes.
-    pub async fn is_moved(&mut self) -> Result<bool, ScenarioError> {
+    pub async fn receives_move(&mut self) -> Result<bool, ScenarioError> {
         Ok(self.next().await?.as_deref() == Some("MOVE") && self.next().await?.is_none())
     }
 }
 
 /// Sockets that share one inbox.
-pub struct Pool {
+pub struct SocketPool {
     sockets: Vec<Arc<UdpSocket>>,
     inbox: mpsc::Receiver<Bytes>,
     _readers: JoinSet<()>,
 }
 
-impl Pool {
+impl SocketPool {
     /// Opens so many sockets towards the daemon.
     ///
     /// # Errors
@@ -175,7 +175,7 @@
 
 /// One stand-in client's connection.
 #[derive(Debug, Clone)]
-pub struct Client {
+pub struct QuicClient {
     /// Its number, which its own id holds.
     pub number: u64,
     /// The id it begins with.
@@ -196,29 +196,29 @@
 }
 
 /// All stand-in clients of a scenario.
-pub struct Clients {
+pub struct QuicClients {
     /// The clients, by number.
-    pub all: Vec<Client>,
+    pub all: Vec<QuicClient>,
     key: ResetKey,
     tokens: HashMap<[u8; RESET_TOKEN_LENGTH], usize>,
     /// Answers that came from another server than the one that took the client.
     pub wrong_server: u64,
     /// Version negotiations that came.
-    pub versions: u64,
+    pub version_negotiations: u64,
     /// Datagrams that are none of all this.
-    pub strange: u64,
+    pub unexpected: u64,
 }
 
 fn id(bytes: &[u8]) -> ConnectionId {
     ConnectionId::new(bytes).unwrap_or_default()
 }
 
-impl Clients {
+impl QuicClients {
     /// So many clients that have said nothing yet, their ids apart from those of other `series`.
     pub fn new(count: usize, series: u64) -> Self {
         let all = (0..count as u64).map(|at| {
             let number = (series << 32) | at;
-            Client {
+            QuicClient {
                 number,
                 first: id(&(number ^ 0xa55a_c33c_0000_0000).to_be_bytes()),
                 own: id(&number.to_be_bytes()),
@@ -235,14 +235,14 @@
             key: ResetKey::new(decode_hex(RESET_KEY).unwrap_or_default()),
             tokens: HashMap::new(),
             wrong_server: 0,
-            versions: 0,
-            strange: 0,
+            version_negotiations: 0,
+            unexpected: 0,
         }
     }
 
     /// A client's Initial.
     pub fn initial(&self, client: usize) -> Vec<u8> {
-        let Client { number, first, own, .. } = &self.all[client];
+        let QuicClient { number, first, own, .. } = &self.all[client];
         initial::seal(first, Side::Client, first, own, 0, &crypto_frame(*number), MIN_INITIAL_DATAGRAM)
     }
 
@@ -259,13 +259,13 @@
     }
 
     /// Takes one datagram in.
-    pub fn hear(&mut self, datagram: &[u8]) {
+    pub fn handle_datagram(&mut self, datagram: &[u8]) {
         let token = datagram.last_chunk::<RESET_TOKEN_LENGTH>().and_then(|token| self.tokens.get(token));
         if let Some(&client) = token {
             self.all[client].resets += 1;
             return;
         }
-        match Header::parse(datagram, CLIENT_ID) {
+        match Header::parse(datagram, CLIENT_ID_LENGTH) {
             Ok(Header::Long {
                 packet_type: LongPacketType::Initial,
                 destination_id: to,
@@ -274,7 +274,7 @@
                 let Some(at) = self.own(&to) else { return };
                 let client = &mut self.all[at];
                 let Some(opened) = initial::open(datagram, &client.first, Side::Server) else {
-                    self.strange += 1;
+                    self.unexpected += 1;
                     return;
                 };
                 if let Some(closed) = initial::find_connection_close(&opened.frames) {
@@ -285,10 +285,10 @@
                 }
             }
             Ok(Header::Short { destination_id: to })
-                if datagram.len() == PACKET && self.own(&to).is_some() =>
+                if datagram.len() == PACKET_LENGTH && self.own(&to).is_some() =>
             {
                 let Some(at) = self.own(&to) else { return };
-                let rest = &datagram[1 + CLIENT_ID..];
+                let rest = &datagram[1 + CLIENT_ID_LENGTH..];
                 let (answered, rest) = (u64_at(rest, 8), &rest[16..]);
                 let client = &mut self.all[at];
                 if client.server.as_ref().map(<[u8; SERVER_ID_LENGTH]>::as_slice)
@@ -300,8 +300,8 @@
                 client.answered = client.answered.max(answered);
                 client.spare = rest.get(SERVER_ID_LENGTH..SERVER_ID_LENGTH + ID_LENGTH).map(id);
             }
-            Ok(Header::VersionNegotiation { .. }) => self.versions += 1,
-            _ => self.strange += 1,
+            Ok(Header::VersionNegotiation { .. }) => self.version_negotiations += 1,
+            _ => self.unexpected += 1,
         }
     }
 
@@ -314,10 +314,10 @@
     /// Has every client of `which` say something until `done`; how many are not.
     pub async fn exchange(
         &mut self,
-        pool: &mut Pool,
+        pool: &mut SocketPool,
         which: &[usize],
         say: impl Fn(&Self, usize) -> Vec<u8>,
-        done: impl Fn(&Client) -> bool,
+        done: impl Fn(&QuicClient) -> bool,
     ) -> usize {
         let mut undone = 0;
         for some in which.chunks(AT_ONCE) {
@@ -331,7 +331,7 @@
                 }
                 while open.iter().any(|&at| !done(&self.all[at])) {
                     match pool.next().await {
-                        Some(datagram) => self.hear(&datagram),
+                        Some(datagram) => self.handle_datagram(&datagram),
                         None => break,
                     }
                 }
@@ -342,26 +342,26 @@
     }
 
     /// Opens all connections; how many did not come up.
-    pub async fn open(&mut self, pool: &mut Pool) -> usize {
+    pub async fn open(&mut self, pool: &mut SocketPool) -> usize {
         let all: Vec<usize> = (0..self.all.len()).collect();
         self.exchange(pool, &all, Self::initial, |client| client.id.is_some()).await
     }
 
     /// Has all say this message; how many were not answered.
-    pub async fn talk(&mut self, pool: &mut Pool, which: &[usize], message: u64) -> usize {
+    pub async fn exchange_message(&mut self, pool: &mut SocketPool, which: &[usize], message: u64) -> usize {
         let say = |clients: &Self, at: usize| clients.message(at, message);
         self.exchange(pool, which, say, |client| client.answered >= message).await
     }
 
     /// Says a version that nobody speaks and hears until the answer: all that the daemon said before
     /// has been heard then, as it answers in order.
-    pub async fn fence(&mut self, pool: &mut Pool) -> bool {
-        let before = self.versions;
+    pub async fn flush(&mut self, pool: &mut SocketPool) -> bool {
+        let before = self.version_negotiations;
         for _ in 0..TRIES {
             pool.send(0, &other_version()).await;
             while let Some(datagram) = pool.next().await {
-                self.hear(&datagram);
-                if self.versions > before {
+                self.handle_datagram(&datagram);
+                if self.version_negotiations > before {
                     return true;
                 }
             }
@@ -379,7 +379,7 @@
     let mut out = vec![0x40];
     out.extend_from_slice(id);
     out.extend_from_slice(&message.to_be_bytes());
-    out.resize(PACKET, 0);
+    out.resize(PACKET_LENGTH, 0);
     out
 }
 
--- a/crates/ashtide-testkit/src/daemon.rs
+++ b/crates/ashtide-testkit/src/daemon.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::fleet::Fleet;
+use crate::mock_backend::MockBackend;
 use crate::{ID_LENGTH, RESET_KEY, ScenarioError, within};
 
 /// How long the daemon of a scenario gives an Initial, in milliseconds.
@@ -106,7 +106,11 @@
     /// # Errors
     ///
     /// Fails where it does not start or does not say that it listens.
-    pub async fn start(program: &Path, fleet: &Fleet, options: &Options) -> Result<Self, ScenarioError> {
+    pub async fn start(
+        program: &Path,
+        backend: &MockBackend,
+        options: &Options,
+    ) -> Result<Self, ScenarioError> {
         static STARTED: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = STARTED.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let files = std::env::temp_dir().join(format!("ashtide-{}-{number}", std::process::id()));
@@ -115,9 +119,9 @@
         let memory = if options.memory_mb == 0 { 192 } else { options.memory_mb };
         let name = if options.shared.is_some() { "shared".to_owned() } else { format!("n{number}") };
         let mut config = json!({
-            "name": name, "listen": "127.0.0.1:0", "discovery": fleet.discovery,
+            "name": name, "listen": "127.0.0.1:0", "discovery": backend.discovery,
             "seed": "5eed", "limits": {"memory_mb": memory, "sockets": sockets + 2 * options.paths},
-            "known": options.known.clone().unwrap_or_else(|| fleet.known()),
+            "known": options.known.clone().unwrap_or_else(|| backend.endpoint_list()),
             "settings": {
                 "azs": ["here"], "zone": "here", "balancers": 1, "discovery": "on_request", "tick": 0.005,
                 "classes": [{"name": "meter", "aim": 0.4, "deadline": 3.0, "effect": "pure", "worth": 1.0}],
--- a/crates/ashtide-testkit/src/lib.rs
+++ b/crates/ashtide-testkit/src/lib.rs
@@ -1,10 +1,10 @@
 //! The rehearsal kit: stand-ins for all that stands round the daemon, and bounded scenarios that
 //! check what the daemon does. It checks correctness and measures no load; everything is loopback.
 
+pub mod attempt_log;
 pub mod clients;
 pub mod daemon;
-pub mod fleet;
-pub mod ledger;
+pub mod mock_backend;
 pub mod relay;
 pub mod scenarios;
 pub mod system_faults;
@@ -41,7 +41,7 @@
     /// Whether it is.
     pub passed: bool,
     /// What was seen.
-    pub seen: String,
+    pub observed: String,
 }
 
 /// The checks of one scenario.
@@ -50,13 +50,13 @@
 
 impl Checks {
     /// Records a check.
-    pub fn that(&mut self, name: &str, passed: bool, seen: impl ToString) {
-        self.0.push(Check { name: name.to_owned(), passed, seen: seen.to_string() });
+    pub fn record(&mut self, name: &str, passed: bool, observed: impl ToString) {
+        self.0.push(Check { name: name.to_owned(), passed, observed: observed.to_string() });
     }
 
     /// Records that two things are equal.
-    pub fn equal<T: PartialEq + std::fmt::Debug>(&mut self, name: &str, is: T, should: T) {
-        self.that(name, is == should, format!("{is:?}, should be {should:?}"));
+    pub fn record_equal<T: PartialEq + std::fmt::Debug>(&mut self, name: &str, is: T, should: T) {
+        self.record(name, is == should, format!("{is:?}, should be {should:?}"));
     }
 
     /// Whether all passed, and there were any.
--- a/crates/ashtide-testkit/src/fleet.rs
+++ b/crates/ashtide-testkit/src/mock_backend.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 use tokio_util::codec::FramedRead;
 
-use crate::ledger::{Arrival, Ledger, Out};
+use crate::attempt_log::{Arrival, AttemptLog, OpenAttempt};
 use crate::{ID_LENGTH, ScenarioError};
 use ashtide::discovery::{Endpoint, EndpointList, EndpointStatus};
 use ashtide::quic::header::MIN_INITIAL_DATAGRAM;
@@ -25,68 +25,76 @@
 use ashtide_protocol::{LineCodec, Open, PONG};
 
 /// Length of the ids that stand-in clients choose for themselves.
-pub const CLIENT_ID: usize = 8;
+pub const CLIENT_ID_LENGTH: usize = 8;
 /// A stand-in's 1-RTT packet: what would be encrypted stands open behind the id.
-pub const PACKET: usize = 64;
+pub const PACKET_LENGTH: usize = 64;
 /// Discovery's empty line.
-const BEAT: Duration = Duration::from_millis(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a late server takes to answer a new connection.
-pub const LATE: Duration = Duration::from_millis(1200);
+pub const SLOW_ACCEPT_DELAY: Duration = Duration::from_millis(1200);
 /// Tries to find a port that is free for both TCP and UDP.
 const PORT_TRIES: usize = 50;
 
 /// How a stand-in server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum ServerBehavior {
     /// Serves.
-    Well,
+    Serve,
     /// Turns new connections away.
-    Refuses,
+    Reject,
     /// Takes everything and says nothing.
     Silent,
-    /// Serves, but is [`LATE`] in taking a connection.
-    Late,
+    /// Serves, but is [`SLOW_ACCEPT_DELAY`] in taking a connection.
+    SlowAccept,
     /// Serves, and has begun a line of its own on each connection that it never ends.
-    HalfOut,
+    PartialLine,
     /// Takes connections and sends lines on each for as long as somebody reads them.
-    Talks,
+    StreamLines,
 }
 
 /// What a stand-in server has seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ServerCounters {
     /// Connections that it took, of either front.
-    pub taken: AtomicU64,
+    pub accepted: AtomicU64,
     /// Connections offered to it, of either front: a repeated Initial counts once.
     pub offered: AtomicU64,
     /// Packets of connections that are not its own.
-    pub misplaced: AtomicU64,
+    pub misrouted: AtomicU64,
 }
 
 /// One stand-in server.
-pub struct Server {
+pub struct MockServer {
     /// Its name on the list.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// What it has seen.
-    pub seen: Arc<Seen>,
-    mood: watch::Sender<Mood>,
+    pub counters: Arc<ServerCounters>,
+    behavior: watch::Sender<ServerBehavior>,
     fails: watch::Sender<Vec<Vec<u8>>>,
     tasks: JoinSet<()>,
 }
 
-impl Server {
-    async fn start(name: String, ledger: Ledger) -> Result<Self, ScenarioError> {
+impl MockServer {
+    async fn start(name: String, attempt_log: AttemptLog) -> Result<Self, ScenarioError> {
         let (lines, quic) = Self::bind().await?;
         let address = lines.local_addr()?;
-        let (seen, mood) = (Arc::new(Seen::default()), watch::Sender::new(Mood::Well));
+        let (counters, behavior) =
+            (Arc::new(ServerCounters::default()), watch::Sender::new(ServerBehavior::Serve));
         let fails = watch::Sender::new(Vec::new());
         let mut tasks = JoinSet::new();
         let own = name.as_str().into();
-        tasks.spawn(serve_lines(lines, own, mood.subscribe(), fails.subscribe(), seen.clone(), ledger));
-        tasks.spawn(Quic::new(&name, mood.subscribe(), seen.clone()).serve(quic));
-        Ok(Self { name, address, seen, mood, fails, tasks })
+        tasks.spawn(serve_lines(
+            lines,
+            own,
+            behavior.subscribe(),
+            fails.subscribe(),
+            counters.clone(),
+            attempt_log,
+        ));
+        tasks.spawn(Quic::new(&name, behavior.subscribe(), counters.clone()).serve(quic));
+        Ok(Self { name, address, counters, behavior, fails, tasks })
     }
 
     async fn bind() -> Result<(TcpListener, UdpSocket), ScenarioError> {
@@ -100,17 +108,17 @@
     }
 
     /// Changes its behaviour.
-    pub fn mood(&self, mood: Mood) {
-        self.mood.send_replace(mood);
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        self.behavior.send_replace(behavior);
     }
 
     /// From now on it resets new connections whose ids begin with one of these, and no others; what stands stays.
-    pub fn fail(&self, beginnings: Vec<Vec<u8>>) {
+    pub fn reset_requests_with_prefixes(&self, beginnings: Vec<Vec<u8>>) {
         self.fails.send_replace(beginnings);
     }
 
     /// Dies: its connections are reset and new ones refused.
-    pub async fn die(&mut self) {
+    pub async fn stop(&mut self) {
         self.tasks.shutdown().await;
     }
 }
@@ -118,27 +126,34 @@
 async fn serve_lines(
     listener: TcpListener,
     name: Arc<str>,
-    mood: watch::Receiver<Mood>,
+    behavior: watch::Receiver<ServerBehavior>,
     fails: watch::Receiver<Vec<Vec<u8>>>,
-    seen: Arc<Seen>,
-    ledger: Ledger,
+    counters: Arc<ServerCounters>,
+    attempt_log: AttemptLog,
 ) {
     // Connections end with the server.
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         while connections.try_join_next().is_some() {}
-        let (mood, fails) = (mood.clone(), fails.clone());
-        connections.spawn(serve_line(stream, name.clone(), mood, fails, seen.clone(), ledger.clone()));
+        let (behavior, fails) = (behavior.clone(), fails.clone());
+        connections.spawn(serve_line(
+            stream,
+            name.clone(),
+            behavior,
+            fails,
+            counters.clone(),
+            attempt_log.clone(),
+        ));
     }
 }
 
 async fn serve_line(
     stream: TcpStream,
     name: Arc<str>,
-    mood: watch::Receiver<Mood>,
+    behavior: watch::Receiver<ServerBehavior>,
     fails: watch::Receiver<Vec<Vec<u8>>>,
-    seen: Arc<Seen>,
-    ledger: Ledger,
+    counters: Arc<ServerCounters>,
+    attempt_log: AttemptLog,
 ) {
     let (read, mut write) = stream.into_split();
     let mut lines = FramedRead::new(read, LineCodec::default());
@@ -146,27 +161,27 @@
     let mut out = None;
     while let Some(Ok(line)) = lines.next().await {
         if let (false, Ok(open)) = (up, Open::parse(line.clone())) {
-            out = Some(ledger.arrived(&name, &open));
+            out = Some(attempt_log.record_arrival(&name, &open));
             if fails.borrow().iter().any(|beginning| open.id.starts_with(beginning)) {
                 return;
             }
         }
-        let now = *mood.borrow();
+        let now = *behavior.borrow();
         let answer: Vec<u8> = match (up, now) {
-            (_, Mood::Silent) => continue,
+            (_, ServerBehavior::Silent) => continue,
             _ if &line[..] == b"PING\r\n" => PONG.to_vec(),
             (false, _) => {
-                seen.offered.fetch_add(1, Ordering::Relaxed);
-                if now == Mood::Late {
-                    tokio::time::sleep(LATE).await;
+                counters.offered.fetch_add(1, Ordering::Relaxed);
+                if now == ServerBehavior::SlowAccept {
+                    tokio::time::sleep(SLOW_ACCEPT_DELAY).await;
                 }
-                if now == Mood::Refuses {
+                if now == ServerBehavior::Reject {
                     b"BUSY\r\n".to_vec()
                 } else {
                     up = true;
-                    seen.taken.fetch_add(1, Ordering::Relaxed);
-                    let number = out.as_ref().map_or(0, Out::number);
-                    let begun = if now == Mood::HalfOut { "and half a li" } else { "" };
+                    counters.accepted.fetch_add(1, Ordering::Relaxed);
+                    let number = out.as_ref().map_or(0, OpenAttempt::number);
+                    let begun = if now == ServerBehavior::PartialLine { "and half a li" } else { "" };
                     format!("UP {}\r\n{begun}", Arrival::receipt(&name, number)).into_bytes()
                 }
             }
@@ -177,7 +192,7 @@
         if write.write_all(&answer).await.is_err() {
             return;
         }
-        if now == Mood::Talks {
+        if now == ServerBehavior::StreamLines {
             let line = [&[b'x'; 1000][..], b"\r\n"].concat();
             while write.write_all(&line).await.is_ok() {}
             return;
@@ -193,8 +208,8 @@
 /// The QUIC side of a stand-in server.
 struct Quic {
     name: String,
-    mood: watch::Receiver<Mood>,
-    seen: Arc<Seen>,
+    behavior: watch::Receiver<ServerBehavior>,
+    counters: Arc<ServerCounters>,
     sessions: Vec<Session>,
     /// Ids issued, and a client's first ids, to their sessions.
     ids: HashMap<ConnectionId, usize>,
@@ -203,11 +218,11 @@
 }
 
 impl Quic {
-    fn new(name: &str, mood: watch::Receiver<Mood>, seen: Arc<Seen>) -> Self {
+    fn new(name: &str, behavior: watch::Receiver<ServerBehavior>, counters: Arc<ServerCounters>) -> Self {
         Self {
             name: name.to_owned(),
-            mood,
-            seen,
+            behavior,
+            counters,
             sessions: Vec::new(),
             ids: HashMap::new(),
             offered: HashMap::new(),
@@ -232,27 +247,30 @@
     }
 
     fn answer(&mut self, datagram: &[u8]) -> Option<Vec<u8>> {
-        let mood = *self.mood.borrow();
+        let behavior = *self.behavior.borrow();
         match Header::parse(datagram, ID_LENGTH).ok()? {
             Header::Long { packet_type: LongPacketType::Initial, destination_id: to, source_id: from } => {
                 let opened = initial::open(datagram, &to, Side::Client)?;
                 if !self.offered.contains_key(&to) {
-                    self.seen.offered.fetch_add(1, Ordering::Relaxed);
+                    self.counters.offered.fetch_add(1, Ordering::Relaxed);
                 }
-                match mood {
-                    Mood::Silent => None,
-                    Mood::Refuses => {
+                match behavior {
+                    ServerBehavior::Silent => None,
+                    ServerBehavior::Reject => {
                         self.offered.insert(to, to);
                         let frames = initial::encode_connection_close(CONNECTION_REFUSED, "full");
                         Some(initial::seal(&to, Side::Server, &from, &to, 0, &frames, 0))
                     }
-                    Mood::Well | Mood::Late | Mood::HalfOut | Mood::Talks => {
+                    ServerBehavior::Serve
+                    | ServerBehavior::SlowAccept
+                    | ServerBehavior::PartialLine
+                    | ServerBehavior::StreamLines => {
                         let own = match self.offered.get(&to) {
                             Some(own) => *own,
                             None => {
                                 let number = crypto_number(&opened.frames)?;
                                 self.sessions.push(Session { client: from, number });
-                                self.seen.taken.fetch_add(1, Ordering::Relaxed);
+                                self.counters.accepted.fetch_add(1, Ordering::Relaxed);
                                 let own = self.issue(self.sessions.len() - 1);
                                 self.offered.insert(to, own);
                                 own
@@ -265,10 +283,10 @@
             }
             Header::Short { destination_id: to } => {
                 let Some(&session) = self.ids.get(&to) else {
-                    self.seen.misplaced.fetch_add(1, Ordering::Relaxed);
+                    self.counters.misrouted.fetch_add(1, Ordering::Relaxed);
                     return None;
                 };
-                if mood == Mood::Silent {
+                if behavior == ServerBehavior::Silent {
                     return None;
                 }
                 let spare = self.issue(session);
@@ -281,7 +299,7 @@
                 out.extend_from_slice(asked.get(..8)?);
                 out.extend_from_slice(&server_id_for_name(&self.name));
                 out.extend_from_slice(&spare);
-                out.resize(PACKET, 0);
+                out.resize(PACKET_LENGTH, 0);
                 Some(out)
             }
             _ => None,
@@ -300,13 +318,13 @@
 }
 
 /// Discovery and its servers.
-pub struct Fleet {
+pub struct MockBackend {
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// The servers.
-    pub servers: Vec<Server>,
+    pub servers: Vec<MockServer>,
     /// What they have seen together.
-    pub ledger: Ledger,
+    pub attempt_log: AttemptLog,
     list: watch::Sender<List>,
     /// The running service, and those that it replaced.
     services: JoinSet<()>,
@@ -326,7 +344,7 @@
             .unwrap_or_default()
     }
 
-    fn put(&mut self, server: &Server, zone: &str, since_ms: u64) {
+    fn put(&mut self, server: &MockServer, zone: &str, since_ms: u64) {
         let entry = Endpoint {
             name: server.name.clone(),
             address: server.address,
@@ -341,7 +359,7 @@
     }
 }
 
-impl Fleet {
+impl MockBackend {
     /// Starts discovery and this many servers.
     ///
     /// # Errors
@@ -357,10 +375,10 @@
     ///
     /// Fails where the system has no ports for them.
     pub async fn start_in(zones: &[impl AsRef<str>]) -> Result<Self, ScenarioError> {
-        let (mut all, ledger) = (Vec::new(), Ledger::default());
+        let (mut all, attempt_log) = (Vec::new(), AttemptLog::default());
         let mut list = List { version: 1, ..List::default() };
         for (number, zone) in zones.iter().enumerate() {
-            all.push(Server::start(format!("s-{number}"), ledger.clone()).await?);
+            all.push(MockServer::start(format!("s-{number}"), attempt_log.clone()).await?);
             list.put(&all[number], zone.as_ref(), 0);
         }
         let list = watch::Sender::new(list);
@@ -368,7 +386,7 @@
         let discovery = listener.local_addr()?;
         let mut tasks = JoinSet::new();
         tasks.spawn(discover(listener, list.subscribe()));
-        Ok(Self { discovery, servers: all, ledger, list, services: tasks })
+        Ok(Self { discovery, servers: all, attempt_log, list, services: tasks })
     }
 
     /// Discovery answers at a new address, with versions of its own that begin anew. The old service
@@ -390,7 +408,7 @@
     }
 
     /// The list as discovery has it.
-    pub fn known(&self) -> Value {
+    pub fn endpoint_list(&self) -> Value {
         self.list.borrow().json()
     }
 
@@ -402,7 +420,7 @@
     /// Fails where the system has no port for it.
     pub async fn add(&mut self, zone: &str, since_ms: u64) -> Result<usize, ScenarioError> {
         let number = self.servers.len();
-        let server = Server::start(format!("s-{number}"), self.ledger.clone()).await?;
+        let server = MockServer::start(format!("s-{number}"), self.attempt_log.clone()).await?;
         self.list.send_modify(|list| {
             list.version += 1;
             list.put(&server, zone, since_ms);
@@ -412,7 +430,7 @@
     }
 
     /// Changes a server's state on the list, or puts it there.
-    pub fn set(&self, server: usize, state: EndpointStatus) {
+    pub fn set_status(&self, server: usize, state: EndpointStatus) {
         self.list.send_modify(|list| {
             list.version += 1;
             let server = &self.servers[server];
@@ -426,7 +444,7 @@
     }
 
     /// Has discovery take so long to answer a call.
-    pub fn late(&self, late: Duration) {
+    pub fn set_discovery_delay(&self, late: Duration) {
         self.list.send_modify(|list| list.late = late);
     }
 
@@ -439,8 +457,8 @@
     }
 
     /// A sum over what all servers have seen.
-    pub fn sum(&self, figure: impl Fn(&Seen) -> &AtomicU64) -> u64 {
-        self.servers.iter().map(|server| figure(&server.seen).load(Ordering::Relaxed)).sum()
+    pub fn sum(&self, figure: impl Fn(&ServerCounters) -> &AtomicU64) -> u64 {
+        self.servers.iter().map(|server| figure(&server.counters).load(Ordering::Relaxed)).sum()
     }
 }
 
@@ -470,7 +488,7 @@
         text += &chunk(&format!("{}\n", list.borrow().json()));
     }
     while stream.write_all(text.as_bytes()).await.is_ok() {
-        text = match tokio::time::timeout(BEAT, list.changed()).await {
+        text = match tokio::time::timeout(KEEPALIVE_INTERVAL, list.changed()).await {
             Ok(Ok(())) => chunk(&format!("{}\n", list.borrow_and_update().json())),
             Ok(Err(_)) => return,
             Err(_) => chunk("\n"),
--- a/crates/ashtide-testkit/src/relay.rs
+++ b/crates/ashtide-testkit/src/relay.rs
@@ -12,20 +12,20 @@
 
 /// What the network does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weather {
+pub enum NetworkState {
     /// Passes everything.
-    Fair,
+    Forward,
     /// Passes nothing and says nothing: connections stay open and silent.
-    Fog,
+    Blackhole,
     /// Cuts every connection, and every new one as soon as it is made.
-    Storm,
+    Reset,
 }
 
 /// A relay.
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    weather: watch::Sender<Weather>,
+    weather: watch::Sender<NetworkState>,
     _tasks: JoinSet<()>,
 }
 
@@ -37,7 +37,7 @@
     /// Fails where the system has no port for it.
     pub async fn start(target: SocketAddr) -> Result<Self, ScenarioError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (address, weather) = (listener.local_addr()?, watch::Sender::new(Weather::Fair));
+        let (address, weather) = (listener.local_addr()?, watch::Sender::new(NetworkState::Forward));
         let (seen, mut tasks) = (weather.subscribe(), JoinSet::new());
         tasks.spawn(async move {
             let mut passing = JoinSet::new();
@@ -54,27 +54,27 @@
     }
 
     /// Changes the weather, for standing connections as well.
-    pub fn weather(&self, weather: Weather) {
+    pub fn set_state(&self, weather: NetworkState) {
         self.weather.send_replace(weather);
     }
 }
 
-async fn pass(mut client: TcpStream, target: SocketAddr, mut weather: watch::Receiver<Weather>) {
+async fn pass(mut client: TcpStream, target: SocketAddr, mut weather: watch::Receiver<NetworkState>) {
     let Ok(mut server) = TcpStream::connect(target).await else { return };
     loop {
         let now = *weather.borrow_and_update();
         match now {
-            Weather::Fair => tokio::select! {
+            NetworkState::Forward => tokio::select! {
                 // What is under way in it is lost with the weather, as on a network.
                 _ = copy_bidirectional(&mut client, &mut server) => return,
                 _ = weather.changed() => {}
             },
-            Weather::Fog => {
+            NetworkState::Blackhole => {
                 if weather.changed().await.is_err() {
                     return;
                 }
             }
-            Weather::Storm => {
+            NetworkState::Reset => {
                 let _ = client.set_zero_linger();
                 let _ = server.set_zero_linger();
                 return;
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -10,8 +10,8 @@
     Settings,
 };
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, Mood};
-use ashtide_testkit::relay::{Relay, Weather};
+use ashtide_testkit::mock_backend::{MockBackend, ServerBehavior};
+use ashtide_testkit::relay::{NetworkState, Relay};
 use tokio::time::timeout;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_ashtide");
@@ -75,29 +75,29 @@
     assert_eq!(event, SessionEvent::Line(line.to_owned().into()));
 }
 
-async fn start_daemon(fleet: &Fleet) -> Daemon {
-    Daemon::start(Path::new(DAEMON), fleet, &Options::default()).await.expect("a daemon")
+async fn start_daemon(backend: &MockBackend) -> Daemon {
+    Daemon::start(Path::new(DAEMON), backend, &Options::default()).await.expect("a daemon")
 }
 
 #[test]
 fn sessions_of_a_draining_server_move_to_others() {
     run_with_io(async {
-        let fleet = Fleet::start(3).await.unwrap();
-        let daemon = start_daemon(&fleet).await;
+        let backend = MockBackend::start(3).await.unwrap();
+        let daemon = start_daemon(&backend).await;
         let client = client(&[daemon.lines], fast_reconnect_settings());
         let mut sessions = connect_sessions(&client, 24).await;
-        let before = fleet.ledger.arrivals().len();
-        let moved = fleet.servers[0].seen.taken.load(std::sync::atomic::Ordering::Relaxed);
+        let before = backend.attempt_log.arrivals().len();
+        let moved = backend.servers[0].counters.accepted.load(std::sync::atomic::Ordering::Relaxed);
         assert!(moved > 0 && before == 24);
-        fleet.set(0, EndpointStatus::Draining);
+        backend.set_status(0, EndpointStatus::Draining);
         for (number, session) in sessions.iter_mut().enumerate() {
             expect_echo_through_moves(session, &format!("reading {number}")).await;
         }
         // Each client of the drained server has reconnected once, marked as such.
-        let arrivals = wait_for_attempts(&fleet, before + moved as usize).await;
-        assert_eq!(arrivals.iter().filter(|arrival| arrival.again).count() as u64, moved);
-        assert_eq!((client.metrics().await.0.moved, fleet.ledger.overlapping()), (moved, 0));
-        assert_eq!(fleet.servers[0].seen.offered.load(std::sync::atomic::Ordering::Relaxed), moved);
+        let arrivals = wait_for_attempts(&backend, before + moved as usize).await;
+        assert_eq!(arrivals.iter().filter(|arrival| arrival.reconnect).count() as u64, moved);
+        assert_eq!((client.metrics().await.0.moved, backend.attempt_log.overlap_count()), (moved, 0));
+        assert_eq!(backend.servers[0].counters.offered.load(std::sync::atomic::Ordering::Relaxed), moved);
     });
 }
 
@@ -119,10 +119,13 @@
 }
 
 /// Waits until this many attempts have reached the servers.
-async fn wait_for_attempts(fleet: &Fleet, count: usize) -> Vec<ashtide_testkit::ledger::Arrival> {
+async fn wait_for_attempts(
+    backend: &MockBackend,
+    count: usize,
+) -> Vec<ashtide_testkit::attempt_log::Arrival> {
     let attempts = async {
         loop {
-            let arrivals = fleet.ledger.arrivals();
+            let arrivals = backend.attempt_log.arrivals();
             if arrivals.len() >= count {
                 return arrivals;
             }
@@ -135,9 +138,9 @@
 #[test]
 fn sessions_of_a_stopping_gateway_move_to_another() {
     run_with_io(async {
-        let fleet = Fleet::start(2).await.unwrap();
-        let first = start_daemon(&fleet).await;
-        let second = start_daemon(&fleet).await;
+        let backend = MockBackend::start(2).await.unwrap();
+        let first = start_daemon(&backend).await;
+        let second = start_daemon(&backend).await;
         let client = client(&[first.lines], fast_reconnect_settings());
         let mut sessions = connect_sessions(&client, 16).await;
         client.set_addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
@@ -150,16 +153,16 @@
         }
         assert_eq!(first.wait_for_exit().await.unwrap().0.code(), Some(0));
         let metrics = client.metrics().await.0;
-        assert_eq!((metrics.moved, metrics.broken, fleet.ledger.overlapping()), (16, 0, 0));
+        assert_eq!((metrics.moved, metrics.broken, backend.attempt_log.overlap_count()), (16, 0, 0));
     });
 }
 
 #[test]
 fn a_killed_gateway_breaks_sessions_and_its_address_is_avoided() {
     run_with_io(async {
-        let fleet = Fleet::start(2).await.unwrap();
-        let mut first = start_daemon(&fleet).await;
-        let second = start_daemon(&fleet).await;
+        let backend = MockBackend::start(2).await.unwrap();
+        let mut first = start_daemon(&backend).await;
+        let second = start_daemon(&backend).await;
         let client = client(&[first.lines], fast_reconnect_settings());
         let mut sessions = connect_sessions(&client, 16).await;
         client.set_addresses([first.lines, second.lines].map(Address::new).to_vec()).await;
@@ -174,7 +177,7 @@
             expect_reconnected(session).await;
         }
         let metrics = client.metrics().await.0;
-        assert_eq!((metrics.broken, fleet.ledger.overlapping()), (16, 0));
+        assert_eq!((metrics.broken, backend.attempt_log.overlap_count()), (16, 0));
         assert!(metrics.connect_failures <= 3, "one or two find out, the others are spared: {metrics:?}");
     });
 }
@@ -182,9 +185,9 @@
 #[test]
 fn silent_servers_end_each_session_once_and_in_time() {
     run_with_io(async {
-        let fleet = Fleet::start(2).await.unwrap();
-        let daemon = start_daemon(&fleet).await;
-        fleet.servers.iter().for_each(|server| server.mood(Mood::Silent));
+        let backend = MockBackend::start(2).await.unwrap();
+        let daemon = start_daemon(&backend).await;
+        backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
         let client = client(&[daemon.lines], fast_reconnect_settings());
         let started_at = std::time::Instant::now();
         let mut ends = Vec::new();
@@ -203,17 +206,20 @@
         }
         assert!(started_at.elapsed() < Duration::from_millis(2500 + 3000), "{:?}", started_at.elapsed());
         let (metrics, open) = client.metrics().await;
-        assert_eq!((metrics.established, metrics.ended, open, fleet.ledger.overlapping()), (0, 12, 0, 0));
+        assert_eq!(
+            (metrics.established, metrics.ended, open, backend.attempt_log.overlap_count()),
+            (0, 12, 0, 0)
+        );
     });
 }
 
 #[test]
 fn rejections_are_not_retried_without_limit_through_another_gateway() {
     run_with_io(async {
-        let fleet = Fleet::start(2).await.unwrap();
-        let first = start_daemon(&fleet).await;
-        let second = start_daemon(&fleet).await;
-        fleet.servers.iter().for_each(|server| server.mood(Mood::Refuses));
+        let backend = MockBackend::start(2).await.unwrap();
+        let first = start_daemon(&backend).await;
+        let second = start_daemon(&backend).await;
+        backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Reject));
         let client =
             client(&[first.lines, second.lines], Settings { budget_first: 2.0, ..fast_reconnect_settings() });
         let results =
@@ -233,8 +239,8 @@
         let metrics = client.metrics().await.0;
         // Twenty first attempts add four retries to the initial budget of two.
         assert!(metrics.first_attempts + metrics.retries <= 26, "{metrics:?}");
-        assert_eq!(fleet.ledger.overlapping(), 0);
-        fleet.servers.iter().for_each(|server| server.mood(Mood::Well));
+        assert_eq!(backend.attempt_log.overlap_count(), 0);
+        backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Serve));
         let later = SessionRequest { timeout: Duration::from_secs(15), ..wish(99) };
         client.connect(later).await.expect("who waits is served once they are well");
     });
@@ -243,8 +249,8 @@
 #[test]
 fn a_refused_connection_costs_one_retry() {
     run_with_io(async {
-        let fleet = Fleet::start(1).await.unwrap();
-        let daemon = start_daemon(&fleet).await;
+        let backend = MockBackend::start(1).await.unwrap();
+        let daemon = start_daemon(&backend).await;
         // Bound but not listening: the port is reserved and refuses connections.
         let dead = tokio::net::TcpSocket::new_v4().unwrap();
         dead.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -252,7 +258,7 @@
         let client = client(&[unused, daemon.lines], fast_reconnect_settings());
         let _sessions = connect_sessions(&client, 8).await;
         let metrics = client.metrics().await.0;
-        assert_eq!((metrics.established, fleet.ledger.overlapping()), (8, 0));
+        assert_eq!((metrics.established, backend.attempt_log.overlap_count()), (8, 0));
         assert!(metrics.connect_failures <= 6, "{metrics:?}");
         let alone = Client::builder()
             .addresses([Address::new(unused)])
@@ -275,16 +281,16 @@
 #[test]
 fn sessions_survive_resets_and_a_network_that_drops_packets() {
     run_with_io(async {
-        let fleet = Fleet::start(2).await.unwrap();
-        let daemon = start_daemon(&fleet).await;
+        let backend = MockBackend::start(2).await.unwrap();
+        let daemon = start_daemon(&backend).await;
         let network = Relay::start(daemon.lines).await.unwrap();
         let client = client(&[network.address], fast_reconnect_settings());
         let mut sessions = connect_sessions(&client, 16).await;
-        network.weather(Weather::Storm);
+        network.set_state(NetworkState::Reset);
         for session in &mut sessions {
             next_matching(session, |event| matches!(event, SessionEvent::Disconnected { .. })).await;
         }
-        network.weather(Weather::Fair);
+        network.set_state(NetworkState::Forward);
         for session in &mut sessions {
             expect_reconnected(session).await;
             expect_echo(session, "after the storm").await;
@@ -292,7 +298,7 @@
         assert_eq!(client.metrics().await.0.broken, 16);
 
         // The client is notified of the network loss before any connection fails.
-        network.weather(Weather::Fog);
+        network.set_state(NetworkState::Blackhole);
         client.network_lost().await;
         for session in &mut sessions {
             let event =
@@ -302,27 +308,27 @@
                 "{event:?}"
             );
         }
-        let during = fleet.ledger.arrivals().len();
-        network.weather(Weather::Fair);
+        let during = backend.attempt_log.arrivals().len();
+        network.set_state(NetworkState::Forward);
         client.network_restored().await;
         for session in &mut sessions {
             expect_reconnected(session).await;
             expect_echo(session, "after the fog").await;
         }
-        let arrivals = fleet.ledger.arrivals();
-        assert!(arrivals[during..].iter().all(|arrival| arrival.again));
-        assert_eq!(fleet.ledger.overlapping(), 0);
+        let arrivals = backend.attempt_log.arrivals();
+        assert!(arrivals[during..].iter().all(|arrival| arrival.reconnect));
+        assert_eq!(backend.attempt_log.overlap_count(), 0);
     });
 }
 
 #[test]
 fn a_dropped_future_or_session_leaves_no_state() {
     run_with_io(async {
-        let fleet = Fleet::start(1).await.unwrap();
-        let daemon = start_daemon(&fleet).await;
+        let backend = MockBackend::start(1).await.unwrap();
+        let daemon = start_daemon(&backend).await;
         let client = client(&[daemon.lines], fast_reconnect_settings());
         let session = client.connect(wish(0)).await.unwrap();
-        fleet.servers[0].mood(Mood::Silent);
+        backend.servers[0].set_behavior(ServerBehavior::Silent);
         for number in 1..6 {
             let dropped = timeout(Duration::from_millis(20), client.connect(wish(number))).await;
             assert!(dropped.is_err(), "nobody answers");
--- a/tests/compatibility_admin.rs
+++ b/tests/compatibility_admin.rs
@@ -1,6 +1,6 @@
 //! Compatibility of the admin endpoint: requests, responses and metrics, byte for byte.
 
-mod site;
+mod mock_deployment;
 mod transcripts;
 
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use ashtide::net::admin::{self, AdminContext, CordonRequest};
 use ashtide_testkit::daemon::Options;
 use bytes::BytesMut;
+use mock_deployment::MockDeployment;
 use serde_json::json;
-use site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -206,16 +206,16 @@
 /// Checks the metrics of a daemon in which every subsystem that has metrics is configured.
 #[tokio::test]
 async fn a_daemon_has_all_metrics_in_their_order() {
-    let site = Site::new(2).await;
+    let deployment = MockDeployment::new(2).await;
     let write_file = |name: &str, text: String| {
-        let path = site.folder.join(name);
+        let path = deployment.folder.join(name);
         std::fs::write(&path, text).expect("written file");
         path.into_os_string()
     };
     let (view_address, maintenance_address) = (free_udp_address(), free_udp_address());
     let quota =
         "generation = 1\n[partners.north]\nper_s = 24.0\nconnections = 120\n[partners.south]\nper_s = 12.0\n";
-    let folder = site.folder.join("maintenance");
+    let folder = deployment.folder.join("maintenance");
     let maintenance = format!(
         "gateways = [\"{maintenance_address}\"]\nslot = 0\nlisten = \"{maintenance_address}\"\n\
          tier = 1\nfolder = {folder:?}\nvoters = 1\n\
@@ -232,8 +232,8 @@
         "listen = \"{view_address}\"\npublic = \"{view_address}\"\nseeds = []\ntier = 1\nsize = 9\n\
          [state]\ngateways = [\"{view_address}\"]\n"
     );
-    let options = Options { view, arguments, ..site.options(&json!({})) };
-    let daemon = site.start(&options).await;
+    let options = Options { view, arguments, ..deployment.options(&json!({})) };
+    let daemon = deployment.start(&options).await;
     let subsystems = ["router_view_", "router_state_", "router_quota_", "router_maintenance_"];
     let mut metrics = String::new();
     for _ in 0..200 {
--- a/tests/compatibility_client_lines.rs
+++ b/tests/compatibility_client_lines.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, Mood};
+use ashtide_testkit::mock_backend::{MockBackend, ServerBehavior};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -42,9 +42,9 @@
     );
 }
 
-async fn start(fleet: &Fleet, options: Options) -> Daemon {
+async fn start(backend: &MockBackend, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, fleet, &options).await.expect("a daemon");
+    let daemon = Daemon::start(program, backend, &options).await.expect("a daemon");
     daemon.wait_for_log_line("discovery: ").await.expect("it watches");
     daemon
 }
@@ -161,8 +161,8 @@
 
 #[tokio::test]
 async fn first_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("mock servers");
+    let daemon = start(&backend, Options::default()).await;
     let mut found = String::new();
     for line in bad_lines() {
         let answer = exchange(daemon.lines, &line, false).await;
@@ -182,7 +182,7 @@
         let answer = exchange(daemon.lines, line, true).await;
         let _ = writeln!(found, "'{}', half-closed => {answer}", shown(line));
     }
-    assert_eq!(fleet.ledger.arrivals().len(), 0, "nothing was sent on");
+    assert_eq!(backend.attempt_log.arrivals().len(), 0, "nothing was sent on");
     // Those that do not ask in time.
     let mut slow = Vec::new();
     for line in ["", "OPEN 1 2 c=meter", "PING\r\n", "PING\r\nOPEN 1", "PING\r\nPING\r\n"] {
@@ -200,8 +200,8 @@
 
 #[tokio::test]
 async fn requests_and_their_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("mock servers");
+    let daemon = start(&backend, Options::default()).await;
     let mut found = String::new();
 
     // Connections from before the start; their time is over with the first other one.
@@ -280,8 +280,8 @@
 
 #[tokio::test]
 async fn a_stop_is_told_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("mock servers");
+    let daemon = start(&backend, Options::default()).await;
     let mut clients = Vec::new();
     for (what, sent, lines) in [
         ("stands", "OPEN a 2 c=meter,d=3000\r\n", 1),
@@ -295,12 +295,12 @@
         client.lines(lines).await;
         clients.push((what, client));
     }
-    fleet.servers[0].mood(Mood::HalfOut);
+    backend.servers[0].set_behavior(ServerBehavior::PartialLine);
     let mut half = Client::connect(daemon.lines).await;
     half.send(b"OPEN d 2 c=meter,d=3000\r\n").await;
     half.lines(1).await;
     clients.push(("reads half a line", half));
-    fleet.servers[0].mood(Mood::Silent);
+    backend.servers[0].set_behavior(ServerBehavior::Silent);
     let mut waiting = Client::connect(daemon.lines).await;
     waiting.send(b"OPEN e 2 c=meter,d=60000\r\n").await;
     clients.push(("waits for an answer", waiting));
@@ -318,8 +318,8 @@
 
 #[tokio::test]
 async fn limits_are_told_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options { sockets: 64, ..Options::default() }).await;
+    let backend = MockBackend::start(1).await.expect("mock servers");
+    let daemon = start(&backend, Options { sockets: 64, ..Options::default() }).await;
     let mut found = String::new();
     // Sessions until there is no room; the next are refused.
     let mut sessions = Vec::new();
@@ -432,12 +432,12 @@
 /// What a client of a daemon with this one server reads, and what the server was sent.
 async fn before_server(key: &str, effect: &str, address: SocketAddr, requests: &Requests) -> String {
     const ASKED: u64 = 900;
-    let mut fleet = Fleet::start(0).await.expect("a fleet");
+    let mut backend = MockBackend::start(0).await.expect("mock servers");
     let list = json!({"index": 1, "snapshot": true, "endpoints": [entry(address)]});
-    fleet.discovery = discovery(list.clone()).await;
+    backend.discovery = discovery(list.clone()).await;
     let classes = json!([{"name": "meter", "aim": 0.4, "deadline": 3.0, "effect": effect, "worth": 1.0}]);
     let config = json!({"settings": {"classes": classes}});
-    let daemon = start(&fleet, Options { known: Some(list), config, ..Options::default() }).await;
+    let daemon = start(&backend, Options { known: Some(list), config, ..Options::default() }).await;
     let mut client = Client::connect(daemon.lines).await;
     client.send(format!("OPEN 00000000000000aa {key} c=meter,g=1,d={ASKED},x=y\r\n").as_bytes()).await;
     let answer = client.end().await;
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,7 +1,7 @@
 //! Every customer kept apart: names that stand for settings, reloads while requests are open, and what other
 //! deployments have left or run in the same folder.
 
-mod site;
+mod mock_deployment;
 
 use std::io::Write as _;
 use std::os::unix::fs::OpenOptionsExt as _;
@@ -15,8 +15,8 @@
 use ashtide::settings::PlatformSettings;
 use ashtide_testkit::daemon::Daemon;
 use ashtide_testkit::within;
+use mock_deployment::{MockDeployment, endpoint_list, request_connection};
 use serde_json::{Value, json};
-use site::{Site, ask, list};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::sleep;
@@ -130,12 +130,12 @@
 
 #[tokio::test]
 async fn a_request_is_judged_by_the_settings_it_was_taken_under() {
-    let site = Site::new(8).await;
-    let mut daemon = site.start(&site.options(&json!({"settings": settings()}))).await;
+    let deployment = MockDeployment::new(8).await;
+    let mut daemon = deployment.start(&deployment.options(&json!({"settings": settings()}))).await;
     let at = daemon.lines;
     let mut open = Vec::new();
     for class in ["pay", "read", "book", "brief"] {
-        open.push((class, site.asking(at, class, wait(class)).await));
+        open.push((class, deployment.requesting_client(at, class, wait(class)).await));
     }
     daemon.reload("settings", turned()).expect("it runs");
     daemon.wait_for_log_line("reload: settings has changed").await.expect("read");
@@ -145,7 +145,7 @@
         for class in ["pay", "read", "book", "brief"] {
             let (mut client, attempt) = match open.iter().position(|it| it.0 == class) {
                 Some(place) => open.swap_remove(place).1,
-                None => site.asking(at, class, wait(class)).await,
+                None => deployment.requesting_client(at, class, wait(class)).await,
             };
             sleep(BRIEF_OVER).await;
             drop(attempt.stream);
@@ -153,10 +153,10 @@
                 "pay" => "ERR",
                 "brief" => "BUSY",
                 _ => {
-                    let mut second = site.attempt().await;
+                    let mut second = deployment.next_attempt().await;
                     assert!(second.line.contains(&format!("c={class},")), "{}", second.line);
                     assert_ne!(second.server, attempt.server);
-                    second.say("UP again").await;
+                    second.send_line("UP again").await;
                     "UP again"
                 }
             };
@@ -165,7 +165,10 @@
         }
     }
     for unknown in ["new", "late"] {
-        assert_eq!(ask(at, unknown, 3_000).await.next().await.expect("an answer").as_deref(), Some("ERR"));
+        assert_eq!(
+            request_connection(at, unknown, 3_000).await.next().await.expect("an answer").as_deref(),
+            Some("ERR")
+        );
     }
     let text = daemon.send_command("counters").await.expect("figures");
     let figures = ["passed", "dropped", "bad_gateway", "upstream_tries"];
@@ -183,8 +186,8 @@
 
 #[tokio::test]
 async fn what_runs_is_what_a_reload_compares_with_and_a_bad_file_changes_nothing() {
-    let site = Site::new(2).await;
-    let mut daemon = site.start(&site.options(&json!({"settings": settings()}))).await;
+    let deployment = MockDeployment::new(2).await;
+    let mut daemon = deployment.start(&deployment.options(&json!({"settings": settings()}))).await;
     let good = daemon.config().to_string();
     let path = daemon.config_file().display().to_string();
     let mut lacks = daemon.config().clone();
@@ -203,8 +206,8 @@
             whole && line.contains(why) && line.contains(&path)
         };
         daemon.wait_for_log("the bad file", |said| said.iter().any(named)).await.expect("named");
-        let (mut client, mut attempt) = site.asking(daemon.lines, "pay", 30_000).await;
-        attempt.say("UP r").await;
+        let (mut client, mut attempt) = deployment.requesting_client(daemon.lines, "pay", 30_000).await;
+        attempt.send_line("UP r").await;
         assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
     }
     assert_eq!(times(&daemon.log_lines(), "reload: settings"), 2, "the two that are refused");
@@ -250,8 +253,8 @@
 
 #[tokio::test]
 async fn hang_ups_while_a_file_is_read_count_as_one_and_a_stop_waits_for_none() {
-    let site = Site::new(2).await;
-    let daemon = site.start(&site.options(&json!({}))).await;
+    let deployment = MockDeployment::new(2).await;
+    let daemon = deployment.start(&deployment.options(&json!({}))).await;
     let good = daemon.config().to_string();
     lay_pipe(&daemon);
     daemon.send_sighup().expect("it runs");
@@ -259,7 +262,7 @@
     for _ in 0..3 {
         daemon.send_sighup().expect("it runs");
         // Served meanwhile, and the signal has been seen by then.
-        let _ = site.standing(daemon.lines).await;
+        let _ = deployment.established_client(daemon.lines).await;
     }
     reading.write_all(good.as_bytes()).expect("written");
     drop(reading);
@@ -282,9 +285,9 @@
 
 #[tokio::test]
 async fn two_balancers_whose_names_come_to_one_file_name_do_not_meet() {
-    let site = Site::new(2).await;
-    let one = site.start(&site.options(&json!({"name": "a.b"}))).await;
-    let two = site.start(&site.options(&json!({"name": "a_b"}))).await;
+    let deployment = MockDeployment::new(2).await;
+    let one = deployment.start(&deployment.options(&json!({"name": "a.b"}))).await;
+    let two = deployment.start(&deployment.options(&json!({"name": "a_b"}))).await;
     two.wait_for_log("the other", |said| {
         said.iter()
             .any(|line| line.contains("process belongs to another deployment, 'a.b'; leaving it alone"))
@@ -297,16 +300,16 @@
     }
     // Both take clients, each at the server that it has left.
     for (daemon, server) in [(&one, 1), (&two, 0)] {
-        assert_eq!(site.standing(daemon.lines).await.1.server, server);
+        assert_eq!(deployment.established_client(daemon.lines).await.1.server, server);
     }
-    let kept = |name: &str| std::fs::read_to_string(site.folder.join(name)).expect("kept");
+    let kept = |name: &str| std::fs::read_to_string(deployment.folder.join(name)).expect("kept");
     assert!(kept("ashtide.a_b.kept").contains("a.b") && kept("ashtide.a_b.2.kept").contains("a_b"));
     // Each finds its own again, whatever stands before it.
     let end = |mut daemon: Daemon| async move { daemon.kill().await.expect("it ran") };
     end(one).await;
     end(two).await;
     for (name, out) in [("a_b", "s-1"), ("a.b", "s-0")] {
-        let daemon = site.start(&site.options(&json!({"name": name}))).await;
+        let daemon = deployment.start(&deployment.options(&json!({"name": name}))).await;
         daemon.wait_for_log("its cordon", |said| times(said, "operator: ") >= 2).await.expect("kept");
         let cordons: Vec<_> =
             daemon.log_lines().into_iter().filter(|line| line.ends_with(" is out")).collect();
@@ -317,30 +320,30 @@
 
 #[tokio::test]
 async fn another_customers_file_is_left_alone_and_a_renamed_class_is_no_other_customer() {
-    let site = Site::new(2).await;
-    let (shared, at) = site.shared();
+    let deployment = MockDeployment::new(2).await;
+    let (shared, at) = deployment.shared();
     let options = |classes: &[&str], customers: &[&str], shared: Option<&ashtide_testkit::daemon::Shared>| {
         let classes: Vec<_> = classes.iter().map(|name| class(name, "pure", 0.0, 30.0)).collect();
         let customers: Vec<_> = customers.iter().map(|name| customer(name)).collect();
-        let mut options = site
+        let mut options = deployment
             .options(&json!({"name": "shared", "settings": {"classes": classes, "customers": customers}}));
         options.shared = shared.cloned();
         options
     };
-    let mut first = site.start(&options(&["meter"], &[], Some(&shared))).await;
-    let _ = site.standing(at).await;
+    let mut first = deployment.start(&options(&["meter"], &[], Some(&shared))).await;
+    let _ = deployment.established_client(at).await;
     assert!(first.send_command("cordon s-0").await.expect("an answer").starts_with("200"));
     // An upgrade may rename its only class: the listener is the same.
-    let mut second = site.start(&options(&["metre"], &["acme"], Some(&shared))).await;
+    let mut second = deployment.start(&options(&["metre"], &["acme"], Some(&shared))).await;
     second.wait_for_log_line("handover: received state from the previous process").await.expect("met");
     second.wait_for_log_line("operator: s-0 is out").await.expect("kept");
     first.kill().await.expect("it ran");
     assert!(second.send_command("cordon s-0").await.expect("an answer").starts_with("200"));
     second.kill().await.expect("it ran");
-    let file = site.folder.join("ashtide.shared.kept");
+    let file = deployment.folder.join("ashtide.shared.kept");
     let theirs = std::fs::read(&file).expect("kept");
     // Another customer's, under the same name and with the same class.
-    let mut third = site.start(&options(&["metre"], &["bolt"], None)).await;
+    let mut third = deployment.start(&options(&["metre"], &["bolt"], None)).await;
     third.wait_for_log_line("handover: ").await.expect("said");
     let named = |line: &String| {
         line.starts_with(&format!(
@@ -352,15 +355,15 @@
     assert!(!third.log_lines().iter().any(|line| line.ends_with("is out")), "{:?}", third.log_lines());
     // Their run has begun, and ours has not: `at=` is open, the server that they have out is used.
     let mut client = ashtide_testkit::clients::LineClient::connect(third.lines).await.expect("taken");
-    client.say("OPEN 00000000000000aa 77 c=metre,t=bolt,d=3000,g=1,at=s-0").await.expect("heard");
-    let mut attempt = site.attempt().await;
+    client.send_line("OPEN 00000000000000aa 77 c=metre,t=bolt,d=3000,g=1,at=s-0").await.expect("heard");
+    let mut attempt = deployment.next_attempt().await;
     assert_eq!(attempt.server, 0);
-    attempt.say("UP r").await;
+    attempt.send_line("UP r").await;
     assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
     assert!(third.send_command("cordon s-1").await.expect("an answer").starts_with("200"));
     third.kill().await.expect("it ran");
     assert_eq!(std::fs::read(&file).expect("kept"), theirs, "byte for byte");
-    let fourth = site.start(&options(&["metre", "more"], &["bolt", "more"], None)).await;
+    let fourth = deployment.start(&options(&["metre", "more"], &["bolt", "more"], None)).await;
     fourth.wait_for_log_line("operator: s-1 is out").await.expect("ours");
 }
 
@@ -413,8 +416,8 @@
 
 /// What a process of another deployment tells: a list without the only server, that operators have it out,
 /// and that it takes the clients.
-fn foreign(site: &Site, started: u64) -> Vec<u8> {
-    let theirs = StateFolder::for_gateway(&site.folder, "a_b");
+fn foreign(deployment: &MockDeployment, started: u64) -> Vec<u8> {
+    let theirs = StateFolder::for_gateway(&deployment.folder, "a_b");
     let mut cordons = Cordons::default();
     cordons.record("s-0", CordonChange { timestamp: u64::MAX, cordoned: true });
     let whose = Some(theirs.deployment().clone());
@@ -427,16 +430,16 @@
         cordons,
         ..ProcessState::default()
     };
-    let news = serde_json::from_value(list(1 << 40, &[])).expect("a list");
+    let news = serde_json::from_value(endpoint_list(1 << 40, &[])).expect("a list");
     [SiblingMessage::List(news).encode_line(), SiblingMessage::State(state).encode_line()].concat()
 }
 
 #[tokio::test]
 async fn nothing_of_another_deployments_process_is_taken_whichever_came_first() {
-    let site = Site::new(1).await;
-    let older = site.folder.join("ashtide.a_b.1.sock");
+    let deployment = MockDeployment::new(1).await;
+    let older = deployment.folder.join("ashtide.a_b.1.sock");
     let listener = UnixListener::bind(&older).expect("bound");
-    let told = foreign(&site, 1);
+    let told = foreign(&deployment, 1);
     let greets = tokio::spawn(async move {
         let (mut link, _) = listener.accept().await.expect("met");
         link.write_all(&told).await.expect("told");
@@ -446,18 +449,18 @@
         (listener, read)
     });
     // Discovery that cannot be reached: only the list that it was given, and what others tell.
-    let options = site.options(&json!({"name": "a.b", "discovery": "127.0.0.1:1"}));
-    let daemon = site.start(&options).await;
+    let options = deployment.options(&json!({"name": "a.b", "discovery": "127.0.0.1:1"}));
+    let daemon = deployment.start(&options).await;
     let (_listener, read) = greets.await.expect("greeted");
     assert_eq!(read, 0);
     assert!(older.exists(), "its socket is left to it");
 
-    let sockets = std::fs::read_dir(&site.folder).expect("the folder").flatten().map(|it| it.path());
+    let sockets = std::fs::read_dir(&deployment.folder).expect("the folder").flatten().map(|it| it.path());
     let ours = sockets.filter(|path| path.extension().is_some_and(|it| it == "sock") && *path != older);
     let ours: Vec<_> = ours.collect();
     assert_eq!(ours.len(), 1, "{ours:?}");
     let mut link = UnixStream::connect(&ours[0]).await.expect("there");
-    link.write_all(&foreign(&site, u64::MAX)).await.expect("told");
+    link.write_all(&foreign(&deployment, u64::MAX)).await.expect("told");
     let mut said = Vec::new();
     within("an end", link.read_to_end(&mut said)).await.expect("in time").expect("let go");
     let apart =
@@ -467,5 +470,5 @@
         !daemon.log_lines().iter().any(|line| line.contains("is out") || line.contains("accepts clients"))
     );
     // It still takes clients, and its server is on its list.
-    let _ = site.standing(daemon.lines).await;
+    let _ = deployment.established_client(daemon.lines).await;
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -7,7 +7,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::mock_backend::{MockBackend, chunk};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -80,10 +80,10 @@
 
 #[tokio::test]
 async fn idle_clients_block_neither_discovery_nor_servers_nor_the_admin_endpoint() {
-    let mut fleet = Fleet::start(2).await.expect("a fleet");
-    let list = fleet.known().to_string();
+    let mut backend = MockBackend::start(2).await.expect("mock servers");
+    let list = backend.endpoint_list().to_string();
     let unused_port = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    fleet.discovery = unused_port.local_addr().expect("bound");
+    backend.discovery = unused_port.local_addr().expect("bound");
     drop(unused_port);
     let folder = std::env::temp_dir().join(format!("ashtide-descriptors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -93,7 +93,7 @@
         config: json!({"operator": "127.0.0.1:0"}),
         ..Options::default()
     };
-    let mut daemon = Daemon::start(&program, &fleet, &options).await.expect("a daemon");
+    let mut daemon = Daemon::start(&program, &backend, &options).await.expect("a daemon");
     let idle_clients: Vec<_> =
         (0..IDLE_CLIENTS).map(|_| tokio::spawn(run_idle_client(daemon.lines))).collect();
     // Waits until the idle clients use the daemon's entire capacity.
@@ -104,13 +104,16 @@
         .expect("an answer of the admin endpoint");
     assert!(health.expect("answered").contains("not ready"), "not ready without an endpoint list");
 
-    let listener = TcpListener::bind(fleet.discovery).await.expect("the same port");
+    let listener = TcpListener::bind(backend.discovery).await.expect("the same port");
     let recovered_at = Instant::now();
     let discovery = tokio::spawn(serve_list(listener, list));
     let mut connections = connect_clients(&daemon, recovered_at).await;
     assert!(daemon.send_command("health").await.expect("answered").contains("ready"));
     for client in &mut connections {
-        assert!(client.echoes("still here").await.expect("an echo"), "established connections remain usable");
+        assert!(
+            client.receives_echo("still here").await.expect("an echo"),
+            "established connections remain usable"
+        );
     }
     assert!(daemon.is_running());
     idle_clients.iter().chain([&discovery]).for_each(tokio::task::JoinHandle::abort);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,7 +1,7 @@
 //! Handover between two processes of one gateway during an upgrade. Mock processes take the place of siblings
 //! that exit, hang or do not answer at a given moment.
 
-mod site;
+mod mock_deployment;
 
 use std::os::unix::net::UnixDatagram;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 use ashtide_testkit::daemon::{Daemon, Options};
 use ashtide_testkit::within;
 use futures_util::future::select_all;
+use mock_deployment::{Attempt, MockDeployment, endpoint_list};
 use serde_json::json;
-use site::{Attempt, Site, list};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::time::Instant;
@@ -35,18 +35,19 @@
 }
 
 /// Returns the sockets at which processes accept links from their siblings.
-fn sibling_sockets(site: &Site) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(&site.folder).expect("readable state folder").flatten();
+fn sibling_sockets(deployment: &MockDeployment) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(&deployment.folder).expect("readable state folder").flatten();
     let paths = entries.map(|entry| entry.path());
     paths.filter(|path| path.extension().is_some_and(|extension| extension == "sock")).collect()
 }
 
 impl MockSuccessor {
     /// Links to the daemon and waits until the daemon has logged that its successor accepts clients.
-    async fn start(site: &Site, daemon: &Daemon) -> Self {
-        let handoff_path = site.folder.join(format!("ashtide.shared.{SUCCESSOR_RANK}.inbox"));
+    async fn start(deployment: &MockDeployment, daemon: &Daemon) -> Self {
+        let handoff_path = deployment.folder.join(format!("ashtide.shared.{SUCCESSOR_RANK}.inbox"));
         let handoff_receiver = HandoffReceiver::bind(&handoff_path).expect("bound handoff socket");
-        let mut link = UnixStream::connect(&sibling_sockets(site)[0]).await.expect("link to the daemon");
+        let mut link =
+            UnixStream::connect(&sibling_sockets(deployment)[0]).await.expect("link to the daemon");
         let state = ProcessState {
             rank: SUCCESSOR_RANK,
             ready: true,
@@ -63,13 +64,16 @@
 }
 
 /// Starts a daemon and establishes `count` connections through it.
-async fn start_with_connections(site: &Site, count: usize) -> (Daemon, Options, Vec<(LineClient, Attempt)>) {
-    let (shared, gateway_address) = site.shared();
-    let options = Options { shared: Some(shared), ..site.options(&json!({})) };
-    let daemon = site.start(&options).await;
+async fn start_with_connections(
+    deployment: &MockDeployment,
+    count: usize,
+) -> (Daemon, Options, Vec<(LineClient, Attempt)>) {
+    let (shared, gateway_address) = deployment.shared();
+    let options = Options { shared: Some(shared), ..deployment.options(&json!({})) };
+    let daemon = deployment.start(&options).await;
     let mut connections = Vec::new();
     for _ in 0..count {
-        connections.push(site.standing(gateway_address).await);
+        connections.push(deployment.established_client(gateway_address).await);
     }
     (daemon, options, connections)
 }
@@ -82,7 +86,7 @@
     terminated_at: Instant,
 ) -> Vec<String> {
     for (mut client, _server) in connections {
-        assert!(client.is_moved().await.expect("end of the connection"), "closed without MOVE");
+        assert!(client.receives_move().await.expect("end of the connection"), "closed without MOVE");
     }
     let (status, log_lines) = daemon.wait_for_exit().await.expect("exit of the daemon");
     let elapsed = terminated_at.elapsed();
@@ -92,9 +96,9 @@
 
 #[tokio::test]
 async fn clients_are_moved_if_the_successor_exits_before_the_handoff() {
-    let site = Site::new(2).await;
-    let (daemon, _options, connections) = start_with_connections(&site, 6).await;
-    let successor = MockSuccessor::start(&site, &daemon).await;
+    let deployment = MockDeployment::new(2).await;
+    let (daemon, _options, connections) = start_with_connections(&deployment, 6).await;
+    let successor = MockSuccessor::start(&deployment, &daemon).await;
     // The link stays open, so the daemon starts the handoff. The file of the handoff socket still exists, but
     // no process receives from it.
     drop(successor.handoff_receiver);
@@ -108,9 +112,9 @@
 
 #[tokio::test]
 async fn clients_are_moved_in_time_if_the_handoff_queue_is_full() {
-    let site = Site::new(2).await;
-    let (daemon, _options, connections) = start_with_connections(&site, 6).await;
-    let successor = MockSuccessor::start(&site, &daemon).await;
+    let deployment = MockDeployment::new(2).await;
+    let (daemon, _options, connections) = start_with_connections(&deployment, 6).await;
+    let successor = MockSuccessor::start(&deployment, &daemon).await;
     // The send buffer of one sender is limited, too. The receiver's queue is full when a new sender cannot
     // send its first datagram.
     let mut fillers = Vec::new();
@@ -129,7 +133,7 @@
     daemon.terminate().expect("running daemon");
     let mut move_delays = Vec::new();
     for (mut client, server) in connections {
-        assert!(client.is_moved().await.expect("end of the connection"), "closed without MOVE");
+        assert!(client.receives_move().await.expect("end of the connection"), "closed without MOVE");
         move_delays.push(terminated_at.elapsed());
         drop(server);
     }
@@ -140,13 +144,13 @@
 
 #[tokio::test]
 async fn a_handoff_includes_the_bytes_that_were_read_ahead() {
-    let site = Site::new(1).await;
-    let (shared, gateway_address) = site.shared();
-    let daemon = site.start(&Options { shared: Some(shared), ..site.options(&json!({})) }).await;
+    let deployment = MockDeployment::new(1).await;
+    let (shared, gateway_address) = deployment.shared();
+    let daemon = deployment.start(&Options { shared: Some(shared), ..deployment.options(&json!({})) }).await;
     // Both sides send more than their first line at once, and end in the middle of a line.
     let mut client = TcpStream::connect(gateway_address).await.expect("connected client");
     client.write_all(b"OPEN 1 2 c=meter,d=3000,g=1\r\nearly\r\nhal").await.expect("sent request");
-    let mut server = site.attempt().await;
+    let mut server = deployment.next_attempt().await;
     server.stream.write_all(b"UP r\r\nfirst\r\nsec").await.expect("sent answer");
     // Complete lines are forwarded before the handoff.
     let mut received = [0; 13];
@@ -155,7 +159,7 @@
     let mut received = [0; 7];
     within("the early line", server.stream.read_exact(&mut received)).await.expect("in time").expect("read");
     assert_eq!(&received, b"early\r\n");
-    let successor = MockSuccessor::start(&site, &daemon).await;
+    let successor = MockSuccessor::start(&deployment, &daemon).await;
     daemon.terminate().expect("running daemon");
     let handed_off = within("the connection", successor.handoff_receiver.receive()).await.expect("in time");
     let ReceivedConnection { connection, client: client_socket, server: server_socket } =
@@ -190,14 +194,14 @@
 
 #[tokio::test]
 async fn an_endpoint_list_of_a_sibling_takes_effect() {
-    let site = Site::new(2).await;
-    let addresses = site.addresses();
+    let deployment = MockDeployment::new(2).await;
+    let addresses = deployment.addresses();
     let list_message = |index, first_status, second_status| {
-        let list = list(index, &[(addresses[0], first_status), (addresses[1], second_status)]);
+        let list = endpoint_list(index, &[(addresses[0], first_status), (addresses[1], second_status)]);
         SiblingMessage::List(serde_json::from_value(list).expect("endpoint list")).encode_line()
     };
     let older_process =
-        UnixListener::bind(site.folder.join("ashtide.shared.1.sock")).expect("bound sibling socket");
+        UnixListener::bind(deployment.folder.join("ashtide.shared.1.sock")).expect("bound sibling socket");
     let state_message = || {
         SiblingMessage::State(ProcessState { rank: 1, ready: true, ..ProcessState::default() }).encode_line()
     };
@@ -209,13 +213,13 @@
     });
     // Discovery is unreachable, so the daemon has only its configured list and the lists of the older
     // process.
-    let (shared, gateway_address) = site.shared();
-    let options = site.options(&json!({"discovery": "127.0.0.1:1"}));
-    let daemon = site.start(&Options { shared: Some(shared), ..options }).await;
+    let (shared, gateway_address) = deployment.shared();
+    let options = deployment.options(&json!({"discovery": "127.0.0.1:1"}));
+    let daemon = deployment.start(&Options { shared: Some(shared), ..options }).await;
     let mut link = accepted_link.await.expect("link of the daemon");
     let mut connections = Vec::new();
     for _ in 0..8 {
-        let (client, attempt) = site.standing(gateway_address).await;
+        let (client, attempt) = deployment.established_client(gateway_address).await;
         assert_eq!(attempt.server, 0, "the first list has s-1 as draining");
         connections.push((client, attempt));
     }
@@ -223,15 +227,19 @@
     let next_lines = connections.iter_mut().map(|(client, _)| Box::pin(client.next()));
     let (line, ..) = within("a MOVE", select_all(next_lines)).await.expect("in time");
     assert_eq!(line.expect("a line").as_deref(), Some("MOVE"));
-    assert_eq!(site.standing(gateway_address).await.1.server, 1, "the second list has s-0 as draining");
+    assert_eq!(
+        deployment.established_client(gateway_address).await.1.server,
+        1,
+        "the second list has s-0 as draining"
+    );
     drop(daemon);
 }
 
 #[tokio::test]
 async fn a_cordon_at_one_process_takes_effect_at_its_sibling() {
-    let site = Site::new(3).await;
-    let (first, options, _connections) = start_with_connections(&site, 1).await;
-    let second = site.start(&options).await;
+    let deployment = MockDeployment::new(3).await;
+    let (first, options, _connections) = start_with_connections(&deployment, 1).await;
+    let second = deployment.start(&options).await;
     first
         .wait_for_log_line("handover: the successor accepts clients")
         .await
@@ -246,9 +254,9 @@
 
 #[tokio::test]
 async fn all_clients_are_moved_if_both_processes_are_terminated_at_once() {
-    let site = Site::new(2).await;
-    let (first, options, mut connections) = start_with_connections(&site, 8).await;
-    let second = site.start(&options).await;
+    let deployment = MockDeployment::new(2).await;
+    let (first, options, mut connections) = start_with_connections(&deployment, 8).await;
+    let second = deployment.start(&options).await;
     first
         .wait_for_log_line("handover: the successor accepts clients")
         .await
@@ -256,31 +264,31 @@
     let listener = &options.shared.as_ref().expect("shared listener").listener;
     let gateway_address = listener.local_addr().expect("bound listener");
     for _ in 0..4 {
-        connections.push(site.standing(gateway_address).await);
+        connections.push(deployment.established_client(gateway_address).await);
     }
     let terminated_at = Instant::now();
     first.terminate().expect("running daemon");
     second.terminate().expect("running daemon");
     assert_all_moved(first, connections, terminated_at).await;
     assert_all_moved(second, Vec::new(), terminated_at).await;
-    assert!(sibling_sockets(&site).is_empty(), "{:?}", sibling_sockets(&site));
+    assert!(sibling_sockets(&deployment).is_empty(), "{:?}", sibling_sockets(&deployment));
 }
 
 #[tokio::test]
 async fn a_stalled_older_process_delays_no_start_and_hands_off_after_it_resumes() {
-    let site = Site::new(2).await;
-    let (first, options, connections) = start_with_connections(&site, 4).await;
+    let deployment = MockDeployment::new(2).await;
+    let (first, options, connections) = start_with_connections(&deployment, 4).await;
     let listener = &options.shared.as_ref().expect("shared listener").listener;
     let gateway_address = listener.local_addr().expect("bound listener");
     first.set_suspended(true).expect("running daemon");
     // Three more siblings do not answer. The daemon has to wait for all of them concurrently.
     let mut silent_siblings = Vec::new();
     for rank in 1..=3 {
-        let path = site.folder.join(format!("ashtide.shared.{rank}.sock"));
+        let path = deployment.folder.join(format!("ashtide.shared.{rank}.sock"));
         silent_siblings.push(UnixListener::bind(path).expect("bound sibling socket"));
     }
     let start_time = Instant::now();
-    let second = site.start(&options).await;
+    let second = deployment.start(&options).await;
     let start_duration = start_time.elapsed();
     assert!(
         start_duration < Duration::from_millis(1900),
@@ -294,7 +302,7 @@
             .count(),
         4
     );
-    let _new_connection = site.standing(gateway_address).await;
+    let _new_connection = deployment.established_client(gateway_address).await;
     first.set_suspended(false).expect("running daemon");
     first
         .wait_for_log_line("handover: the successor accepts clients")
@@ -304,7 +312,7 @@
     let (status, _) = first.wait_for_exit().await.expect("exit of the daemon");
     assert!(status.success(), "{status}");
     for (mut client, mut server) in connections {
-        client.say("still").await.expect("open connection");
+        client.send_line("still").await.expect("open connection");
         let mut line = [0; 7];
         within("its line", server.stream.read_exact(&mut line)).await.expect("in time").expect("a line");
         assert_eq!(&line, b"still\r\n");
@@ -314,16 +322,16 @@
 
 #[tokio::test]
 async fn a_daemon_that_waits_for_a_silent_sibling_stops_in_time() {
-    let site = Site::new(1).await;
+    let deployment = MockDeployment::new(1).await;
     let silent_sibling =
-        UnixListener::bind(site.folder.join("ashtide.n0.1.sock")).expect("bound sibling socket");
+        UnixListener::bind(deployment.folder.join("ashtide.n0.1.sock")).expect("bound sibling socket");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
                         "settings": {"classes": [{"name": "meter", "deadline": 3.0}]}});
-    let config_path = site.folder.join("config.json");
+    let config_path = deployment.folder.join("config.json");
     std::fs::write(&config_path, config.to_string()).expect("written configuration");
     let mut daemon = tokio::process::Command::from(Command::new(env!("CARGO_BIN_EXE_ashtide")))
         .env("ROUTER_CONFIG", &config_path)
-        .env("TMPDIR", &site.folder)
+        .env("TMPDIR", &deployment.folder)
         .env_remove("ROUTER_OPERATOR")
         .stderr(Stdio::null())
         .kill_on_drop(true)
@@ -342,9 +350,9 @@
 
 #[tokio::test]
 async fn a_state_message_without_a_deployment_is_accepted_as_of_an_older_version() {
-    let site = Site::new(2).await;
-    let (daemon, _options, _connections) = start_with_connections(&site, 1).await;
-    let mut link = UnixStream::connect(&sibling_sockets(&site)[0]).await.expect("link to the daemon");
+    let deployment = MockDeployment::new(2).await;
+    let (daemon, _options, _connections) = start_with_connections(&deployment, 1).await;
+    let mut link = UnixStream::connect(&sibling_sockets(&deployment)[0]).await.expect("link to the daemon");
     let message = r#"{"state":{"started":7,"ready":true,"cordons":{"s-0":{"at":9,"out":true}}}}"#;
     link.write_all(format!("{message}\n").as_bytes()).await.expect("sent message");
     daemon.wait_for_log_line("operator: s-0 is out").await.expect("log line of the daemon");
--- a/tests/late_connection.rs
+++ b/tests/late_connection.rs
@@ -7,7 +7,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::mock_backend::{MockBackend, chunk};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -130,10 +130,10 @@
 
 #[tokio::test]
 async fn a_connection_established_after_its_server_was_drained_carries_no_byte() {
-    let mut fleet = Fleet::start(1).await.expect("a fleet");
+    let mut backend = MockBackend::start(1).await.expect("mock servers");
     let FullListener { listener: late_listener, fillers } = listen_with_full_queue().await;
     let late_address = late_listener.local_addr().expect("bound");
-    let other_address = fleet.servers[0].address;
+    let other_address = backend.servers[0].address;
     let list = |index, late_status, other_status| {
         let late = ListedServer { name: "late", address: late_address, status: late_status };
         let other = ListedServer { name: "other", address: other_address, status: other_status };
@@ -143,14 +143,14 @@
     let first_list = list(1, "SERVING", "DRAINING");
     let second_list = list(2, "DRAINING", "SERVING");
     let discovery = start_discovery(first_list.clone(), second_list).await;
-    fleet.discovery = discovery.address;
+    backend.discovery = discovery.address;
     let options = Options { known: Some(first_list), config: config(), ..Options::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, &fleet, &options).await.expect("a daemon");
+    let daemon = Daemon::start(program, &backend, &options).await.expect("a daemon");
     daemon.wait_for_log_line("discovery: ").await.expect("a watch");
 
     let mut client = LineClient::connect(daemon.lines).await.expect("accepted");
-    client.say("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("sent");
+    client.send_line("OPEN 0000000000000001 01 c=meter,d=8000,g=1").await.expect("sent");
     tokio::time::sleep(CONNECT_TIMEOUT).await;
     discovery.send_update.send(()).expect("a watch");
     tokio::time::sleep(CONNECT_TIMEOUT).await;
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -11,7 +11,7 @@
 use ashtide::fleet::maintenance::{MaintenanceCommand, MaintenanceError, Settings, schema};
 use ashtide_fault_injection::{Link, ProxyMesh};
 use ashtide_testkit::daemon::{Daemon, Options, send_admin_command};
-use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::mock_backend::MockBackend;
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
@@ -228,7 +228,7 @@
 
 /// Five daemons with maintenance, and a task for each that polls its queue.
 struct Cluster {
-    fleet: Fleet,
+    backend: MockBackend,
     /// Proxies between the gateways, which inject network faults.
     mesh: ProxyMesh,
     /// Addresses on which the gateways listen, behind the proxies.
@@ -249,7 +249,7 @@
 
 impl Cluster {
     async fn start(folder_suffix: &str, max_out: usize) -> Self {
-        let fleet = Fleet::start(SERVERS).await.expect("the mock servers start");
+        let backend = MockBackend::start(SERVERS).await.expect("the mock servers start");
         let reserved: Vec<_> =
             (0..GATEWAYS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free")).collect();
         let local_address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
@@ -261,7 +261,7 @@
             std::env::temp_dir().join(format!("ashtide-maintenance-{}-{folder_suffix}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("the folder is created");
         let mut cluster = Self {
-            fleet,
+            backend,
             mesh,
             listen,
             folder,
@@ -330,7 +330,7 @@
             ..Options::default()
         };
         let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-        Daemon::start(program, &self.fleet, &options).await.expect("the daemon starts")
+        Daemon::start(program, &self.backend, &options).await.expect("the daemon starts")
     }
 
     /// Starts a new process of a gateway with its stored state.
@@ -444,9 +444,9 @@
 
 #[tokio::test]
 async fn maintenance_requests_are_rejected_without_the_option() {
-    let fleet = Fleet::start(1).await.expect("the mock servers start");
+    let backend = MockBackend::start(1).await.expect("the mock servers start");
     let options = Options { config: json!({"operator": "127.0.0.1:0"}), ..Options::default() };
-    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options)
+    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &backend, &options)
         .await
         .expect("the daemon starts");
     let answer = daemon.send_command("maintenance list").await.expect("the request is answered");
--- a/tests/site/mod.rs
+++ b/tests/mock_deployment/mod.rs
@@ -11,7 +11,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options, Shared, merge_json};
-use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::mock_backend::{MockBackend, chunk};
 use ashtide_testkit::within;
 use futures_util::FutureExt;
 use futures_util::future::select_all;
@@ -21,16 +21,16 @@
 use tokio::task::JoinSet;
 
 /// Discovery's empty line.
-const BEAT: Duration = Duration::from_millis(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Servers, discovery and a folder.
-pub struct Site {
+pub struct MockDeployment {
     /// What daemons may write to.
     pub folder: PathBuf,
     servers: Vec<TcpListener>,
     discovery: SocketAddr,
     known: Value,
-    fleet: Fleet,
+    backend: MockBackend,
     _tasks: JoinSet<()>,
 }
 
@@ -46,7 +46,7 @@
 
 impl Attempt {
     /// Says this.
-    pub async fn say(&mut self, line: &str) {
+    pub async fn send_line(&mut self, line: &str) {
         self.stream.write_all(format!("{line}\r\n").as_bytes()).await.expect("heard");
     }
 }
@@ -67,7 +67,7 @@
             while !line_of(&mut stream).await.is_empty() {}
             let mut text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&list));
             while stream.write_all(text.as_bytes()).await.is_ok() {
-                tokio::time::sleep(BEAT).await;
+                tokio::time::sleep(KEEPALIVE_INTERVAL).await;
                 text = chunk("\n");
             }
         });
@@ -75,7 +75,7 @@
 }
 
 /// The list as discovery tells it: these servers `s-0`, `s-1`, ... in these states.
-pub fn list(index: u64, servers: &[(SocketAddr, &str)]) -> Value {
+pub fn endpoint_list(index: u64, servers: &[(SocketAddr, &str)]) -> Value {
     let entry = |(number, (address, status)): (usize, &(SocketAddr, &str))| {
         json!({"name": format!("s-{number}"), "address": address, "zone": "here", "type": "one", "group": 0,
                "status": status, "weight": 1.0, "since_ms": 0})
@@ -84,7 +84,7 @@
     json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-impl Site {
+impl MockDeployment {
     /// So many servers.
     pub async fn new(servers: usize) -> Self {
         static SITES: AtomicU32 = AtomicU32::new(0);
@@ -96,13 +96,13 @@
             all.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
         }
         let each: Vec<_> = all.iter().map(|it| (it.local_addr().expect("bound"), "SERVING")).collect();
-        let known = list(1, &each);
+        let known = endpoint_list(1, &each);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let discovery = listener.local_addr().expect("bound");
         let mut tasks = JoinSet::new();
         tasks.spawn(discover(listener, format!("{known}\n")));
-        let fleet = Fleet::start(0).await.expect("a fleet");
-        Self { folder, servers: all, discovery, known, fleet, _tasks: tasks }
+        let backend = MockBackend::start(0).await.expect("mock servers");
+        Self { folder, servers: all, discovery, known, backend, _tasks: tasks }
     }
 
     /// Where the servers are.
@@ -132,11 +132,11 @@
     /// Starts a daemon with these options.
     pub async fn start(&self, options: &Options) -> Daemon {
         let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-        Daemon::start(program, &self.fleet, options).await.expect("a daemon")
+        Daemon::start(program, &self.backend, options).await.expect("a daemon")
     }
 
     /// The next attempt at any server.
-    pub async fn attempt(&self) -> Attempt {
+    pub async fn next_attempt(&self) -> Attempt {
         let accepts = self.servers.iter().map(|it| it.accept().boxed());
         let (accepted, server, _) = within("an attempt", select_all(accepts)).await.expect("in time");
         let mut stream = accepted.expect("there").0;
@@ -145,31 +145,31 @@
     }
 
     /// A client of this class that has asked and waits for so many milliseconds, and its attempt.
-    pub async fn asking(&self, at: SocketAddr, class: &str, wait: u32) -> (LineClient, Attempt) {
-        let client = ask(at, class, wait).await;
-        (client, self.attempt().await)
+    pub async fn requesting_client(&self, at: SocketAddr, class: &str, wait: u32) -> (LineClient, Attempt) {
+        let client = request_connection(at, class, wait).await;
+        (client, self.next_attempt().await)
     }
 
     /// A client whose connection stands, and its server's end.
-    pub async fn standing(&self, at: SocketAddr) -> (LineClient, Attempt) {
-        let (mut client, mut attempt) = self.asking(at, "meter", 30_000).await;
-        attempt.say("UP r").await;
+    pub async fn established_client(&self, at: SocketAddr) -> (LineClient, Attempt) {
+        let (mut client, mut attempt) = self.requesting_client(at, "meter", 30_000).await;
+        attempt.send_line("UP r").await;
         assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
         (client, attempt)
     }
 }
 
-impl Drop for Site {
+impl Drop for MockDeployment {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 /// A client of this class that has asked and waits for so many milliseconds.
-pub async fn ask(at: SocketAddr, class: &str, wait: u32) -> LineClient {
+pub async fn request_connection(at: SocketAddr, class: &str, wait: u32) -> LineClient {
     static ASKED: AtomicU32 = AtomicU32::new(1);
     let id = ASKED.fetch_add(1, Ordering::Relaxed);
     let mut client = LineClient::connect(at).await.expect("taken");
-    client.say(&format!("OPEN {id:016x} {id:016x} c={class},d={wait},g={id:x}")).await.expect("heard");
+    client.send_line(&format!("OPEN {id:016x} {id:016x} c={class},d={wait},g={id:x}")).await.expect("heard");
     client
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -6,7 +6,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::mock_backend::MockBackend;
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
@@ -16,20 +16,20 @@
 
 #[tokio::test]
 async fn a_new_server_is_used_when_peers_are_allowed_but_have_no_address() {
-    let mut fleet = Fleet::start(2).await.expect("a fleet");
+    let mut backend = MockBackend::start(2).await.expect("mock servers");
     let config = json!({"settings": {"balancers": 3, "limits": {"peers": true}}});
     let options = Options { config, ..Options::default() };
-    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options).await;
+    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &backend, &options).await;
     let daemon = daemon.expect("a daemon");
     let mut connections = Vec::new();
     for number in 0..30 {
         connections.push(LineClient::open(daemon.lines, number).await.expect("an established connection"));
     }
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
-    let new_server = fleet.add("here", u64::try_from(now).expect("in range")).await.expect("a server");
+    let new_server = backend.add("here", u64::try_from(now).expect("in range")).await.expect("a server");
     let started_at = Instant::now();
-    let statistics = fleet.servers[new_server].seen.clone();
-    while statistics.taken.load(Ordering::Relaxed) == 0 {
+    let statistics = backend.servers[new_server].counters.clone();
+    while statistics.accepted.load(Ordering::Relaxed) == 0 {
         assert!(
             started_at.elapsed() < FIRST_USE_TIMEOUT,
             "the new server got no connection of {} that are open",
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -7,7 +7,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::mock_backend::{MockBackend, chunk};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -83,13 +83,13 @@
     OpenedClients { clients, rejected }
 }
 
-fn accepted_connections(fleet: &Fleet, server: usize) -> u64 {
-    fleet.servers[server].seen.taken.load(std::sync::atomic::Ordering::Relaxed)
+fn accepted_connections(backend: &MockBackend, server: usize) -> u64 {
+    backend.servers[server].counters.accepted.load(std::sync::atomic::Ordering::Relaxed)
 }
 
 /// A daemon whose watch is silent, with its mock servers and the times of the watch requests.
 struct Deployment {
-    fleet: Fleet,
+    backend: MockBackend,
     daemon: Daemon,
     requests: RequestTimes,
     /// When the first watch request was received and the silence began.
@@ -99,39 +99,39 @@
 /// Starts a daemon whose watch becomes silent immediately while server 0 begins to drain. The first request
 /// after the outage is answered with this change as an indented list.
 async fn deploy_with_silent_watch(outage: Duration) -> Deployment {
-    let mut fleet = Fleet::start(2).await.expect("a fleet");
-    let initial_list = fleet.known();
+    let mut backend = MockBackend::start(2).await.expect("mock servers");
+    let initial_list = backend.endpoint_list();
     let mut later_list = initial_list.clone();
     later_list["index"] = json!(2);
     later_list["endpoints"][0]["status"] = json!("DRAINING");
     let MockDiscovery { address, requests } =
         start_discovery(initial_list, outage, format!("{later_list:#}\n")).await;
-    fleet.discovery = address;
+    backend.discovery = address;
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, &fleet, &Options::default()).await.expect("a daemon");
+    let daemon = Daemon::start(program, &backend, &Options::default()).await.expect("a daemon");
     while requests.lock().expect("no panic").is_empty() {
         sleep(Duration::from_millis(10)).await;
     }
     let silence_start = requests.lock().expect("no panic")[0];
-    Deployment { fleet, daemon, requests, silence_start }
+    Deployment { backend, daemon, requests, silence_start }
 }
 
 #[tokio::test]
 async fn a_silent_watch_is_closed_and_an_indented_list_is_read_after_a_503() {
-    let Deployment { fleet, daemon, requests, silence_start } =
+    let Deployment { backend, daemon, requests, silence_start } =
         deploy_with_silent_watch(Duration::from_millis(3600)).await;
     let OpenedClients { clients: _clients_during_silence, rejected } = open_clients(&daemon, 16).await;
-    assert!(rejected == 0 && accepted_connections(&fleet, 0) > 0, "both servers are in use");
+    assert!(rejected == 0 && accepted_connections(&backend, 0) > 0, "both servers are in use");
     // The heartbeat at the start was the last message, so the list is valid for 6 s from then.
     sleep_until(silence_start + Duration::from_millis(6000)).await;
     let delays: Vec<Duration> =
         requests.lock().expect("no panic").iter().map(|&time| time - silence_start).collect();
     assert!(delays.len() >= 3, "requests are repeated after a 503: {delays:?}");
     assert!(delays[1] < Duration::from_millis(3500), "the first request after the silence: {delays:?}");
-    let before = accepted_connections(&fleet, 0);
+    let before = accepted_connections(&backend, 0);
     let OpenedClients { clients: _clients_after_update, rejected } = open_clients(&daemon, 16).await;
     assert_eq!(
-        (rejected, accepted_connections(&fleet, 0)),
+        (rejected, accepted_connections(&backend, 0)),
         (0, before),
         "all clients are connected to the server that is not draining"
     );
@@ -139,14 +139,14 @@
 
 #[tokio::test]
 async fn nothing_is_placed_after_the_list_has_expired() {
-    let Deployment { fleet, daemon, requests: _requests, silence_start } =
+    let Deployment { backend, daemon, requests: _requests, silence_start } =
         deploy_with_silent_watch(Duration::from_millis(9000)).await;
     let OpenedClients { clients, .. } = open_clients(&daemon, 8).await;
     sleep_until(silence_start + Duration::from_millis(6600)).await;
-    let before = (accepted_connections(&fleet, 0), accepted_connections(&fleet, 1));
+    let before = (accepted_connections(&backend, 0), accepted_connections(&backend, 1));
     let OpenedClients { clients: _rejected_clients, rejected } = open_clients(&daemon, 1).await;
     assert_eq!(
-        (rejected, (accepted_connections(&fleet, 0), accepted_connections(&fleet, 1))),
+        (rejected, (accepted_connections(&backend, 0), accepted_connections(&backend, 1))),
         (1, before),
         "rejected, not placed"
     );
@@ -156,12 +156,12 @@
         .expect("a log line for operators");
     // Established connections are served in the meantime.
     for mut client in clients.into_iter().take(2) {
-        assert!(client.echoes("still here").await.expect("an echo"));
+        assert!(client.receives_echo("still here").await.expect("an echo"));
     }
     sleep_until(silence_start + Duration::from_millis(11000)).await;
     let OpenedClients { clients: _clients_after_update, rejected } = open_clients(&daemon, 4).await;
     assert_eq!(
-        (rejected, accepted_connections(&fleet, 0)),
+        (rejected, accepted_connections(&backend, 0)),
         (0, before.0),
         "clients are accepted again, and the draining server gets none"
     );
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -6,7 +6,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, Mood};
+use ashtide_testkit::mock_backend::{MockBackend, ServerBehavior};
 use ashtide_testkit::{ScenarioError, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,9 +16,9 @@
 const KILL_DELAY: Duration = Duration::from_millis(3700);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-async fn start_daemon(fleet: &Fleet, options: Options) -> Daemon {
+async fn start_daemon(backend: &MockBackend, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    Daemon::start(program, fleet, &options).await.expect("a daemon")
+    Daemon::start(program, backend, &options).await.expect("a daemon")
 }
 
 fn open_line(id: u32) -> String {
@@ -26,12 +26,12 @@
 }
 
 /// Connects a client, and waits until its request has reached a server.
-async fn connect_with_request(fleet: &Fleet, daemon: &Daemon, id: u32) -> LineClient {
-    let arrivals_before = fleet.ledger.arrivals().len();
+async fn connect_with_request(backend: &MockBackend, daemon: &Daemon, id: u32) -> LineClient {
+    let arrivals_before = backend.attempt_log.arrivals().len();
     let mut client = LineClient::connect(daemon.lines).await.expect("accepted");
-    client.say(&open_line(id)).await.expect("sent");
+    client.send_line(&open_line(id)).await.expect("sent");
     let arrival = async {
-        while fleet.ledger.arrivals().len() == arrivals_before {
+        while backend.attempt_log.arrivals().len() == arrivals_before {
             sleep(POLL_INTERVAL).await;
         }
     };
@@ -64,12 +64,12 @@
 }
 
 /// Connects 12 clients, half of them to servers that have sent a partial line after their answer.
-async fn connect_clients(fleet: &Fleet, daemon: &Daemon) -> Vec<ExpectedEnd> {
+async fn connect_clients(backend: &MockBackend, daemon: &Daemon) -> Vec<ExpectedEnd> {
     let mut clients = Vec::new();
     let mut established = 0;
     for id in 0..12 {
-        let mood = if id < 6 { Mood::Well } else { Mood::HalfOut };
-        fleet.servers.iter().for_each(|server| server.mood(mood));
+        let behavior = if id < 6 { ServerBehavior::Serve } else { ServerBehavior::PartialLine };
+        backend.servers.iter().for_each(|server| server.set_behavior(behavior));
         let (client, answer) = LineClient::open(daemon.lines, id).await.expect("answered");
         established += u32::from(answer.starts_with("UP "));
         clients.push(expect_end("MOVE", client));
@@ -80,14 +80,14 @@
 
 /// Connects clients at fixed times after SIGTERM, with and without a request.
 async fn connect_during_shutdown(
-    fleet: &Fleet,
+    backend: &MockBackend,
     daemon: &Daemon,
     clients: &mut Vec<ExpectedEnd>,
     terminated_at: Instant,
 ) {
     for (id, delay_ms) in [(200, 0), (201, 150), (202, 350)] {
         sleep(Duration::from_millis(delay_ms).saturating_sub(terminated_at.elapsed())).await;
-        clients.push(expect_end("UP, MOVE", connect_with_request(fleet, daemon, id).await));
+        clients.push(expect_end("UP, MOVE", connect_with_request(backend, daemon, id).await));
     }
     let silent = LineClient::connect(daemon.lines).await.expect("accepted");
     clients.push(expect_end("ERR", silent));
@@ -113,26 +113,26 @@
 
 #[tokio::test]
 async fn a_graceful_shutdown_migrates_or_answers_all_clients_in_time() {
-    let fleet = Fleet::start(3).await.expect("a fleet");
-    let daemon = start_daemon(&fleet, Options::default()).await;
-    let set_mood = |mood| fleet.servers.iter().for_each(|server| server.mood(mood));
+    let backend = MockBackend::start(3).await.expect("mock servers");
+    let daemon = start_daemon(&backend, Options::default()).await;
+    let set_behavior = |behavior| backend.servers.iter().for_each(|server| server.set_behavior(behavior));
     // This client is migrated first, and has read only the beginning of its server's output by then.
-    set_mood(Mood::Talks);
+    set_behavior(ServerBehavior::StreamLines);
     let mut slow_reader = TcpStream::connect(daemon.lines).await.expect("accepted");
     slow_reader.write_all(format!("{}\r\n", open_line(300)).as_bytes()).await.expect("sent");
     slow_reader.read_exact(&mut [0; 12]).await.expect("an UP line");
-    let mut clients = connect_clients(&fleet, &daemon).await;
-    set_mood(Mood::Silent);
-    clients.push(expect_end("BUSY", connect_with_request(&fleet, &daemon, 100).await));
-    set_mood(Mood::Late);
-    clients.push(expect_end("UP, MOVE", connect_with_request(&fleet, &daemon, 101).await));
+    let mut clients = connect_clients(&backend, &daemon).await;
+    set_behavior(ServerBehavior::Silent);
+    clients.push(expect_end("BUSY", connect_with_request(&backend, &daemon, 100).await));
+    set_behavior(ServerBehavior::SlowAccept);
+    clients.push(expect_end("UP, MOVE", connect_with_request(&backend, &daemon, 101).await));
     let mut partial = LineClient::connect(daemon.lines).await.expect("accepted");
-    partial.begin("OPEN 1 2 c=me").await.expect("sent");
+    partial.send_partial_line("OPEN 1 2 c=me").await.expect("sent");
     clients.push(expect_end("ERR", partial));
 
     let terminated_at = Instant::now();
     daemon.terminate().expect("a running daemon");
-    connect_during_shutdown(&fleet, &daemon, &mut clients, terminated_at).await;
+    connect_during_shutdown(&backend, &daemon, &mut clients, terminated_at).await;
 
     sleep(Duration::from_millis(2400).saturating_sub(terminated_at.elapsed())).await;
     let mut received = String::new();
@@ -154,8 +154,8 @@
 
 #[tokio::test]
 async fn clients_that_connect_during_a_graceful_shutdown_are_answered() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start_daemon(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("mock servers");
+    let daemon = start_daemon(&backend, Options::default()).await;
     daemon.terminate().expect("a running daemon");
     sleep(Duration::from_millis(500)).await;
     let mut clients = Vec::new();
@@ -163,7 +163,7 @@
         let Ok(mut client) = LineClient::connect(daemon.lines).await else { break };
         clients.push(tokio::spawn(async move {
             // The process may exit before it accepts this client.
-            let _ = client.say(&open_line(id)).await;
+            let _ = client.send_line(&open_line(id)).await;
             let line = client.next().await.ok().flatten();
             line.is_some_and(|line| line.starts_with("BUSY") || line.starts_with("UP "))
         }));
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,7 +1,7 @@
 //! System call failures that Linux documents, injected into the daemon. Failures on the daemon's own host
 //! must not count against a client or a server.
 
-mod site;
+mod mock_deployment;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,12 +10,12 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::mock_backend::MockBackend;
 use ashtide_testkit::system_faults::{Preload, SystemFaults};
 use ashtide_testkit::within;
 use futures_util::future::join_all;
+use mock_deployment::MockDeployment;
 use serde_json::json;
-use site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
@@ -30,13 +30,13 @@
 /// One hour, in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
 
-/// Starts a daemon for the servers of `fleet` with these faults injected into its system calls.
-async fn start_daemon(fleet: &Fleet, faults: SystemFaults, options: Options) -> (Daemon, Preload) {
+/// Starts a daemon for the servers of `backend` with these faults injected into its system calls.
+async fn start_daemon(backend: &MockBackend, faults: SystemFaults, options: Options) -> (Daemon, Preload) {
     let preload = faults.preload().expect("building the fault injection library");
     let mut options = options;
     options.environment.extend(preload.environment.iter().cloned());
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    (Daemon::start(program, fleet, &options).await.expect("starting the daemon"), preload)
+    (Daemon::start(program, backend, &options).await.expect("starting the daemon"), preload)
 }
 
 /// Returns options with an admin endpoint.
@@ -74,9 +74,9 @@
 
 #[tokio::test]
 async fn temporary_accept_failures_evict_no_idle_client() {
-    let fleet = Fleet::start(2).await.expect("starting the servers");
+    let backend = MockBackend::start(2).await.expect("starting the servers");
     let faults = SystemFaults { accept: 2, ..SystemFaults::default() };
-    let (daemon, preload) = start_daemon(&fleet, faults, Options::default()).await;
+    let (daemon, preload) = start_daemon(&backend, faults, Options::default()).await;
     let mut idle_clients = Vec::new();
     for _ in 0..24 {
         idle_clients.push(TcpStream::connect(daemon.lines).await.expect("connecting an idle client"));
@@ -93,9 +93,9 @@
 
 #[tokio::test]
 async fn accept_failures_while_a_process_exits_drop_no_waiting_client() {
-    let fleet = Fleet::start(1).await.expect("starting the servers");
+    let backend = MockBackend::start(1).await.expect("starting the servers");
     let faults = SystemFaults { accept: 2, ..SystemFaults::default() };
-    let (daemon, preload) = start_daemon(&fleet, faults, Options::default()).await;
+    let (daemon, preload) = start_daemon(&backend, faults, Options::default()).await;
     // In the last part of its shutdown the process does not accept clients. All of them wait in the accept
     // queue.
     daemon.terminate().expect("terminating the running daemon");
@@ -105,7 +105,7 @@
         let Ok(mut client) = LineClient::connect(daemon.lines).await else { break };
         clients.push(tokio::spawn(async move {
             // The process may exit before it has accepted this connection.
-            let _ = client.say(&format!("OPEN {id:016x} {id:016x} c=meter,d=3000,g={id:x}")).await;
+            let _ = client.send_line(&format!("OPEN {id:016x} {id:016x} c=meter,d=3000,g={id:x}")).await;
             let answer = client.next().await.ok().flatten();
             answer.is_some_and(|answer| answer.starts_with("BUSY") || answer.starts_with("UP "))
         }));
@@ -127,8 +127,8 @@
     for faults in
         [SystemFaults { connect: 3, ..Default::default() }, SystemFaults { socket: 3, ..Default::default() }]
     {
-        let fleet = Fleet::start(3).await.expect("starting the servers");
-        let (daemon, preload) = start_daemon(&fleet, faults, options_with_admin_endpoint()).await;
+        let backend = MockBackend::start(3).await.expect("starting the servers");
+        let (daemon, preload) = start_daemon(&backend, faults, options_with_admin_endpoint()).await;
         let mut avoided = 0;
         for round in 0..6 {
             let (established, failures) = open_clients(daemon.lines, CLIENTS / 6).await;
@@ -148,16 +148,16 @@
 
 #[tokio::test]
 async fn short_reads_and_writes_and_interrupted_waits_lose_no_bytes() {
-    let site = Site::new(1).await;
+    let deployment = MockDeployment::new(1).await;
     let faults = SystemFaults { short: 2, interrupt: 3, ..SystemFaults::default() };
     let preload = faults.preload().expect("building the fault injection library");
-    let mut options = site.options(&json!({}));
+    let mut options = deployment.options(&json!({}));
     options.environment.extend(preload.environment.iter().cloned());
-    let daemon = site.start(&options).await;
+    let daemon = deployment.start(&options).await;
     for length in [1, 2, 300, 3000] {
-        let (mut client, mut attempt) = site.standing(daemon.lines).await;
+        let (mut client, mut attempt) = deployment.established_client(daemon.lines).await;
         let line = "x".repeat(length);
-        client.say(&line).await.expect("sending a line to the server");
+        client.send_line(&line).await.expect("sending a line to the server");
         let mut received = vec![0; length + 2];
         within("the line", attempt.stream.read_exact(&mut received))
             .await
@@ -179,20 +179,20 @@
 #[tokio::test]
 async fn handoff_and_cordons_do_not_depend_on_the_wall_clock() {
     for clock_step_ms in [-HOUR_MS, HOUR_MS] {
-        let site = Site::new(2).await;
-        let (shared, at) = site.shared();
-        let options = Options { shared: Some(shared), ..site.options(&json!({})) };
-        let first = site.start(&options).await;
+        let deployment = MockDeployment::new(2).await;
+        let (shared, at) = deployment.shared();
+        let options = Options { shared: Some(shared), ..deployment.options(&json!({})) };
+        let first = deployment.start(&options).await;
         let mut clients = Vec::new();
         for _ in 0..4 {
-            clients.push(site.standing(at).await);
+            clients.push(deployment.established_client(at).await);
         }
         let preload = SystemFaults { clock_step_ms, ..Default::default() }
             .preload()
             .expect("building the fault injection library");
         let mut options = options;
         options.environment.extend(preload.environment.iter().cloned());
-        let second = site.start(&options).await;
+        let second = deployment.start(&options).await;
         first
             .wait_for_log_line("handover: the successor accepts clients")
             .await
@@ -217,7 +217,7 @@
         assert!(status.success(), "{status}");
         assert!(log.iter().any(|line| line == "handover: passes 4 connections to its successor"), "{log:?}");
         for (client, server) in &mut clients {
-            client.say("still there").await.expect("the connection is still established");
+            client.send_line("still there").await.expect("the connection is still established");
             let mut received = [0; 13];
             within("a line", server.stream.read_exact(&mut received))
                 .await
@@ -231,18 +231,18 @@
 /// Adds a server and returns the number of connections that it receives of those opened right afterwards. The
 /// daemon's wall clock is `clock_step_ms` ahead.
 async fn connections_to_a_new_server(clock_step_ms: i64) -> u64 {
-    let mut fleet = Fleet::start(2).await.expect("starting the servers");
+    let mut backend = MockBackend::start(2).await.expect("starting the servers");
     let faults = SystemFaults { clock_step_ms, ..SystemFaults::default() };
-    let (daemon, _preload) = start_daemon(&fleet, faults, Options::default()).await;
+    let (daemon, _preload) = start_daemon(&backend, faults, Options::default()).await;
     daemon.wait_for_log_line("discovery: ").await.expect("the daemon opens a watch");
     let (_established, failures) = open_clients(daemon.lines, CLIENTS).await;
     assert!(failures.is_empty(), "clients not established: {failures:?}");
     let started_at = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
-    let new_server = fleet.add("here", started_at.as_millis() as u64).await.expect("starting a server");
+    let new_server = backend.add("here", started_at.as_millis() as u64).await.expect("starting a server");
     // The daemon receives the list update within 50 ms.
     sleep(Duration::from_millis(50)).await;
     let (_established, _failures) = open_clients(daemon.lines, CLIENTS).await;
-    fleet.servers[new_server].seen.taken.load(Ordering::Relaxed)
+    backend.servers[new_server].counters.accepted.load(Ordering::Relaxed)
 }
 
 #[tokio::test]
@@ -269,17 +269,17 @@
 
 #[tokio::test]
 async fn cordons_persist_across_a_kill_after_temporary_disk_failures() {
-    let site = Site::new(3).await;
-    let (shared, at) = site.shared();
-    let options = Options { shared: Some(shared), ..site.options(&json!({})) };
+    let deployment = MockDeployment::new(3).await;
+    let (shared, at) = deployment.shared();
+    let options = Options { shared: Some(shared), ..deployment.options(&json!({})) };
     // A write of a state file has four disk operations, so that about every second write fails.
     let faults = SystemFaults { disk: 5, ..SystemFaults::default() };
     let preload = faults.preload().expect("building the fault injection library");
     let mut failing = options.clone();
     failing.environment.extend(preload.environment.iter().cloned());
-    let mut first = site.start(&failing).await;
+    let mut first = deployment.start(&failing).await;
     // The established client ensures that the daemon has started, which also writes a state file.
-    let _client = site.standing(at).await;
+    let _client = deployment.established_client(at).await;
     assert!(
         first.send_command("cordon s-1").await.expect("an answer to cordon").starts_with("200"),
         "the first write must succeed"
@@ -296,7 +296,7 @@
     // The daemon persists the accepted call as soon as a write succeeds.
     sleep(Duration::from_millis(1_500)).await;
     first.kill().await.expect("killing the running daemon");
-    let second = site.start(&options).await;
+    let second = deployment.start(&options).await;
     second.wait_for_log_line("operator: s-1 is out").await.expect("the cordon of s-1 was persisted");
     // The daemon reads its persisted state before it opens the watch.
     second.wait_for_log_line("discovery: ").await.expect("the daemon opens a watch");
@@ -309,7 +309,7 @@
         second.log_lines()
     );
     let files =
-        std::fs::read_dir(&site.folder).expect("the state folder").flatten().map(|entry| entry.path());
+        std::fs::read_dir(&deployment.folder).expect("the state folder").flatten().map(|entry| entry.path());
     let staged: Vec<_> =
         files.filter(|path| path.extension().is_some_and(|extension| extension == "next")).collect();
     assert!(staged.is_empty(), "staged files were not removed: {staged:?}");
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -6,7 +6,7 @@
 
 use ashtide::fleet::view::{Settings, ViewError, next_incarnation, schema};
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::Fleet;
+use ashtide_testkit::mock_backend::MockBackend;
 use tokio::time::sleep;
 
 const VALID_SETTINGS: &str = "listen = \"127.0.0.1:7946\"\ntier = 1\n";
@@ -87,20 +87,20 @@
 
 /// Three daemons with a membership view, each at its own address.
 struct Cluster {
-    fleet: Fleet,
+    backend: MockBackend,
     addresses: Vec<SocketAddr>,
     daemons: Vec<Daemon>,
 }
 
 impl Cluster {
     async fn start() -> Self {
-        let fleet = Fleet::start(1).await.expect("the mock servers start");
+        let backend = MockBackend::start(1).await.expect("the mock servers start");
         let reserved: Vec<_> =
             (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port is free")).collect();
         let local_address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
         let addresses = reserved.iter().map(local_address).collect();
         drop(reserved);
-        let mut cluster = Self { fleet, addresses, daemons: Vec::new() };
+        let mut cluster = Self { backend, addresses, daemons: Vec::new() };
         for number in 0..3 {
             let daemon = cluster.start_daemon(number).await;
             cluster.daemons.push(daemon);
@@ -114,7 +114,7 @@
             self.addresses[number], self.addresses[0], self.addresses[1]
         );
         let options = Options { view, ..Options::default() };
-        Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &self.fleet, &options)
+        Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &self.backend, &options)
             .await
             .expect("the daemon starts")
     }
@@ -205,13 +205,13 @@
 
 #[tokio::test]
 async fn without_the_option_there_is_no_view_and_no_view_metrics() {
-    let fleet = Fleet::start(1).await.expect("the mock servers start");
+    let backend = MockBackend::start(1).await.expect("the mock servers start");
     let folder = std::env::temp_dir().join(format!("ashtide-view-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("the folder is created");
     let listener = std::sync::Arc::new(std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free"));
     let shared = ashtide_testkit::daemon::Shared { listener, folder: folder.clone() };
     let options = Options { shared: Some(shared), ..Options::default() };
-    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &fleet, &options)
+    let daemon = Daemon::start(Path::new(env!("CARGO_BIN_EXE_ashtide")), &backend, &options)
         .await
         .expect("the daemon starts");
     let members = daemon.send_command("members").await;
--- a/tests/watches/client.rs
+++ b/tests/watches/client.rs
@@ -13,7 +13,7 @@
 use ashtide::net::handover::SiblingLink;
 use ashtide::net::messages::{DriverEvent, EventLoopHandle};
 use ashtide::net::pending_clients::PendingClients;
-use ashtide_testkit::fleet::chunk;
+use ashtide_testkit::mock_backend::chunk;
 use ashtide_testkit::within;
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
--- a/tests/watches/daemon.rs
+++ b/tests/watches/daemon.rs
@@ -7,7 +7,7 @@
 
 use ashtide_testkit::clients::LineClient;
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, chunk};
+use ashtide_testkit::mock_backend::{MockBackend, chunk};
 use ashtide_testkit::within;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,13 +25,13 @@
 
 /// A daemon and its servers, with the mock as its discovery service.
 struct Deployment {
-    fleet: Fleet,
+    backend: MockBackend,
     daemon: Daemon,
 }
 
 /// Returns the number of connections that a server has accepted.
-fn accepted_connections(fleet: &Fleet, server: usize) -> u64 {
-    fleet.servers[server].seen.taken.load(std::sync::atomic::Ordering::Relaxed)
+fn accepted_connections(backend: &MockBackend, server: usize) -> u64 {
+    backend.servers[server].counters.accepted.load(std::sync::atomic::Ordering::Relaxed)
 }
 
 /// Opens `count` clients one after the other.
@@ -48,11 +48,11 @@
 }
 
 async fn start_daemon(service: &MockDiscovery, servers: usize, options: Options) -> Deployment {
-    let mut fleet = Fleet::start(servers).await.expect("started servers");
-    fleet.discovery = service.address;
+    let mut backend = MockBackend::start(servers).await.expect("started servers");
+    backend.discovery = service.address;
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, &fleet, &options).await.expect("a started daemon");
-    Deployment { fleet, daemon }
+    let daemon = Daemon::start(program, &backend, &options).await.expect("a started daemon");
+    Deployment { backend, daemon }
 }
 
 /// Answers no watch request with a list. With `resets`, resets each connection, every second one after a
@@ -92,9 +92,9 @@
 #[tokio::test]
 async fn six_seconds_after_a_reset_nothing_is_placed_while_requests_fail() {
     let service = MockDiscovery::start().await;
-    let Deployment { fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { backend, daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
-    watch.send_list(&fleet.known()).await;
+    watch.send_list(&backend.endpoint_list()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
     daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn six_seconds_after_its_start_a_process_without_an_answer_places_nothing() {
     let service = MockDiscovery::start().await;
-    let Deployment { fleet: _fleet, daemon } = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { backend: _backend, daemon } = start_daemon(&service, 2, Options::default()).await;
     let start = Instant::now();
     never_answer(service, false);
     expect_validity_of_six_seconds(&daemon, start).await;
@@ -116,9 +116,9 @@
 async fn six_seconds_after_a_change_to_an_unresponsive_discovery_nothing_is_placed() {
     let old = MockDiscovery::start().await;
     let new = MockDiscovery::start().await;
-    let Deployment { fleet, mut daemon } = start_daemon(&old, 2, Options::default()).await;
+    let Deployment { backend, mut daemon } = start_daemon(&old, 2, Options::default()).await;
     let mut watch = old.accept_request().await;
-    watch.send_list(&fleet.known()).await;
+    watch.send_list(&backend.endpoint_list()).await;
     watch.send_heartbeat().await;
     let synced_at = Instant::now();
     daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
@@ -131,9 +131,9 @@
 #[tokio::test]
 async fn the_list_stays_valid_while_connections_to_discovery_are_refused() {
     let service = MockDiscovery::start().await;
-    let Deployment { fleet, mut daemon } = start_daemon(&service, 2, Options::default()).await;
+    let Deployment { backend, mut daemon } = start_daemon(&service, 2, Options::default()).await;
     let mut watch = service.accept_request().await;
-    watch.send_list(&fleet.known()).await;
+    watch.send_list(&backend.endpoint_list()).await;
     daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
     let unused = unused_address();
     daemon.reload("discovery", json!(unused.address)).expect("a running daemon");
@@ -155,16 +155,16 @@
 async fn draining_removal_and_a_new_address_are_applied_after_resets() {
     let service = MockDiscovery::start().await;
     let deployment = start_daemon(&service, 3, Options::default()).await;
-    let Deployment { fleet, daemon } = &deployment;
+    let Deployment { backend, daemon } = &deployment;
     // The list has two servers. The third one replaces the first one later.
-    let mut known = fleet.known();
+    let mut known = backend.endpoint_list();
     known["index"] = json!(5);
     known["endpoints"].as_array_mut().expect("entries").pop();
     let mut watch = service.accept_request().await;
     watch.send_list(&known).await;
     expect_watch_line(daemon, service.address, 1).await;
     let OpenedClients { clients: mut connections, rejected } = open_clients(daemon, 8).await;
-    assert!(rejected == 0 && accepted_connections(fleet, 0) > 0 && accepted_connections(fleet, 1) > 0);
+    assert!(rejected == 0 && accepted_connections(backend, 0) > 0 && accepted_connections(backend, 1) > 0);
     // The next watch reports draining in an indented list.
     watch.reset();
     let mut watch = service.accept_request().await;
@@ -173,11 +173,11 @@
     known["endpoints"][0]["status"] = json!("DRAINING");
     watch.send_raw(&format!("{RESPONSE_HEAD}{}", chunk(&format!("{known:#}\n")))).await;
     expect_watch_line(daemon, service.address, 5).await;
-    let accepted_before_drain = accepted_connections(fleet, 0);
+    let accepted_before_drain = accepted_connections(backend, 0);
     let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
     assert_eq!(
-        (rejected, accepted_connections(fleet, 0)),
+        (rejected, accepted_connections(backend, 0)),
         (0, accepted_before_drain),
         "all clients are placed on the server that is not draining"
     );
@@ -188,7 +188,7 @@
         return_at_new_address(&service, &deployment, watch, known, &mut connections, accepted_before_drain)
             .await;
     assert_eq!(
-        accepted_connections(fleet, 0),
+        accepted_connections(backend, 0),
         accepted_before_drain,
         "no client is placed on the old address"
     );
@@ -203,7 +203,7 @@
     connections: &mut Vec<LineClient>,
     accepted_before_drain: u64,
 ) -> WatchRequest {
-    let Deployment { fleet, daemon } = deployment;
+    let Deployment { backend, daemon } = deployment;
     watch.reset();
     let mut watch = service.accept_request().await;
     let mut without_server = known.clone();
@@ -213,7 +213,7 @@
     expect_watch_line(daemon, service.address, 6).await;
     let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
-    assert_eq!((rejected, accepted_connections(fleet, 0)), (0, accepted_before_drain));
+    assert_eq!((rejected, accepted_connections(backend, 0)), (0, accepted_before_drain));
     watch
 }
 
@@ -226,34 +226,34 @@
     connections: &mut Vec<LineClient>,
     accepted_before_drain: u64,
 ) -> WatchRequest {
-    let Deployment { fleet, daemon } = deployment;
+    let Deployment { backend, daemon } = deployment;
     watch.reset();
     let mut watch = service.accept_request().await;
     known["index"] = json!(8);
     known["endpoints"][0]["status"] = json!("SERVING");
-    known["endpoints"][0]["address"] = json!(fleet.servers[2].address);
+    known["endpoints"][0]["address"] = json!(backend.servers[2].address);
     let since_epoch =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time after 1970");
     known["endpoints"][0]["since_ms"] = json!(since_epoch.as_millis() as u64 - 1_000);
     watch.send_list(&known).await;
     expect_watch_line(daemon, service.address, 7).await;
-    let other_before = accepted_connections(fleet, 1);
+    let other_before = accepted_connections(backend, 1);
     let OpenedClients { clients, rejected } = open_clients(daemon, 8).await;
     connections.extend(clients);
     assert_eq!(
-        (rejected, accepted_connections(fleet, 0)),
+        (rejected, accepted_connections(backend, 0)),
         (0, accepted_before_drain),
         "no client is placed on the old address"
     );
-    let at_new_address = accepted_connections(fleet, 2);
-    let at_other_server = accepted_connections(fleet, 1) - other_before;
+    let at_new_address = accepted_connections(backend, 2);
+    let at_other_server = accepted_connections(backend, 1) - other_before;
     assert!(
         at_new_address < at_other_server,
         "a warming server gets fewer clients: {at_new_address} at the new address, \
          {at_other_server} at the other server"
     );
     let used = async {
-        while accepted_connections(fleet, 2) == 0 {
+        while accepted_connections(backend, 2) == 0 {
             open_clients(daemon, 1).await;
             sleep(Duration::from_millis(50)).await;
         }
@@ -265,10 +265,10 @@
 #[tokio::test]
 async fn a_watch_request_has_a_descriptor_when_clients_use_all_others() {
     let service = MockDiscovery::start().await;
-    let Deployment { fleet, daemon } =
+    let Deployment { backend, daemon } =
         start_daemon(&service, 2, Options { sockets: 100, ..Options::default() }).await;
     let mut watch = service.accept_request().await;
-    watch.send_list(&fleet.known()).await;
+    watch.send_list(&backend.endpoint_list()).await;
     daemon.wait_for_log_line("discovery: ").await.expect("the log line of the watch");
     let id = daemon.process_id().expect("a running daemon");
     let limit = rustix::process::Rlimit { current: Some(100), maximum: Some(100) };
@@ -290,7 +290,7 @@
     for round in 0..3 {
         watch.reset();
         watch = service.accept_request().await;
-        watch.send_list(&fleet.known()).await;
+        watch.send_list(&backend.endpoint_list()).await;
         assert!(open_descriptors() <= 100, "round {round}");
     }
 }
--- a/tests/watches/harness.rs
+++ b/tests/watches/harness.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ashtide::*;
-use ashtide_testkit::fleet::chunk;
+use ashtide_testkit::mock_backend::chunk;
 use ashtide_testkit::within;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
