--- a/crates/ashtide-bench/src/naive.rs
+++ b/crates/ashtide-bench/src/baseline.rs
@@ -13,7 +13,7 @@
 /// One client with one session. It speaks the events and effects of the library's core, so that a world can
 /// drive either.
 #[derive(Debug)]
-pub struct Naive {
+pub struct BaselineClient {
     wish: SessionRequest,
     wait: (Duration, Duration),
     address: std::net::SocketAddr,
@@ -33,7 +33,7 @@
 
 const ID: SessionId = SessionId(1);
 
-impl Naive {
+impl BaselineClient {
     /// A client that waits between these bounds before it tries again.
     pub fn new(
         wait: (Duration, Duration),
--- a/crates/ashtide-bench/src/cost.rs
+++ b/crates/ashtide-bench/src/cost.rs
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// Fails where the process cannot be started or tells nothing.
-pub async fn apart(arguments: &[String]) -> Result<Cost, CostError> {
+pub async fn measure_in_own_process(arguments: &[String]) -> Result<Cost, CostError> {
     let process = |error: &dyn std::fmt::Display| CostError::Process(error.to_string());
     let own = std::env::current_exe().map_err(|error| process(&error))?;
     let output =
--- a/crates/ashtide-bench/src/storm.rs
+++ b/crates/ashtide-bench/src/fault_comparison.rs
@@ -5,7 +5,7 @@
 use ashtide_client::Settings;
 use serde::Serialize;
 
-use crate::world::{Behaviour, People, SitePlan, TRY, Tally, Trouble, World};
+use crate::simulation::{ClientBehavior, DeploymentModel, Fault, Measurements, Simulation, TRY, UserModel};
 
 /// The trouble begins and ends at these seconds, and the run ends at the last.
 pub const TIMES: (u64, u64, u64) = (30, 50, 150);
@@ -15,7 +15,7 @@
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Every server works at a fifth of its speed, and three tenths of the connections break.
     Slowed,
     /// Half of the servers refuse everything, and three tenths of the connections break.
@@ -28,7 +28,7 @@
     /// Which clients.
     pub clients: String,
     /// Which trouble.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Attempts that reached the site, from the trouble's beginning on.
     pub attempts: u64,
     /// Connections that came up in that time.
@@ -48,28 +48,34 @@
 }
 
 /// The clients that are compared.
-pub fn clients() -> Vec<(&'static str, Behaviour)> {
+pub fn clients() -> Vec<(&'static str, ClientBehavior)> {
     let ms = Duration::from_millis;
     vec![
         ("library", library(Settings::default())),
         (
             "library, 30 s a press",
-            Behaviour::Library(Box::new(Settings { tries: 6, ..Settings::default() }), 10 * ms(3000)),
+            ClientBehavior::Library(Box::new(Settings { tries: 6, ..Settings::default() }), 10 * ms(3000)),
         ),
-        ("again after 0.2 to 1.7 s", Behaviour::Naive(ms(200), ms(1700))),
-        ("again at once", Behaviour::Naive(ms(0), ms(0))),
+        ("again after 0.2 to 1.7 s", ClientBehavior::Baseline(ms(200), ms(1700))),
+        ("again at once", ClientBehavior::Baseline(ms(0), ms(0))),
     ]
 }
 
 /// The library with these settings, whose session ends with its first deadline.
-pub fn library(settings: Settings) -> Behaviour {
-    Behaviour::Library(Box::new(settings), TRY)
+pub fn library(settings: Settings) -> ClientBehavior {
+    ClientBehavior::Library(Box::new(settings), TRY)
 }
 
 /// Plays one trouble with one kind of clients. `scale` 1 is 10 servers, 120 new users a second and 7,200
 /// standing connections; a set-up takes a twentieth of a second, so that six tenths of the site are in use.
-pub fn play(name: &str, behaviour: Behaviour, kind: Kind, scale: f64, seed: u64) -> Outcome {
-    let site = SitePlan {
+pub fn run_comparison(
+    name: &str,
+    behaviour: ClientBehavior,
+    kind: FaultKind,
+    scale: f64,
+    seed: u64,
+) -> Outcome {
+    let site = DeploymentModel {
         servers: ((10.0 * scale).round() as usize).max(2),
         rate: 20.0,
         queue: 40,
@@ -77,7 +83,7 @@
         busy: Duration::from_secs(1),
         way: Duration::from_millis(10),
     };
-    let people = People {
+    let people = UserModel {
         rate: 12.0 * site.servers as f64,
         life: 60.0,
         patience: Duration::from_secs(60),
@@ -85,19 +91,24 @@
     };
     let (from, to, end) = (TIMES.0 * 1_000_000, TIMES.1 * 1_000_000, TIMES.2 * 1_000_000);
     let (bad, well) = match kind {
-        Kind::Slowed => (Trouble::Speed(0.2), Trouble::Speed(1.0)),
-        Kind::HalfRefuse => (Trouble::Refusing(0.5), Trouble::Refusing(0.0)),
+        FaultKind::Slowed => (Fault::Speed(0.2), Fault::Speed(1.0)),
+        FaultKind::HalfRefuse => (Fault::Refusing(0.5), Fault::Refusing(0.0)),
     };
     let standing = (people.rate * people.life) as usize;
-    let mut world =
-        World::new(behaviour, site, people, vec![(from, bad), (from, Trouble::Cut(0.3)), (to, well)], seed);
+    let mut world = Simulation::new(
+        behaviour,
+        site,
+        people,
+        vec![(from, bad), (from, Fault::Cut(0.3)), (to, well)],
+        seed,
+    );
     world.stand(standing);
     world.from = from;
     world.run(end);
     outcome(name, kind, &world.tally)
 }
 
-fn outcome(name: &str, kind: Kind, tally: &Tally) -> Outcome {
+fn outcome(name: &str, kind: FaultKind, tally: &Measurements) -> Outcome {
     let since = &tally.seconds[TIMES.0 as usize..];
     let (attempts, useful) =
         since.iter().fold((0, 0), |(attempts, up), second| (attempts + second.attempts, up + second.up));
--- a/crates/ashtide-bench/src/lib.rs
+++ b/crates/ashtide-bench/src/lib.rs
@@ -1,13 +1,13 @@
-//! The laboratory: what the product does at large size, measured by commands that anyone can repeat.
+//! Benchmarks and simulations of the client library, each run by a command and repeatable.
 //!
-//! Its studies of the client library run in virtual time ([`wave`], [`storm`]), over sockets against the
-//! real daemon ([`real`]), or on the core alone ([`cost`]). The same seed gives the same figures in virtual
-//! time. The site in [`world`] is a model, stated there; it compares clients with each other and says
-//! nothing of any real site.
+//! Studies of the client library run in virtual time ([`reconnect_burst`], [`fault_comparison`]), over
+//! sockets against the daemon ([`live`]), or on the client core alone ([`cost`]). In virtual time the same
+//! seed gives the same figures. The deployment in [`simulation`] is a model, described there. It compares
+//! clients with each other and doesn't predict the behaviour of any real deployment.
 
+pub mod baseline;
 pub mod cost;
-pub mod naive;
-pub mod real;
-pub mod storm;
-pub mod wave;
-pub mod world;
+pub mod fault_comparison;
+pub mod live;
+pub mod reconnect_burst;
+pub mod simulation;
--- a/crates/ashtide-bench/src/real.rs
+++ b/crates/ashtide-bench/src/live.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-use crate::wave::Wave;
+use crate::reconnect_burst::ReconnectBurst;
 
 /// Balancers of each zone.
 const PAIR: usize = 2;
@@ -37,7 +37,11 @@
 /// # Errors
 ///
 /// Fails where something cannot be started or does not come in time.
-pub async fn wave(daemon: &Path, sessions: usize, processes: usize) -> Result<Wave, ScenarioError> {
+pub async fn run_reconnect_burst(
+    daemon: &Path,
+    sessions: usize,
+    processes: usize,
+) -> Result<ReconnectBurst, ScenarioError> {
     let backend = MockBackend::start(4).await?;
     // Two descriptors a session, on a balancer that may get them all but for its share, and some to spare.
     let sockets = (2 * sessions / PAIR * 6 / 5 + 512).min(19_900);
@@ -95,7 +99,7 @@
         drop(stdin);
         within("the end of a client process", child.wait()).await??;
     }
-    Ok(Wave::of(sessions, arrivals, waits, backend.attempt_log.overlap_count()))
+    Ok(ReconnectBurst::of(sessions, arrivals, waits, backend.attempt_log.overlap_count()))
 }
 
 /// Waits until every process has said this; what figures it said with it.
@@ -122,7 +126,7 @@
 /// # Errors
 ///
 /// Fails where a device does not come up.
-pub async fn devices(
+pub async fn run_devices(
     count: usize,
     process: usize,
     addresses: Vec<Address>,
--- a/crates/ashtide-bench/src/main.rs
+++ b/crates/ashtide-bench/src/main.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ashtide_bench::storm::{Kind, Outcome};
-use ashtide_bench::wave::Wave;
-use ashtide_bench::{cost, real, storm, wave};
+use ashtide_bench::fault_comparison::{FaultKind, Outcome};
+use ashtide_bench::reconnect_burst::ReconnectBurst;
+use ashtide_bench::{cost, fault_comparison, live, reconnect_burst};
 use ashtide_client::{Address, Settings};
 use clap::{Parser, Subcommand};
 use serde_json::json;
@@ -32,7 +32,8 @@
 #[derive(Debug, Subcommand)]
 enum ClientStudy {
     /// A mass return in virtual time: all sessions cut at one moment
-    Wave {
+    #[command(name = "wave")]
+    ReconnectBurst {
         /// Devices, each with one session
         #[arg(long, default_value_t = 100_000)]
         sessions: usize,
@@ -49,7 +50,8 @@
         picture: bool,
     },
     /// A mass return over real sockets: two daemons killed, two others take all
-    WaveReal {
+    #[command(name = "wave-real")]
+    LiveReconnectBurst {
         /// The daemon's program
         #[arg(long, default_value = "target/release/ashtide")]
         daemon: PathBuf,
@@ -64,7 +66,8 @@
         picture: bool,
     },
     /// The library beside naive clients when servers are slowed, and when half of them refuse
-    Storm {
+    #[command(name = "storm")]
+    FaultComparison {
         /// 1 is 10 servers and 7,200 standing connections
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
@@ -113,24 +116,30 @@
 
 async fn study(Study::Client(study): Study) -> Done {
     match study {
-        ClientStudy::Wave { sessions, admits, one_process, seed, picture } => {
-            let wave = if one_process {
-                wave::process(sessions, Settings::default(), seed)
+        ClientStudy::ReconnectBurst { sessions, admits, one_process, seed, picture } => {
+            let burst = if one_process {
+                reconnect_burst::process(sessions, Settings::default(), seed)
             } else {
-                wave::devices(sessions, storm::library(Settings::default()), admits, seed)
+                reconnect_burst::devices(
+                    sessions,
+                    fault_comparison::library(Settings::default()),
+                    admits,
+                    seed,
+                )
             };
-            told(&wave, picture)
+            told(&burst, picture)
         }
-        ClientStudy::WaveReal { daemon, sessions, processes, picture } => {
-            told(&real::wave(&daemon, sessions, processes.max(1)).await?, picture)
+        ClientStudy::LiveReconnectBurst { daemon, sessions, processes, picture } => {
+            told(&live::run_reconnect_burst(&daemon, sessions, processes.max(1)).await?, picture)
         }
-        ClientStudy::Storm { scale, seeds } => {
+        ClientStudy::FaultComparison { scale, seeds } => {
             let mut outcomes = Vec::new();
             let mut text = "trouble      clients                   seed  attempts  useful  each  peak/s  recovered  served  lost\n".to_owned();
-            for kind in [Kind::Slowed, Kind::HalfRefuse] {
-                for (name, behaviour) in storm::clients() {
+            for kind in [FaultKind::Slowed, FaultKind::HalfRefuse] {
+                for (name, behaviour) in fault_comparison::clients() {
                     for seed in 1..=seeds {
-                        let outcome = storm::play(name, behaviour.clone(), kind, scale, seed);
+                        let outcome =
+                            fault_comparison::run_comparison(name, behaviour.clone(), kind, scale, seed);
                         text += &row(&outcome, seed);
                         outcomes.push(outcome);
                     }
@@ -142,8 +151,12 @@
             let mut costs = Vec::new();
             let mut text = "sessions  bytes each  open, us  return, us\n".to_owned();
             for size in sessions {
-                let cost =
-                    cost::apart(&["client".to_owned(), "cost-one".to_owned(), size.to_string()]).await?;
+                let cost = cost::measure_in_own_process(&[
+                    "client".to_owned(),
+                    "cost-one".to_owned(),
+                    size.to_string(),
+                ])
+                .await?;
                 text += &format!(
                     "{:8}  {:10.0}  {:8.2}  {:10.2}\n",
                     cost.sessions, cost.bytes, cost.open_us, cost.return_us
@@ -157,7 +170,7 @@
         }
         ClientStudy::Devices { count, process, addresses } => {
             let addresses = addresses.iter().map(|text| address(text)).collect::<Result<Vec<_>, _>>()?;
-            real::devices(count, process, addresses).await?;
+            live::run_devices(count, process, addresses).await?;
             Ok((String::new(), json!(null)))
         }
     }
@@ -168,7 +181,7 @@
     Ok(Address { socket_addr: at.parse()?, zone: zone.to_owned(), site: String::new() })
 }
 
-fn told(wave: &Wave, picture: bool) -> Done {
+fn told(wave: &ReconnectBurst, picture: bool) -> Done {
     let mut text = if picture { wave.picture(60) } else { String::new() };
     text += &format!(
         "{} sessions cut, {} back; {} attempts, {} overlaps\n\
@@ -192,8 +205,8 @@
 
 fn row(outcome: &Outcome, seed: u64) -> String {
     let kind = match outcome.kind {
-        Kind::Slowed => "slowed",
-        Kind::HalfRefuse => "half refuse",
+        FaultKind::Slowed => "slowed",
+        FaultKind::HalfRefuse => "half refuse",
     };
     let recovered = outcome.recovered_s.map_or("never".to_owned(), |seconds| format!("{seconds} s"));
     format!(
--- a/crates/ashtide-bench/src/wave.rs
+++ b/crates/ashtide-bench/src/reconnect_burst.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-use crate::world::{Behaviour, ORIGIN, People, SitePlan, Trouble, World};
+use crate::simulation::{ClientBehavior, DeploymentModel, Fault, ORIGIN, Simulation, UserModel};
 
 /// Slots in which arrivals are counted, in microseconds.
 const SLOT: u64 = 100_000;
@@ -16,7 +16,7 @@
 
 /// What a return looked like to the site.
 #[derive(Debug, Clone, Serialize, PartialEq)]
-pub struct Wave {
+pub struct ReconnectBurst {
     /// Sessions that were cut.
     pub sessions: usize,
     /// Attempts that reached the site, retries among them.
@@ -41,7 +41,7 @@
     pub slots: Vec<usize>,
 }
 
-impl Wave {
+impl ReconnectBurst {
     /// Sums up arrivals, and waits until sessions stood again, both in microseconds since the cut.
     pub fn of(sessions: usize, mut arrivals: Vec<u64>, mut waits: Vec<u64>, overlaps: u64) -> Self {
         arrivals.sort_unstable();
@@ -84,8 +84,8 @@
 
 /// So many devices with one session each; the site takes so many a second and refuses the others with
 /// `BUSY 1000`.
-pub fn devices(sessions: usize, behaviour: Behaviour, admits: f64, seed: u64) -> Wave {
-    let site = SitePlan {
+pub fn devices(sessions: usize, behaviour: ClientBehavior, admits: f64, seed: u64) -> ReconnectBurst {
+    let site = DeploymentModel {
         servers: 10,
         rate: admits / 10.0,
         queue: (admits / 10.0).ceil().max(1.0) as usize,
@@ -93,22 +93,22 @@
         busy: Duration::from_secs(1),
         way: Duration::from_millis(5),
     };
-    let people = People {
+    let people = UserModel {
         rate: 0.0,
         life: 1e11,
         patience: Duration::from_secs(3600),
         press: (Duration::from_secs(5), Duration::from_secs(15)),
     };
-    let mut world = World::new(behaviour, site, people, vec![(CUT, Trouble::Cut(1.0))], seed);
+    let mut world = Simulation::new(behaviour, site, people, vec![(CUT, Fault::Cut(1.0))], seed);
     world.stand(sessions);
     world.run(CUT + 300_000_000);
     let arrivals = world.tally.arrivals.iter().map(|at| at.saturating_sub(CUT)).collect();
     let waits = world.tally.waits.iter().map(|(waited, _)| *waited).collect();
-    Wave::of(sessions, arrivals, waits, world.tally.overlaps)
+    ReconnectBurst::of(sessions, arrivals, waits, world.tally.overlaps)
 }
 
 /// So many sessions of one process, say a relay's; every attempt is answered at once.
-pub fn process(sessions: usize, settings: Settings, seed: u64) -> Wave {
+pub fn process(sessions: usize, settings: Settings, seed: u64) -> ReconnectBurst {
     let settings = Settings { sessions: sessions.max(1), ..settings };
     let at = |micros: u64| Instant::from_micros(ORIGIN + micros);
     // The settings have been checked by whoever made them.
@@ -149,5 +149,5 @@
         now = wake.as_micros() - ORIGIN;
         pool.handle(wake, PoolEvent::TimerFired, &mut out);
     }
-    Wave::of(sessions, arrivals, waits, 0)
+    ReconnectBurst::of(sessions, arrivals, waits, 0)
 }
--- a/crates/ashtide-bench/src/world.rs
+++ b/crates/ashtide-bench/src/simulation.rs
@@ -22,7 +22,7 @@
 use rand_distr::{Distribution, Exp1};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::naive::Naive;
+use crate::baseline::BaselineClient;
 
 /// Servers that a balancer asks for one attempt.
 const ASKS: usize = 3;
@@ -33,16 +33,16 @@
 
 /// How clients behave.
 #[derive(Debug, Clone)]
-pub enum Behaviour {
+pub enum ClientBehavior {
     /// The library: its settings, and how long a user's press lasts. A try has 3.2 s at most.
     Library(Box<Settings>, Duration),
     /// Again after a wait within these bounds, for ever.
-    Naive(Duration, Duration),
+    Baseline(Duration, Duration),
 }
 
 /// The site.
 #[derive(Debug, Clone)]
-pub struct SitePlan {
+pub struct DeploymentModel {
     /// Servers.
     pub servers: usize,
     /// Set-ups a second that one of them makes.
@@ -59,7 +59,7 @@
 
 /// Something that goes wrong, or is well again.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
+pub enum Fault {
     /// All servers work at this part of their speed.
     Speed(f64),
     /// This part of the servers refuses everything.
@@ -70,7 +70,7 @@
 
 /// Who owns the session and what the user does.
 #[derive(Debug, Clone)]
-pub struct People {
+pub struct UserModel {
     /// New users a second.
     pub rate: f64,
     /// How long one wants to be connected, on average, in seconds.
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 enum Client {
     Library(Box<SessionPool>),
-    Naive(Box<Naive>),
+    Baseline(Box<BaselineClient>),
 }
 
 #[derive(Debug)]
@@ -106,7 +106,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Happens {
+enum SimulationEvent {
     User,
     Wake(usize, u64),
     Connected(usize, Attempt),
@@ -118,7 +118,7 @@
     Content(usize, u64),
     Press(usize),
     Impatient(usize, u64),
-    Trouble(usize),
+    Fault(usize),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -154,7 +154,7 @@
 
 /// What a run has shown.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct Measurements {
     /// By second since the start.
     pub seconds: Vec<Second>,
     /// When attempts reached the site, in microseconds since the start.
@@ -172,15 +172,15 @@
 }
 
 /// Servers, users and what happens next.
-pub struct World {
+pub struct Simulation {
     now: u64,
     order: u64,
     heap: BinaryHeap<Reverse<(u64, u64, Entry)>>,
     rng: Xoshiro256PlusPlus,
-    behaviour: Behaviour,
-    site: SitePlan,
-    people: People,
-    troubles: Vec<(u64, Trouble)>,
+    behaviour: ClientBehavior,
+    site: DeploymentModel,
+    people: UserModel,
+    troubles: Vec<(u64, Fault)>,
     servers: Vec<Server>,
     devices: Vec<Device>,
     standing: u64,
@@ -188,7 +188,7 @@
     /// Service is counted from here on, in microseconds.
     pub from: u64,
     /// What was seen.
-    pub tally: Tally,
+    pub tally: Measurements,
     effects: Vec<PoolCommand>,
     /// Users are being placed that stood before: nothing reaches the site.
     placing: bool,
@@ -196,7 +196,7 @@
 
 /// Keeps what happens out of the heap's order.
 #[derive(Debug)]
-struct Entry(Happens);
+struct Entry(SimulationEvent);
 
 impl PartialEq for Entry {
     fn eq(&self, _: &Self) -> bool {
@@ -227,13 +227,13 @@
     Instant::from_micros(ORIGIN + now)
 }
 
-impl World {
+impl Simulation {
     /// A site and no users yet. Troubles come at their microsecond.
     pub fn new(
-        behaviour: Behaviour,
-        site: SitePlan,
-        people: People,
-        troubles: Vec<(u64, Trouble)>,
+        behaviour: ClientBehavior,
+        site: DeploymentModel,
+        people: UserModel,
+        troubles: Vec<(u64, Fault)>,
         seed: u64,
     ) -> Self {
         let server =
@@ -252,20 +252,20 @@
             standing: 0,
             waiting: 0,
             from: 0,
-            tally: Tally::default(),
+            tally: Measurements::default(),
             effects: Vec::new(),
             placing: false,
         };
         for at in 0..world.troubles.len() {
-            world.at(world.troubles[at].0, Happens::Trouble(at));
+            world.at(world.troubles[at].0, SimulationEvent::Fault(at));
         }
         if world.people.rate > 0.0 {
-            world.at(0, Happens::User);
+            world.at(0, SimulationEvent::User);
         }
         world
     }
 
-    fn at(&mut self, time: u64, what: Happens) {
+    fn at(&mut self, time: u64, what: SimulationEvent) {
         self.order += 1;
         self.heap.push(Reverse((time.max(self.now), self.order, Entry(what))));
     }
@@ -282,7 +282,7 @@
             self.stands(device, attempt, number % self.servers.len());
         }
         self.placing = false;
-        self.tally = Tally::default();
+        self.tally = Measurements::default();
     }
 
     /// Runs until this microsecond.
@@ -334,7 +334,7 @@
         let mut wish = SessionRequest::new("resident-reading", format!("meter-{number}"), TRY);
         let seed = self.rng.random();
         let client = match &self.behaviour {
-            Behaviour::Library(settings, wait) => {
+            ClientBehavior::Library(settings, wait) => {
                 (wish.timeout, wish.attempt_timeout) = (*wait, Some(TRY));
                 // The settings have been checked by whoever made them.
                 let mut pool = SessionPool::new(Settings::clone(settings), seed)
@@ -346,8 +346,8 @@
                 );
                 Client::Library(Box::new(pool))
             }
-            Behaviour::Naive(from, to) => {
-                Client::Naive(Box::new(Naive::new((*from, *to), address(), wish.clone(), seed)))
+            ClientBehavior::Baseline(from, to) => {
+                Client::Baseline(Box::new(BaselineClient::new((*from, *to), address(), wish.clone(), seed)))
             }
         };
         self.devices.push(Device {
@@ -373,7 +373,7 @@
             self.waiting += 1;
             let left = micros(self.people.patience).saturating_sub(device.waited);
             let since = self.now;
-            self.at(since + left, Happens::Impatient(at, since));
+            self.at(since + left, SimulationEvent::Impatient(at, since));
         }
     }
 
@@ -391,9 +391,9 @@
         let device = &mut self.devices[at];
         match &mut device.client {
             Client::Library(pool) => device.session = pool.open(now, device.wish.clone(), &mut self.effects),
-            Client::Naive(naive) => {
+            Client::Baseline(baseline) => {
                 device.session = SessionId(1);
-                naive.open(now, &mut self.effects);
+                baseline.open(now, &mut self.effects);
             }
         }
         self.carry_out(at);
@@ -403,7 +403,7 @@
         let now = moment(self.now);
         match &mut self.devices[at].client {
             Client::Library(pool) => pool.handle(now, event, &mut self.effects),
-            Client::Naive(naive) => naive.handle(now, event, &mut self.effects),
+            Client::Baseline(baseline) => baseline.handle(now, event, &mut self.effects),
         }
         self.carry_out(at);
     }
@@ -416,14 +416,14 @@
                 // There and back, as a connection's first packets go.
                 PoolCommand::Connect { attempt, .. } => {
                     let when = self.now + 2 * micros(self.site.way);
-                    self.at(when, Happens::Connected(at, attempt));
+                    self.at(when, SimulationEvent::Connected(at, attempt));
                 }
                 PoolCommand::SendRequest { attempt, line, .. } => {
                     let wait = Open::parse(line).ok().and_then(|open| open.wait).unwrap_or_default();
-                    self.at(self.now + micros(self.site.way), Happens::Arrives(at, attempt, wait));
+                    self.at(self.now + micros(self.site.way), SimulationEvent::Arrives(at, attempt, wait));
                 }
                 PoolCommand::Close { session, attempt } => {
-                    self.at(self.now + micros(self.site.way), Happens::Closes(at, attempt));
+                    self.at(self.now + micros(self.site.way), SimulationEvent::Closes(at, attempt));
                     let now = moment(self.now);
                     if let Client::Library(pool) = &mut self.devices[at].client {
                         pool.handle(now, PoolEvent::SocketClosed(session, attempt), &mut self.effects);
@@ -436,20 +436,20 @@
                 PoolCommand::EndSession(..) => {
                     let (from, to) = self.people.press;
                     let wait = from + (to - from).mul_f64(self.rng.random::<f64>());
-                    self.at(self.now + micros(wait), Happens::Press(at));
+                    self.at(self.now + micros(wait), SimulationEvent::Press(at));
                 }
             }
         }
         let device = &mut self.devices[at];
         let wake = match &device.client {
             Client::Library(pool) => pool.next_wake(),
-            Client::Naive(naive) => naive.next_wake(),
+            Client::Baseline(baseline) => baseline.next_wake(),
         };
         let wake = wake.map(|wake| wake.as_micros().saturating_sub(ORIGIN));
         if wake != device.wake {
             device.wake = wake;
             if let Some(wake) = wake {
-                self.at(wake, Happens::Wake(at, wake));
+                self.at(wake, SimulationEvent::Wake(at, wake));
             }
         }
     }
@@ -469,7 +469,7 @@
         // The client may have given up meanwhile.
         let stands = match &self.devices[at].client {
             Client::Library(pool) => pool.is_established(session),
-            Client::Naive(naive) => naive.next_wake().is_none(),
+            Client::Baseline(baseline) => baseline.next_wake().is_none(),
         };
         if stands && self.devices[at].standing.is_none() && !self.devices[at].gone {
             let waited = self.waits_no_more(at);
@@ -478,60 +478,60 @@
             device.standing = Some((server, self.now));
             self.standing += 1;
             let (since, content) = (self.now, self.now + device.wants);
-            self.at(content, Happens::Content(at, since));
+            self.at(content, SimulationEvent::Content(at, since));
             self.this_second().up += 1;
         }
     }
 
-    fn happen(&mut self, what: Happens) {
+    fn happen(&mut self, what: SimulationEvent) {
         match what {
-            Happens::User => {
+            SimulationEvent::User => {
                 let wants = (self.exponential() * self.people.life * 1e6) as u64;
                 let device = self.device(wants.max(1));
                 self.open(device);
                 let next = self.exponential() / self.people.rate * 1e6;
-                self.at(self.now + next as u64, Happens::User);
+                self.at(self.now + next as u64, SimulationEvent::User);
             }
-            Happens::Wake(at, wake) => {
+            SimulationEvent::Wake(at, wake) => {
                 if self.devices[at].wake == Some(wake) {
                     self.devices[at].wake = None;
                     self.tell(at, PoolEvent::TimerFired);
                 }
             }
-            Happens::Connected(at, attempt) => {
+            SimulationEvent::Connected(at, attempt) => {
                 let session = self.devices[at].session;
                 self.tell(at, PoolEvent::Connected(session, attempt));
             }
-            Happens::Arrives(at, attempt, wait) => self.arrives(at, attempt, wait),
-            Happens::Closes(at, attempt) => self.devices[at].out.retain(|out| *out != attempt),
-            Happens::Served(server) => self.served(server),
-            Happens::Answer(at, attempt, Answer::Up(server)) => self.stands(at, attempt, server),
-            Happens::Answer(at, attempt, Answer::Busy) => {
+            SimulationEvent::Arrives(at, attempt, wait) => self.arrives(at, attempt, wait),
+            SimulationEvent::Closes(at, attempt) => self.devices[at].out.retain(|out| *out != attempt),
+            SimulationEvent::Served(server) => self.served(server),
+            SimulationEvent::Answer(at, attempt, Answer::Up(server)) => self.stands(at, attempt, server),
+            SimulationEvent::Answer(at, attempt, Answer::Busy) => {
                 let (session, wait) = (self.devices[at].session, self.site.busy);
                 self.tell(at, PoolEvent::Received(session, attempt, Ok(GatewayEvent::Busy(Some(wait)))));
             }
-            Happens::Overdue(at, attempt) => {
+            SimulationEvent::Overdue(at, attempt) => {
                 if self.devices[at].out.contains(&attempt) {
                     self.answer(at, attempt, Answer::Busy);
                 }
             }
-            Happens::Content(at, since) => {
+            SimulationEvent::Content(at, since) => {
                 if self.devices[at].standing.is_some_and(|(_, from)| from == since) {
                     self.leave(at);
                 }
             }
-            Happens::Press(at) => {
+            SimulationEvent::Press(at) => {
                 if !self.devices[at].gone {
                     self.open(at);
                 }
             }
-            Happens::Impatient(at, since) => {
+            SimulationEvent::Impatient(at, since) => {
                 if self.devices[at].waiting_since == Some(since) {
                     self.tally.lost += 1;
                     self.leave(at);
                 }
             }
-            Happens::Trouble(number) => self.trouble(self.troubles[number].1),
+            SimulationEvent::Fault(number) => self.trouble(self.troubles[number].1),
         }
     }
 
@@ -546,16 +546,16 @@
         self.tell(at, PoolEvent::CloseSession(session));
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
+    fn trouble(&mut self, trouble: Fault) {
         match trouble {
-            Trouble::Speed(speed) => self.servers.iter_mut().for_each(|server| server.speed = speed),
-            Trouble::Refusing(part) => {
+            Fault::Speed(speed) => self.servers.iter_mut().for_each(|server| server.speed = speed),
+            Fault::Refusing(part) => {
                 let count = (self.servers.len() as f64 * part).round() as usize;
                 for (number, server) in self.servers.iter_mut().enumerate() {
                     server.refuses = number < count;
                 }
             }
-            Trouble::Cut(part) => {
+            Fault::Cut(part) => {
                 for at in 0..self.devices.len() {
                     if self.devices[at].standing.is_some() && self.rng.random::<f64>() < part {
                         let attempt = self.attempt_of(at);
@@ -571,7 +571,7 @@
     fn attempt_of(&self, at: usize) -> Attempt {
         match &self.devices[at].client {
             Client::Library(pool) => pool.current_attempt(self.devices[at].session).unwrap_or_default(),
-            Client::Naive(naive) => naive.attempt(),
+            Client::Baseline(baseline) => baseline.attempt(),
         }
     }
 
@@ -596,7 +596,7 @@
             if !chosen.busy {
                 self.serve(server);
             }
-            return self.at(self.now + micros(wait), Happens::Overdue(at, attempt));
+            return self.at(self.now + micros(wait), SimulationEvent::Overdue(at, attempt));
         }
         self.answer(at, attempt, Answer::Busy);
     }
@@ -604,7 +604,7 @@
     fn answer(&mut self, at: usize, attempt: Attempt, answer: Answer) {
         self.devices[at].out.retain(|out| *out != attempt);
         self.this_second().refused += u64::from(answer == Answer::Busy);
-        self.at(self.now + micros(self.site.way), Happens::Answer(at, attempt, answer));
+        self.at(self.now + micros(self.site.way), SimulationEvent::Answer(at, attempt, answer));
     }
 
     /// The next set-up begins, with what refusals have cost meanwhile.
@@ -614,7 +614,7 @@
         let work = work + std::mem::take(&mut chosen.debt);
         chosen.busy = true;
         let time = work / (self.site.rate * chosen.speed) * 1e6;
-        self.at(self.now + time as u64, Happens::Served(server));
+        self.at(self.now + time as u64, SimulationEvent::Served(server));
     }
 
     fn served(&mut self, server: usize) {
