--- a/crates/ashtide-testkit/src/attempt_log.rs
+++ b/crates/ashtide-testkit/src/attempt_log.rs
@@ -1,5 +1,5 @@
-//! What all servers of a fleet have seen of the attempts that reached them, kept together: an attempt at one
-//! server overlaps with one at another.
+//! Log of the attempts that reached the mock servers of a test, shared by all servers: an attempt at one
+//! server can overlap with an attempt at another.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,60 +9,63 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// An attempt that was given up may still be on its way through the balancer for so long.
-const SLACK: Duration = Duration::from_millis(50);
+/// Time after an arrival before an older open attempt of the same key counts as an overlap. The gateway's
+/// cancellation of the older attempt may still be on its way until then.
+const CANCELLATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Attempts by key, and when each arrived.
+/// Log of attempts by key, with the time of each arrival. Clones share the same log.
 #[derive(Debug, Clone, Default)]
-pub struct AttemptLog(Arc<Mutex<Inside>>);
+pub struct AttemptLog(Arc<Mutex<LogState>>);
 
 #[derive(Debug, Default)]
-struct Inside {
+struct LogState {
+    /// Number of attempts so far.
     attempts: u64,
-    /// Attempts that have no answer yet and whose connection is open, by key.
+    /// Arrival times, by key and attempt number, of attempts without an answer whose connection is open.
     open: HashMap<Bytes, BTreeMap<u64, Instant>>,
     arrivals: Vec<Arrival>,
+    /// Number of attempts that overlapped with an older attempt of the same key.
     overlaps: u64,
 }
 
-/// One attempt that arrived at a server.
+/// Attempt that arrived at a server.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When its line was read.
+    /// Time at which the server read the request line.
     pub at: Instant,
-    /// Which server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// The request's id.
+    /// Id of the request.
     pub id: Bytes,
-    /// When it was answered or its connection ended; it is out until then.
+    /// Time at which the attempt was answered or its connection ended, or `None` if it is still open.
     pub ended_at: Option<Instant>,
-    /// Marked as a retry.
+    /// Whether the request is marked as a retry.
     pub retry: bool,
-    /// Marked as coming back after a move or a break.
+    /// Whether the request is marked as a reconnect after a migration or a connection loss.
     pub reconnect: bool,
 }
 
 impl Arrival {
-    /// The receipt that attempt `number` of the ledger, counted from 1, gets from this server.
+    /// Returns the receipt that `server` sends for the attempt with this number, counted from 1.
     pub fn receipt(server: &str, number: u64) -> String {
         format!("{server}.{number}")
     }
 }
 
-/// An attempt that is out; it is no longer so once this is dropped.
+/// Guard of an open attempt. The attempt counts as ended once the guard is dropped.
 #[derive(Debug)]
 pub struct OpenAttempt {
-    ledger: AttemptLog,
+    log: AttemptLog,
     key: Bytes,
     number: u64,
 }
 
 impl AttemptLog {
-    fn inside(&self) -> MutexGuard<'_, Inside> {
+    fn lock(&self) -> MutexGuard<'_, LogState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An attempt has arrived at this server.
+    /// Records the arrival of an attempt at `server`.
     pub fn record_arrival(&self, server: &Arc<str>, open: &Open) -> OpenAttempt {
         let at = Instant::now();
         let key = open
@@ -71,49 +74,49 @@
             .nth(2)
             .map(|key| open.raw.slice_ref(key))
             .unwrap_or_default();
-        // A copy, so that it does not keep the whole line.
+        // A copy, so that the key does not retain the buffer of the complete line.
         let key = Bytes::copy_from_slice(&key);
-        let said = |mark: &[u8]| open.raw.windows(mark.len()).any(|part| part == mark);
-        let mut inside = self.inside();
-        inside.attempts += 1;
-        let number = inside.attempts;
-        inside.arrivals.push(Arrival {
+        let is_marked = |mark: &[u8]| open.raw.windows(mark.len()).any(|part| part == mark);
+        let mut state = self.lock();
+        state.attempts += 1;
+        let number = state.attempts;
+        state.arrivals.push(Arrival {
             at,
             server: server.clone(),
             id: Bytes::copy_from_slice(&open.id),
             ended_at: None,
-            retry: said(b",r=1"),
-            reconnect: said(b",again=1"),
+            retry: is_marked(b",r=1"),
+            reconnect: is_marked(b",again=1"),
         });
-        let others = inside.open.entry(key.clone()).or_default();
-        others.insert(number, at);
-        if others.len() > 1 {
-            tokio::spawn(self.clone().overlaps(key.clone(), number));
+        let open_attempts = state.open.entry(key.clone()).or_default();
+        open_attempts.insert(number, at);
+        if open_attempts.len() > 1 {
+            tokio::spawn(self.clone().count_overlap(key.clone(), number));
         }
-        OpenAttempt { ledger: self.clone(), key, number }
+        OpenAttempt { log: self.clone(), key, number }
     }
 
-    /// Counts an overlap if an older attempt of this key is still out a little later.
-    async fn overlaps(self, key: Bytes, number: u64) {
-        tokio::time::sleep(SLACK).await;
-        let mut inside = self.inside();
-        let older = inside.open.get(&key).is_some_and(|all| all.range(..number).next().is_some());
-        inside.overlaps += u64::from(older);
+    /// Counts an overlap if an older attempt of this key is still open after [`CANCELLATION_DELAY`].
+    async fn count_overlap(self, key: Bytes, number: u64) {
+        tokio::time::sleep(CANCELLATION_DELAY).await;
+        let mut state = self.lock();
+        let older = state.open.get(&key).is_some_and(|all| all.range(..number).next().is_some());
+        state.overlaps += u64::from(older);
     }
 
-    /// Attempts that overlapped with an older one of the same key.
+    /// Returns the number of attempts that overlapped with an older attempt of the same key.
     pub fn overlap_count(&self) -> u64 {
-        self.inside().overlaps
+        self.lock().overlaps
     }
 
-    /// All attempts so far, in the order in which they came.
+    /// Returns all attempts so far, in the order of their arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
-        self.inside().arrivals.clone()
+        self.lock().arrivals.clone()
     }
 }
 
 impl OpenAttempt {
-    /// Its number among all attempts of the ledger, from 1.
+    /// Returns the number of this attempt in the log, counted from 1.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -121,14 +124,14 @@
 
 impl Drop for OpenAttempt {
     fn drop(&mut self) {
-        let mut inside = self.ledger.inside();
-        if let Some(arrival) = inside.arrivals.get_mut(self.number as usize - 1) {
+        let mut state = self.log.lock();
+        if let Some(arrival) = state.arrivals.get_mut(self.number as usize - 1) {
             arrival.ended_at = Some(Instant::now());
         }
-        if let Some(all) = inside.open.get_mut(&self.key) {
-            all.remove(&self.number);
-            if all.is_empty() {
-                inside.open.remove(&self.key);
+        if let Some(attempts) = state.open.get_mut(&self.key) {
+            attempts.remove(&self.number);
+            if attempts.is_empty() {
+                state.open.remove(&self.key);
             }
         }
     }
--- a/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
+++ b/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
@@ -1,4 +1,6 @@
-//! Rehearses named scenarios against the daemon beside it, and prints pass or fail for each check.
+//! Runs named scenarios against a daemon and prints the result of each check.
+//!
+//! Without `--daemon`, the program `ashtide` in the folder of this program is started.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,44 +8,51 @@
 use ashtide_testkit::scenarios::{MIGRATION_CLIENTS, NAMES, run_scenario};
 
 const USAGE: &str = "usage: ashtide-testkit [--daemon FILE] [--clients N] [SCENARIO ...]";
-/// Stand-in clients that a rehearsal may have: it checks correctness and is no load.
-const MOST_CLIENTS: usize = 4000;
+/// Maximum number of mock clients of the migration scenario. The scenario checks correctness and is no load test.
+const MAX_CLIENTS: usize = 4000;
 
-struct Asked {
+/// Parsed command line.
+struct Options {
+    /// Program of the daemon.
     daemon: PathBuf,
+    /// Number of clients of the migration scenario.
     clients: usize,
-    names: Vec<String>,
+    /// Names of the scenarios to run, in this order.
+    scenarios: Vec<String>,
 }
 
-fn asked() -> Result<Asked, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut asked =
-        Asked { daemon: own.with_file_name("ashtide"), clients: MIGRATION_CLIENTS, names: Vec::new() };
+fn parse_arguments() -> Result<Options, String> {
+    let own_path = std::env::current_exe().map_err(|e| e.to_string())?;
+    let mut options = Options {
+        daemon: own_path.with_file_name("ashtide"),
+        clients: MIGRATION_CLIENTS,
+        scenarios: Vec::new(),
+    };
     let mut arguments = std::env::args().skip(1);
     while let Some(argument) = arguments.next() {
         let mut value = || arguments.next().ok_or(USAGE);
         match argument.as_str() {
-            "--daemon" => asked.daemon = value()?.into(),
+            "--daemon" => options.daemon = value()?.into(),
             "--clients" => {
                 let clients = value()?.parse().map_err(|_| USAGE)?;
-                if !(1..=MOST_CLIENTS).contains(&clients) {
-                    return Err(format!("--clients: must be 1 to {MOST_CLIENTS}"));
+                if !(1..=MAX_CLIENTS).contains(&clients) {
+                    return Err(format!("--clients: must be 1 to {MAX_CLIENTS}"));
                 }
-                asked.clients = clients;
+                options.clients = clients;
             }
-            name if NAMES.contains(&name) => asked.names.push(name.to_owned()),
+            name if NAMES.contains(&name) => options.scenarios.push(name.to_owned()),
             _ => return Err(format!("{USAGE}\nscenarios: {}", NAMES.join(", "))),
         }
     }
-    if asked.names.is_empty() {
-        asked.names = NAMES.iter().map(|&name| name.to_owned()).collect();
+    if options.scenarios.is_empty() {
+        options.scenarios = NAMES.iter().map(|&name| name.to_owned()).collect();
     }
-    Ok(asked)
+    Ok(options)
 }
 
 fn main() -> ExitCode {
-    let asked = match asked() {
-        Ok(asked) => asked,
+    let options = match parse_arguments() {
+        Ok(options) => options,
         Err(problem) => {
             eprintln!("{problem}");
             return ExitCode::from(2);
@@ -57,21 +66,21 @@
         }
     };
     let mut failed = 0;
-    for name in &asked.names {
-        match runtime.block_on(run_scenario(name, &asked.daemon, asked.clients)) {
+    for name in &options.scenarios {
+        match runtime.block_on(run_scenario(name, &options.daemon, options.clients)) {
             Ok(checks) => {
                 for check in &checks.0 {
-                    let word = if check.passed { "pass" } else { "FAIL" };
-                    println!("{word} {name}: {} ({})", check.name, check.observed);
+                    let verdict = if check.passed { "pass" } else { "FAIL" };
+                    println!("{verdict} {name}: {} ({})", check.name, check.observed);
                     failed += usize::from(!check.passed);
                 }
             }
             Err(error) => {
-                println!("FAIL {name}: not played to its end: {error}");
+                println!("FAIL {name}: did not run to completion: {error}");
                 failed += 1;
             }
         }
     }
-    println!("{} scenarios, {failed} checks failed", asked.names.len());
+    println!("{} scenarios, {failed} checks failed", options.scenarios.len());
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/ashtide-testkit/src/lib.rs
+++ b/crates/ashtide-testkit/src/lib.rs
@@ -1,5 +1,7 @@
-//! The rehearsal kit: stand-ins for all that stands round the daemon, and bounded scenarios that
-//! check what the daemon does. It checks correctness and measures no load; everything is loopback.
+//! Test kit for the daemon: mock clients, mock servers, a mock discovery service, and bounded scenarios
+//! that check the daemon's behaviour.
+//!
+//! All traffic uses loopback addresses. The kit checks correctness and doesn't measure load.
 
 pub mod attempt_log;
 pub mod clients;
@@ -12,64 +14,64 @@
 use std::io;
 use std::time::Duration;
 
-/// The key that stand-in servers share with the daemon for reset tokens, in hex.
+/// Stateless reset key that mock servers share with the daemon, in hex.
 pub const RESET_KEY: &str = "00112233445566778899aabbccddeeff";
-/// Length of the ids that stand-in servers issue.
+/// Length in bytes of the connection ids that mock servers issue.
 pub const ID_LENGTH: usize = 12;
-/// Any single step of a scenario ends by then.
+/// Time limit of a single step of a scenario.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a scenario could not be played.
+/// Error that prevents a scenario from running to completion.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The system failed.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Something that had to come did not.
-    #[error("{0} did not come in time")]
+    /// An expected event or resource, named here, was not available within the time limit.
+    #[error("{0}: not available within the time limit")]
     TimedOut(&'static str),
-    /// There is no scenario of this name.
-    #[error("no scenario '{0}'")]
+    /// No scenario has this name.
+    #[error("unknown scenario '{0}'")]
     UnknownScenario(String),
 }
 
-/// One thing that a scenario looked at.
+/// Result of one check of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Check {
-    /// What should be so.
+    /// Name of the expected condition.
     pub name: String,
-    /// Whether it is.
+    /// Whether the condition was met.
     pub passed: bool,
-    /// What was seen.
+    /// Description of the observed value.
     pub observed: String,
 }
 
-/// The checks of one scenario.
+/// Checks of one scenario, in the order in which they were made.
 #[derive(Debug, Default)]
 pub struct Checks(pub Vec<Check>);
 
 impl Checks {
-    /// Records a check.
+    /// Records the result of a check.
     pub fn record(&mut self, name: &str, passed: bool, observed: impl ToString) {
         self.0.push(Check { name: name.to_owned(), passed, observed: observed.to_string() });
     }
 
-    /// Records that two things are equal.
-    pub fn record_equal<T: PartialEq + std::fmt::Debug>(&mut self, name: &str, is: T, should: T) {
-        self.record(name, is == should, format!("{is:?}, should be {should:?}"));
+    /// Records a check that two values are equal.
+    pub fn record_equal<T: PartialEq + std::fmt::Debug>(&mut self, name: &str, actual: T, expected: T) {
+        self.record(name, actual == expected, format!("{actual:?}, expected {expected:?}"));
     }
 
-    /// Whether all passed, and there were any.
+    /// Returns whether there is at least one check and all checks passed.
     pub fn passed(&self) -> bool {
         !self.0.is_empty() && self.0.iter().all(|check| check.passed)
     }
 }
 
-/// Waits for something within [`STEP_TIMEOUT`].
+/// Waits for `event` for at most [`STEP_TIMEOUT`]. `what` names the event in the error.
 ///
 /// # Errors
 ///
-/// Fails where it does not come.
+/// Returns [`ScenarioError::TimedOut`] if the event does not occur in that time.
 pub async fn within<T>(what: &'static str, event: impl Future<Output = T>) -> Result<T, ScenarioError> {
     tokio::time::timeout(STEP_TIMEOUT, event).await.map_err(|_| ScenarioError::TimedOut(what))
 }
--- a/crates/ashtide-testkit/src/relay.rs
+++ b/crates/ashtide-testkit/src/relay.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the network between clients and a balancer: it passes bytes until it is told otherwise.
+//! TCP relay between clients and a gateway, with network faults that a test switches on and off.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,67 +10,74 @@
 
 use crate::ScenarioError;
 
-/// What the network does.
+/// Pause after a failed accept, so that a lasting failure doesn't busy-loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// Behaviour of the relayed network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NetworkState {
-    /// Passes everything.
+    /// All bytes are forwarded.
     Forward,
-    /// Passes nothing and says nothing: connections stay open and silent.
+    /// No bytes are forwarded, and connections stay open.
     Blackhole,
-    /// Cuts every connection, and every new one as soon as it is made.
+    /// Established connections are reset, and so is each new one once it is made.
     Reset,
 }
 
-/// A relay.
+/// Running relay. It stops when this is dropped.
 pub struct Relay {
-    /// Where it listens.
+    /// Address at which the relay listens.
     pub address: SocketAddr,
-    weather: watch::Sender<NetworkState>,
+    state: watch::Sender<NetworkState>,
     _tasks: JoinSet<()>,
 }
 
 impl Relay {
-    /// Listens on a free port and passes to `target`.
+    /// Listens on a free port and forwards connections to `target`.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no port for it.
+    /// Returns an error if no port can be bound.
     pub async fn start(target: SocketAddr) -> Result<Self, ScenarioError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (address, weather) = (listener.local_addr()?, watch::Sender::new(NetworkState::Forward));
-        let (seen, mut tasks) = (weather.subscribe(), JoinSet::new());
+        let (address, state) = (listener.local_addr()?, watch::Sender::new(NetworkState::Forward));
+        let (state_receiver, mut tasks) = (state.subscribe(), JoinSet::new());
         tasks.spawn(async move {
-            let mut passing = JoinSet::new();
+            let mut connections = JoinSet::new();
             loop {
                 let Ok((client, _)) = listener.accept().await else {
-                    tokio::time::sleep(Duration::from_millis(10)).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 };
-                while passing.try_join_next().is_some() {}
-                passing.spawn(pass(client, target, seen.clone()));
+                while connections.try_join_next().is_some() {}
+                connections.spawn(relay_connection(client, target, state_receiver.clone()));
             }
         });
-        Ok(Self { address, weather, _tasks: tasks })
+        Ok(Self { address, state, _tasks: tasks })
     }
 
-    /// Changes the weather, for standing connections as well.
-    pub fn set_state(&self, weather: NetworkState) {
-        self.weather.send_replace(weather);
+    /// Changes the network state, also for established connections.
+    pub fn set_state(&self, state: NetworkState) {
+        self.state.send_replace(state);
     }
 }
 
-async fn pass(mut client: TcpStream, target: SocketAddr, mut weather: watch::Receiver<NetworkState>) {
+async fn relay_connection(
+    mut client: TcpStream,
+    target: SocketAddr,
+    mut state: watch::Receiver<NetworkState>,
+) {
     let Ok(mut server) = TcpStream::connect(target).await else { return };
     loop {
-        let now = *weather.borrow_and_update();
-        match now {
+        let current = *state.borrow_and_update();
+        match current {
             NetworkState::Forward => tokio::select! {
-                // What is under way in it is lost with the weather, as on a network.
+                // Bytes in the relay's buffers are lost when the state changes, as in a real network.
                 _ = copy_bidirectional(&mut client, &mut server) => return,
-                _ = weather.changed() => {}
+                _ = state.changed() => {}
             },
             NetworkState::Blackhole => {
-                if weather.changed().await.is_err() {
+                if state.changed().await.is_err() {
                     return;
                 }
             }
--- a/crates/ashtide-testkit/src/system_faults.rs
+++ b/crates/ashtide-testkit/src/system_faults.rs
@@ -1,5 +1,7 @@
-//! System calls of a daemon that fail: a library of our own, built from `shim/system_faults.c` with the system's C
-//! compiler and preloaded into the daemon's process.
+//! Fault injection into the system calls of a daemon.
+//!
+//! A shared library is built from `shim/system_faults.c` with the system's C compiler and preloaded into the
+//! daemon's process.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,64 +12,65 @@
 
 const SOURCE: &str = include_str!("../shim/system_faults.c");
 
-/// Which calls fail. Each number n makes every n-th call of its kind fail; 0 makes none fail.
+/// System calls to fail. A value of n makes every n-th call of its kind fail; 0 makes none fail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SystemFaults {
-    /// Accepting a connection fails for a moment; the connection stays in the queue.
+    /// Interval of failing accepts. The failure is temporary, and the connection stays in the listen queue.
     pub accept: u32,
-    /// Connecting fails on this machine: no port, no route, no buffer.
+    /// Interval of connects that fail locally: no free port, no route or no buffer space.
     pub connect: u32,
-    /// No socket can be had.
+    /// Interval of failing socket creations.
     pub socket: u32,
-    /// A read or write of a socket moves one byte.
+    /// Interval of socket reads and writes that transfer one byte only.
     pub short: u32,
-    /// A wait for events is interrupted.
+    /// Interval of event waits that are interrupted by a signal.
     pub interrupt: u32,
-    /// A write, sync or rename of a file fails.
+    /// Interval of failing file writes, syncs and renames.
     pub disk: u32,
-    /// The wall clock is off by so many milliseconds...
+    /// Offset that is added to the wall clock, in milliseconds.
     pub clock_step_ms: i64,
-    /// ...from so long after the start of the process on.
+    /// Time from the start of the process until the clock offset takes effect.
     pub clock_after: Duration,
 }
 
-/// How often each fault has come about.
+/// Number of injected faults of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FaultCounts {
-    /// Failed accepts.
+    /// Number of failed accepts.
     pub accept: u64,
-    /// Failed connects.
+    /// Number of failed connects.
     pub connect: u64,
-    /// Sockets that could not be had.
+    /// Number of failed socket creations.
     pub socket: u64,
-    /// Short reads and writes.
+    /// Number of short reads and writes.
     pub short: u64,
-    /// Interrupted waits.
+    /// Number of interrupted waits.
     pub interrupt: u64,
-    /// Failed operations on files.
+    /// Number of failed file operations.
     pub disk: u64,
-    /// Readings of a wall clock that was off.
+    /// Number of wall clock readings with the offset applied.
     pub clock: u64,
 }
 
-/// What the environment of one process is given, and where it counts.
+/// Environment that preloads the library into one process, and the file with its fault counts.
 #[derive(Debug)]
 pub struct Preload {
-    /// Names and values to set in the environment.
+    /// Environment variables to set, as names and values.
     pub environment: Vec<(String, String)>,
     counts: PathBuf,
 }
 
 impl SystemFaults {
-    /// Builds the library, once a process, and makes a file for the counts of one daemon.
+    /// Builds the library, once per test process, and returns the environment of one daemon with a path for its
+    /// fault counts.
     ///
     /// # Errors
     ///
-    /// Fails where there is no C compiler `cc`, or a file cannot be written.
+    /// Returns an error if the C compiler `cc` is missing or fails, or a file cannot be written.
     pub fn preload(&self) -> io::Result<Preload> {
         static LIBRARY: OnceLock<Result<PathBuf, String>> = OnceLock::new();
         static PRELOADS: AtomicU32 = AtomicU32::new(0);
-        let library = LIBRARY.get_or_init(|| build().map_err(|error| error.to_string()));
+        let library = LIBRARY.get_or_init(|| build_library().map_err(|error| error.to_string()));
         let library = library.as_ref().map_err(|error| io::Error::other(error.clone()))?;
         let number = PRELOADS.fetch_add(1, Ordering::Relaxed);
         let counts = library.with_extension(format!("{number}.counts"));
@@ -90,20 +93,19 @@
 }
 
 impl Preload {
-    /// How often each fault has come about so far.
+    /// Reads the number of faults injected so far.
     ///
     /// # Errors
     ///
-    /// Fails where the process has not started, or was started without this environment.
+    /// Returns an error if the process has not started, or was started without this environment.
     pub fn counts(&self) -> io::Result<FaultCounts> {
         let bytes = std::fs::read(&self.counts)?;
         let mut numbers = bytes.chunks_exact(8).map(|bytes| {
             let bytes = bytes.try_into().expect("chunks of eight bytes");
             u64::from_ne_bytes(bytes)
         });
-        let mut next = || {
-            numbers.next().ok_or_else(|| io::Error::other("the file of counts is shorter than the counts"))
-        };
+        let mut next =
+            || numbers.next().ok_or_else(|| io::Error::other("the file of fault counts is truncated"));
         Ok(FaultCounts {
             accept: next()?,
             connect: next()?,
@@ -122,20 +124,20 @@
     }
 }
 
-/// Builds the library in a folder of this process's own.
-fn build() -> io::Result<PathBuf> {
+/// Builds the library in a folder of its own for this process and returns the library's path.
+fn build_library() -> io::Result<PathBuf> {
     let folder = std::env::temp_dir().join(format!("ashtide-faults-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let (source, library) = (folder.join("system_faults.c"), folder.join("system_faults.so"));
     std::fs::write(&source, SOURCE)?;
-    let built = Command::new("cc")
+    let output = Command::new("cc")
         .args(["-std=gnu11", "-Wall", "-Werror", "-O1", "-fPIC", "-shared", "-o"])
         .args([&library, &source])
         .arg("-ldl")
         .output()?;
-    if built.status.success() {
+    if output.status.success() {
         Ok(library)
     } else {
-        Err(io::Error::other(format!("cc: {}", String::from_utf8_lossy(&built.stderr))))
+        Err(io::Error::other(format!("cc: {}", String::from_utf8_lossy(&output.stderr))))
     }
 }
