--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: lines over TCP, and many QUIC connections over a few sockets.
+//! Mock clients: one for the line protocol over TCP, and a set of QUIC clients that share a few sockets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,61 +26,61 @@
 use ashtide::quic::{ConnectionId, Header, LongPacketType};
 use ashtide_protocol::LineCodec;
 
-/// Clients that speak at the same time: few enough for every socket's queue.
-const AT_ONCE: usize = 40;
-/// How often something is said again before it counts as unanswered.
-const TRIES: usize = 25;
-/// Wait for answers before something is said again.
-const PATIENCE: Duration = Duration::from_millis(200);
+/// Maximum number of QUIC clients that send at the same time, few enough for each socket's receive buffer.
+const BATCH_SIZE: usize = 40;
+/// Maximum number of times that a datagram is sent before it counts as unanswered.
+const MAX_SENDS: usize = 25;
+/// Time to wait for a datagram before unanswered ones are sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A client of the lines front.
+/// Client of the line front end.
 pub struct LineClient {
     lines: FramedRead<OwnedReadHalf, LineCodec>,
     write: OwnedWriteHalf,
 }
 
 impl LineClient {
-    /// Connects and says nothing yet.
+    /// Connects and sends nothing.
     ///
     /// # Errors
     ///
-    /// Fails where the daemon takes no connection.
+    /// Returns an error if the connection is not established.
     pub async fn connect(address: SocketAddr) -> Result<Self, ScenarioError> {
         let (read, write) = within("a connection", TcpStream::connect(address)).await??.into_split();
         Ok(Self { lines: FramedRead::new(read, LineCodec::default()), write })
     }
 
-    /// Sends bytes until all are sent or the other side has had enough; the first line that comes, or
-    /// none before the end.
+    /// Sends `bytes` until all are sent or the other side closes the connection. Returns the first line
+    /// received, or `None` if the connection ends before.
     ///
     /// # Errors
     ///
-    /// Fails where neither comes.
+    /// Returns an error if neither occurs within the time limit.
     pub async fn send_and_receive(&mut self, bytes: &[u8]) -> Result<Option<String>, ScenarioError> {
-        let _ = within("an end to sending", self.write.write_all(bytes)).await?;
+        let _ = within("the end of sending", self.write.write_all(bytes)).await?;
         self.next().await
     }
 
-    /// Connects and asks for a connection; its answer is the first line.
+    /// Connects and sends a request. Returns the client and the first line received.
     ///
     /// # Errors
     ///
-    /// Fails where the daemon takes no connection or does not answer.
+    /// Returns an error if the connection is not established or nothing is received.
     pub async fn open(address: SocketAddr, number: u64) -> Result<(Self, String), ScenarioError> {
         let mut client = Self::connect(address).await?;
-        // An id is fresh for each connection; the other figures are the client's own.
-        static OPENED: AtomicU64 = AtomicU64::new(1 << 32);
-        let id = OPENED.fetch_add(1, Ordering::Relaxed);
+        // Each request has a new id. Key and group identify the client.
+        static NEXT_ID: AtomicU64 = AtomicU64::new(1 << 32);
+        let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         client.send_line(&format!("OPEN {id:016x} {number:016x} c=meter,d=3000,g={number:x}")).await?;
         let answer = client.next().await?.unwrap_or_default();
         Ok((client, answer))
     }
 
-    /// Sends the beginning of a line.
+    /// Sends the beginning of a line, without a line end.
     ///
     /// # Errors
     ///
-    /// Fails where the connection has ended.
+    /// Returns an error if the connection has ended.
     pub async fn send_partial_line(&mut self, part: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(part.as_bytes()).await?)
     }
@@ -89,56 +89,56 @@
     ///
     /// # Errors
     ///
-    /// Fails where the connection has ended.
+    /// Returns an error if the connection has ended.
     pub async fn send_line(&mut self, line: &str) -> Result<(), ScenarioError> {
         Ok(self.write.write_all(format!("{line}\r\n").as_bytes()).await?)
     }
 
-    /// The next line; `None` at the end.
+    /// Returns the next line, or `None` at the end of the connection.
     ///
     /// # Errors
     ///
-    /// Fails where neither comes.
+    /// Returns an error if neither is received within the time limit.
     pub async fn next(&mut self) -> Result<Option<String>, ScenarioError> {
         let line = within("a line", self.lines.next()).await?.and_then(Result::ok);
         Ok(line.map(|line| String::from_utf8_lossy(&line).trim_end().to_owned()))
     }
 
-    /// Says something and compares what comes back.
+    /// Sends a line and returns whether the next line received is the same.
     ///
     /// # Errors
     ///
-    /// Fails where nothing comes.
+    /// Returns an error if nothing is received within the time limit.
     pub async fn receives_echo(&mut self, line: &str) -> Result<bool, ScenarioError> {
         self.send_line(line).await?;
         Ok(self.next().await?.as_deref() == Some(line))
     }
 
-    /// Whether `MOVE` comes next, and then the end.
+    /// Returns whether the next line is `MOVE`, followed by the end of the connection.
     ///
     /// # Errors
     ///
-    /// Fails where nothing comes.
+    /// Returns an error if nothing is received within the time limit.
     pub async fn receives_move(&mut self) -> Result<bool, ScenarioError> {
         Ok(self.next().await?.as_deref() == Some("MOVE") && self.next().await?.is_none())
     }
 }
 
-/// Sockets that share one inbox.
+/// UDP sockets connected to the daemon, whose received datagrams share one queue.
 pub struct SocketPool {
     sockets: Vec<Arc<UdpSocket>>,
-    inbox: mpsc::Receiver<Bytes>,
+    received: mpsc::Receiver<Bytes>,
     _readers: JoinSet<()>,
 }
 
 impl SocketPool {
-    /// Opens so many sockets towards the daemon.
+    /// Opens this number of sockets connected to the daemon.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no sockets.
+    /// Returns an error if a socket cannot be opened.
     pub async fn open(sockets: usize, daemon: SocketAddr) -> Result<Self, ScenarioError> {
-        let (sender, inbox) = mpsc::channel(1024);
+        let (sender, received) = mpsc::channel(1024);
         let (mut all, mut readers) = (Vec::new(), JoinSet::new());
         for _ in 0..sockets {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
@@ -149,7 +149,7 @@
             readers.spawn(async move {
                 let mut buffer = [0; 2048];
                 loop {
-                    // A daemon that is not there shows as an error; its clients then hear nothing.
+                    // A missing daemon shows as a receive error. Its clients then receive nothing.
                     if let Ok(length) = socket.recv(&mut buffer).await {
                         if sender.send(Bytes::copy_from_slice(&buffer[..length])).await.is_err() {
                             return;
@@ -158,70 +158,70 @@
                 }
             });
         }
-        Ok(Self { sockets: all, inbox, _readers: readers })
+        Ok(Self { sockets: all, received, _readers: readers })
     }
 
-    /// Sends a datagram on one of the sockets.
-    pub async fn send(&self, which: usize, datagram: &[u8]) {
-        // Lost like any datagram where it cannot be sent.
-        let _ = self.sockets[which % self.sockets.len()].send(datagram).await;
+    /// Sends a datagram on the socket with this index, modulo the number of sockets.
+    pub async fn send(&self, socket: usize, datagram: &[u8]) {
+        // A datagram that cannot be sent counts as lost, as in the network.
+        let _ = self.sockets[socket % self.sockets.len()].send(datagram).await;
     }
 
-    /// The next datagram, if one comes soon.
+    /// Returns the next datagram, or `None` if none is received within [`RESEND_TIMEOUT`].
     pub async fn next(&mut self) -> Option<Bytes> {
-        timeout(PATIENCE, self.inbox.recv()).await.ok().flatten()
+        timeout(RESEND_TIMEOUT, self.received.recv()).await.ok().flatten()
     }
 }
 
-/// One stand-in client's connection.
+/// Mock QUIC client with one connection.
 #[derive(Debug, Clone)]
 pub struct QuicClient {
-    /// Its number, which its own id holds.
+    /// Number of the client, which is also its own connection id.
     pub number: u64,
-    /// The id it begins with.
-    pub first: ConnectionId,
-    own: ConnectionId,
-    /// The id under which it reaches its server.
+    /// Destination connection id of its Initial.
+    pub initial_id: ConnectionId,
+    own_id: ConnectionId,
+    /// Connection id that its packets to the server use, once the server has accepted the connection.
     pub id: Option<ConnectionId>,
-    /// A further id that its server has issued.
+    /// Further connection id issued by its server.
     pub spare: Option<ConnectionId>,
-    /// The server that took it.
+    /// Server that accepted the connection.
     pub server: Option<QuicServerId>,
-    /// The last message that was answered.
+    /// Number of the last message that was answered.
     pub answered: u64,
-    /// Refusals and failures: the error code and the reason of each.
+    /// Error code and reason of each CONNECTION_CLOSE received.
     pub closed: Vec<(u64, String)>,
-    /// Resets that carried the token of an id of its own.
+    /// Number of stateless resets received with the token of one of its ids.
     pub resets: u32,
 }
 
-/// All stand-in clients of a scenario.
+/// Mock QUIC clients of a scenario.
 pub struct QuicClients {
-    /// The clients, by number.
+    /// Clients by index.
     pub all: Vec<QuicClient>,
-    key: ResetKey,
-    tokens: HashMap<[u8; RESET_TOKEN_LENGTH], usize>,
-    /// Answers that came from another server than the one that took the client.
+    reset_key: ResetKey,
+    reset_tokens: HashMap<[u8; RESET_TOKEN_LENGTH], usize>,
+    /// Number of answers from a server other than the one that accepted the client.
     pub wrong_server: u64,
-    /// Version negotiations that came.
+    /// Number of Version Negotiation packets received.
     pub version_negotiations: u64,
-    /// Datagrams that are none of all this.
+    /// Number of received datagrams of no expected kind.
     pub unexpected: u64,
 }
 
-fn id(bytes: &[u8]) -> ConnectionId {
+fn connection_id(bytes: &[u8]) -> ConnectionId {
     ConnectionId::new(bytes).unwrap_or_default()
 }
 
 impl QuicClients {
-    /// So many clients that have said nothing yet, their ids apart from those of other `series`.
+    /// Creates `count` clients that have sent nothing. Each `series` has its own range of ids.
     pub fn new(count: usize, series: u64) -> Self {
-        let all = (0..count as u64).map(|at| {
-            let number = (series << 32) | at;
+        let all = (0..count as u64).map(|index| {
+            let number = (series << 32) | index;
             QuicClient {
                 number,
-                first: id(&(number ^ 0xa55a_c33c_0000_0000).to_be_bytes()),
-                own: id(&number.to_be_bytes()),
+                initial_id: connection_id(&(number ^ 0xa55a_c33c_0000_0000).to_be_bytes()),
+                own_id: connection_id(&number.to_be_bytes()),
                 id: None,
                 spare: None,
                 server: None,
@@ -232,35 +232,44 @@
         });
         Self {
             all: all.collect(),
-            key: ResetKey::new(decode_hex(RESET_KEY).unwrap_or_default()),
-            tokens: HashMap::new(),
+            reset_key: ResetKey::new(decode_hex(RESET_KEY).unwrap_or_default()),
+            reset_tokens: HashMap::new(),
             wrong_server: 0,
             version_negotiations: 0,
             unexpected: 0,
         }
     }
 
-    /// A client's Initial.
+    /// Returns the Initial of a client.
     pub fn initial(&self, client: usize) -> Vec<u8> {
-        let QuicClient { number, first, own, .. } = &self.all[client];
-        initial::seal(first, Side::Client, first, own, 0, &crypto_frame(*number), MIN_INITIAL_DATAGRAM)
+        let QuicClient { number, initial_id, own_id, .. } = &self.all[client];
+        initial::seal(
+            initial_id,
+            Side::Client,
+            initial_id,
+            own_id,
+            0,
+            &crypto_frame(*number),
+            MIN_INITIAL_DATAGRAM,
+        )
     }
 
-    /// A message of a standing connection, under the id that it uses now.
+    /// Returns a message of an established connection, under its current id.
     pub fn message(&self, client: usize, message: u64) -> Vec<u8> {
-        short(&self.all[client].id.unwrap_or_default(), message)
+        short_header_packet(&self.all[client].id.unwrap_or_default(), message)
     }
 
-    /// Tokens of the ids that a client may be reset by.
+    /// Counts stateless resets with the tokens of these ids for a client.
     pub fn expect_resets(&mut self, ids: &[ConnectionId], client: usize) {
         for id in ids {
-            self.tokens.insert(self.key.token(id), client);
+            self.reset_tokens.insert(self.reset_key.token(id), client);
         }
     }
 
-    /// Takes one datagram in.
+    /// Processes a received datagram.
     pub fn handle_datagram(&mut self, datagram: &[u8]) {
-        let token = datagram.last_chunk::<RESET_TOKEN_LENGTH>().and_then(|token| self.tokens.get(token));
+        let token =
+            datagram.last_chunk::<RESET_TOKEN_LENGTH>().and_then(|token| self.reset_tokens.get(token));
         if let Some(&client) = token {
             self.all[client].resets += 1;
             return;
@@ -270,10 +279,10 @@
                 packet_type: LongPacketType::Initial,
                 destination_id: to,
                 source_id: from,
-            }) if self.own(&to).is_some() => {
-                let Some(at) = self.own(&to) else { return };
-                let client = &mut self.all[at];
-                let Some(opened) = initial::open(datagram, &client.first, Side::Server) else {
+            }) if self.index_of(&to).is_some() => {
+                let Some(index) = self.index_of(&to) else { return };
+                let client = &mut self.all[index];
+                let Some(opened) = initial::open(datagram, &client.initial_id, Side::Server) else {
                     self.unexpected += 1;
                     return;
                 };
@@ -281,16 +290,16 @@
                     client.closed.push(closed);
                 } else if client.id.is_none() {
                     (client.id, client.server) = (Some(from), decode_server_id(&from, 0));
-                    self.expect_resets(&[from], at);
+                    self.expect_resets(&[from], index);
                 }
             }
             Ok(Header::Short { destination_id: to })
-                if datagram.len() == PACKET_LENGTH && self.own(&to).is_some() =>
+                if datagram.len() == PACKET_LENGTH && self.index_of(&to).is_some() =>
             {
-                let Some(at) = self.own(&to) else { return };
+                let Some(index) = self.index_of(&to) else { return };
                 let rest = &datagram[1 + CLIENT_ID_LENGTH..];
                 let (answered, rest) = (u64_at(rest, 8), &rest[16..]);
-                let client = &mut self.all[at];
+                let client = &mut self.all[index];
                 if client.server.as_ref().map(<[u8; SERVER_ID_LENGTH]>::as_slice)
                     != rest.get(..SERVER_ID_LENGTH)
                 {
@@ -298,67 +307,75 @@
                     return;
                 }
                 client.answered = client.answered.max(answered);
-                client.spare = rest.get(SERVER_ID_LENGTH..SERVER_ID_LENGTH + ID_LENGTH).map(id);
+                client.spare = rest.get(SERVER_ID_LENGTH..SERVER_ID_LENGTH + ID_LENGTH).map(connection_id);
             }
             Ok(Header::VersionNegotiation { .. }) => self.version_negotiations += 1,
             _ => self.unexpected += 1,
         }
     }
 
-    fn own(&self, to: &[u8]) -> Option<usize> {
+    fn index_of(&self, to: &[u8]) -> Option<usize> {
         let number = u64::from_be_bytes(to.try_into().ok()?);
-        let at = (number & 0xffff_ffff) as usize;
-        self.all.get(at).is_some_and(|client| client.number == number).then_some(at)
+        let index = (number & 0xffff_ffff) as usize;
+        self.all.get(index).is_some_and(|client| client.number == number).then_some(index)
     }
 
-    /// Has every client of `which` say something until `done`; how many are not.
+    /// Sends the datagram of `datagram` for each client in `indices`, again if needed, until `done` holds for
+    /// it. Returns the number of clients for which it doesn't hold in the end.
     pub async fn exchange(
         &mut self,
         pool: &mut SocketPool,
-        which: &[usize],
-        say: impl Fn(&Self, usize) -> Vec<u8>,
+        indices: &[usize],
+        datagram: impl Fn(&Self, usize) -> Vec<u8>,
         done: impl Fn(&QuicClient) -> bool,
     ) -> usize {
-        let mut undone = 0;
-        for some in which.chunks(AT_ONCE) {
-            for _ in 0..TRIES {
-                let open: Vec<usize> = some.iter().copied().filter(|&at| !done(&self.all[at])).collect();
+        let mut unfinished = 0;
+        for batch in indices.chunks(BATCH_SIZE) {
+            for _ in 0..MAX_SENDS {
+                let open: Vec<usize> =
+                    batch.iter().copied().filter(|&index| !done(&self.all[index])).collect();
                 if open.is_empty() {
                     break;
                 }
-                for &at in &open {
-                    pool.send(at, &say(self, at)).await;
+                for &index in &open {
+                    pool.send(index, &datagram(self, index)).await;
                 }
-                while open.iter().any(|&at| !done(&self.all[at])) {
+                while open.iter().any(|&index| !done(&self.all[index])) {
                     match pool.next().await {
-                        Some(datagram) => self.handle_datagram(&datagram),
+                        Some(received) => self.handle_datagram(&received),
                         None => break,
                     }
                 }
             }
-            undone += some.iter().filter(|&&at| !done(&self.all[at])).count();
+            unfinished += batch.iter().filter(|&&index| !done(&self.all[index])).count();
         }
-        undone
+        unfinished
     }
 
-    /// Opens all connections; how many did not come up.
+    /// Opens all connections. Returns the number of connections that were not established.
     pub async fn open(&mut self, pool: &mut SocketPool) -> usize {
         let all: Vec<usize> = (0..self.all.len()).collect();
         self.exchange(pool, &all, Self::initial, |client| client.id.is_some()).await
     }
 
-    /// Has all say this message; how many were not answered.
-    pub async fn exchange_message(&mut self, pool: &mut SocketPool, which: &[usize], message: u64) -> usize {
-        let say = |clients: &Self, at: usize| clients.message(at, message);
-        self.exchange(pool, which, say, |client| client.answered >= message).await
+    /// Sends a message from each client in `indices`. Returns the number of clients without an answer.
+    pub async fn exchange_message(
+        &mut self,
+        pool: &mut SocketPool,
+        indices: &[usize],
+        message: u64,
+    ) -> usize {
+        let datagram = |clients: &Self, index: usize| clients.message(index, message);
+        self.exchange(pool, indices, datagram, |client| client.answered >= message).await
     }
 
-    /// Says a version that nobody speaks and hears until the answer: all that the daemon said before
-    /// has been heard then, as it answers in order.
+    /// Sends a datagram of an unsupported version and processes datagrams until the Version Negotiation is
+    /// received. Returns whether it was. The daemon answers in order, so that everything it sent before has
+    /// been received by then.
     pub async fn flush(&mut self, pool: &mut SocketPool) -> bool {
         let before = self.version_negotiations;
-        for _ in 0..TRIES {
-            pool.send(0, &other_version()).await;
+        for _ in 0..MAX_SENDS {
+            pool.send(0, &unsupported_version_datagram()).await;
             while let Some(datagram) = pool.next().await {
                 self.handle_datagram(&datagram);
                 if self.version_negotiations > before {
@@ -370,12 +387,12 @@
     }
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    bytes.get(at..).and_then(|rest| rest.first_chunk::<8>()).map_or(0, |bytes| u64::from_be_bytes(*bytes))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    bytes.get(offset..).and_then(|rest| rest.first_chunk::<8>()).map_or(0, |bytes| u64::from_be_bytes(*bytes))
 }
 
-/// A short-header packet for `id`.
-pub fn short(id: &[u8], message: u64) -> Vec<u8> {
+/// Returns a short-header packet for `id`.
+pub fn short_header_packet(id: &[u8], message: u64) -> Vec<u8> {
     let mut out = vec![0x40];
     out.extend_from_slice(id);
     out.extend_from_slice(&message.to_be_bytes());
@@ -383,8 +400,8 @@
     out
 }
 
-/// A datagram of a version that nobody speaks.
-pub fn other_version() -> Vec<u8> {
+/// Returns a datagram of an unsupported QUIC version.
+pub fn unsupported_version_datagram() -> Vec<u8> {
     let mut out = Vec::new();
     write_long_header(&mut out, 0xc0, 0x1a2a_3a4a, &[1; 8], &[2; 8]);
     out.resize(MIN_INITIAL_DATAGRAM, 0);
--- a/crates/ashtide-testkit/src/mock_backend.rs
+++ b/crates/ashtide-testkit/src/mock_backend.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for discovery and for reading servers: lines over TCP and QUIC's ids over UDP, both at
-//! the address that the list gives.
+//! Mock discovery service and mock servers. A server accepts the line protocol over TCP and QUIC packets over
+//! UDP, both at the address in its endpoint entry.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -24,55 +24,55 @@
 use ashtide::quic::{ConnectionId, Header, LongPacketType};
 use ashtide_protocol::{LineCodec, Open, PONG};
 
-/// Length of the ids that stand-in clients choose for themselves.
+/// Length in bytes of the connection ids that mock clients choose.
 pub const CLIENT_ID_LENGTH: usize = 8;
-/// A stand-in's 1-RTT packet: what would be encrypted stands open behind the id.
+/// Length in bytes of a mock 1-RTT packet. The payload behind the connection id is not encrypted.
 pub const PACKET_LENGTH: usize = 64;
-/// Discovery's empty line.
+/// Interval of the empty lines that the discovery service sends on an idle watch.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a late server takes to answer a new connection.
+/// Time that a server with [`ServerBehavior::SlowAccept`] takes to answer a new connection.
 pub const SLOW_ACCEPT_DELAY: Duration = Duration::from_millis(1200);
-/// Tries to find a port that is free for both TCP and UDP.
-const PORT_TRIES: usize = 50;
+/// Maximum number of ports to try until one is free for both TCP and UDP.
+const PORT_ATTEMPTS: usize = 50;
 
-/// How a stand-in server behaves.
+/// Behaviour of a mock server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerBehavior {
-    /// Serves.
+    /// Accepts connections and echoes lines.
     Serve,
-    /// Turns new connections away.
+    /// Rejects new connections.
     Reject,
-    /// Takes everything and says nothing.
+    /// Accepts everything and sends nothing.
     Silent,
-    /// Serves, but is [`SLOW_ACCEPT_DELAY`] in taking a connection.
+    /// Serves, but accepts each connection only after [`SLOW_ACCEPT_DELAY`].
     SlowAccept,
-    /// Serves, and has begun a line of its own on each connection that it never ends.
+    /// Serves, and sends the beginning of a further line with each accepted connection, without its end.
     PartialLine,
-    /// Takes connections and sends lines on each for as long as somebody reads them.
+    /// Accepts connections and sends lines on each until the other side closes it.
     StreamLines,
 }
 
-/// What a stand-in server has seen.
+/// Counters of a mock server, over both the line protocol and QUIC.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
-    /// Connections that it took, of either front.
+    /// Number of accepted connections.
     pub accepted: AtomicU64,
-    /// Connections offered to it, of either front: a repeated Initial counts once.
+    /// Number of connections offered to the server. A repeated Initial counts once.
     pub offered: AtomicU64,
-    /// Packets of connections that are not its own.
+    /// Number of packets for connection ids that the server has not issued.
     pub misrouted: AtomicU64,
 }
 
-/// One stand-in server.
+/// Running mock server.
 pub struct MockServer {
-    /// Its name on the list.
+    /// Name in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// Address for TCP and UDP.
     pub address: SocketAddr,
-    /// What it has seen.
+    /// Counters of the server.
     pub counters: Arc<ServerCounters>,
     behavior: watch::Sender<ServerBehavior>,
-    fails: watch::Sender<Vec<Vec<u8>>>,
+    reset_prefixes: watch::Sender<Vec<Vec<u8>>>,
     tasks: JoinSet<()>,
 }
 
@@ -80,25 +80,24 @@
     async fn start(name: String, attempt_log: AttemptLog) -> Result<Self, ScenarioError> {
         let (lines, quic) = Self::bind().await?;
         let address = lines.local_addr()?;
-        let (counters, behavior) =
-            (Arc::new(ServerCounters::default()), watch::Sender::new(ServerBehavior::Serve));
-        let fails = watch::Sender::new(Vec::new());
-        let mut tasks = JoinSet::new();
-        let own = name.as_str().into();
-        tasks.spawn(serve_lines(
-            lines,
-            own,
-            behavior.subscribe(),
-            fails.subscribe(),
-            counters.clone(),
+        let counters = Arc::new(ServerCounters::default());
+        let behavior = watch::Sender::new(ServerBehavior::Serve);
+        let reset_prefixes = watch::Sender::new(Vec::new());
+        let line_service = LineService {
+            name: name.as_str().into(),
+            behavior: behavior.subscribe(),
+            reset_prefixes: reset_prefixes.subscribe(),
+            counters: counters.clone(),
             attempt_log,
-        ));
-        tasks.spawn(Quic::new(&name, behavior.subscribe(), counters.clone()).serve(quic));
-        Ok(Self { name, address, counters, behavior, fails, tasks })
+        };
+        let mut tasks = JoinSet::new();
+        tasks.spawn(line_service.serve(lines));
+        tasks.spawn(QuicService::new(&name, behavior.subscribe(), counters.clone()).serve(quic));
+        Ok(Self { name, address, counters, behavior, reset_prefixes, tasks })
     }
 
     async fn bind() -> Result<(TcpListener, UdpSocket), ScenarioError> {
-        for _ in 0..PORT_TRIES {
+        for _ in 0..PORT_ATTEMPTS {
             let lines = TcpListener::bind("127.0.0.1:0").await?;
             if let Ok(quic) = UdpSocket::bind(lines.local_addr()?).await {
                 return Ok((lines, quic));
@@ -107,133 +106,130 @@
         Err(ScenarioError::TimedOut("a port free for both TCP and UDP"))
     }
 
-    /// Changes its behaviour.
+    /// Changes the behaviour of the server.
     pub fn set_behavior(&self, behavior: ServerBehavior) {
         self.behavior.send_replace(behavior);
     }
 
-    /// From now on it resets new connections whose ids begin with one of these, and no others; what stands stays.
-    pub fn reset_requests_with_prefixes(&self, beginnings: Vec<Vec<u8>>) {
-        self.fails.send_replace(beginnings);
+    /// Sets the request id prefixes for which the server resets new connections from now on. This replaces
+    /// the prefixes set before. Established connections remain.
+    pub fn reset_requests_with_prefixes(&self, prefixes: Vec<Vec<u8>>) {
+        self.reset_prefixes.send_replace(prefixes);
     }
 
-    /// Dies: its connections are reset and new ones refused.
+    /// Stops the server: its connections are reset and new ones refused.
     pub async fn stop(&mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-async fn serve_lines(
-    listener: TcpListener,
+/// Line protocol side of a mock server.
+#[derive(Clone)]
+struct LineService {
     name: Arc<str>,
     behavior: watch::Receiver<ServerBehavior>,
-    fails: watch::Receiver<Vec<Vec<u8>>>,
+    /// Prefixes of request ids for which connections are reset.
+    reset_prefixes: watch::Receiver<Vec<Vec<u8>>>,
     counters: Arc<ServerCounters>,
     attempt_log: AttemptLog,
-) {
-    // Connections end with the server.
-    let mut connections = JoinSet::new();
-    while let Ok((stream, _)) = listener.accept().await {
-        while connections.try_join_next().is_some() {}
-        let (behavior, fails) = (behavior.clone(), fails.clone());
-        connections.spawn(serve_line(
-            stream,
-            name.clone(),
-            behavior,
-            fails,
-            counters.clone(),
-            attempt_log.clone(),
-        ));
-    }
 }
 
-async fn serve_line(
-    stream: TcpStream,
-    name: Arc<str>,
-    behavior: watch::Receiver<ServerBehavior>,
-    fails: watch::Receiver<Vec<Vec<u8>>>,
-    counters: Arc<ServerCounters>,
-    attempt_log: AttemptLog,
-) {
-    let (read, mut write) = stream.into_split();
-    let mut lines = FramedRead::new(read, LineCodec::default());
-    let mut up = false;
-    let mut out = None;
-    while let Some(Ok(line)) = lines.next().await {
-        if let (false, Ok(open)) = (up, Open::parse(line.clone())) {
-            out = Some(attempt_log.record_arrival(&name, &open));
-            if fails.borrow().iter().any(|beginning| open.id.starts_with(beginning)) {
-                return;
-            }
+impl LineService {
+    async fn serve(self, listener: TcpListener) {
+        // The connections end with this task, and so with the server.
+        let mut connections = JoinSet::new();
+        while let Ok((stream, _)) = listener.accept().await {
+            while connections.try_join_next().is_some() {}
+            connections.spawn(self.clone().serve_connection(stream));
         }
-        let now = *behavior.borrow();
-        let answer: Vec<u8> = match (up, now) {
-            (_, ServerBehavior::Silent) => continue,
-            _ if &line[..] == b"PING\r\n" => PONG.to_vec(),
-            (false, _) => {
-                counters.offered.fetch_add(1, Ordering::Relaxed);
-                if now == ServerBehavior::SlowAccept {
-                    tokio::time::sleep(SLOW_ACCEPT_DELAY).await;
+    }
+
+    async fn serve_connection(self, stream: TcpStream) {
+        let (read, mut write) = stream.into_split();
+        let mut lines = FramedRead::new(read, LineCodec::default());
+        let mut accepted = false;
+        let mut open_attempt = None;
+        while let Some(Ok(line)) = lines.next().await {
+            if let (false, Ok(open)) = (accepted, Open::parse(line.clone())) {
+                open_attempt = Some(self.attempt_log.record_arrival(&self.name, &open));
+                if self.reset_prefixes.borrow().iter().any(|prefix| open.id.starts_with(prefix)) {
+                    return;
                 }
-                if now == ServerBehavior::Reject {
-                    b"BUSY\r\n".to_vec()
-                } else {
-                    up = true;
-                    counters.accepted.fetch_add(1, Ordering::Relaxed);
-                    let number = out.as_ref().map_or(0, OpenAttempt::number);
-                    let begun = if now == ServerBehavior::PartialLine { "and half a li" } else { "" };
-                    format!("UP {}\r\n{begun}", Arrival::receipt(&name, number)).into_bytes()
+            }
+            let behavior = *self.behavior.borrow();
+            let answer: Vec<u8> = match (accepted, behavior) {
+                (_, ServerBehavior::Silent) => continue,
+                _ if &line[..] == b"PING\r\n" => PONG.to_vec(),
+                (false, _) => {
+                    self.counters.offered.fetch_add(1, Ordering::Relaxed);
+                    if behavior == ServerBehavior::SlowAccept {
+                        tokio::time::sleep(SLOW_ACCEPT_DELAY).await;
+                    }
+                    if behavior == ServerBehavior::Reject {
+                        b"BUSY\r\n".to_vec()
+                    } else {
+                        accepted = true;
+                        self.counters.accepted.fetch_add(1, Ordering::Relaxed);
+                        let number = open_attempt.as_ref().map_or(0, OpenAttempt::number);
+                        let partial =
+                            if behavior == ServerBehavior::PartialLine { "and half a li" } else { "" };
+                        format!("UP {}\r\n{partial}", Arrival::receipt(&self.name, number)).into_bytes()
+                    }
                 }
+                (true, _) => line.to_vec(),
+            };
+            // The attempt ends with its answer.
+            drop(open_attempt.take());
+            if write.write_all(&answer).await.is_err() {
+                return;
+            }
+            if behavior == ServerBehavior::StreamLines {
+                let line = [&[b'x'; 1000][..], b"\r\n"].concat();
+                while write.write_all(&line).await.is_ok() {}
+                return;
             }
-            (true, _) => line.to_vec(),
-        };
-        // Answered: the attempt is no longer out.
-        drop(out.take());
-        if write.write_all(&answer).await.is_err() {
-            return;
-        }
-        if now == ServerBehavior::StreamLines {
-            let line = [&[b'x'; 1000][..], b"\r\n"].concat();
-            while write.write_all(&line).await.is_ok() {}
-            return;
         }
     }
 }
 
-struct Session {
+struct QuicSession {
+    /// Connection id of the client.
     client: ConnectionId,
+    /// Number of the client.
     number: u64,
 }
 
-/// The QUIC side of a stand-in server.
-struct Quic {
+/// QUIC side of a mock server.
+struct QuicService {
     name: String,
     behavior: watch::Receiver<ServerBehavior>,
     counters: Arc<ServerCounters>,
-    sessions: Vec<Session>,
-    /// Ids issued, and a client's first ids, to their sessions.
-    ids: HashMap<ConnectionId, usize>,
+    sessions: Vec<QuicSession>,
+    /// Index of the session, by connection id issued to its client.
+    session_by_id: HashMap<ConnectionId, usize>,
+    /// Connection id with which the Initial was answered, by the destination id of that Initial.
     offered: HashMap<ConnectionId, ConnectionId>,
+    /// Number of connection ids issued.
     issued: u64,
 }
 
-impl Quic {
+impl QuicService {
     fn new(name: &str, behavior: watch::Receiver<ServerBehavior>, counters: Arc<ServerCounters>) -> Self {
         Self {
             name: name.to_owned(),
             behavior,
             counters,
             sessions: Vec::new(),
-            ids: HashMap::new(),
+            session_by_id: HashMap::new(),
             offered: HashMap::new(),
             issued: 0,
         }
     }
 
-    fn issue(&mut self, session: usize) -> ConnectionId {
+    fn issue_id(&mut self, session: usize) -> ConnectionId {
         self.issued += 1;
         let id = encode_routable_id(0, server_id_for_name(&self.name), ID_LENGTH, self.issued);
-        self.ids.insert(id, session);
+        self.session_by_id.insert(id, session);
         id
     }
 
@@ -265,38 +261,39 @@
                     | ServerBehavior::SlowAccept
                     | ServerBehavior::PartialLine
                     | ServerBehavior::StreamLines => {
-                        let own = match self.offered.get(&to) {
-                            Some(own) => *own,
+                        let issued_id = match self.offered.get(&to) {
+                            Some(id) => *id,
                             None => {
                                 let number = crypto_number(&opened.frames)?;
-                                self.sessions.push(Session { client: from, number });
+                                self.sessions.push(QuicSession { client: from, number });
                                 self.counters.accepted.fetch_add(1, Ordering::Relaxed);
-                                let own = self.issue(self.sessions.len() - 1);
-                                self.offered.insert(to, own);
-                                own
+                                let id = self.issue_id(self.sessions.len() - 1);
+                                self.offered.insert(to, id);
+                                id
                             }
                         };
                         let frames = [&[0x02, 0, 0, 0, 0][..], &opened.frames].concat();
-                        Some(initial::seal(&to, Side::Server, &from, &own, 0, &frames, MIN_INITIAL_DATAGRAM))
+                        Some(initial::seal(&to, Side::Server, &from, &issued_id, 0, &frames, MIN_INITIAL_DATAGRAM))
                     }
                 }
             }
             Header::Short { destination_id: to } => {
-                let Some(&session) = self.ids.get(&to) else {
+                let Some(&session) = self.session_by_id.get(&to) else {
                     self.counters.misrouted.fetch_add(1, Ordering::Relaxed);
                     return None;
                 };
                 if behavior == ServerBehavior::Silent {
                     return None;
                 }
-                let spare = self.issue(session);
-                let Session { client, number } = &self.sessions[session];
-                let asked = datagram.get(1 + ID_LENGTH..)?;
-                // The answer: whose it is, what was asked, who answers, and a new id to go on under.
+                let spare = self.issue_id(session);
+                let QuicSession { client, number } = &self.sessions[session];
+                let message = datagram.get(1 + ID_LENGTH..)?;
+                // The answer holds the client's id and number, the message number, the server id and a new
+                // connection id.
                 let mut out = vec![0x40];
                 out.extend_from_slice(client);
                 out.extend_from_slice(&number.to_be_bytes());
-                out.extend_from_slice(asked.get(..8)?);
+                out.extend_from_slice(message.get(..8)?);
                 out.extend_from_slice(&server_id_for_name(&self.name));
                 out.extend_from_slice(&spare);
                 out.resize(PACKET_LENGTH, 0);
@@ -307,7 +304,8 @@
     }
 }
 
-/// The frame in which a stand-in client's Initial tells its number, as a real one's tells its hello.
+/// Returns the CRYPTO frame of a mock client's Initial. It holds the client's number in place of a TLS
+/// ClientHello.
 pub fn crypto_frame(number: u64) -> Vec<u8> {
     [&[0x06, 0x00, 0x08][..], &number.to_be_bytes()].concat()
 }
@@ -317,34 +315,35 @@
     Some(u64::from_be_bytes(number.try_into().ok()?))
 }
 
-/// Discovery and its servers.
+/// Mock discovery service and the mock servers in its endpoint list.
 pub struct MockBackend {
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The servers.
+    /// Mock servers.
     pub servers: Vec<MockServer>,
-    /// What they have seen together.
+    /// Log of the attempts at all servers.
     pub attempt_log: AttemptLog,
-    list: watch::Sender<List>,
-    /// The running service, and those that it replaced.
+    list: watch::Sender<ListState>,
+    /// Tasks of the current discovery service and of those that it replaced.
     services: JoinSet<()>,
 }
 
 #[derive(Clone, Default)]
-struct List {
+struct ListState {
     version: u64,
     entries: BTreeMap<String, Endpoint>,
-    late: Duration,
+    /// Delay before the discovery service answers a watch request.
+    delay: Duration,
 }
 
-impl List {
+impl ListState {
     fn json(&self) -> Value {
         let endpoints = self.entries.values().cloned().collect();
         serde_json::to_value(EndpointList { index: self.version, snapshot: true, endpoints })
             .unwrap_or_default()
     }
 
-    fn put(&mut self, server: &MockServer, zone: &str, since_ms: u64) {
+    fn insert(&mut self, server: &MockServer, zone: &str, since_ms: u64) {
         let entry = Endpoint {
             name: server.name.clone(),
             address: server.address,
@@ -360,95 +359,95 @@
 }
 
 impl MockBackend {
-    /// Starts discovery and this many servers.
+    /// Starts the discovery service and this number of servers, all of them in zone `here`.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no ports for them.
+    /// Returns an error if a port cannot be bound.
     pub async fn start(servers: usize) -> Result<Self, ScenarioError> {
         Self::start_in(&vec!["here"; servers]).await
     }
 
-    /// Starts discovery and a server in each of these zones, all of them warm.
+    /// Starts the discovery service and one server in each of these zones. No server is warming up.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no ports for them.
+    /// Returns an error if a port cannot be bound.
     pub async fn start_in(zones: &[impl AsRef<str>]) -> Result<Self, ScenarioError> {
         let (mut all, attempt_log) = (Vec::new(), AttemptLog::default());
-        let mut list = List { version: 1, ..List::default() };
+        let mut list = ListState { version: 1, ..ListState::default() };
         for (number, zone) in zones.iter().enumerate() {
             all.push(MockServer::start(format!("s-{number}"), attempt_log.clone()).await?);
-            list.put(&all[number], zone.as_ref(), 0);
+            list.insert(&all[number], zone.as_ref(), 0);
         }
         let list = watch::Sender::new(list);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = listener.local_addr()?;
         let mut tasks = JoinSet::new();
-        tasks.spawn(discover(listener, list.subscribe()));
+        tasks.spawn(serve_discovery(listener, list.subscribe()));
         Ok(Self { discovery, servers: all, attempt_log, list, services: tasks })
     }
 
-    /// Discovery answers at a new address, with versions of its own that begin anew. The old service
-    /// stays, and tells nothing new.
+    /// Starts a discovery service at a new address, with the current entries and versions that start at 1.
+    /// The old service keeps its watches open and sends no further changes.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no port for it.
+    /// Returns an error if no port can be bound.
     pub async fn move_discovery(&mut self) -> Result<(), ScenarioError> {
         let entries = self.list.borrow().entries.clone();
-        let list = List { version: 1, entries, late: Duration::ZERO };
+        let list = ListState { version: 1, entries, delay: Duration::ZERO };
         let old = std::mem::replace(&mut self.list, watch::Sender::new(list));
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         self.discovery = listener.local_addr()?;
-        self.services.spawn(discover(listener, self.list.subscribe()));
-        // Its watches end with their sender, so that stays.
+        self.services.spawn(serve_discovery(listener, self.list.subscribe()));
+        // A watch ends once its sender is dropped, so the sender is retained.
         self.services.spawn(async move { old.closed().await });
         Ok(())
     }
 
-    /// The list as discovery has it.
+    /// Returns the endpoint list of the discovery service.
     pub fn endpoint_list(&self) -> Value {
         self.list.borrow().json()
     }
 
-    /// Starts a further server and lists it; it says of itself that it began at `since_ms` of Unix time.
-    /// Its number.
+    /// Starts a further server and adds it to the list with the start time `since_ms`, in milliseconds of Unix
+    /// time. Returns the index of the server.
     ///
     /// # Errors
     ///
-    /// Fails where the system has no port for it.
+    /// Returns an error if no port can be bound.
     pub async fn add(&mut self, zone: &str, since_ms: u64) -> Result<usize, ScenarioError> {
         let number = self.servers.len();
         let server = MockServer::start(format!("s-{number}"), self.attempt_log.clone()).await?;
         self.list.send_modify(|list| {
             list.version += 1;
-            list.put(&server, zone, since_ms);
+            list.insert(&server, zone, since_ms);
         });
         self.servers.push(server);
         Ok(number)
     }
 
-    /// Changes a server's state on the list, or puts it there.
-    pub fn set_status(&self, server: usize, state: EndpointStatus) {
+    /// Sets the status of a server in the list, and adds the server first if it isn't listed.
+    pub fn set_status(&self, server: usize, status: EndpointStatus) {
         self.list.send_modify(|list| {
             list.version += 1;
             let server = &self.servers[server];
             if !list.entries.contains_key(&server.name) {
-                list.put(server, "here", 0);
+                list.insert(server, "here", 0);
             }
             if let Some(entry) = list.entries.get_mut(&server.name) {
-                entry.status = state;
+                entry.status = status;
             }
         });
     }
 
-    /// Has discovery take so long to answer a call.
-    pub fn set_discovery_delay(&self, late: Duration) {
-        self.list.send_modify(|list| list.late = late);
+    /// Sets the delay with which the discovery service answers a watch request.
+    pub fn set_discovery_delay(&self, delay: Duration) {
+        self.list.send_modify(|list| list.delay = delay);
     }
 
-    /// Takes a server off the list.
+    /// Removes a server from the list.
     pub fn remove(&self, server: usize) {
         self.list.send_modify(|list| {
             list.version += 1;
@@ -456,21 +455,21 @@
         });
     }
 
-    /// A sum over what all servers have seen.
-    pub fn sum(&self, figure: impl Fn(&ServerCounters) -> &AtomicU64) -> u64 {
-        self.servers.iter().map(|server| figure(&server.counters).load(Ordering::Relaxed)).sum()
+    /// Returns the sum of a counter over all servers.
+    pub fn sum(&self, counter: impl Fn(&ServerCounters) -> &AtomicU64) -> u64 {
+        self.servers.iter().map(|server| counter(&server.counters).load(Ordering::Relaxed)).sum()
     }
 }
 
-async fn discover(listener: TcpListener, list: watch::Receiver<List>) {
+async fn serve_discovery(listener: TcpListener, list: watch::Receiver<ListState>) {
     let mut watches = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         while watches.try_join_next().is_some() {}
-        watches.spawn(tell(stream, list.clone()));
+        watches.spawn(serve_watch(stream, list.clone()));
     }
 }
 
-async fn tell(mut stream: TcpStream, mut list: watch::Receiver<List>) {
+async fn serve_watch(mut stream: TcpStream, mut list: watch::Receiver<ListState>) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         match stream.read_u8().await {
@@ -478,12 +477,12 @@
             _ => return,
         }
     }
-    let late = list.borrow().late;
-    tokio::time::sleep(late).await;
+    let delay = list.borrow().delay;
+    tokio::time::sleep(delay).await;
     let mut text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
-    // Nothing has changed since a version that is not behind.
-    let after = String::from_utf8_lossy(&head);
-    let after = after.split_once("after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
+    // A client whose version is current first receives the next change.
+    let head = String::from_utf8_lossy(&head);
+    let after = head.split_once("after=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
     if after.unwrap_or(0) < list.borrow_and_update().version {
         text += &chunk(&format!("{}\n", list.borrow().json()));
     }
@@ -496,7 +495,7 @@
     }
 }
 
-/// One chunk of a chunked answer.
+/// Returns `text` as one chunk of a chunked HTTP response.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Duration, Instant};
 
-use crate::clients::{LineClient, QuicClients, SocketPool, short};
+use crate::clients::{LineClient, QuicClients, SocketPool, short_header_packet};
 use crate::daemon::{Daemon, INITIAL_DEADLINE_MS, Options, Shared};
 use crate::mock_backend::{MockBackend, ServerBehavior};
 use crate::{Checks, ID_LENGTH, ScenarioError, within};
@@ -145,7 +145,7 @@
     for (at, stranger) in strangers.iter().enumerate() {
         clients.expect_resets(&[*stranger], at);
         for message in 0..4 {
-            pool.send(0, &short(stranger, message)).await;
+            pool.send(0, &short_header_packet(stranger, message)).await;
         }
     }
     for garbage in
@@ -167,7 +167,11 @@
         0,
     );
     // An id that its server does not know goes to that server, which is the one to answer.
-    pool.send(0, &short(&encode_routable_id(0, server_id_for_name("s-0"), ID_LENGTH, 1 << 40), 9)).await;
+    pool.send(
+        0,
+        &short_header_packet(&encode_routable_id(0, server_id_for_name("s-0"), ID_LENGTH, 1 << 40), 9),
+    )
+    .await;
     let mut tries = 0;
     while backend.sum(|counters| &counters.misrouted) == 0 && tries < PATIENT {
         clients.flush(&mut pool).await;
