--- a/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
+++ b/crates/ashtide-testkit/src/bin/ashtide-testkit.rs
@@ -8,7 +8,8 @@
 use ashtide_testkit::scenarios::{MIGRATION_CLIENTS, NAMES, run_scenario};
 
 const USAGE: &str = "usage: ashtide-testkit [--daemon FILE] [--clients N] [SCENARIO ...]";
-/// Maximum number of mock clients of the migration scenario. The scenario checks correctness and is no load test.
+/// Maximum number of mock clients of the migration scenario. The scenario checks correctness and is no load
+/// test.
 const MAX_CLIENTS: usize = 4000;
 
 /// Parsed command line.
--- a/crates/ashtide-testkit/src/mock_backend.rs
+++ b/crates/ashtide-testkit/src/mock_backend.rs
@@ -273,7 +273,15 @@
                             }
                         };
                         let frames = [&[0x02, 0, 0, 0, 0][..], &opened.frames].concat();
-                        Some(initial::seal(&to, Side::Server, &from, &issued_id, 0, &frames, MIN_INITIAL_DATAGRAM))
+                        Some(initial::seal(
+                            &to,
+                            Side::Server,
+                            &from,
+                            &issued_id,
+                            0,
+                            &frames,
+                            MIN_INITIAL_DATAGRAM,
+                        ))
                     }
                 }
             }
@@ -411,8 +419,8 @@
         self.list.borrow().json()
     }
 
-    /// Starts a further server and adds it to the list with the start time `since_ms`, in milliseconds of Unix
-    /// time. Returns the index of the server.
+    /// Starts a further server and adds it to the list with the start time `since_ms`, in milliseconds of
+    /// Unix time. Returns the index of the server.
     ///
     /// # Errors
     ///
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! The named scenarios. Each starts its own fleet and daemon, and says what it looked at.
+//! Named scenarios. Each starts its own mock backend and daemon, and records its checks.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use ashtide::quic::initial::CONNECTION_REFUSED;
 use ashtide::quic::load_balancing::{encode_routable_id, server_id_for_name};
 
-/// The names of all scenarios.
+/// Names of all scenarios.
 pub const NAMES: [&str; 13] = [
     "migration",
     "unknown-id",
@@ -33,25 +33,30 @@
     "vrrp-failover",
     "return",
 ];
-/// Clients of the migration scenario, unless told otherwise.
+/// Default number of clients of the migration scenario.
 pub const MIGRATION_CLIENTS: usize = 2000;
-/// Sockets over which many stand-in clients speak.
-const SOCKETS: usize = 32;
-/// Sockets towards servers for scenarios with few clients.
+/// Number of sockets shared by the mock QUIC clients.
+const CLIENT_SOCKETS: usize = 32;
+/// Number of the QUIC front end's sockets to servers in scenarios with few clients.
 const FEW_PATHS: usize = 200;
-/// Clients of each front in scenarios with few.
-const FEW: usize = 24;
-/// Tries of what takes a moment to become so.
-const PATIENT: usize = 60;
+/// Number of clients of each front end in scenarios with few clients.
+const FEW_CLIENTS: usize = 24;
+/// Maximum number of tries until an expected state is reached.
+const MAX_TRIES: usize = 60;
 
-/// Plays one scenario.
+/// Runs the scenario with this name against the daemon `program`. `migration_clients` is the number of
+/// clients of the migration scenario.
 ///
 /// # Errors
 ///
-/// Fails where it cannot be played to its end.
-pub async fn run_scenario(name: &str, program: &Path, migrants: usize) -> Result<Checks, ScenarioError> {
+/// Returns an error if the scenario is unknown or cannot run to completion.
+pub async fn run_scenario(
+    name: &str,
+    program: &Path,
+    migration_clients: usize,
+) -> Result<Checks, ScenarioError> {
     match name {
-        "migration" => migration(program, migrants).await,
+        "migration" => migration(program, migration_clients).await,
         "unknown-id" => unknown_id(program).await,
         "refusal" => refusal(program).await,
         "drain" => drain(program).await,
@@ -59,31 +64,37 @@
         "stop" => stop(program).await,
         "reload" => reload(program).await,
         "pushed" => pushed(program).await,
-        "rude" => rude(program).await,
+        "rude" => misbehaving_clients(program).await,
         "upgrade" => upgrade(program).await,
         "inheritance" => inheritance(program).await,
         "vrrp-failover" => vrrp_failover(program).await,
-        "return" => mass_return(program).await,
+        "return" => mass_reconnection(program).await,
         other => Err(ScenarioError::UnknownScenario(other.to_owned())),
     }
 }
 
-/// A fleet, a daemon with the QUIC front, and where that listens.
-async fn set_up(program: &Path, servers: usize, paths: usize) -> Result<Stage, ScenarioError> {
+/// Starts a mock backend and a daemon with a QUIC front end, and opens sockets to that front end.
+async fn start_environment(
+    program: &Path,
+    servers: usize,
+    paths: usize,
+) -> Result<Environment, ScenarioError> {
     let backend = MockBackend::start(servers).await?;
     let daemon = Daemon::start(program, &backend, &Options { paths, ..Options::default() }).await?;
-    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
-    Ok(Stage { backend, daemon, pool: SocketPool::open(SOCKETS, quic).await? })
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front end"))?;
+    Ok(Environment { backend, daemon, pool: SocketPool::open(CLIENT_SOCKETS, quic).await? })
 }
 
-struct Stage {
+/// Mock backend, daemon and client sockets of a scenario.
+struct Environment {
     backend: MockBackend,
     daemon: Daemon,
     pool: SocketPool,
 }
 
-impl Stage {
-    async fn line_clients(&self, count: usize) -> Result<(Vec<LineClient>, usize), ScenarioError> {
+impl Environment {
+    /// Opens line clients. Returns them and the number of those whose connection was established.
+    async fn open_line_clients(&self, count: usize) -> Result<(Vec<LineClient>, usize), ScenarioError> {
         let (mut clients, mut up) = (Vec::new(), 0);
         for number in 0..count as u64 {
             let (client, answer) = LineClient::open(self.daemon.lines, number).await?;
@@ -94,222 +105,244 @@
     }
 }
 
-/// Clients that change their address mid-session, half of them under a new id.
+/// Checks that clients can change their address during a session, half of them with a new connection id.
 async fn migration(program: &Path, count: usize) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
-    let Stage { backend, mut daemon, mut pool } = set_up(program, 4, 2 * count + 64).await?;
-    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
+    let Environment { backend, mut daemon, mut pool } = start_environment(program, 4, 2 * count + 64).await?;
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front end"))?;
     let mut clients = QuicClients::new(count, 1);
     let all: Vec<usize> = (0..count).collect();
-    checks.record_equal("every connection comes up", clients.open(&mut pool).await, 0);
+    checks.record_equal("every connection is established", clients.open(&mut pool).await, 0);
     checks.record_equal(
-        "every client is answered before it moves",
+        "every client is answered before its address changes",
         clients.exchange_message(&mut pool, &all, 1).await,
         0,
     );
     let servers: std::collections::BTreeSet<_> = clients.all.iter().map(|c| c.server).collect();
     checks.record_equal("all servers are in use", servers.len(), 4);
 
-    let mut elsewhere = SocketPool::open(SOCKETS, quic).await?;
+    let mut new_address_pool = SocketPool::open(CLIENT_SOCKETS, quic).await?;
     for client in clients.all.iter_mut().skip(1).step_by(2) {
         client.id = client.spare;
     }
-    let unanswered = clients.exchange_message(&mut elsewhere, &all, 2).await;
+    let unanswered = clients.exchange_message(&mut new_address_pool, &all, 2).await;
     checks.record_equal("every client is answered at its new address", unanswered, 0);
-    checks.record_equal("and goes on there", clients.exchange_message(&mut elsewhere, &all, 3).await, 0);
+    checks.record_equal(
+        "every client is answered again at its new address",
+        clients.exchange_message(&mut new_address_pool, &all, 3).await,
+        0,
+    );
     checks.record_equal("no answer came from another server", clients.wrong_server, 0);
     checks.record_equal(
-        "no server got a packet of another's client",
+        "no server received a packet of another server's client",
         backend.sum(|counters| &counters.misrouted),
         0,
     );
     checks.record_equal(
-        "no client was placed twice",
+        "no client was assigned to a server twice",
         backend.sum(|counters| &counters.accepted),
         count as u64,
     );
     checks.record_equal("no client was reset", clients.all.iter().map(|c| c.resets).sum::<u32>(), 0);
-    checks.record("the daemon still runs", daemon.is_running(), "its process");
+    checks.record("the daemon is still running", daemon.is_running(), "process state");
     Ok(checks)
 }
 
-/// Ids that belong to nobody.
+/// Checks packets with unknown connection ids and malformed datagrams.
 async fn unknown_id(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
-    let Stage { backend, mut daemon, mut pool } = set_up(program, 2, FEW_PATHS).await?;
+    let Environment { backend, mut daemon, mut pool } = start_environment(program, 2, FEW_PATHS).await?;
     let mut clients = QuicClients::new(3, 2);
-    let strangers = [
+    let unknown_ids = [
         ConnectionId::new(&[0xff; ID_LENGTH]).unwrap_or_default(),
         encode_routable_id(0, server_id_for_name("no such server"), ID_LENGTH, 1),
     ];
-    for (at, stranger) in strangers.iter().enumerate() {
-        clients.expect_resets(&[*stranger], at);
+    for (client, unknown_id) in unknown_ids.iter().enumerate() {
+        clients.expect_resets(&[*unknown_id], client);
         for message in 0..4 {
-            pool.send(0, &short_header_packet(stranger, message)).await;
+            pool.send(0, &short_header_packet(unknown_id, message)).await;
         }
     }
-    for garbage in
+    for malformed in
         [&b""[..], b"\x00", b"\x40", b"GET / HTTP/1.1\r\n", &[0xff; 1300], &[0xc0, 0, 0, 0, 1, 255]]
     {
-        pool.send(0, garbage).await;
+        pool.send(0, malformed).await;
     }
     let mut small = clients.initial(2);
     small.truncate(600);
     pool.send(0, &small).await;
-    checks.record("the daemon answers a version that it does not speak", clients.flush(&mut pool).await, "");
-    checks.record_equal("an id of no server is reset exactly once", clients.all[0].resets, 1);
-    checks.record_equal("an id of a server not listed is reset exactly once", clients.all[1].resets, 1);
-    checks.record_equal("garbage gets no answer", clients.unexpected, 0);
-    checks.record_equal("nothing reached a server", backend.sum(|counters| &counters.misrouted), 0);
+    checks.record("the daemon answers an unsupported version", clients.flush(&mut pool).await, "");
+    checks.record_equal("an id without a server is reset exactly once", clients.all[0].resets, 1);
+    checks.record_equal("an id of an unlisted server is reset exactly once", clients.all[1].resets, 1);
+    checks.record_equal("malformed datagrams get no answer", clients.unexpected, 0);
+    checks.record_equal("no packet reached a server", backend.sum(|counters| &counters.misrouted), 0);
     checks.record_equal(
-        "a connection still comes up",
+        "a connection is still established",
         clients.exchange(&mut pool, &[2], QuicClients::initial, |c| c.id.is_some()).await,
         0,
     );
-    // An id that its server does not know goes to that server, which is the one to answer.
+    // A packet with an id that names a listed server is sent to that server, even if the server doesn't know
+    // the id. The server is responsible for the answer.
     pool.send(
         0,
         &short_header_packet(&encode_routable_id(0, server_id_for_name("s-0"), ID_LENGTH, 1 << 40), 9),
     )
     .await;
     let mut tries = 0;
-    while backend.sum(|counters| &counters.misrouted) == 0 && tries < PATIENT {
+    while backend.sum(|counters| &counters.misrouted) == 0 && tries < MAX_TRIES {
         clients.flush(&mut pool).await;
         tries += 1;
     }
     checks.record_equal(
-        "an unknown id of a listed server goes there",
+        "a packet with an unknown id of a listed server is sent to that server",
         backend.sum(|counters| &counters.misrouted),
         1,
     );
-    checks.record("the daemon still runs", daemon.is_running(), "its process");
+    checks.record("the daemon is still running", daemon.is_running(), "process state");
     Ok(checks)
 }
 
-/// Servers that turn away, say nothing, or are not there.
+/// Checks that clients receive exactly one refusal when servers reject or don't answer.
 async fn refusal(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     for behavior in [ServerBehavior::Reject, ServerBehavior::Silent] {
-        let Stage { backend, mut daemon, mut pool } = set_up(program, 2, FEW_PATHS).await?;
+        let Environment { backend, mut daemon, mut pool } = start_environment(program, 2, FEW_PATHS).await?;
         backend.servers.iter().for_each(|server| server.set_behavior(behavior));
         let mut clients = QuicClients::new(1, 3);
         let start = Instant::now();
         let unanswered =
             clients.exchange(&mut pool, &[0], QuicClients::initial, |c| !c.closed.is_empty()).await;
         let took = start.elapsed();
-        checks.record_equal(&format!("{behavior:?}: the client is told"), unanswered, 0);
-        // Said again, the same Initial is no second request.
+        checks.record_equal(&format!("{behavior:?}: the client receives an answer"), unanswered, 0);
+        // The same Initial sent again is not a second request.
         pool.send(0, &clients.initial(0)).await;
         clients.flush(&mut pool).await;
-        checks.record_equal(&format!("{behavior:?}: exactly once"), clients.all[0].closed.len(), 1);
+        checks.record_equal(
+            &format!("{behavior:?}: the client receives one answer only"),
+            clients.all[0].closed.len(),
+            1,
+        );
         let answer = clients.all[0].closed.first().cloned().unwrap_or_default();
         let refused = answer.0 == CONNECTION_REFUSED && answer.1.starts_with("BUSY ");
         checks.record(
-            &format!("{behavior:?}: as a refusal that says when to return"),
+            &format!("{behavior:?}: the answer is a refusal with a retry delay"),
             refused,
             format!("{answer:?}"),
         );
         let within = Duration::from_millis(u64::from(INITIAL_DEADLINE_MS) + 100);
-        checks.record(&format!("{behavior:?}: within the deadline"), took <= within, format!("{took:?}"));
+        checks.record(
+            &format!("{behavior:?}: the answer is received within the deadline"),
+            took <= within,
+            format!("{took:?}"),
+        );
         if behavior == ServerBehavior::Reject {
             let half = Duration::from_millis(u64::from(INITIAL_DEADLINE_MS) * 2 / 3);
-            checks.record("Refuses: long before the deadline", took <= half, format!("{took:?}"));
+            checks.record(
+                "Reject: the answer is received long before the deadline",
+                took <= half,
+                format!("{took:?}"),
+            );
         }
         checks.record_equal(
-            &format!("{behavior:?}: no server took it"),
+            &format!("{behavior:?}: no server accepted the connection"),
             backend.sum(|counters| &counters.accepted),
             0,
         );
-        checks.record("the daemon still runs", daemon.is_running(), "its process");
+        checks.record("the daemon is still running", daemon.is_running(), "process state");
     }
     Ok(checks)
 }
 
-/// A server that drains and then leaves the list.
+/// Checks that clients leave a server that drains and is then removed from the list.
 async fn drain(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
-    let mut stage = set_up(program, 3, FEW_PATHS).await?;
-    let (mut lines, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("line clients come up", up, FEW);
-    let mut clients = QuicClients::new(FEW, 4);
-    checks.record_equal("QUIC clients come up", clients.open(&mut stage.pool).await, 0);
-    let server = &stage.backend.servers[0];
+    let mut environment = start_environment(program, 3, FEW_PATHS).await?;
+    let (mut lines, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("line connections are established", up, FEW_CLIENTS);
+    let mut clients = QuicClients::new(FEW_CLIENTS, 4);
+    checks.record_equal("QUIC connections are established", clients.open(&mut environment.pool).await, 0);
+    let server = &environment.backend.servers[0];
     let taken = server.counters.accepted.load(Ordering::Relaxed);
-    checks.record("the server that is to drain has clients", taken > 0, taken);
-    let there = server_id_for_name(&server.name);
-    let quic_there = clients.all.iter().filter(|c| c.server == Some(there)).count();
-    stage.backend.set_status(0, EndpointStatus::Draining);
+    checks.record("the server has clients before its drain", taken > 0, taken);
+    let draining = server_id_for_name(&server.name);
+    let quic_on_draining = clients.all.iter().filter(|c| c.server == Some(draining)).count();
+    environment.backend.set_status(0, EndpointStatus::Draining);
 
-    // The first client that is sent away shows that the daemon has been told.
-    let moved = {
+    // The first MOVE shows that the daemon has received the list update.
+    let first_move = {
         let first = lines.iter_mut().map(|client| Box::pin(client.next()));
-        let (first, at, _) = within("a first MOVE", futures_util::future::select_all(first)).await?;
-        (first?, at)
+        let (first, index, _) = within("a first MOVE", futures_util::future::select_all(first)).await?;
+        (first?, index)
     };
-    checks.record_equal("the first word to a client there", moved.0.as_deref(), Some("MOVE"));
-    lines.swap_remove(moved.1);
+    checks.record_equal(
+        "the first line to a client of the draining server",
+        first_move.0.as_deref(),
+        Some("MOVE"),
+    );
+    lines.swap_remove(first_move.1);
     let offered = server.counters.offered.load(Ordering::Relaxed);
-    let (_more, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("new clients come up", up, FEW);
+    let (_new_clients, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("connections of new clients are established", up, FEW_CLIENTS);
     let offered = server.counters.offered.load(Ordering::Relaxed) - offered;
-    checks.record_equal("none of them is offered to the draining server", offered, 0);
+    checks.record_equal("no new client is offered to the draining server", offered, 0);
 
-    stage.backend.remove(0);
-    let fates = lines.iter_mut().map(|client| async move {
+    environment.backend.remove(0);
+    let final_lines = lines.iter_mut().map(|client| async move {
         client.send_line("still there").await?;
-        let mut said = client.next().await?;
-        // Where both cross, the echo comes first.
-        if said.as_deref() == Some("still there") {
-            if let Ok(moved) = tokio::time::timeout(GONE, client.next()).await {
-                said = moved?;
+        let mut line = client.next().await?;
+        // If the line and the MOVE cross, the echo is received first.
+        if line.as_deref() == Some("still there") {
+            if let Ok(moved) = tokio::time::timeout(REMOVAL_TIMEOUT, client.next()).await {
+                line = moved?;
             }
         }
-        Ok::<_, ScenarioError>(said)
+        Ok::<_, ScenarioError>(line)
     });
-    let (mut sent_away, mut stayed) = (1, 0);
-    for said in futures_util::future::join_all(fates).await {
-        match said?.as_deref() {
-            Some("MOVE") => sent_away += 1,
+    let (mut moved_count, mut stayed) = (1, 0);
+    for line in futures_util::future::join_all(final_lines).await {
+        match line?.as_deref() {
+            Some("MOVE") => moved_count += 1,
             Some("still there") => stayed += 1,
             _ => {}
         }
     }
-    let lines_there = taken as usize - quic_there;
-    checks.record_equal("line clients there are told to move", sent_away, lines_there);
-    checks.record_equal("the others stay", stayed, FEW - lines_there);
+    let lines_on_draining = taken as usize - quic_on_draining;
+    checks.record_equal("line clients of the draining server receive MOVE", moved_count, lines_on_draining);
+    checks.record_equal("the other line clients remain connected", stayed, FEW_CLIENTS - lines_on_draining);
     let mut tries = 0;
-    while clients.all.iter().any(|c| c.server == Some(there) && c.resets == 0) && tries < PATIENT {
-        clients.flush(&mut stage.pool).await;
+    while clients.all.iter().any(|c| c.server == Some(draining) && c.resets == 0) && tries < MAX_TRIES {
+        clients.flush(&mut environment.pool).await;
         tries += 1;
     }
-    let resets = clients.all.iter().filter(|c| c.server == Some(there) && c.resets == 1).count();
-    checks.record_equal("QUIC clients there are reset once", resets, quic_there);
-    let others: Vec<usize> = (0..FEW).filter(|&at| clients.all[at].server != Some(there)).collect();
+    let resets = clients.all.iter().filter(|c| c.server == Some(draining) && c.resets == 1).count();
+    checks.record_equal("QUIC clients of the draining server are reset once", resets, quic_on_draining);
+    let others: Vec<usize> =
+        (0..FEW_CLIENTS).filter(|&index| clients.all[index].server != Some(draining)).collect();
     checks.record_equal(
-        "QUIC clients elsewhere go on",
-        clients.exchange_message(&mut stage.pool, &others, 1).await,
+        "QUIC clients of other servers are still answered",
+        clients.exchange_message(&mut environment.pool, &others, 1).await,
         0,
     );
-    checks.record("the daemon still runs", stage.daemon.is_running(), "its process");
+    checks.record("the daemon is still running", environment.daemon.is_running(), "process state");
     Ok(checks)
 }
 
-/// By then a client of a server that has left the list has been told.
-const GONE: Duration = Duration::from_millis(2500);
+/// Time limit for the MOVE to a client whose server was removed from the list.
+const REMOVAL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A server that dies, and one that goes silent.
+/// Checks that clients of silent servers and of stopped servers are moved.
 async fn loss(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
-    let mut stage = set_up(program, 2, FEW_PATHS).await?;
-    let (mut lines, up) = stage.line_clients(4).await?;
-    checks.record_equal("line clients come up", up, 4);
+    let mut environment = start_environment(program, 2, FEW_PATHS).await?;
+    let (mut lines, up) = environment.open_line_clients(4).await?;
+    checks.record_equal("line connections are established", up, 4);
     let mut clients = QuicClients::new(4, 5);
-    checks.record_equal("QUIC clients come up", clients.open(&mut stage.pool).await, 0);
+    checks.record_equal("QUIC connections are established", clients.open(&mut environment.pool).await, 0);
     let all: Vec<usize> = (0..4).collect();
 
-    // Silence: a line that no one answers.
+    // Silent servers: a line without an answer.
     let start = Instant::now();
-    stage.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    environment.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
     for client in &mut lines {
         client.send_line("anyone there?").await?;
     }
@@ -317,165 +350,176 @@
     for client in &mut lines {
         moved += usize::from(client.receives_move().await?);
     }
-    checks.record_equal("clients of silent servers are told to move", moved, 4);
-    checks.record("within 7 s", start.elapsed() < Duration::from_secs(7), format!("{:?}", start.elapsed()));
-    // The QUIC clients speak only now, after a pause, so that each of their messages wants an answer.
-    let say = |clients: &QuicClients, at: usize| clients.message(at, 1);
-    let unheard = clients.exchange(&mut stage.pool, &all, say, |c| c.resets > 0).await;
-    checks.record_equal("QUIC clients of silent servers are reset", unheard, 0);
+    checks.record_equal("clients of silent servers receive MOVE", moved, 4);
+    checks.record(
+        "MOVE is received within 7 s",
+        start.elapsed() < Duration::from_secs(7),
+        format!("{:?}", start.elapsed()),
+    );
+    // The QUIC clients send only now, after a pause, so that each of their messages expects an answer.
+    let datagram = |clients: &QuicClients, index: usize| clients.message(index, 1);
+    let unanswered = clients.exchange(&mut environment.pool, &all, datagram, |c| c.resets > 0).await;
+    checks.record_equal("QUIC clients of silent servers are reset", unanswered, 0);
 
-    // Death, before a daemon that holds nothing against the servers.
-    let mut stage = set_up(program, 2, FEW_PATHS).await?;
+    // Stopped servers, with a new daemon that has no ejected servers.
+    let mut environment = start_environment(program, 2, FEW_PATHS).await?;
     let mut clients = QuicClients::new(4, 6);
-    checks.record_equal("QUIC clients come up before a death", clients.open(&mut stage.pool).await, 0);
-    let (mut lines, up) = stage.line_clients(4).await?;
-    checks.record_equal("line clients come up before a death", up, 4);
+    checks.record_equal(
+        "QUIC connections are established before the servers stop",
+        clients.open(&mut environment.pool).await,
+        0,
+    );
+    let (mut lines, up) = environment.open_line_clients(4).await?;
+    checks.record_equal("line connections are established before the servers stop", up, 4);
     let start = Instant::now();
-    for server in &mut stage.backend.servers {
+    for server in &mut environment.backend.servers {
         server.stop().await;
     }
     let mut moved = 0;
     for client in &mut lines {
         moved += usize::from(client.receives_move().await?);
     }
-    checks.record_equal("clients of dead servers are told to move", moved, 4);
+    checks.record_equal("clients of stopped servers receive MOVE", moved, 4);
     checks.record(
-        "within a second",
+        "MOVE is received within 1 s",
         start.elapsed() < Duration::from_secs(1),
         format!("{:?}", start.elapsed()),
     );
-    let unheard = clients.exchange(&mut stage.pool, &all, say, |c| c.resets > 0).await;
-    checks.record_equal("QUIC clients of dead servers are reset", unheard, 0);
-    checks.record("the daemon still runs", stage.daemon.is_running(), "its process");
+    let unanswered = clients.exchange(&mut environment.pool, &all, datagram, |c| c.resets > 0).await;
+    checks.record_equal("QUIC clients of stopped servers are reset", unanswered, 0);
+    checks.record("the daemon is still running", environment.daemon.is_running(), "process state");
     Ok(checks)
 }
 
-/// A planned stop.
+/// Checks that a planned stop moves all clients before the kill deadline.
 async fn stop(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
-    let mut stage = set_up(program, 2, FEW_PATHS).await?;
-    let (mut lines, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("line clients come up", up, FEW);
-    let mut clients = QuicClients::new(FEW, 7);
-    checks.record_equal("QUIC clients come up", clients.open(&mut stage.pool).await, 0);
+    let mut environment = start_environment(program, 2, FEW_PATHS).await?;
+    let (mut lines, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("line connections are established", up, FEW_CLIENTS);
+    let mut clients = QuicClients::new(FEW_CLIENTS, 7);
+    checks.record_equal("QUIC connections are established", clients.open(&mut environment.pool).await, 0);
     let start = Instant::now();
-    stage.daemon.terminate()?;
-    let (late, answer) = LineClient::open(stage.daemon.lines, 99).await?;
-    checks.record("a client that still comes is answered", answer.starts_with("UP "), answer);
-    lines.push(late);
+    environment.daemon.terminate()?;
+    let (late_client, answer) = LineClient::open(environment.daemon.lines, 99).await?;
+    checks.record("a client that connects during the stop is accepted", answer.starts_with("UP "), answer);
+    lines.push(late_client);
     let mut moved = 0;
     for client in &mut lines {
         moved += usize::from(client.receives_move().await?);
     }
-    checks.record_equal("line clients are told to move", moved, FEW + 1);
-    while let Some(datagram) = stage.pool.next().await {
+    checks.record_equal("line clients receive MOVE", moved, FEW_CLIENTS + 1);
+    while let Some(datagram) = environment.pool.next().await {
         clients.handle_datagram(&datagram);
     }
     let resets = clients.all.iter().filter(|c| c.resets == 1).count();
-    checks.record_equal("QUIC clients are reset once", resets, FEW);
-    let (status, _) = stage.daemon.wait_for_exit().await?;
-    checks.record("the daemon ends well", status.success(), status);
+    checks.record_equal("QUIC clients are reset once", resets, FEW_CLIENTS);
+    let (status, _) = environment.daemon.wait_for_exit().await?;
+    checks.record("the daemon exits with success", status.success(), status);
     let took = start.elapsed();
-    checks.record("before it would be killed", took < Duration::from_millis(3700), format!("{took:?}"));
+    checks.record(
+        "the daemon exits before the kill deadline",
+        took < Duration::from_millis(3700),
+        format!("{took:?}"),
+    );
     Ok(checks)
 }
 
-/// The configuration is replaced: once by one that cannot be used, once by one with another
-/// discovery, and again during a planned stop.
+/// Checks configuration reloads: one with an invalid file, one with another discovery address, and one
+/// during a planned stop.
 async fn reload(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
-    // The old service's versions are ahead of those of the new one.
+    // The versions of the old service are higher than those of the new one.
     (0..4).for_each(|_| backend.set_status(1, EndpointStatus::Serving));
     let daemon = Daemon::start(program, &backend, &Options::default()).await?;
-    let mut stage = Stage { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
-    let (mut lines, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("line clients come up", up, FEW);
-    stage.daemon.reload("discovery", "nowhere".into())?;
-    stage.daemon.wait_for_log_line("reload: discovery: 'nowhere'").await?;
-    let (more, up) = stage.line_clients(1).await?;
-    checks.record_equal("an unusable file does no harm", up, 1);
-    lines.extend(more);
-    stage.backend.move_discovery().await?;
-    let discovery = stage.backend.discovery.to_string();
+    let mut environment =
+        Environment { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
+    let (mut lines, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("line connections are established", up, FEW_CLIENTS);
+    environment.daemon.reload("discovery", "nowhere".into())?;
+    environment.daemon.wait_for_log_line("reload: discovery: 'nowhere'").await?;
+    let (new_clients, up) = environment.open_line_clients(1).await?;
+    checks.record_equal("a client is accepted after an invalid configuration", up, 1);
+    lines.extend(new_clients);
+    environment.backend.move_discovery().await?;
+    let discovery = environment.backend.discovery.to_string();
     for _ in 0..3 {
-        stage.daemon.reload("discovery", discovery.as_str().into())?;
+        environment.daemon.reload("discovery", discovery.as_str().into())?;
     }
-    // Only the new service tells of this.
-    stage.backend.set_status(0, EndpointStatus::Draining);
-    let taken = stage.backend.servers[0].counters.accepted.load(Ordering::Relaxed) as usize;
+    // Only the new service publishes this change.
+    environment.backend.set_status(0, EndpointStatus::Draining);
+    let taken = environment.backend.servers[0].counters.accepted.load(Ordering::Relaxed) as usize;
     let next = lines.iter_mut().map(|client| Box::pin(client.next()));
-    let (first, at, _) = within("a first MOVE", futures_util::future::select_all(next)).await?;
+    let (first, index, _) = within("a first MOVE", futures_util::future::select_all(next)).await?;
     checks.record_equal(
-        "a client hears of a drain that the new service tells",
+        "a drain in the new service's list reaches a client",
         first?.as_deref(),
         Some("MOVE"),
     );
-    lines.swap_remove(at);
-    stage.daemon.terminate()?;
-    stage.daemon.reload("listen", "127.0.0.1:1".into())?;
-    stage.daemon.wait_for_log_line("reload: listen has changed").await?;
+    lines.swap_remove(index);
+    environment.daemon.terminate()?;
+    environment.daemon.reload("listen", "127.0.0.1:1".into())?;
+    environment.daemon.wait_for_log_line("reload: listen has changed").await?;
     let mut moved = 1;
     for client in &mut lines {
         moved += usize::from(client.receives_move().await?);
     }
-    checks.record_equal("all clients are told to move", moved, FEW + 1);
+    checks.record_equal("all clients receive MOVE", moved, FEW_CLIENTS + 1);
     checks.record("the draining server had clients", taken > 0, taken);
-    let (status, _) = stage.daemon.wait_for_exit().await?;
-    checks.record("the daemon ends well", status.success(), status);
+    let (status, _) = environment.daemon.wait_for_exit().await?;
+    checks.record("the daemon exits with success", status.success(), status);
     Ok(checks)
 }
 
-/// A list that is pushed is followed like one that is asked for.
+/// Checks that a pushed endpoint list is applied like a requested one.
 async fn pushed(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
     let options = Options { pushed: true, ..Options::default() };
     let daemon = Daemon::start(program, &backend, &options).await?;
-    let stage = Stage { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
-    let (mut lines, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("line clients come up", up, FEW);
-    let taken = |stage: &Stage| stage.backend.servers[0].counters.accepted.load(Ordering::Relaxed);
-    checks.record("the server that is to drain has clients", taken(&stage) > 0, taken(&stage));
-    stage.backend.set_status(0, EndpointStatus::Draining);
+    let environment =
+        Environment { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
+    let (mut lines, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("line connections are established", up, FEW_CLIENTS);
+    let taken =
+        |environment: &Environment| environment.backend.servers[0].counters.accepted.load(Ordering::Relaxed);
+    checks.record("the server has clients before its drain", taken(&environment) > 0, taken(&environment));
+    environment.backend.set_status(0, EndpointStatus::Draining);
     let next = lines.iter_mut().map(|client| Box::pin(client.next()));
     let (first, ..) = within("a first MOVE", futures_util::future::select_all(next)).await?;
-    checks.record_equal(
-        "a client hears of a drain that only the agent tells",
-        first?.as_deref(),
-        Some("MOVE"),
-    );
-    let before = taken(&stage);
-    let (_more, up) = stage.line_clients(FEW).await?;
-    checks.record_equal("new clients come up", up, FEW);
-    checks.record_equal("none of them at the draining server", taken(&stage), before);
-    stage.backend.set_status(0, EndpointStatus::Serving);
+    checks.record_equal("a drain in the pushed list reaches a client", first?.as_deref(), Some("MOVE"));
+    let before = taken(&environment);
+    let (_new_clients, up) = environment.open_line_clients(FEW_CLIENTS).await?;
+    checks.record_equal("connections of new clients are established", up, FEW_CLIENTS);
+    checks.record_equal("no new client is accepted by the draining server", taken(&environment), before);
+    environment.backend.set_status(0, EndpointStatus::Serving);
     let mut tries = 0;
-    while taken(&stage) == before && tries < PATIENT {
+    while taken(&environment) == before && tries < MAX_TRIES {
         tries += 1;
-        drop(stage.line_clients(1).await?);
+        drop(environment.open_line_clients(1).await?);
     }
     checks.record(
-        "it is used again once the agent says so",
-        taken(&stage) > before,
+        "the server is used again once it is listed as serving",
+        taken(&environment) > before,
         format!("{tries} tries"),
     );
     Ok(checks)
 }
 
-/// A process that leaves passes its standing connections to its successor, whatever is on its way in them;
-/// a successor that stalls or has gone costs no client more than a `MOVE`.
+/// Checks that an exiting process hands its established connections to its successor, with the bytes in
+/// transit. If the successor is suspended or has exited, a client receives a `MOVE` at worst.
 async fn inheritance(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
-    let (shared, at) = one_balancer()?;
+    let (shared, address) = shared_gateway_resources()?;
     let folder = shared.folder.clone();
     let options = Options { shared: Some(shared), ..Options::default() };
     let first = Daemon::start(program, &backend, &options).await?;
     let mut lines = Vec::new();
-    for number in 0..FEW as u64 {
-        let (client, answer) = LineClient::open(at, number).await?;
-        checks.record("a client comes up", answer.starts_with("UP "), answer);
+    for number in 0..FEW_CLIENTS as u64 {
+        let (client, answer) = LineClient::open(address, number).await?;
+        checks.record("a client's connection is established", answer.starts_with("UP "), answer);
         lines.push(client);
     }
     let second = Daemon::start(program, &backend, &options).await?;
@@ -485,27 +529,33 @@
     }
     first.terminate()?;
     let (status, _) = first.wait_for_exit().await?;
-    checks.record("the first ends well", status.success(), status);
-    let mut whole = 0;
+    checks.record("the first process exits with success", status.success(), status);
+    let mut complete = 0;
     for client in &mut lines {
         client.send_line("f").await?;
-        let said = (client.next().await?, client.next().await?);
-        whole += usize::from((said.0.as_deref(), said.1.as_deref()) == (Some("whole"), Some("half")));
+        let received = (client.next().await?, client.next().await?);
+        complete +=
+            usize::from((received.0.as_deref(), received.1.as_deref()) == (Some("whole"), Some("half")));
     }
-    checks.record_equal("no line is lost or cut, and nobody is moved", whole, FEW);
+    checks.record_equal("no line is lost or truncated, and no client receives MOVE", complete, FEW_CLIENTS);
     let taken = backend.sum(|counters| &counters.accepted);
-    checks.record_equal("no server saw a connection come anew", taken, FEW as u64);
+    checks.record_equal("no server accepted a further connection", taken, FEW_CLIENTS as u64);
     let counters = second.send_command("counters").await?;
-    let counted = counters.contains(&format!("router_in_progress {FEW}\n"));
-    checks.record("the second counts them", counted, counters);
+    let counted = counters.contains(&format!("router_in_progress {FEW_CLIENTS}\n"));
+    checks.record("the second process counts the adopted connections", counted, counters);
 
-    // One that stalls takes what its queue holds; the others are moved, and those it holds go on later.
+    // A suspended successor receives as many connections as its socket queue holds, and these resume later.
+    // The other clients are moved.
     let third = Daemon::start(program, &backend, &options).await?;
     second.wait_for_log_line("handover: the successor accepts clients").await?;
     third.set_suspended(true)?;
     second.terminate()?;
     let (status, _) = second.wait_for_exit().await?;
-    checks.record("the second ends well beside a stalled successor", status.success(), status);
+    checks.record(
+        "the second process exits with success while its successor is suspended",
+        status.success(),
+        status,
+    );
     third.set_suspended(false)?;
     let (mut stayed, mut moved) = (Vec::new(), 0);
     for mut client in lines {
@@ -516,212 +566,243 @@
             _ => {}
         }
     }
-    checks.record_equal("every client goes on or is moved", stayed.len() + moved, FEW);
-    checks.record("some go on", !stayed.is_empty(), stayed.len());
-    checks.record("some are moved", moved > 0, moved);
+    checks.record_equal("every client remains connected or receives MOVE", stayed.len() + moved, FEW_CLIENTS);
+    checks.record("some clients remain connected", !stayed.is_empty(), stayed.len());
+    checks.record("some clients receive MOVE", moved > 0, moved);
 
-    // Without a successor all are moved, those twice passed on included.
+    // Without a successor all clients are moved, including those that were handed over twice.
     third.terminate()?;
-    let (mut sent_away, there) = (0, stayed.len());
+    let (mut moved_count, remaining) = (0, stayed.len());
     for client in &mut stayed {
-        sent_away += usize::from(client.receives_move().await?);
+        moved_count += usize::from(client.receives_move().await?);
     }
-    checks.record_equal("the last moves its clients", sent_away, there);
+    checks.record_equal("clients of the last process receive MOVE", moved_count, remaining);
     let (status, _) = third.wait_for_exit().await?;
-    checks.record("the last ends well", status.success(), status);
-    let left = std::fs::read_dir(&folder)?.flatten().map(|it| it.file_name());
-    let left: Vec<_> = left.filter(|name| !name.to_string_lossy().ends_with(".kept")).collect();
-    checks.record("no socket is left behind", left.is_empty(), format!("{left:?}"));
+    checks.record("the last process exits with success", status.success(), status);
+    let leftovers = std::fs::read_dir(&folder)?.flatten().map(|it| it.file_name());
+    let leftovers: Vec<_> = leftovers.filter(|name| !name.to_string_lossy().ends_with(".kept")).collect();
+    checks.record("no socket is left behind", leftovers.is_empty(), format!("{leftovers:?}"));
     std::fs::remove_dir_all(&folder)?;
     Ok(checks)
 }
 
-/// Clients that say nothing, nonsense, too much, or what belongs to others.
-async fn rude(program: &Path) -> Result<Checks, ScenarioError> {
+/// Checks clients that send nothing, malformed requests, too much data or a foreign request id.
+async fn misbehaving_clients(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
-    let options = Options { sockets: SMALL, ..Options::default() };
+    let options = Options { sockets: FEW_DESCRIPTORS, ..Options::default() };
     let daemon = Daemon::start(program, &backend, &options).await?;
-    let mut stage = Stage { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
-    let at = stage.daemon.lines;
-    let offered = |stage: &Stage| stage.backend.sum(|counters| &counters.offered);
+    let mut environment =
+        Environment { backend, daemon, pool: SocketPool::open(1, ([127, 0, 0, 1], 9).into()).await? };
+    let address = environment.daemon.lines;
+    let offered = |environment: &Environment| environment.backend.sum(|counters| &counters.offered);
 
-    // More of the silent than there are descriptors.
+    // More silent clients than file descriptors.
     let mut silent = Vec::new();
-    for _ in 0..SMALL + FEW {
-        silent.push((Instant::now(), LineClient::connect(at).await?));
-    }
-    let usual = "c=meter,d=3000,g=1";
-    let open = |id: u64, list: &str| format!("OPEN {id:016x} 77 {list}\r\n");
-    let mut good = LineClient::connect(at).await?;
-    let answer = good.send_and_receive(open(1, usual).as_bytes()).await?.unwrap_or_default();
-    checks.record("a usual client comes up among the silent", answer.starts_with("UP "), answer);
-    let ends = silent.iter_mut().map(|(since, client)| async move {
-        let word = client.next().await?;
-        Ok::<_, ScenarioError>((word, since.elapsed()))
+    for _ in 0..FEW_DESCRIPTORS + FEW_CLIENTS {
+        silent.push((Instant::now(), LineClient::connect(address).await?));
+    }
+    let parameters = "c=meter,d=3000,g=1";
+    let open = |id: u64, parameters: &str| format!("OPEN {id:016x} 77 {parameters}\r\n");
+    let mut regular = LineClient::connect(address).await?;
+    let answer = regular.send_and_receive(open(1, parameters).as_bytes()).await?.unwrap_or_default();
+    checks.record(
+        "a regular connection is established among silent clients",
+        answer.starts_with("UP "),
+        answer,
+    );
+    let answers = silent.iter_mut().map(|(connected_at, client)| async move {
+        let line = client.next().await?;
+        Ok::<_, ScenarioError>((line, connected_at.elapsed()))
     });
-    let mut late = 0;
-    for end in futures_util::future::join_all(ends).await {
-        let (word, took) = end?;
-        let told = word.is_none_or(|word| word.starts_with("BUSY") || word == "ERR");
-        late += usize::from(!told || took > OWED);
+    let mut unanswered = 0;
+    for answer in futures_util::future::join_all(answers).await {
+        let (line, took) = answer?;
+        let refused = line.is_none_or(|line| line.starts_with("BUSY") || line == "ERR");
+        unanswered += usize::from(!refused || took > REFUSAL_TIMEOUT);
     }
-    checks.record_equal("every silent client is told or closed within 3 s", late, 0);
+    checks.record_equal("every silent client receives a refusal or is closed within 3 s", unanswered, 0);
     drop(silent);
 
-    let before = offered(&stage);
-    for (what, bytes) in [
-        ("the id of an open connection", open(1, usual)),
-        ("a name twice", open(2, "c=meter,d=3000,d=10,g=1")),
-        ("a load that is no number", open(3, "c=meter,d=3000,h=NaN")),
+    let before = offered(&environment);
+    for (description, bytes) in [
+        ("the id of an open connection", open(1, parameters)),
+        ("a duplicate parameter", open(2, "c=meter,d=3000,d=10,g=1")),
+        ("a load that is not a number", open(3, "c=meter,d=3000,h=NaN")),
         ("a wait of weeks", open(4, "c=meter,d=1000000000")),
-        ("a wait below nothing", open(5, "c=meter,d=-5")),
-        ("a class that is none", open(6, "c=metres,d=3000")),
-        ("a server named after the start", open(7, "c=meter,d=3000,at=s-0")),
-        ("no list", "OPEN 8 77\r\n".to_owned()),
+        ("a negative wait", open(5, "c=meter,d=-5")),
+        ("an unknown class", open(6, "c=metres,d=3000")),
+        ("a server name after the start phase", open(7, "c=meter,d=3000,at=s-0")),
+        ("a missing parameter list", "OPEN 8 77\r\n".to_owned()),
         ("a line without end", "x".repeat(8 << 20)),
     ] {
         let start = Instant::now();
-        let word = LineClient::connect(at).await?.send_and_receive(bytes.as_bytes()).await?;
-        // One that goes on sending may be told by the reset alone.
-        let told = word.as_deref() == Some("ERR") || (word.is_none() && bytes.len() > 1 << 20);
+        let line = LineClient::connect(address).await?.send_and_receive(bytes.as_bytes()).await?;
+        // A client that continues to send may receive only a reset.
+        let refused = line.as_deref() == Some("ERR") || (line.is_none() && bytes.len() > 1 << 20);
         checks.record(
-            &format!("{what}: an error in time"),
-            told && start.elapsed() <= OWED,
-            format!("{word:?}"),
+            &format!("{description}: answered with an error in time"),
+            refused && start.elapsed() <= REFUSAL_TIMEOUT,
+            format!("{line:?}"),
         );
     }
-    checks.record_equal("none of these reached a server", offered(&stage), before);
-
-    // Nobody answers, so that the requests are still open when more comes.
-    stage.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
-    let all: String = (100..200).map(|id| open(id, usual)).collect();
-    let word = LineClient::connect(at).await?.send_and_receive(all.as_bytes()).await?;
-    checks.record_equal("many requests at once: an error", word.as_deref(), Some("ERR"));
-    let mut gone = LineClient::connect(at).await?;
-    gone.send_line(open(300, usual).trim_end()).await?;
-    gone.send_line("early").await?;
-    drop(gone);
-    // The id is free again once the daemon has seen that its bearer has left.
-    stage.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Serve));
+    checks.record_equal("no malformed request reached a server", offered(&environment), before);
+
+    // The servers don't answer, so that each request is still open when further bytes are received.
+    environment.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Silent));
+    let all: String = (100..200).map(|id| open(id, parameters)).collect();
+    let line = LineClient::connect(address).await?.send_and_receive(all.as_bytes()).await?;
+    checks.record_equal("many requests at once are answered with an error", line.as_deref(), Some("ERR"));
+    let mut leaving = LineClient::connect(address).await?;
+    leaving.send_line(open(300, parameters).trim_end()).await?;
+    leaving.send_line("early").await?;
+    drop(leaving);
+    // The id is free again once the daemon has detected that the client has left.
+    environment.backend.servers.iter().for_each(|server| server.set_behavior(ServerBehavior::Serve));
     let start = Instant::now();
-    let mut word: Option<String> = None;
-    while start.elapsed() < OWED && !word.as_deref().is_some_and(|word| word.starts_with("UP ")) {
-        word = LineClient::connect(at).await?.send_and_receive(open(300, usual).as_bytes()).await?;
+    let mut line: Option<String> = None;
+    while start.elapsed() < REFUSAL_TIMEOUT && !line.as_deref().is_some_and(|line| line.starts_with("UP ")) {
+        line = LineClient::connect(address).await?.send_and_receive(open(300, parameters).as_bytes()).await?;
     }
-    let seen = start.elapsed() < EARLY && word.as_deref().is_some_and(|word| word.starts_with("UP "));
-    checks.record("an early line does not hide that the client leaves", seen, format!("{word:?}"));
+    let reconnected = start.elapsed() < BEFORE_ATTEMPT_TIMEOUT
+        && line.as_deref().is_some_and(|line| line.starts_with("UP "));
     checks.record(
-        "the usual client has its connection still",
-        good.receives_echo("hello").await?,
-        "its echo",
+        "a client's departure is detected despite a line sent early",
+        reconnected,
+        format!("{line:?}"),
     );
-    checks.record("the daemon still runs", stage.daemon.is_running(), "its process");
+    checks.record("the regular client is still connected", regular.receives_echo("hello").await?, "echo");
+    checks.record("the daemon is still running", environment.daemon.is_running(), "process state");
     Ok(checks)
 }
 
-/// What the processes of one balancer share, and where its clients come.
-fn one_balancer() -> Result<(Shared, std::net::SocketAddr), ScenarioError> {
-    static PLAYED: AtomicU64 = AtomicU64::new(0);
-    let number = PLAYED.fetch_add(1, Ordering::Relaxed);
+/// Returns the listener and folder for the processes of one gateway, and the listener's address.
+fn shared_gateway_resources() -> Result<(Shared, std::net::SocketAddr), ScenarioError> {
+    static CREATED: AtomicU64 = AtomicU64::new(0);
+    let number = CREATED.fetch_add(1, Ordering::Relaxed);
     let listener = Arc::new(std::net::TcpListener::bind("127.0.0.1:0")?);
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     let folder = std::env::temp_dir().join(format!("ashtide-shared-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    Ok((Shared { listener, folder }, at))
+    Ok((Shared { listener, folder }, address))
 }
 
-/// A new version beside the old: the listener is inherited, and the two meet in their folder.
+/// Checks an upgrade: the new process inherits the listener and finds the old one through the shared folder.
 async fn upgrade(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
-    let (shared, at) = one_balancer()?;
+    let (shared, address) = shared_gateway_resources()?;
     let folder = shared.folder.clone();
-    // What a killed process leaves: a name that nobody listens at.
+    // A killed process leaves a socket file without a listener.
     drop(std::os::unix::net::UnixListener::bind(folder.join("ashtide.shared.1.sock"))?);
     let options = Options { shared: Some(shared), ..Options::default() };
 
     let first = Daemon::start(program, &backend, &options).await?;
     let mut lines = Vec::new();
-    for number in 0..FEW as u64 {
-        let (client, answer) = LineClient::open(at, number).await?;
-        checks.record("a client comes up at the first", answer.starts_with("UP "), answer);
+    for number in 0..FEW_CLIENTS as u64 {
+        let (client, answer) = LineClient::open(address, number).await?;
+        checks.record("the first process accepts a client", answer.starts_with("UP "), answer);
         lines.push(client);
     }
     let mut second = Daemon::start(program, &backend, &options).await?;
     first.wait_for_log_line("handover: the successor accepts clients").await?;
     let health = second.send_command("health").await?;
-    checks.record("the second is ready", health.starts_with("200"), health);
+    checks.record("the second process is ready", health.starts_with("200"), health);
     let open = "OPEN 00000000000000aa 77 c=meter,d=3000,g=1,at=s-0\r\n";
-    let word = LineClient::connect(at).await?.send_and_receive(open.as_bytes()).await?;
-    checks.record_equal("it knows that the run has begun", word.as_deref(), Some("ERR"));
-    let (client, answer) = LineClient::open(at, 200).await?;
-    checks.record("a client comes up at the second", answer.starts_with("UP "), answer);
+    let line = LineClient::connect(address).await?.send_and_receive(open.as_bytes()).await?;
+    checks.record_equal(
+        "the second process rejects a request that is valid only at the start",
+        line.as_deref(),
+        Some("ERR"),
+    );
+    let (client, answer) = LineClient::open(address, 200).await?;
+    checks.record("the second process accepts a client", answer.starts_with("UP "), answer);
     lines.push(client);
-    let passed = |text: &str| text.contains(&format!("passed_total{{category=\"meter\"}} {FEW}\n"));
-    checks.record("and not at the first", passed(&first.send_command("counters").await?), "its count");
+    let passed = |text: &str| text.contains(&format!("passed_total{{category=\"meter\"}} {FEW_CLIENTS}\n"));
+    checks.record(
+        "the first process accepted no further client",
+        passed(&first.send_command("counters").await?),
+        "counters",
+    );
 
     let taken = |backend: &MockBackend, server: usize| {
         backend.servers[server].counters.accepted.load(Ordering::Relaxed)
     };
     for (call, answer) in [("cordon s-0", "200"), ("cordon s-0", "200"), ("cordon s-9", "400")] {
-        let said = second.send_command(call).await?;
-        checks.record(call, said.starts_with(answer), said);
+        let response = second.send_command(call).await?;
+        checks.record(call, response.starts_with(answer), response);
     }
-    // It outlives a process, holds in the next, and is taken back there.
+    // The cordon remains in effect in the next process, and is removed there.
     let mut third = Daemon::start(program, &backend, &options).await?;
     second.wait_for_log_line("handover: the successor accepts clients").await?;
     let before = taken(&backend, 0);
-    for number in 0..FEW as u64 {
-        let (client, answer) = LineClient::open(at, 400 + number).await?;
-        checks.record("a client comes up beside the server that is out", answer.starts_with("UP "), answer);
+    for number in 0..FEW_CLIENTS as u64 {
+        let (client, answer) = LineClient::open(address, 400 + number).await?;
+        checks.record(
+            "a connection is established while a server is cordoned",
+            answer.starts_with("UP "),
+            answer,
+        );
         drop(client);
     }
-    checks.record_equal("nothing new is sent to a server that is out", taken(&backend, 0), before);
-    let said = third.send_command("uncordon s-0").await?;
-    checks.record("a call back is answered", said.starts_with("200"), said);
+    checks.record_equal("no new request is sent to a cordoned server", taken(&backend, 0), before);
+    let response = third.send_command("uncordon s-0").await?;
+    checks.record("uncordon is answered", response.starts_with("200"), response);
     second.wait_for_log_line("operator: s-0 is back").await?;
     let mut tries = 0;
-    while taken(&backend, 0) == before && tries < PATIENT as u64 {
+    while taken(&backend, 0) == before && tries < MAX_TRIES as u64 {
         tries += 1;
-        drop(LineClient::open(at, 500 + tries).await?);
+        drop(LineClient::open(address, 500 + tries).await?);
     }
-    checks.record("and the server is used again", taken(&backend, 0) > before, format!("{tries} tries"));
+    checks.record(
+        "the uncordoned server is used again",
+        taken(&backend, 0) > before,
+        format!("{tries} tries"),
+    );
 
-    // A third that is killed leaves the clients to the second again.
+    // After a kill of the third process the second accepts clients again.
     third.kill().await?;
     second.wait_for_log_line("handover: this process accepts clients").await?;
 
     first.terminate()?;
     let (status, _) = first.wait_for_exit().await?;
-    let mut kept = 0;
-    for client in &mut lines[..FEW] {
-        kept += usize::from(client.receives_echo("still here").await?);
-    }
-    checks.record_equal("all clients of the first go on at the second", kept, FEW);
-    checks.record("the first ends well", status.success(), status);
-    checks.record("the second still runs", second.is_running(), "its process");
-    checks.record("its clients have their connections", lines[FEW].receives_echo("hello").await?, "an echo");
+    let mut connected = 0;
+    for client in &mut lines[..FEW_CLIENTS] {
+        connected += usize::from(client.receives_echo("still here").await?);
+    }
+    checks.record_equal(
+        "all clients of the first process remain connected to the second",
+        connected,
+        FEW_CLIENTS,
+    );
+    checks.record("the first process exits with success", status.success(), status);
+    checks.record("the second process is still running", second.is_running(), "process state");
+    checks.record(
+        "the second process's own client is still connected",
+        lines[FEW_CLIENTS].receives_echo("hello").await?,
+        "echo",
+    );
     drop(second);
     std::fs::remove_dir_all(folder)?;
     Ok(checks)
 }
 
-/// Descriptors of a daemon that has few.
-const SMALL: usize = 256;
-/// Bad clients are owed an end by then.
-const OWED: Duration = Duration::from_secs(3);
-/// Before an attempt at a silent server would be given up.
-const EARLY: Duration = Duration::from_millis(1200);
+/// Descriptor limit of a daemon with few descriptors.
+const FEW_DESCRIPTORS: usize = 256;
+/// Time limit for the answer to a misbehaving client or the end of its connection.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Duration that is shorter than the time-out of an attempt at a silent server.
+const BEFORE_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Two copies, one virtual router.
+/// Checks the failover of a virtual router between two daemons.
 async fn vrrp_failover(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(2).await?;
-    // An address of their own: other tests pick ports of 127.0.0.1 at the same time.
-    let (one, two) = (UdpSocket::bind("127.0.0.2:0").await?, UdpSocket::bind("127.0.0.2:0").await?);
-    let ports = (one.local_addr()?, two.local_addr()?);
-    drop((one, two));
+    // A separate address, as other tests bind ports of 127.0.0.1 at the same time.
+    let (high_socket, low_socket) =
+        (UdpSocket::bind("127.0.0.2:0").await?, UdpSocket::bind("127.0.0.2:0").await?);
+    let ports = (high_socket.local_addr()?, low_socket.local_addr()?);
+    drop((high_socket, low_socket));
     let options = |priority: u8, own, peer| Options {
         paths: FEW_PATHS,
         vrrp: format!(
@@ -733,95 +814,119 @@
     let (high, low) = (options(200, ports.0, ports.1), options(100, ports.1, ports.0));
     let first = Daemon::start(program, &backend, &high).await?;
     let mut series = 100;
-    checks.record("the only copy becomes active", becomes(&first, true, &mut series).await?, "it serves");
+    checks.record(
+        "the only virtual router becomes active",
+        wait_for_acceptance(&first, true, &mut series).await?,
+        "accepts connections",
+    );
     let second = Daemon::start(program, &backend, &low).await?;
     checks.record(
-        "a copy of lower priority stays backup",
-        !takes(&second, &mut series).await?,
-        "it serves not",
+        "a virtual router of lower priority remains backup",
+        !accepts_connection(&second, &mut series).await?,
+        "accepts no connections",
     );
     first.terminate()?;
     checks.record(
-        "it takes over when the first leaves",
-        becomes(&second, true, &mut series).await?,
-        "it serves",
+        "the second takes over when the first exits",
+        wait_for_acceptance(&second, true, &mut series).await?,
+        "accepts connections",
     );
     first.wait_for_exit().await?;
-    let mut again = Daemon::start(program, &backend, &high).await?;
-    checks.record("the first is active again", becomes(&again, true, &mut series).await?, "it serves");
-    checks.record("and the second steps back", becomes(&second, false, &mut series).await?, "it serves not");
-    again.kill().await?;
+    let mut restarted = Daemon::start(program, &backend, &high).await?;
+    checks.record(
+        "the first becomes active again",
+        wait_for_acceptance(&restarted, true, &mut series).await?,
+        "accepts connections",
+    );
     checks.record(
-        "it takes over when the first dies",
-        becomes(&second, true, &mut series).await?,
-        "it serves",
+        "the second becomes backup again",
+        wait_for_acceptance(&second, false, &mut series).await?,
+        "accepts no connections",
+    );
+    restarted.kill().await?;
+    checks.record(
+        "the second takes over when the first is killed",
+        wait_for_acceptance(&second, true, &mut series).await?,
+        "accepts connections",
     );
     second.terminate()?;
     let (status, log) = second.wait_for_exit().await?;
-    checks.record("the daemon ends well", status.success(), status);
+    checks.record("the daemon exits with success", status.success(), status);
     let states: Vec<&str> = log.iter().filter_map(|line| line.strip_prefix("vrrp: router 7 is ")).collect();
-    checks.record_equal("its states", states, vec!["Backup", "Active", "Backup", "Active", "Initialize"]);
+    checks.record_equal(
+        "the states of the second",
+        states,
+        vec!["Backup", "Active", "Backup", "Active", "Initialize"],
+    );
     Ok(checks)
 }
 
-/// Whether a copy takes a new connection now: an Initial, and a fence behind it.
-async fn takes(daemon: &Daemon, series: &mut u64) -> Result<bool, ScenarioError> {
-    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front"))?;
+/// Returns whether the daemon currently accepts a new connection. It sends an Initial, followed by a flush.
+async fn accepts_connection(daemon: &Daemon, series: &mut u64) -> Result<bool, ScenarioError> {
+    let quic = daemon.quic.ok_or(ScenarioError::TimedOut("the QUIC front end"))?;
     let mut pool = SocketPool::open(1, quic).await?;
     *series += 1;
     let mut clients = QuicClients::new(1, *series);
     pool.send(0, &clients.initial(0)).await;
     clients.flush(&mut pool).await;
-    // The server's answer comes a little behind the fence's.
+    // The server's answer is received shortly after that to the flush.
     if let Some(datagram) = pool.next().await {
         clients.handle_datagram(&datagram);
     }
     Ok(clients.all[0].id.is_some())
 }
 
-async fn becomes(daemon: &Daemon, taking: bool, series: &mut u64) -> Result<bool, ScenarioError> {
-    for _ in 0..PATIENT {
-        if takes(daemon, series).await? == taking {
+/// Waits until the daemon accepts connections or not, as `accepting` demands. Returns whether it did in time.
+async fn wait_for_acceptance(
+    daemon: &Daemon,
+    accepting: bool,
+    series: &mut u64,
+) -> Result<bool, ScenarioError> {
+    for _ in 0..MAX_TRIES {
+        if accepts_connection(daemon, series).await? == accepting {
             return Ok(true);
         }
     }
     Ok(false)
 }
 
-/// Devices of the mass return: enough for its shape to show.
+/// Number of devices in the mass reconnection, enough to show the distribution of the attempts.
 const DEVICES: usize = 400;
-/// Slots in which their arrivals are counted.
-const RETURN_SLOT: Duration = Duration::from_millis(500);
-/// The fullest slot may hold so many times the mean: with 50 in each, chance alone gives under 1.7.
-const RETURN_PEAK: f64 = 2.5;
-/// All devices that return by the library are back by then: its widest window, and some to spare.
-const RETURNED: Duration = Duration::from_secs(9);
-
-/// A balancer that is killed: devices that use the client library come back spread, one attempt at a time.
-async fn mass_return(program: &Path) -> Result<Checks, ScenarioError> {
+/// Duration of the slots in which reconnect attempts are counted.
+const RECONNECT_SLOT: Duration = Duration::from_millis(500);
+/// Maximum ratio of the fullest slot to the mean. With 50 attempts in each slot, chance alone gives under
+/// 1.7.
+const MAX_PEAK_RATIO: f64 = 2.5;
+/// Time limit for all devices to reconnect: the client library's widest reconnect window and a margin.
+const RECONNECT_TIMEOUT: Duration = Duration::from_secs(9);
+
+/// Checks that, after a gateway is killed, devices with the client library reconnect spread over time and
+/// with one attempt each.
+async fn mass_reconnection(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
     let backend = MockBackend::start(3).await?;
     let options = Options { sockets: 2 * DEVICES + 128, ..Options::default() };
     let mut first = Daemon::start(program, &backend, &options).await?;
     let mut second = Daemon::start(program, &backend, &options).await?;
-    let zone =
+    let gateway_address =
         |at, zone: &str| Address { socket_addr: at, zone: zone.to_owned(), site: "rehearsal".to_owned() };
-    let addresses = [zone(first.lines, "near"), zone(second.lines, "far")];
-    // Opened a moment ago, and so a quick break in the library's eyes: it would spread them wider still.
+    let addresses = [gateway_address(first.lines, "near"), gateway_address(second.lines, "far")];
+    // The sessions are young. Without this setting the library would treat the loss as a quick break and
+    // spread the attempts over a wider window.
     let settings =
         Settings { zone: Some("near".to_owned()), quick: Duration::from_millis(1), ..Settings::default() };
     let mut sessions = Vec::new();
     for number in 0..DEVICES {
         let builder = Client::builder().addresses(addresses.clone()).settings(settings.clone());
         let client = builder.build().map_err(|_| ScenarioError::TimedOut("a client"))?;
-        let wish = SessionRequest::new("meter", format!("device-{number}"), Duration::from_secs(3));
-        sessions.push(client.connect(wish).await.map_err(|_| ScenarioError::TimedOut("a session"))?);
+        let request = SessionRequest::new("meter", format!("device-{number}"), Duration::from_secs(3));
+        sessions.push(client.connect(request).await.map_err(|_| ScenarioError::TimedOut("a session"))?);
     }
     let before = backend.attempt_log.arrivals().len();
-    checks.record_equal("every device comes up with one attempt", before, DEVICES);
-    let cut = Instant::now();
+    checks.record_equal("every device connects with one attempt", before, DEVICES);
+    let killed_at = Instant::now();
     first.kill().await?;
-    let returns = sessions.iter_mut().map(|session| async move {
+    let reconnects = sessions.iter_mut().map(|session| async move {
         loop {
             match session.next_event().await {
                 Some(SessionEvent::Connected { .. }) => return true,
@@ -830,23 +935,36 @@
             }
         }
     });
-    let back = tokio::time::timeout(RETURNED, futures_util::future::join_all(returns)).await;
-    let back = back.map(|all| all.into_iter().filter(|&back| back).count());
-    checks.record_equal("every device is back in time", back.ok(), Some(DEVICES));
+    let reconnected =
+        tokio::time::timeout(RECONNECT_TIMEOUT, futures_util::future::join_all(reconnects)).await;
+    let reconnected = reconnected.map(|all| all.into_iter().filter(|&reconnected| reconnected).count());
+    checks.record_equal("every device reconnects in time", reconnected.ok(), Some(DEVICES));
     let arrivals = backend.attempt_log.arrivals();
-    let returned = &arrivals[before..];
-    checks.record_equal("with one attempt each", returned.len(), DEVICES);
-    checks.record("marked as returns", returned.iter().all(|arrival| arrival.reconnect), returned.len());
+    let reconnect_attempts = &arrivals[before..];
+    checks.record_equal("every device reconnects with one attempt", reconnect_attempts.len(), DEVICES);
+    checks.record(
+        "the attempts are marked as reconnects",
+        reconnect_attempts.iter().all(|arrival| arrival.reconnect),
+        reconnect_attempts.len(),
+    );
     let mut slots = std::collections::BTreeMap::new();
-    for arrival in returned {
-        let slot = arrival.at.duration_since(cut).as_micros() / RETURN_SLOT.as_micros();
+    for arrival in reconnect_attempts {
+        let slot = arrival.at.duration_since(killed_at).as_micros() / RECONNECT_SLOT.as_micros();
         *slots.entry(slot).or_insert(0_usize) += 1;
     }
-    checks.record("over two seconds at least", slots.len() >= 5, format!("{} slots of 500 ms", slots.len()));
+    checks.record(
+        "the attempts are spread over at least 2 s",
+        slots.len() >= 5,
+        format!("{} slots of 500 ms", slots.len()),
+    );
     let peak = slots.values().copied().max().unwrap_or_default() as f64;
-    let ratio = peak * slots.len() as f64 / returned.len().max(1) as f64;
-    checks.record("and in no wave", ratio <= RETURN_PEAK, format!("peak {ratio:.2} times the mean"));
+    let ratio = peak * slots.len() as f64 / reconnect_attempts.len().max(1) as f64;
+    checks.record(
+        "the attempts have no pronounced peak",
+        ratio <= MAX_PEAK_RATIO,
+        format!("peak {ratio:.2} times the mean"),
+    );
     checks.record_equal("no two attempts of a device overlapped", backend.attempt_log.overlap_count(), 0);
-    checks.record("the other balancer still runs", second.is_running(), "its process");
+    checks.record("the other gateway is still running", second.is_running(), "process state");
     Ok(checks)
 }
--- a/crates/ashtide-testkit/src/system_faults.rs
+++ b/crates/ashtide-testkit/src/system_faults.rs
@@ -61,8 +61,8 @@
 }
 
 impl SystemFaults {
-    /// Builds the library, once per test process, and returns the environment of one daemon with a path for its
-    /// fault counts.
+    /// Builds the library, once per test process, and returns the environment of one daemon with a path for
+    /// its fault counts.
     ///
     /// # Errors
     ///
