--- a/crates/ashtide-bench/src/fault_comparison.rs
+++ b/crates/ashtide-bench/src/fault_comparison.rs
@@ -1,57 +1,67 @@
-//! The library beside clients without one: the same users, site and trouble, in virtual time.
+//! Comparison of the client library with baseline clients in virtual time, with the same users, deployment
+//! and faults.
 
 use std::time::Duration;
 
 use ashtide_client::Settings;
 use serde::Serialize;
 
-use crate::simulation::{ClientBehavior, DeploymentModel, Fault, Measurements, Simulation, TRY, UserModel};
+use crate::simulation::{
+    ATTEMPT_TIMEOUT, ClientBehavior, DeploymentModel, Fault, Measurements, Simulation, UserModel,
+};
 
-/// The trouble begins and ends at these seconds, and the run ends at the last.
-pub const TIMES: (u64, u64, u64) = (30, 50, 150);
-/// A site has recovered once, for so many seconds, no more users wait than...
-const STEADY: usize = 5;
+/// Time at which the fault starts, in seconds.
+const FAULT_START_S: u64 = 30;
+/// Time at which the fault ends, in seconds.
+const FAULT_END_S: u64 = 50;
+/// Time at which the run ends, in seconds.
+const RUN_END_S: u64 = 150;
+/// Duration in seconds for which the number of waiting users must be near its usual value for the deployment
+/// to count as recovered.
+const RECOVERY_WINDOW_S: usize = 5;
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Every server works at a fifth of its speed, and three tenths of the connections break.
+    /// Every server runs at a fifth of its speed, and three tenths of the connections break.
     Slowed,
-    /// Half of the servers refuse everything, and three tenths of the connections break.
+    /// Half of the servers reject every connection, and three tenths of the established connections break.
     HalfRefuse,
 }
 
-/// What one kind of clients came to.
+/// Result of one run with one kind of client.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// Which clients.
+    /// Name of the kind of client.
     pub clients: String,
-    /// Which trouble.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Attempts that reached the site, from the trouble's beginning on.
+    /// Number of attempts that reached the deployment since the start of the fault.
     pub attempts: u64,
-    /// Connections that came up in that time.
+    /// Number of connections established since the start of the fault.
     pub useful: u64,
-    /// Attempts for each of them.
+    /// Ratio of `attempts` to `useful`.
     pub attempts_per_useful: f64,
-    /// Most attempts in a second.
+    /// Maximum number of attempts in a second since the start of the fault.
     pub peak: u64,
-    /// Seconds from the trouble's end until the site had recovered; none where it had not by the end.
+    /// Time from the end of the fault to the recovery of the deployment in seconds, or `None` if it did not
+    /// recover before the end of the run.
     pub recovered_s: Option<u64>,
-    /// Time connected over time connected or waited, from the trouble's beginning to the end of the run.
+    /// Share of the users' connected time in their connected and waiting time, from the start of the fault to
+    /// the end of the run.
     pub share_served: f64,
-    /// Users who left without what they wanted.
+    /// Number of users who left without the connection time they wanted.
     pub lost: u64,
-    /// Attempts beside an older one of the same session.
+    /// Number of attempts that overlapped with an older attempt of the same session.
     pub overlaps: u64,
 }
 
-/// The clients that are compared.
-pub fn clients() -> Vec<(&'static str, ClientBehavior)> {
+/// Returns the names and behaviours of the compared clients.
+pub fn compared_clients() -> Vec<(&'static str, ClientBehavior)> {
     let ms = Duration::from_millis;
     vec![
-        ("library", library(Settings::default())),
+        ("library", library_client(Settings::default())),
         (
             "library, 30 s a press",
             ClientBehavior::Library(Box::new(Settings { tries: 6, ..Settings::default() }), 10 * ms(3000)),
@@ -61,73 +71,80 @@
     ]
 }
 
-/// The library with these settings, whose session ends with its first deadline.
-pub fn library(settings: Settings) -> ClientBehavior {
-    ClientBehavior::Library(Box::new(settings), TRY)
+/// Returns the behavior of the client library with these settings. A session request times out together with
+/// its first attempt.
+pub fn library_client(settings: Settings) -> ClientBehavior {
+    ClientBehavior::Library(Box::new(settings), ATTEMPT_TIMEOUT)
 }
 
-/// Plays one trouble with one kind of clients. `scale` 1 is 10 servers, 120 new users a second and 7,200
-/// standing connections; a set-up takes a twentieth of a second, so that six tenths of the site are in use.
+/// Runs one kind of fault with one kind of client. A `scale` of 1 is 10 servers, 120 new users a second and
+/// 7,200 established connections. A connection set-up takes a twentieth of a second, so that the deployment
+/// is used to six tenths of its capacity.
 pub fn run_comparison(
     name: &str,
-    behaviour: ClientBehavior,
+    behavior: ClientBehavior,
     kind: FaultKind,
     scale: f64,
     seed: u64,
 ) -> Outcome {
-    let site = DeploymentModel {
+    let deployment = DeploymentModel {
         servers: ((10.0 * scale).round() as usize).max(2),
-        rate: 20.0,
-        queue: 40,
-        refusal: 0.005,
-        busy: Duration::from_secs(1),
-        way: Duration::from_millis(10),
+        setups_per_s: 20.0,
+        max_queue: 40,
+        rejection_cost: 0.005,
+        retry_delay: Duration::from_secs(1),
+        one_way_delay: Duration::from_millis(10),
     };
-    let people = UserModel {
-        rate: 12.0 * site.servers as f64,
-        life: 60.0,
+    let users = UserModel {
+        arrivals_per_s: 12.0 * deployment.servers as f64,
+        mean_connection_s: 60.0,
         patience: Duration::from_secs(60),
-        press: (Duration::from_secs(5), Duration::from_secs(20)),
+        reopen_delay: (Duration::from_secs(5), Duration::from_secs(20)),
     };
-    let (from, to, end) = (TIMES.0 * 1_000_000, TIMES.1 * 1_000_000, TIMES.2 * 1_000_000);
-    let (bad, well) = match kind {
+    let (fault_start, fault_end, run_end) =
+        (FAULT_START_S * 1_000_000, FAULT_END_S * 1_000_000, RUN_END_S * 1_000_000);
+    let (fault, end_of_fault) = match kind {
         FaultKind::Slowed => (Fault::Speed(0.2), Fault::Speed(1.0)),
         FaultKind::HalfRefuse => (Fault::Refusing(0.5), Fault::Refusing(0.0)),
     };
-    let standing = (people.rate * people.life) as usize;
-    let mut world = Simulation::new(
-        behaviour,
-        site,
-        people,
-        vec![(from, bad), (from, Fault::Cut(0.3)), (to, well)],
+    let established = (users.arrivals_per_s * users.mean_connection_s) as usize;
+    let mut simulation = Simulation::new(
+        behavior,
+        deployment,
+        users,
+        vec![(fault_start, fault), (fault_start, Fault::Cut(0.3)), (fault_end, end_of_fault)],
         seed,
     );
-    world.stand(standing);
-    world.from = from;
-    world.run(end);
-    outcome(name, kind, &world.tally)
+    simulation.add_established_users(established);
+    simulation.measure_from_us = fault_start;
+    simulation.run(run_end);
+    outcome(name, kind, &simulation.measurements)
 }
 
-fn outcome(name: &str, kind: FaultKind, tally: &Measurements) -> Outcome {
-    let since = &tally.seconds[TIMES.0 as usize..];
-    let (attempts, useful) =
-        since.iter().fold((0, 0), |(attempts, up), second| (attempts + second.attempts, up + second.up));
-    // Before the trouble a few users wait at any time, as a set-up takes its time.
-    let calm = &tally.seconds[TIMES.0 as usize / 2..TIMES.0 as usize];
-    let usual = calm.iter().map(|second| second.waiting).sum::<u64>() / calm.len() as u64;
-    let after = &tally.seconds[TIMES.1 as usize..TIMES.2 as usize];
-    let recovered =
-        after.windows(STEADY).position(|few| few.iter().all(|second| second.waiting <= 2 * usual + 10));
+fn outcome(name: &str, kind: FaultKind, measurements: &Measurements) -> Outcome {
+    let since_fault = &measurements.seconds[FAULT_START_S as usize..];
+    let (attempts, useful) = since_fault
+        .iter()
+        .fold((0, 0), |(attempts, up), second| (attempts + second.attempts, up + second.established));
+    // Before the fault a few users are waiting at any time, as a connection set-up takes time.
+    let before_fault = &measurements.seconds[FAULT_START_S as usize / 2..FAULT_START_S as usize];
+    let usual_waiting =
+        before_fault.iter().map(|second| second.waiting).sum::<u64>() / before_fault.len() as u64;
+    let after_fault = &measurements.seconds[FAULT_END_S as usize..RUN_END_S as usize];
+    let recovered = after_fault
+        .windows(RECOVERY_WINDOW_S)
+        .position(|window| window.iter().all(|second| second.waiting <= 2 * usual_waiting + 10));
     Outcome {
         clients: name.to_owned(),
         kind,
         attempts,
         useful,
         attempts_per_useful: attempts as f64 / useful.max(1) as f64,
-        peak: since.iter().map(|second| second.attempts).max().unwrap_or_default(),
+        peak: since_fault.iter().map(|second| second.attempts).max().unwrap_or_default(),
         recovered_s: recovered.map(|second| second as u64),
-        share_served: tally.connected as f64 / (tally.connected + tally.waited).max(1) as f64,
-        lost: tally.lost,
-        overlaps: tally.overlaps,
+        share_served: measurements.connected_us as f64
+            / (measurements.connected_us + measurements.waited_us).max(1) as f64,
+        lost: measurements.lost,
+        overlaps: measurements.overlaps,
     }
 }
--- a/crates/ashtide-bench/src/live.rs
+++ b/crates/ashtide-bench/src/live.rs
@@ -1,8 +1,9 @@
-//! A mass return over real sockets: daemons, stand-in servers that count, and client processes.
+//! Reconnect burst over sockets, with daemons, mock servers and client processes.
 //!
-//! All sessions stand on two balancers of the clients' own zone, which are killed at one moment; they return
-//! to two others. The servers' ledger tells who came when and whether any two attempts of one session
-//! overlapped. Each client process holds many devices, each a client of its own as on a phone.
+//! All sessions are established through two gateways in the clients' own zone. These are killed at the same
+//! time, and the sessions reconnect through two others. The attempt log of the mock servers has the time of
+//! each attempt and the overlaps of attempts of one session. Each client process runs many devices, each with
+//! a client of its own, as on a phone.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -21,41 +22,42 @@
 
 use crate::reconnect_burst::ReconnectBurst;
 
-/// Balancers of each zone.
-const PAIR: usize = 2;
-/// Devices that open at the same time in one process.
-const AT_ONCE: usize = 50;
-/// A device is that patient when it first connects.
-const PATIENT: Duration = Duration::from_secs(20);
-/// All have stood for so long when they are cut.
-const STOOD: Duration = Duration::from_secs(6);
-/// Bringing all sessions up, or back, takes less.
-const LONGEST: Duration = Duration::from_secs(120);
+/// Number of gateways in each zone.
+const GATEWAYS_PER_ZONE: usize = 2;
+/// Maximum number of devices of one process that connect at the same time.
+const MAX_CONNECTING: usize = 50;
+/// Time-out of a device's first connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for which all sessions are established before the gateways are killed.
+const ESTABLISHED_TIME: Duration = Duration::from_secs(6);
+/// Time limit for establishing all sessions, and for their reconnection.
+const ALL_SESSIONS_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Plays a return of `sessions` devices in `processes` client processes, against `daemon`.
+/// Runs the reconnect burst of `sessions` devices in `processes` client processes, with the program `daemon`.
 ///
 /// # Errors
 ///
-/// Fails where something cannot be started or does not come in time.
+/// Returns an error if a process cannot be started or an expected event does not occur in time.
 pub async fn run_reconnect_burst(
     daemon: &Path,
     sessions: usize,
     processes: usize,
 ) -> Result<ReconnectBurst, ScenarioError> {
     let backend = MockBackend::start(4).await?;
-    // Two descriptors a session, on a balancer that may get them all but for its share, and some to spare.
-    let sockets = (2 * sessions / PAIR * 6 / 5 + 512).min(19_900);
+    // Two descriptors per session, for a gateway whose share of the sessions exceeds the mean by a fifth, and
+    // a margin.
+    let sockets = (2 * sessions / GATEWAYS_PER_ZONE * 6 / 5 + 512).min(19_900);
     let options = Options { sockets, memory_mb: 1024, ..Options::default() };
     let mut near = Vec::new();
     let mut far = Vec::new();
-    for _ in 0..PAIR {
+    for _ in 0..GATEWAYS_PER_ZONE {
         near.push(Daemon::start(daemon, &backend, &options).await?);
         far.push(Daemon::start(daemon, &backend, &options).await?);
     }
     let near_at = near.iter().map(|daemon| format!("{}@near", daemon.lines));
     let addresses: Vec<String> =
         near_at.chain(far.iter().map(|daemon| format!("{}@far", daemon.lines))).collect();
-    let (heard, mut hear) = mpsc::channel(processes * 2);
+    let (line_sender, mut lines) = mpsc::channel(processes * 2);
     let mut clients: Vec<(Child, ChildStdin)> = Vec::new();
     for process in 0..processes {
         let share = sessions / processes + usize::from(process < sessions % processes);
@@ -70,62 +72,64 @@
         let (Some(stdin), Some(stdout)) = (stdin, stdout) else {
             return Err(ScenarioError::TimedOut("a client process"));
         };
-        let heard = heard.clone();
+        let line_sender = line_sender.clone();
         tokio::spawn(async move {
-            let mut lines = BufReader::new(stdout).lines();
-            while let Ok(Some(line)) = lines.next_line().await {
-                if heard.send(line).await.is_err() {
+            let mut output = BufReader::new(stdout).lines();
+            while let Ok(Some(line)) = output.next_line().await {
+                if line_sender.send(line).await.is_err() {
                     return;
                 }
             }
         });
         clients.push((child, stdin));
     }
-    all_say(&mut hear, processes, "up").await?;
-    // A connection that breaks soon after it stood is spread wider still; these are to be usual ones.
-    tokio::time::sleep(STOOD).await;
+    wait_for_processes(&mut lines, processes, "up").await?;
+    // After a quick break the library spreads the attempts over a wider window. These breaks must not be
+    // quick.
+    tokio::time::sleep(ESTABLISHED_TIME).await;
     let before = backend.attempt_log.arrivals().len();
-    let cut = Instant::now();
+    let killed_at = Instant::now();
     for daemon in &mut near {
         daemon.kill().await?;
     }
-    let waits = all_say(&mut hear, processes, "back").await?;
+    let waits = wait_for_processes(&mut lines, processes, "back").await?;
     let arrivals = backend.attempt_log.arrivals()[before..]
         .iter()
-        .map(|arrival| arrival.at.duration_since(cut).as_micros() as u64)
+        .map(|arrival| arrival.at.duration_since(killed_at).as_micros() as u64)
         .collect();
     for (mut child, stdin) in clients {
-        // The end of its input is its end.
+        // A client process exits at the end of its input.
         drop(stdin);
         within("the end of a client process", child.wait()).await??;
     }
     Ok(ReconnectBurst::of(sessions, arrivals, waits, backend.attempt_log.overlap_count()))
 }
 
-/// Waits until every process has said this; what figures it said with it.
-async fn all_say(
-    hear: &mut mpsc::Receiver<String>,
+/// Waits until every process has printed a line that starts with `word`. Returns the numbers in these lines.
+async fn wait_for_processes(
+    lines: &mut mpsc::Receiver<String>,
     processes: usize,
     word: &'static str,
 ) -> Result<Vec<u64>, ScenarioError> {
-    let mut figures = Vec::new();
+    let mut numbers = Vec::new();
     let all = async {
         for _ in 0..processes {
-            let line = hear.recv().await.unwrap_or_default();
+            let line = lines.recv().await.unwrap_or_default();
             let Some(rest) = line.strip_prefix(word) else { return Err(ScenarioError::TimedOut(word)) };
-            figures.extend(rest.split_whitespace().filter_map(|figure| figure.parse::<u64>().ok()));
+            numbers.extend(rest.split_whitespace().filter_map(|number| number.parse::<u64>().ok()));
         }
         Ok(())
     };
-    timeout(LONGEST, all).await.map_err(|_| ScenarioError::TimedOut(word))??;
-    Ok(figures)
+    timeout(ALL_SESSIONS_TIMEOUT, all).await.map_err(|_| ScenarioError::TimedOut(word))??;
+    Ok(numbers)
 }
 
-/// A client process: devices that open a session each, say when all stand, and when all stand again.
+/// Runs a client process. Each device opens a session. The process prints `up` once all sessions are
+/// established, and `back` with the reconnect times once all have reconnected or ended.
 ///
 /// # Errors
 ///
-/// Fails where a device does not come up.
+/// Returns an error if a session cannot be established.
 pub async fn run_devices(
     count: usize,
     process: usize,
@@ -138,7 +142,7 @@
             let client = Client::builder().addresses(addresses).settings(settings).build()?;
             let key = format!("device-{process}-{number}");
             Ok::<_, Box<dyn std::error::Error>>(
-                client.connect(SessionRequest::new("meter", key, PATIENT)).await?,
+                client.connect(SessionRequest::new("meter", key, CONNECT_TIMEOUT)).await?,
             )
         }
     };
@@ -146,7 +150,7 @@
     let mut opening = FuturesUnordered::new();
     let mut next = 0;
     while sessions.len() < count {
-        while next < count && opening.len() < AT_ONCE {
+        while next < count && opening.len() < MAX_CONNECTING {
             opening.push(open(next));
             next += 1;
         }
@@ -158,39 +162,41 @@
     }
     println!("up");
     let mut waits = Vec::with_capacity(count);
-    let mut ends = std::collections::BTreeMap::new();
-    let mut returning: FuturesUnordered<_> = sessions
+    let mut end_reasons = std::collections::BTreeMap::new();
+    let mut reconnecting: FuturesUnordered<_> = sessions
         .into_iter()
         .map(|mut session| async move {
-            let mut dropped = None;
+            let mut lost_at = None;
             while let Some(event) = session.next_event().await {
-                match (event, dropped) {
+                match (event, lost_at) {
                     (SessionEvent::Disconnected { .. } | SessionEvent::Migrated, None) => {
-                        dropped = Some(Instant::now())
+                        lost_at = Some(Instant::now())
                     }
-                    (SessionEvent::Connected { .. }, Some(since)) => return Ok((session, since.elapsed())),
-                    (SessionEvent::Ended(why), _) => return Err(why.to_string()),
+                    (SessionEvent::Connected { .. }, Some(lost_at)) => {
+                        return Ok((session, lost_at.elapsed()));
+                    }
+                    (SessionEvent::Ended(reason), _) => return Err(reason.to_string()),
                     _ => {}
                 }
             }
-            Err("its client has gone".to_owned())
+            Err("the client was closed".to_owned())
         })
         .collect();
-    let mut back = Vec::with_capacity(count);
-    while let Some(returned) = returning.next().await {
-        match returned {
+    let mut reconnected = Vec::with_capacity(count);
+    while let Some(result) = reconnecting.next().await {
+        match result {
             Ok((session, waited)) => {
-                back.push(session);
+                reconnected.push(session);
                 waits.push(waited.as_micros().to_string());
             }
-            Err(why) => *ends.entry(why).or_insert(0) += 1,
+            Err(reason) => *end_reasons.entry(reason).or_insert(0) += 1,
         }
     }
-    for (why, count) in ends {
-        eprintln!("process {process}: {count} did not return: {why}");
+    for (reason, count) in end_reasons {
+        eprintln!("process {process}: {count} did not reconnect: {reason}");
     }
     println!("back {}", waits.join(" "));
-    // The parent closes this when it has seen enough.
+    // The parent process closes the input at the end of the run.
     let mut rest = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(_)) = rest.next_line().await {}
     Ok(())
--- a/crates/ashtide-bench/src/main.rs
+++ b/crates/ashtide-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `ashtide-bench`: measurements that anyone can repeat, each a command.
+//! `ashtide-bench`: repeatable benchmarks and simulations, one per command.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,8 +10,8 @@
 use clap::{Parser, Subcommand};
 use serde_json::json;
 
-/// Measures what the product does at large size. Every command prints its figures, and writes them with
-/// --json FILE.
+/// Benchmarks and simulations of large deployments. Every command prints its figures, and writes them to a
+/// file with --json FILE.
 #[derive(Debug, Parser)]
 #[command(name = "ashtide-bench", version)]
 struct Arguments {
@@ -31,53 +31,53 @@
 
 #[derive(Debug, Subcommand)]
 enum ClientStudy {
-    /// A mass return in virtual time: all sessions cut at one moment
+    /// Reconnect burst in virtual time: all connections break at the same time
     #[command(name = "wave")]
     ReconnectBurst {
-        /// Devices, each with one session
+        /// Number of devices, each with one session
         #[arg(long, default_value_t = 100_000)]
         sessions: usize,
-        /// What the site admits a second; the others are refused with BUSY 1000
+        /// Connections that the deployment accepts per second; others are rejected with BUSY 1000
         #[arg(long, default_value_t = 1e9)]
         admits: f64,
-        /// All sessions in one process, as a relay's
+        /// Run all sessions in one process, such as a relay's
         #[arg(long)]
         one_process: bool,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Draw the arrivals by 100 ms
+        /// Print a bar chart of the attempts by 100 ms
         #[arg(long)]
         picture: bool,
     },
-    /// A mass return over real sockets: two daemons killed, two others take all
+    /// Reconnect burst over sockets: two daemons are killed, and all sessions reconnect to two others
     #[command(name = "wave-real")]
     LiveReconnectBurst {
-        /// The daemon's program
+        /// Program of the daemon
         #[arg(long, default_value = "target/release/ashtide")]
         daemon: PathBuf,
-        /// Devices, each with one session
+        /// Number of devices, each with one session
         #[arg(long, default_value_t = 10_000)]
         sessions: usize,
-        /// Client processes
+        /// Number of client processes
         #[arg(long, default_value_t = 4)]
         processes: usize,
-        /// Draw the arrivals by 100 ms
+        /// Print a bar chart of the attempts by 100 ms
         #[arg(long)]
         picture: bool,
     },
-    /// The library beside naive clients when servers are slowed, and when half of them refuse
+    /// Compare the client library with baseline clients when servers are slow and when half of them reject
     #[command(name = "storm")]
     FaultComparison {
-        /// 1 is 10 servers and 7,200 standing connections
+        /// Scale of the deployment; 1 is 10 servers and 7,200 established connections
         #[arg(long, default_value_t = 1.0)]
         scale: f64,
-        /// Seeds, each a run
+        /// Number of seeds, with one run for each
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Memory and processor time a session of the core
+    /// Memory and processor time per session of the client core
     Cost {
-        /// Sizes, each measured in a process of its own
+        /// Numbers of sessions, each measured in a process of its own
         #[arg(long, value_delimiter = ',', default_value = "100,1000,10000,100000")]
         sessions: Vec<usize>,
     },
@@ -91,56 +91,59 @@
     let arguments = Arguments::parse();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&error),
+        Err(error) => return report_failure(&error),
     };
-    let (text, figures) = match runtime.block_on(study(arguments.study)) {
-        Ok(done) => done,
-        Err(error) => return failed(&*error),
+    let (text, figures) = match runtime.block_on(run_study(arguments.study)) {
+        Ok(result) => result,
+        Err(error) => return report_failure(&*error),
     };
     print!("{text}");
     if let Some(file) = arguments.json {
         let written = serde_json::to_vec_pretty(&figures).map_err(std::io::Error::from);
         if let Err(error) = written.and_then(|text| std::fs::write(&file, text)) {
-            return failed(&format!("{}: {error}", file.display()));
+            return report_failure(&format!("{}: {error}", file.display()));
         }
     }
     ExitCode::SUCCESS
 }
 
-fn failed(why: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("ashtide-bench: {why}");
+fn report_failure(error: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("ashtide-bench: {error}");
     ExitCode::FAILURE
 }
 
-type Done = Result<(String, serde_json::Value), Box<dyn std::error::Error>>;
+/// Printed report and the figures for the JSON file.
+type StudyResult = Result<(String, serde_json::Value), Box<dyn std::error::Error>>;
 
-async fn study(Study::Client(study): Study) -> Done {
+async fn run_study(Study::Client(study): Study) -> StudyResult {
     match study {
         ClientStudy::ReconnectBurst { sessions, admits, one_process, seed, picture } => {
             let burst = if one_process {
-                reconnect_burst::process(sessions, Settings::default(), seed)
+                reconnect_burst::simulate_process(sessions, Settings::default(), seed)
             } else {
-                reconnect_burst::devices(
+                reconnect_burst::simulate_devices(
                     sessions,
-                    fault_comparison::library(Settings::default()),
+                    fault_comparison::library_client(Settings::default()),
                     admits,
                     seed,
                 )
             };
-            told(&burst, picture)
+            burst_report(&burst, picture)
         }
         ClientStudy::LiveReconnectBurst { daemon, sessions, processes, picture } => {
-            told(&live::run_reconnect_burst(&daemon, sessions, processes.max(1)).await?, picture)
+            burst_report(&live::run_reconnect_burst(&daemon, sessions, processes.max(1)).await?, picture)
         }
         ClientStudy::FaultComparison { scale, seeds } => {
             let mut outcomes = Vec::new();
-            let mut text = "trouble      clients                   seed  attempts  useful  each  peak/s  recovered  served  lost\n".to_owned();
+            let mut text = "fault        clients                   seed  attempts  useful  each  peak/s  \
+                            recovered  served  lost\n"
+                .to_owned();
             for kind in [FaultKind::Slowed, FaultKind::HalfRefuse] {
-                for (name, behaviour) in fault_comparison::clients() {
+                for (name, behavior) in fault_comparison::compared_clients() {
                     for seed in 1..=seeds {
                         let outcome =
-                            fault_comparison::run_comparison(name, behaviour.clone(), kind, scale, seed);
-                        text += &row(&outcome, seed);
+                            fault_comparison::run_comparison(name, behavior.clone(), kind, scale, seed);
+                        text += &comparison_row(&outcome, seed);
                         outcomes.push(outcome);
                     }
                 }
@@ -169,41 +172,42 @@
             Ok((serde_json::to_string(&cost::measure(sessions.max(1))?)?, json!(null)))
         }
         ClientStudy::Devices { count, process, addresses } => {
-            let addresses = addresses.iter().map(|text| address(text)).collect::<Result<Vec<_>, _>>()?;
+            let addresses =
+                addresses.iter().map(|text| parse_address(text)).collect::<Result<Vec<_>, _>>()?;
             live::run_devices(count, process, addresses).await?;
             Ok((String::new(), json!(null)))
         }
     }
 }
 
-fn address(text: &str) -> Result<Address, std::net::AddrParseError> {
-    let (at, zone) = text.split_once('@').unwrap_or((text, ""));
-    Ok(Address { socket_addr: at.parse()?, zone: zone.to_owned(), site: String::new() })
+fn parse_address(text: &str) -> Result<Address, std::net::AddrParseError> {
+    let (socket_addr, zone) = text.split_once('@').unwrap_or((text, ""));
+    Ok(Address { socket_addr: socket_addr.parse()?, zone: zone.to_owned(), site: String::new() })
 }
 
-fn told(wave: &ReconnectBurst, picture: bool) -> Done {
-    let mut text = if picture { wave.picture(60) } else { String::new() };
+fn burst_report(burst: &ReconnectBurst, picture: bool) -> StudyResult {
+    let mut text = if picture { burst.bar_chart(60) } else { String::new() };
     text += &format!(
-        "{} sessions cut, {} back; {} attempts, {} overlaps\n\
-         arrivals over {:.2} s, nine tenths within {:.2} s; peak {} in 100 ms, mean {:.1}, ratio {:.2}\n\
-         back after {:.2} s (half), {:.2} s (99 of 100), {:.2} s (all)\n",
-        wave.sessions,
-        wave.back,
-        wave.attempts,
-        wave.overlaps,
-        wave.span_ms / 1e3,
-        wave.middle_ms / 1e3,
-        wave.peak,
-        wave.mean,
-        wave.peak_to_mean,
-        wave.back_ms[0] / 1e3,
-        wave.back_ms[1] / 1e3,
-        wave.back_ms[2] / 1e3,
+        "{} connections broken, {} sessions reconnected; {} attempts, {} overlaps\n\
+         attempts over {:.2} s, nine tenths within {:.2} s; peak {} in 100 ms, mean {:.1}, ratio {:.2}\n\
+         reconnected after {:.2} s (half), {:.2} s (99 of 100), {:.2} s (all)\n",
+        burst.sessions,
+        burst.back,
+        burst.attempts,
+        burst.overlaps,
+        burst.span_ms / 1e3,
+        burst.middle_ms / 1e3,
+        burst.peak,
+        burst.mean,
+        burst.peak_to_mean,
+        burst.back_ms[0] / 1e3,
+        burst.back_ms[1] / 1e3,
+        burst.back_ms[2] / 1e3,
     );
-    Ok((text, json!(wave)))
+    Ok((text, json!(burst)))
 }
 
-fn row(outcome: &Outcome, seed: u64) -> String {
+fn comparison_row(outcome: &Outcome, seed: u64) -> String {
     let kind = match outcome.kind {
         FaultKind::Slowed => "slowed",
         FaultKind::HalfRefuse => "half refuse",
--- a/crates/ashtide-bench/tests/studies.rs
+++ b/crates/ashtide-bench/tests/studies.rs
@@ -1,48 +1,58 @@
-//! Small copies of the studies: the same verdict every time, and what the library is for.
+//! Small runs of the studies: the same result for the same seed, and the advantage of the client library over
+//! baseline clients.
 
 use std::time::Duration;
 
-use ashtide_bench::fault_comparison::{FaultKind, library, run_comparison};
+use ashtide_bench::fault_comparison::{FaultKind, library_client, run_comparison};
 use ashtide_bench::reconnect_burst;
 use ashtide_bench::simulation::ClientBehavior;
 use ashtide_client::Settings;
 
 #[test]
-fn a_mass_return_is_spread_and_repeats_from_its_seed() {
-    let run = || reconnect_burst::devices(3000, library(Settings::default()), 1e9, 5);
-    let seen = run();
-    assert_eq!((seen.back, seen.attempts, seen.overlaps), (3000, 3000, 0));
-    assert!(seen.span_ms >= 2000.0 && seen.peak_to_mean <= 1.6, "{seen:?}");
-    assert!(seen.back_ms[2] <= 4500.0, "and nobody waits longer than the window: {:?}", seen.back_ms);
-    assert_eq!(run(), seen);
-    let baseline =
-        reconnect_burst::devices(3000, ClientBehavior::Baseline(Duration::ZERO, Duration::ZERO), 1e9, 5);
+fn a_reconnect_burst_is_spread_and_repeatable_from_its_seed() {
+    let run_burst = || reconnect_burst::simulate_devices(3000, library_client(Settings::default()), 1e9, 5);
+    let burst = run_burst();
+    assert_eq!((burst.back, burst.attempts, burst.overlaps), (3000, 3000, 0));
+    assert!(burst.span_ms >= 2000.0 && burst.peak_to_mean <= 1.6, "{burst:?}");
+    assert!(
+        burst.back_ms[2] <= 4500.0,
+        "a session waited longer than the reconnect window: {:?}",
+        burst.back_ms
+    );
+    assert_eq!(run_burst(), burst);
+    let baseline = reconnect_burst::simulate_devices(
+        3000,
+        ClientBehavior::Baseline(Duration::ZERO, Duration::ZERO),
+        1e9,
+        5,
+    );
     assert!(
         baseline.peak_to_mean > 3.0 || baseline.span_ms < 200.0,
-        "without it there is one wave: {baseline:?}"
+        "expected a peak with baseline clients: {baseline:?}"
     );
 }
 
 #[test]
-fn a_site_that_refuses_part_of_a_return_sees_it_spread_wider() {
-    let admitted = reconnect_burst::devices(3000, library(Settings::default()), 300.0, 5);
-    assert!(admitted.span_ms > 6000.0 && admitted.overlaps == 0, "{admitted:?}");
-    assert_eq!(admitted.back, 3000);
+fn rejections_spread_a_reconnect_burst_further() {
+    let burst = reconnect_burst::simulate_devices(3000, library_client(Settings::default()), 300.0, 5);
+    assert!(burst.span_ms > 6000.0 && burst.overlaps == 0, "{burst:?}");
+    assert_eq!(burst.back, 3000);
 }
 
 #[test]
-fn many_sessions_of_one_process_return_at_its_rate() {
-    let seen = reconnect_burst::process(5000, Settings { return_rate: 500.0, ..Settings::default() }, 5);
-    assert_eq!((seen.back, seen.attempts), (5000, 5000));
-    assert!((9_000.0..10_500.0).contains(&seen.span_ms) && seen.peak_to_mean <= 1.6, "{seen:?}");
+fn sessions_of_one_process_reconnect_at_its_rate_limit() {
+    let burst =
+        reconnect_burst::simulate_process(5000, Settings { return_rate: 500.0, ..Settings::default() }, 5);
+    assert_eq!((burst.back, burst.attempts), (5000, 5000));
+    assert!((9_000.0..10_500.0).contains(&burst.span_ms) && burst.peak_to_mean <= 1.6, "{burst:?}");
 }
 
 #[test]
-fn slowed_servers_recover_sooner_and_from_fewer_attempts_under_the_library() {
-    let patient = Settings { tries: 6, ..Settings::default() };
+fn slowed_servers_recover_sooner_and_with_fewer_attempts_with_the_library() {
+    let settings = Settings { tries: 6, ..Settings::default() };
     let with = run_comparison(
         "library",
-        ClientBehavior::Library(Box::new(patient), Duration::from_secs(30)),
+        ClientBehavior::Library(Box::new(settings), Duration::from_secs(30)),
         FaultKind::Slowed,
         0.2,
         1,
