--- a/tests/mock_deployment/mod.rs
+++ b/tests/mock_deployment/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers whose every attempt a test holds in its hand, and a folder for what daemons keep.
+//! Mock servers that hand each attempt to the test, a mock discovery service, and a state folder for daemons.
 
-// Each file of tests uses its own part.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -20,51 +20,52 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// Discovery's empty line.
+/// Interval of the empty lines that the discovery service sends on an idle watch.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Servers, discovery and a folder.
+/// Mock servers, mock discovery service and state folder of a test.
 pub struct MockDeployment {
-    /// What daemons may write to.
+    /// Folder to which the daemons write.
     pub folder: PathBuf,
     servers: Vec<TcpListener>,
     discovery: SocketAddr,
+    /// Endpoint list of the discovery service.
     known: Value,
     backend: MockBackend,
     _tasks: JoinSet<()>,
 }
 
-/// An attempt as its server has it: the line has been read and nothing answered.
+/// Attempt at a server, with its request line read and no answer sent.
 pub struct Attempt {
-    /// Which server.
+    /// Index of the server.
     pub server: usize,
-    /// Its line.
+    /// Request line, without its line end.
     pub line: String,
-    /// The connection.
+    /// Connection to the gateway.
     pub stream: TcpStream,
 }
 
 impl Attempt {
-    /// Says this.
+    /// Sends one line to the gateway.
     pub async fn send_line(&mut self, line: &str) {
-        self.stream.write_all(format!("{line}\r\n").as_bytes()).await.expect("heard");
+        self.stream.write_all(format!("{line}\r\n").as_bytes()).await.expect("an open connection");
     }
 }
 
-async fn line_of(stream: &mut TcpStream) -> String {
+async fn read_line(stream: &mut TcpStream) -> String {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
-        line.push(stream.read_u8().await.expect("a whole line"));
+        line.push(stream.read_u8().await.expect("a complete line"));
     }
-    String::from_utf8(line).expect("text").trim_end().to_owned()
+    String::from_utf8(line).expect("UTF-8 text").trim_end().to_owned()
 }
 
-async fn discover(listener: TcpListener, list: String) {
+async fn serve_discovery(listener: TcpListener, list: String) {
     let mut watches = JoinSet::new();
     while let Ok((mut stream, _)) = listener.accept().await {
         let list = list.clone();
         watches.spawn(async move {
-            while !line_of(&mut stream).await.is_empty() {}
+            while !read_line(&mut stream).await.is_empty() {}
             let mut text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&list));
             while stream.write_all(text.as_bytes()).await.is_ok() {
                 tokio::time::sleep(KEEPALIVE_INTERVAL).await;
@@ -74,7 +75,8 @@
     }
 }
 
-/// The list as discovery tells it: these servers `s-0`, `s-1`, ... in these states.
+/// Returns an endpoint list with this index and the servers `s-0`, `s-1`, ... with these addresses and
+/// statuses.
 pub fn endpoint_list(index: u64, servers: &[(SocketAddr, &str)]) -> Value {
     let entry = |(number, (address, status)): (usize, &(SocketAddr, &str))| {
         json!({"name": format!("s-{number}"), "address": address, "zone": "here", "type": "one", "group": 0,
@@ -85,48 +87,50 @@
 }
 
 impl MockDeployment {
-    /// So many servers.
+    /// Creates a deployment with this number of servers, all of them serving.
     pub async fn new(servers: usize) -> Self {
-        static SITES: AtomicU32 = AtomicU32::new(0);
-        let number = SITES.fetch_add(1, Ordering::Relaxed);
+        static CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("ashtide-site-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut all = Vec::new();
+        let mut listeners = Vec::new();
         for _ in 0..servers {
-            all.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+            listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
         }
-        let each: Vec<_> = all.iter().map(|it| (it.local_addr().expect("bound"), "SERVING")).collect();
-        let known = endpoint_list(1, &each);
+        let addresses: Vec<_> =
+            listeners.iter().map(|server| (server.local_addr().expect("bound"), "SERVING")).collect();
+        let known = endpoint_list(1, &addresses);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let discovery = listener.local_addr().expect("bound");
         let mut tasks = JoinSet::new();
-        tasks.spawn(discover(listener, format!("{known}\n")));
+        tasks.spawn(serve_discovery(listener, format!("{known}\n")));
         let backend = MockBackend::start(0).await.expect("mock servers");
-        Self { folder, servers: all, discovery, known, backend, _tasks: tasks }
+        Self { folder, servers: listeners, discovery, known, backend, _tasks: tasks }
     }
 
-    /// Where the servers are.
+    /// Returns the addresses of the servers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.servers.iter().map(|it| it.local_addr().expect("bound")).collect()
+        self.servers.iter().map(|server| server.local_addr().expect("bound")).collect()
     }
 
-    /// A daemon's options: a door, this site's servers and folder, and `config` over it all.
+    /// Returns the options of a daemon with an admin endpoint and the servers and folder of this deployment.
+    /// `config` is merged over its configuration.
     pub fn options(&self, config: &Value) -> Options {
-        let mut all = json!({"operator": "127.0.0.1:0", "discovery": self.discovery});
-        merge_json(config, &mut all);
+        let mut merged = json!({"operator": "127.0.0.1:0", "discovery": self.discovery});
+        merge_json(config, &mut merged);
         Options {
             known: Some(self.known.clone()),
-            config: all,
-            environment: vec![("TMPDIR".to_owned(), self.folder.to_str().expect("plain").to_owned())],
+            config: merged,
+            environment: vec![("TMPDIR".to_owned(), self.folder.to_str().expect("a UTF-8 path").to_owned())],
             ..Options::default()
         }
     }
 
-    /// What the processes of one balancer share here, and where its clients come.
+    /// Returns the listener and folder for the processes of one gateway, and the listener's address.
     pub fn shared(&self) -> (Shared, SocketAddr) {
         let listener = Arc::new(std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
-        let at = listener.local_addr().expect("bound");
-        (Shared { listener, folder: self.folder.clone() }, at)
+        let address = listener.local_addr().expect("bound");
+        (Shared { listener, folder: self.folder.clone() }, address)
     }
 
     /// Starts a daemon with these options.
@@ -135,24 +139,31 @@
         Daemon::start(program, &self.backend, options).await.expect("a daemon")
     }
 
-    /// The next attempt at any server.
+    /// Waits for the next attempt at any server.
     pub async fn next_attempt(&self) -> Attempt {
-        let accepts = self.servers.iter().map(|it| it.accept().boxed());
+        let accepts = self.servers.iter().map(|server| server.accept().boxed());
         let (accepted, server, _) = within("an attempt", select_all(accepts)).await.expect("in time");
-        let mut stream = accepted.expect("there").0;
-        let line = within("its line", line_of(&mut stream)).await.expect("in time");
+        let mut stream = accepted.expect("an accepted connection").0;
+        let line = within("a request line", read_line(&mut stream)).await.expect("in time");
         Attempt { server, line, stream }
     }
 
-    /// A client of this class that has asked and waits for so many milliseconds, and its attempt.
-    pub async fn requesting_client(&self, at: SocketAddr, class: &str, wait: u32) -> (LineClient, Attempt) {
-        let client = request_connection(at, class, wait).await;
+    /// Connects a client to `address` and sends a request of this class with a wait of `wait_ms`. Returns the
+    /// client and its attempt.
+    pub async fn requesting_client(
+        &self,
+        address: SocketAddr,
+        class: &str,
+        wait_ms: u32,
+    ) -> (LineClient, Attempt) {
+        let client = request_connection(address, class, wait_ms).await;
         (client, self.next_attempt().await)
     }
 
-    /// A client whose connection stands, and its server's end.
-    pub async fn established_client(&self, at: SocketAddr) -> (LineClient, Attempt) {
-        let (mut client, mut attempt) = self.requesting_client(at, "meter", 30_000).await;
+    /// Connects a client to `address` and establishes its connection. Returns the client and the attempt with
+    /// the server's side of the connection.
+    pub async fn established_client(&self, address: SocketAddr) -> (LineClient, Attempt) {
+        let (mut client, mut attempt) = self.requesting_client(address, "meter", 30_000).await;
         attempt.send_line("UP r").await;
         assert_eq!(client.next().await.expect("an answer").as_deref(), Some("UP r"));
         (client, attempt)
@@ -165,11 +176,14 @@
     }
 }
 
-/// A client of this class that has asked and waits for so many milliseconds.
-pub async fn request_connection(at: SocketAddr, class: &str, wait: u32) -> LineClient {
-    static ASKED: AtomicU32 = AtomicU32::new(1);
-    let id = ASKED.fetch_add(1, Ordering::Relaxed);
-    let mut client = LineClient::connect(at).await.expect("taken");
-    client.send_line(&format!("OPEN {id:016x} {id:016x} c={class},d={wait},g={id:x}")).await.expect("heard");
+/// Connects a client to `address` and sends a request of this class with a wait of `wait_ms`.
+pub async fn request_connection(address: SocketAddr, class: &str, wait_ms: u32) -> LineClient {
+    static NEXT_ID: AtomicU32 = AtomicU32::new(1);
+    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+    let mut client = LineClient::connect(address).await.expect("an accepted connection");
+    client
+        .send_line(&format!("OPEN {id:016x} {id:016x} c={class},d={wait_ms},g={id:x}"))
+        .await
+        .expect("an open connection");
     client
 }
--- a/tests/testkit.rs
+++ b/tests/testkit.rs
@@ -1,14 +1,14 @@
-//! Every scenario of the rehearsal kit, against the daemon's binary.
+//! Runs every scenario of the test kit against the daemon's binary.
 
 use std::path::Path;
 
 use ashtide_testkit::scenarios::{MIGRATION_CLIENTS, run_scenario};
 
-fn rehearse(name: &str) {
+fn check_scenario(name: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let checks = runtime
         .block_on(run_scenario(name, Path::new(env!("CARGO_BIN_EXE_ashtide")), MIGRATION_CLIENTS))
-        .expect("the scenario is played to its end");
+        .expect("the scenario runs to completion");
     let failed: Vec<_> = checks.0.iter().filter(|check| !check.passed).collect();
     assert!(checks.passed(), "{failed:#?}");
 }
@@ -17,23 +17,23 @@
     ($($test:ident: $name:literal;)*) => {$(
         #[test]
         fn $test() {
-            rehearse($name);
+            check_scenario($name);
         }
     )*};
 }
 
 scenarios! {
-    thousands_migrate_and_none_is_misplaced: "migration";
-    an_unknown_id_gets_one_final_answer: "unknown-id";
-    refusals_and_timeouts_reach_the_client_once: "refusal";
-    a_draining_server_loses_its_clients_politely: "drain";
-    clients_of_lost_servers_are_told: "loss";
-    a_planned_stop_moves_everyone: "stop";
-    a_reload_moves_to_the_new_discovery: "reload";
-    a_pushed_list_is_followed: "pushed";
-    the_rude_are_told_and_the_others_served: "rude";
-    a_new_version_takes_the_clients_over: "upgrade";
-    connections_are_inherited_by_the_successor: "inheritance";
-    the_backup_takes_over: "vrrp-failover";
-    a_killed_balancers_devices_return_in_no_wave: "return";
+    thousands_of_clients_migrate_without_misrouting: "migration";
+    an_unknown_connection_id_is_reset_once: "unknown-id";
+    rejections_and_timeouts_reach_the_client_once: "refusal";
+    clients_of_a_draining_server_are_migrated: "drain";
+    clients_of_failed_servers_are_notified: "loss";
+    a_planned_stop_migrates_all_clients: "stop";
+    a_reload_switches_to_the_new_discovery_service: "reload";
+    a_pushed_endpoint_list_is_applied: "pushed";
+    misbehaving_clients_are_refused_and_others_served: "rude";
+    a_new_version_takes_over_clients: "upgrade";
+    established_connections_are_handed_to_the_successor: "inheritance";
+    the_backup_virtual_router_takes_over: "vrrp-failover";
+    devices_of_a_killed_gateway_reconnect_spread_over_time: "return";
 }
