--- a/crates/ashtide-fleet/src/state/allocation.rs
+++ b/crates/ashtide-fleet/src/state/allocation.rs
@@ -1,15 +1,17 @@
-//! A change of totals, of floors or of the list of gateways, and when each gateway may use what is new.
+//! Agreement on changed allocations: when each gateway may use its share under new totals, floors or a new
+//! list of gateways.
 //!
-//! The settings are numbered by whoever writes them ([`Allocation::generation`]); a digest tells two texts of one number
-//! apart. A gateway that reads a later generation uses, of each budget, at most the smaller of what it had and what it
-//! has now. It *commits* to that: it says that it is at the generation once no more of its share is lent than that
-//! ([`AllocationAgreement::commit`]), and its commitment is persisted ([`AllocationAgreement::persisted`]), so that a
-//! restart keeps it. A commitment stands until a later generation is agreed, so others may pass it on, in any order, any
-//! number of times. Once all that are or were on the list have committed, the generation is *agreed*, and the whole of
-//! the new share is used. So all gateways together have at no time more than the last generation that any has agreed.
+//! The author of the settings numbers them ([`Allocation::generation`]). A digest distinguishes two versions
+//! with the same number. A gateway that reads a later generation uses at most the smaller of its old and its
+//! new share of each budget. It *commits* to the generation once no more of its share is lent than that
+//! ([`AllocationAgreement::commit`]). The commitment is persisted ([`AllocationAgreement::persisted`]), so
+//! that it survives a restart. A commitment is valid until a later generation is agreed, so other gateways
+//! may forward it in any order and any number of times. Once all gateways that are or were on the list have
+//! committed, the generation is *agreed* and the entire new share is used. So all gateways together never
+//! have more than the last generation gives that any gateway has agreed.
 //!
-//! Nothing is waited for by time: a gateway that is cut off may use its old share for ever. Where one is gone for good,
-//! an operator says so ([`AllocationAgreement::confirm`]).
+//! No time-out completes an agreement: a partitioned gateway may use its old share indefinitely. When a
+//! gateway is permanently removed, an operator confirms that ([`AllocationAgreement::confirm`]).
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -19,29 +21,31 @@
 use super::mutation::{ActiveMutation, Mutation};
 use super::{BudgetKind, InitialShare, Slot, Violation, initial_shares, mix};
 
-/// Gateways whose commitments one message has.
+/// Number of gateways whose commitments fit into one message.
 const GATEWAYS_PER_MESSAGE: usize = 256;
-/// Gateways that one number of a bitmap has.
+/// Number of gateways per `u64` of a bitmap.
 const GATEWAYS_PER_U64: usize = 64;
+/// Length of the bitmap in one message, in `u64`s.
 const BITMAP_LEN: usize = GATEWAYS_PER_MESSAGE / GATEWAYS_PER_U64;
-/// Gateways with other settings that are remembered.
+/// Maximum number of gateways with other settings that are recorded.
 const MAX_MISMATCHES: usize = 64;
 
-/// The shared part of the settings, from which the shares follow: the same at all gateways under one generation.
+/// The shared part of the settings, which determines the shares. It is the same at all gateways of one
+/// generation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Allocation {
-    /// Rises with every change, from 1, which nothing was before.
+    /// Number of this version, incremented with every change. The first version is 1.
     pub generation: u32,
-    /// Length of the list of gateways.
+    /// Number of slots in the list of gateways.
     pub slot_count: u16,
-    /// Thousandths of each total that are floors.
+    /// Part of each total that is split into floors, in thousandths.
     pub floor_permille: u64,
-    /// Each budget's total, and what a unit of it permits.
+    /// Total of each budget in units, and what one unit permits, by budget ID.
     pub totals: BTreeMap<u32, (u64, BudgetKind)>,
 }
 
 impl Allocation {
-    /// Tells it from another text under the same number.
+    /// Returns a digest that distinguishes this allocation from others of the same generation.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let kind_digest = |kind: &BudgetKind| match kind {
@@ -54,7 +58,7 @@
         head.into_iter().chain(totals).fold(0, mix)
     }
 
-    /// All gateways' shares of one of its budgets.
+    /// Returns the shares of all gateways in the budget `id`; empty if there is no such budget.
     #[must_use]
     pub fn initial_shares(&self, id: u32) -> BTreeMap<Slot, InitialShare> {
         match self.totals.get(&id) {
@@ -63,53 +67,53 @@
         }
     }
 
-    /// One gateway's shares of all budgets.
+    /// Returns the shares of one gateway in all budgets.
     fn shares_of(&self, slot: Slot) -> BTreeMap<u32, InitialShare> {
         let share = |id: u32| self.initial_shares(id).get(&slot).copied().unwrap_or_default();
         self.totals.keys().map(|&id| (id, share(id))).collect()
     }
 }
 
-/// What a gateway has committed to, for its next process.
+/// The allocation state that a gateway stores for its next process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedAllocation {
-    /// The generation it is at.
+    /// The generation in use.
     pub generation: u32,
-    /// The digest of that.
+    /// The digest of the allocation in use.
     pub digest: u64,
-    /// Whether all gateways are.
+    /// Whether all gateways have committed to the generation.
     pub agreed: bool,
-    /// Gateways that must be at it, by the lists since the last agreement.
+    /// Number of gateways that must commit: the longest list since the last agreement.
     pub slots: u16,
-    /// Whether its list has this gateway.
+    /// Whether the list includes this gateway.
     pub listed: bool,
-    /// What it uses of each budget, at most.
+    /// The most that the gateway uses of each budget, by budget ID.
     pub roots: BTreeMap<u32, InitialShare>,
 }
 
-/// Settings that are not taken over; those in use stay.
+/// The reason why settings are not adopted. The settings in use remain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StaleAllocation {
-    /// Their generation is below the one in use.
+    /// The new generation is below the one in use.
     #[error("generation {found}, expected {at} or a later one")]
     Older {
-        /// Theirs.
+        /// The generation of the rejected settings.
         found: u32,
-        /// The one in use.
+        /// The generation in use.
         at: u32,
     },
-    /// They differ from the settings of the same generation before.
+    /// The new settings differ from earlier settings of the same generation.
     #[error(
         "generation {generation} has other totals or another list than before, expected a later generation"
     )]
     Conflicting {
-        /// Which.
+        /// The generation of both settings.
         generation: u32,
     },
 }
 
 impl StaleAllocation {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
@@ -123,40 +127,40 @@
     }
 }
 
-/// The generation that a gateway is at, and the commitments that it knows of.
+/// The generation that a gateway uses, and the commitments that it has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocationVersion {
-    /// The generation.
+    /// The generation that the gateway uses.
     pub generation: u32,
-    /// Its digest.
+    /// The digest of the allocation.
     pub digest: u64,
-    /// Whether it is agreed.
+    /// Whether the generation is agreed.
     pub agreed: bool,
-    /// Which gateways `commitments` is about: 256 from so many times 256 on.
+    /// The part of the bitmap in `commitments`: part `n` covers the 256 gateways from slot `n * 256`.
     pub bitmap_part: u16,
-    /// A bit a gateway.
+    /// One bit per gateway, set if the gateway has committed.
     pub commitments: [u64; BITMAP_LEN],
 }
 
-/// How another gateway's settings differ.
+/// The difference between the settings of another gateway and those of this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mismatch {
-    /// It is at a later generation: this one's settings are old.
+    /// The other gateway uses this later generation; the settings of this gateway are outdated.
     LaterGeneration(u32),
-    /// It is at an earlier one.
+    /// The other gateway uses this earlier generation.
     EarlierGeneration(u32),
-    /// Its settings under the same number are others.
+    /// The settings of the other gateway have the same generation but another digest.
     DifferentContent,
 }
 
-/// A bit a gateway.
+/// A set of gateways, one bit per slot.
 #[derive(Debug, Clone, Default)]
 struct SlotBitmap {
     bits: Vec<u64>,
 }
 
 impl SlotBitmap {
-    /// A bitmap without any set bit, with room for `slots` gateways.
+    /// Creates an empty set with capacity for `slots` gateways.
     fn new(slots: u16) -> Self {
         Self { bits: vec![0; usize::from(slots).div_ceil(GATEWAYS_PER_U64)] }
     }
@@ -168,11 +172,11 @@
 
     fn contains(&self, slot: Slot) -> bool {
         let index = usize::from(slot.0);
-        let number = self.bits.get(index / GATEWAYS_PER_U64);
-        number.is_some_and(|number| number & (1 << (index % GATEWAYS_PER_U64)) != 0)
+        let word = self.bits.get(index / GATEWAYS_PER_U64);
+        word.is_some_and(|word| word & (1 << (index % GATEWAYS_PER_U64)) != 0)
     }
 
-    /// How many messages it takes.
+    /// Returns the number of messages that transfer the entire set.
     fn parts(&self) -> u16 {
         self.bits.len().div_ceil(BITMAP_LEN).max(1) as u16
     }
@@ -180,31 +184,31 @@
     fn part(&self, part: u16) -> [u64; BITMAP_LEN] {
         let mut bits = [0; BITMAP_LEN];
         let from = usize::from(part) * BITMAP_LEN;
-        bits.iter_mut().zip(&self.bits[from..]).for_each(|(copy, number)| *copy = *number);
+        bits.iter_mut().zip(&self.bits[from..]).for_each(|(copy, word)| *copy = *word);
         bits
     }
 
     fn merge_part(&mut self, part: u16, bits: [u64; BITMAP_LEN]) {
         let from = usize::from(part) * BITMAP_LEN;
-        self.bits.iter_mut().skip(from).zip(bits).for_each(|(number, other)| *number |= other);
+        self.bits.iter_mut().skip(from).zip(bits).for_each(|(word, other)| *word |= other);
     }
 }
 
-/// One gateway's part in agreeing on an allocation.
+/// The state of the agreement on an allocation at one gateway.
 #[derive(Debug, Clone)]
 pub struct AllocationAgreement {
     own_slot: Slot,
     allocation: Allocation,
     digest: u64,
     is_agreed: bool,
-    /// What the settings give this gateway.
+    /// Shares that the settings assign to this gateway, by budget ID.
     target_shares: BTreeMap<u32, InitialShare>,
-    /// What it uses.
+    /// Shares in use, by budget ID.
     active_shares: BTreeMap<u32, InitialShare>,
-    /// Gateways that must commit.
+    /// Number of gateways that must commit.
     required_slots: u16,
     commitments: SlotBitmap,
-    /// Whether what this gateway commits to is persisted.
+    /// Whether the state that this gateway commits to is persisted.
     is_persisted: bool,
     next_part: u16,
     mismatches: BTreeMap<Slot, Mismatch>,
@@ -212,13 +216,14 @@
 }
 
 impl AllocationAgreement {
-    /// The agreement of a process that begins with these settings, where an earlier one has committed to `persisted`.
-    /// One that knows of none and begins under a later generation than the first has nothing before it learns that all
-    /// are at it: it cannot know what an earlier process may use still, or the others.
+    /// Creates the agreement of a process that starts with `allocation`; `persisted` is the state that an
+    /// earlier process committed to. Without persisted state, a process that starts at a later generation
+    /// than the first has empty shares until it receives that all gateways are at the generation: what an
+    /// earlier process or other gateways may still use is unknown.
     ///
     /// # Errors
     ///
-    /// Fails where an earlier process was at later settings, or at others of the same number.
+    /// Returns an error if an earlier process used later settings, or other settings of the same generation.
     pub fn new(
         own_slot: Slot,
         allocation: Allocation,
@@ -253,7 +258,7 @@
         self.target_shares.keys().map(|&id| (id, InitialShare::default())).collect()
     }
 
-    /// Puts a mutation in.
+    /// Activates a mutation.
     #[cfg(feature = "mutation")]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation.mutation = Some(mutation);
@@ -262,11 +267,12 @@
         }
     }
 
-    /// Takes over settings that were read while it runs. What they give less is less at once.
+    /// Adopts settings that were read while the process runs. Smaller shares apply immediately.
     ///
     /// # Errors
     ///
-    /// Fails where they are older, or others of the same number; nothing has changed then.
+    /// Returns an error if the settings are older, or other settings of the same generation; the state is
+    /// unchanged.
     pub fn update(&mut self, allocation: Allocation) -> Result<(), StaleAllocation> {
         let mut next = Self {
             digest: allocation.digest(),
@@ -303,13 +309,13 @@
         Ok(())
     }
 
-    /// Of each budget the smaller of what this gateway had and what it has now.
+    /// Returns the smaller of the earlier and the new share of each budget.
     fn smaller_shares(&self, before: &PersistedAllocation) -> BTreeMap<u32, InitialShare> {
-        // A gateway that was not on the earlier list has not been asked since: it has nothing of what is new until it
-        // learns that all are here.
+        // A gateway that was not on the earlier list was not needed for agreements since then: it has no
+        // share of new budgets until it receives that all gateways have committed.
         let mut shares = if before.listed { self.target_shares.clone() } else { self.empty_shares() };
         for (&id, &earlier) in &before.roots {
-            // A budget that one side does not have is not limited by it.
+            // A budget that is missing on one side is not limited by that side.
             let share = shares.entry(id).or_insert(earlier);
             share.floor = share.floor.min(earlier.floor);
             share.lendable = share.lendable.min(earlier.lendable);
@@ -322,38 +328,39 @@
         self.is_persisted = false;
     }
 
-    /// The settings it is at.
+    /// Returns the settings in use.
     #[must_use]
     pub fn allocation(&self) -> &Allocation {
         &self.allocation
     }
 
-    /// Whether all gateways are at them, so that the whole of the shares is in use.
+    /// Returns whether all gateways have committed to the settings, so that the entire shares are in use.
     #[must_use]
     pub fn is_agreed(&self) -> bool {
         self.is_agreed
     }
 
-    /// What may be used of each budget.
+    /// Returns the shares that may be used, by budget ID.
     #[must_use]
     pub fn active_shares(&self) -> &BTreeMap<u32, InitialShare> {
         &self.active_shares
     }
 
-    /// Gateways that have not committed, as far as is known here.
+    /// Returns the gateways whose commitment this gateway has not received.
     #[must_use]
     pub fn uncommitted(&self) -> Vec<Slot> {
         let required = if self.is_agreed { 0 } else { self.required_slots };
         (0..required).map(Slot).filter(|&slot| !self.commitments.contains(slot)).collect()
     }
 
-    /// Gateways with other settings, since these were read.
+    /// Returns the gateways that have reported other settings since the settings in use were read.
     #[must_use]
     pub fn mismatches(&self) -> &BTreeMap<Slot, Mismatch> {
         &self.mismatches
     }
 
-    /// What is to be persisted for the next process; [`mark_persisted`](Self::mark_persisted) notes that it is.
+    /// Returns the state to persist for the next process; call [`mark_persisted`](Self::mark_persisted)
+    /// afterwards.
     #[must_use]
     pub fn persisted(&self) -> PersistedAllocation {
         PersistedAllocation {
@@ -366,14 +373,15 @@
         }
     }
 
-    /// Notes that [`persisted`](Self::persisted) is, or that there is no place for it: then a later process begins with
-    /// nothing.
+    /// Records that the state of [`persisted`](Self::persisted) is stored, or that no storage is configured;
+    /// in the latter case a later process starts without shares.
     pub fn mark_persisted(&mut self) {
         self.is_persisted = true;
     }
 
-    /// Commits, where `is_within_shares` says that of no budget more is lent than the active shares allow, and none of
-    /// an earlier process's leases may be out.
+    /// Commits to the settings if their state is persisted and `is_within_shares` is true: no budget has more
+    /// units lent than the active shares allow, and no lease granted by an earlier process can still be
+    /// valid.
     pub fn commit(&mut self, is_within_shares: bool) {
         let may_commit = is_within_shares || self.mutation.is(Mutation::CommitBeforeLeasesEnd);
         if self.is_persisted && may_commit {
@@ -382,14 +390,14 @@
         }
     }
 
-    /// Completes the agreement on an operator's word that no gateway runs that is not at this generation.
+    /// Completes the agreement after an operator confirmed that no gateway runs at another generation.
     pub fn confirm(&mut self) {
         self.complete();
     }
 
     fn complete_if_all_committed(&mut self) {
-        let have_all = (0..self.required_slots).all(|slot| self.commitments.contains(Slot(slot)));
-        if !self.is_agreed && have_all {
+        let all_committed = (0..self.required_slots).all(|slot| self.commitments.contains(Slot(slot)));
+        if !self.is_agreed && all_committed {
             self.complete();
         }
     }
@@ -400,7 +408,8 @@
         self.required_slots = self.allocation.slot_count;
     }
 
-    /// What is sent to another gateway, another part of the commitments each time.
+    /// Returns the next message for another gateway; consecutive messages have consecutive parts of the
+    /// commitments.
     pub fn next_message(&mut self) -> AllocationVersion {
         self.next_part = (self.next_part + 1) % self.commitments.parts();
         let commitments = match self.is_agreed {
@@ -416,13 +425,14 @@
         }
     }
 
-    /// Handles what another gateway sends. True where it is to be told that all are at the generation.
+    /// Handles a message of another gateway. Returns true if that gateway must be notified that the
+    /// generation is agreed.
     pub fn handle_message(&mut self, from: Slot, message: AllocationVersion) -> bool {
         let mismatch = self.mismatch_of(&message);
         self.note_mismatch(from, mismatch);
         let is_later = matches!(mismatch, Some(Mismatch::LaterGeneration(_)));
-        let counts = mismatch.is_none() || is_later && self.mutation.is(Mutation::CountLaterGeneration);
-        if !counts || self.is_agreed {
+        let is_relevant = mismatch.is_none() || is_later && self.mutation.is(Mutation::CountLaterGeneration);
+        if !is_relevant || self.is_agreed {
             return self.is_agreed && mismatch.is_none() && !message.agreed;
         }
         if message.agreed {
@@ -444,9 +454,9 @@
     }
 
     fn note_mismatch(&mut self, from: Slot, mismatch: Option<Mismatch>) {
-        let has_room = self.mismatches.len() < MAX_MISMATCHES || self.mismatches.contains_key(&from);
+        let has_capacity = self.mismatches.len() < MAX_MISMATCHES || self.mismatches.contains_key(&from);
         match mismatch {
-            Some(mismatch) if has_room => {
+            Some(mismatch) if has_capacity => {
                 self.mismatches.insert(from, mismatch);
             }
             Some(_) => {}
@@ -460,7 +470,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
         for (&budget, due) in &self.target_shares {
             let active = self.active_shares.get(&budget).copied().unwrap_or_default();
--- a/crates/ashtide-fleet/src/state/budget.rs
+++ b/crates/ashtide-fleet/src/state/budget.rs
@@ -1,52 +1,55 @@
-//! What rights permit: a rate with a burst, or a number of things in use.
+//! Use of the units of a budget: a rate with a burst, or a limit on concurrent uses.
 
 use std::time::Duration;
 
 use super::escrow::{Escrow, LeaseGrant, LeaseRejected, LeaseRequest};
 use super::{Slot, Violation};
 
-/// What a unit of a budget permits.
+/// The kind of use that one unit of a budget permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum BudgetKind {
-    /// A thousandth of a spend a second; what is not spent is stored for at most so long.
+    /// One unit permits a thousandth of a spend per second. Unspent credit is stored, up to the credit of
+    /// `burst`.
     ///
-    /// Storage begins empty with each right and is lost with it. So at any moment all gateways together have stored at
-    /// most the total times `burst`, and in any window they spend at most that and the total times the window.
+    /// The stored credit of a unit starts at zero when the gateway obtains the unit, and is lost with the
+    /// unit. So at any moment all gateways together have stored at most the total times `burst`. In any
+    /// window they spend at most that plus the total times the window.
     Rate {
-        /// How long unspent rights are stored.
+        /// The time for which unspent credit accumulates.
         burst: Duration,
     },
-    /// One thing in use, from its spend to its release.
+    /// One unit permits one concurrent use, from its spend to its release.
     Concurrency,
 }
 
-/// What one spend costs of the stored credit: units of a spend, times nanoseconds of a second.
+/// Stored credit that one spend costs, in unit-nanoseconds: 1,000 units for one second.
 const ONE_SPEND: u128 = 1_000 * 1_000_000_000;
 
-/// One gateway's part of a budget: rights, and what is spent of them.
+/// The part of a budget at one gateway: its units, stored credit and uses.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Budget {
     escrow: Escrow,
     kind: BudgetKind,
     now: Duration,
+    /// Unspent credit, in unit-nanoseconds.
     stored_credit: u128,
     in_use: u64,
 }
 
 impl Budget {
-    /// A budget whose units permit `kind`, with the rights of `escrow`.
+    /// Creates a budget with the units of `escrow`, each of which permits `kind`.
     #[must_use]
     pub fn new(escrow: Escrow, kind: BudgetKind, now: Duration) -> Self {
         Self { escrow, kind, now, stored_credit: 0, in_use: 0 }
     }
 
-    /// The rights.
+    /// Returns the escrow of the budget.
     #[must_use]
     pub fn escrow(&self) -> &Escrow {
         &self.escrow
     }
 
-    /// Changes the rights; what is stored beyond them afterwards is lost.
+    /// Applies `change` to the escrow; stored credit beyond the capacity of the remaining units is lost.
     pub fn with_escrow<T>(&mut self, now: Duration, change: impl FnOnce(&mut Escrow) -> T) -> T {
         self.advance_to(now);
         let result = change(&mut self.escrow);
@@ -54,14 +57,15 @@
         result
     }
 
-    /// Sets what a unit permits from now on; what is stored beyond it is lost.
+    /// Sets what a unit permits; stored credit beyond the new capacity is lost.
     pub fn set_kind(&mut self, kind: BudgetKind) {
         self.kind = kind;
         self.cap_stored_credit(self.escrow.usable_units());
     }
 
-    /// Lets time pass: stores by the rights there were, to the end of each. Of a leap, which may be a clock's and not
-    /// time's, no more than [`LeaseConfig::max_clock_gap`](super::LeaseConfig::max_clock_gap) is stored.
+    /// Advances the time to `now`. Credit accrues for the usable units, for each lease until its end. A
+    /// longer gap since the last call may be a clock jump, so at most the credit of
+    /// [`LeaseConfig::max_clock_gap`](super::LeaseConfig::max_clock_gap) accrues.
     pub fn advance_to(&mut self, now: Duration) {
         let mut units = self.escrow.usable_units();
         let last = now.min(self.now + self.escrow.config().max_clock_gap);
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Spends one; false where the rights do not allow it.
+    /// Spends once. Returns false if the usable units do not permit it.
     pub fn try_spend(&mut self, now: Duration) -> bool {
         self.advance_to(now);
         match self.kind {
@@ -116,23 +120,24 @@
         }
     }
 
-    /// Releases one that was in use.
+    /// Ends one use.
     pub fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Takes over things that are in use already, as of a process that this one succeeds: counted, whatever the rights.
+    /// Adds uses that already exist, such as those of a predecessor process. They count even beyond the
+    /// usable units.
     pub fn adopt(&mut self, in_use: u64) {
         self.in_use += in_use;
     }
 
-    /// How many are in use.
+    /// Returns the number of uses in progress.
     #[must_use]
     pub fn in_use(&self) -> u64 {
         self.in_use
     }
 
-    /// How long until one may be spent by the present rights; none where it is not a matter of time.
+    /// Returns the time until the usable units permit a spend; `None` if waiting does not help.
     #[must_use]
     pub fn time_until_available(&self) -> Option<Duration> {
         let units = self.escrow.usable_units();
@@ -144,7 +149,7 @@
         Some(Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX)))
     }
 
-    /// Units that things in use need.
+    /// Returns the number of units that the uses in progress occupy.
     fn units_in_use(&self) -> u64 {
         match self.kind {
             BudgetKind::Rate { .. } => 0,
@@ -152,7 +157,8 @@
         }
     }
 
-    /// Requests a lease of so many units of `grantor`, all told. What things in use need is not given back.
+    /// Requests a lease of `wanted_units` from `grantor` in total. Units that uses in progress occupy are not
+    /// returned.
     pub fn request_lease(&mut self, now: Duration, grantor: Slot, wanted_units: u64) -> LeaseRequest {
         let in_use = self.units_in_use();
         self.with_escrow(now, |escrow| {
@@ -162,27 +168,27 @@
         })
     }
 
-    /// Answers a lease request.
+    /// Handles a lease request and returns the grant.
     ///
     /// # Errors
     ///
-    /// As [`Escrow::grant_lease`].
+    /// Returns the errors of [`Escrow::grant_lease`].
     pub fn grant_lease(
         &mut self,
         now: Duration,
         holder: Slot,
         request: LeaseRequest,
     ) -> Result<LeaseGrant, LeaseRejected> {
-        // Units of the own share that are in use are not lent.
+        // Units of this gateway's share that are in use are not lent.
         let in_use = self.units_in_use();
         self.with_escrow(now, |escrow| escrow.grant_lease(holder, request, in_use))
     }
 
-    /// Accepts a granted lease.
+    /// Accepts a lease granted by `grantor`.
     ///
     /// # Errors
     ///
-    /// As [`Escrow::accept_lease`].
+    /// Returns the errors of [`Escrow::accept_lease`].
     pub fn accept_lease(
         &mut self,
         now: Duration,
@@ -196,12 +202,12 @@
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
         self.escrow.check()?;
-        let room = self.credit_capacity(self.escrow.usable_units());
-        if self.stored_credit > room {
-            return Err(Violation::OverStored { stored: self.stored_credit, room });
+        let capacity = self.credit_capacity(self.escrow.usable_units());
+        if self.stored_credit > capacity {
+            return Err(Violation::OverStored { stored: self.stored_credit, room: capacity });
         }
         Ok(())
     }
--- a/crates/ashtide-fleet/src/state/counts.rs
+++ b/crates/ashtide-fleet/src/state/counts.rs
@@ -1,4 +1,4 @@
-//! Replicated counts: a row per gateway, merged as a state-based CRDT.
+//! Replicated counts: one row per gateway, merged as a state-based CRDT.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,40 +8,42 @@
 use super::mutation::{ActiveMutation, Mutation};
 use super::{Slot, Violation};
 
-/// How long a row counts after the last news of it. Gateways send theirs again three times as often.
+/// Time after the last update of a row at which the row expires. Gateways confirm their rows three times as
+/// often.
 pub const ROW_LIFETIME: Duration = Duration::from_secs(10);
-/// Rows that a table has room for.
+/// Maximum number of rows in a table.
 pub const MAX_ROWS: usize = 8192;
-/// Counts that a row has room for.
+/// Maximum number of counts in a row.
 pub const MAX_CELLS: usize = 512;
 
-/// What is counted. Servers and partners are named by a hash of their names.
+/// The key of a count. Servers and partners are identified by a hash of their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CounterKey {
     /// Open connections on a server.
     OpenOnServer(u32),
-    /// Open connections of a partner.
+    /// Open connections of a partner, on all servers.
     OpenForPartner(u32),
-    /// Connections that this incarnation of the gateway has sent to a new server, all told.
+    /// Total number of connections that this incarnation of the gateway has assigned to a new server.
     SentToServer(u32),
 }
 
-/// What a gateway has sent last for one key.
+/// The latest count of a gateway for one key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VersionedCount {
-    /// Rises within an incarnation. The later one is kept; the order includes the value so that a merge has one result
-    /// even for what no sound gateway sends.
+    /// Version of the count, increasing within an incarnation. A merge retains the later version. The order
+    /// includes the value, so that a merge is deterministic even for two values of one version, which no
+    /// correct gateway sends.
     pub version: u32,
-    /// The count.
+    /// Number of connections.
     pub value: u32,
 }
 
 /// The counts of one incarnation of a gateway.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ReplicaCounts {
-    /// The incarnation, by the view.
+    /// The incarnation of the gateway, as in the membership view.
     pub incarnation: u64,
-    /// The counts.
+    /// The counts, by key.
     pub cells: BTreeMap<CounterKey, VersionedCount>,
 }
 
@@ -72,8 +74,9 @@
     }
 }
 
-/// All rows: a join semilattice (Shapiro and others 2011). [`merge`](Self::merge) is commutative, associative and
-/// idempotent: a later incarnation replaces an earlier one, and within one the later version of each key is known.
+/// The rows of all gateways: a join semilattice (Shapiro et al. 2011). [`merge`](Self::merge) is commutative,
+/// associative and idempotent: a later incarnation replaces an earlier one, and within an incarnation the
+/// later version of each key is retained.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct CountTable {
     rows: BTreeMap<Slot, ReplicaCounts>,
@@ -81,7 +84,7 @@
 }
 
 impl CountTable {
-    /// Merges a row of `slot`; true where that was news.
+    /// Merges a row of `slot`. Returns true if the table changed.
     pub fn merge_row(&mut self, slot: Slot, row: &ReplicaCounts) -> bool {
         let before = self.rows.get(&slot);
         let is_same = before == Some(row);
@@ -101,25 +104,25 @@
         }
     }
 
-    /// All rows.
+    /// Returns all rows, by slot.
     #[must_use]
     pub fn rows(&self) -> &BTreeMap<Slot, ReplicaCounts> {
         &self.rows
     }
 }
 
-/// A sum with what it consists of: not known is not zero.
+/// A sum of counts and its coverage, which distinguishes an unknown count from zero.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetTotal {
-    /// The sum.
+    /// Sum of the counts of the included gateways.
     pub sum: u64,
-    /// Gateways whose rows are in it, this one among them.
+    /// Number of gateways whose rows are included, this gateway among them.
     pub gateway_count: usize,
-    /// The age of the oldest row in it.
+    /// Age of the oldest row that is included.
     pub max_age: Duration,
 }
 
-/// The last version of a row that has expired.
+/// The latest version of an expired row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpiredRow {
     incarnation: u64,
@@ -132,7 +135,7 @@
     }
 }
 
-/// One gateway's counts, and what it has received of the others'.
+/// The counts of one gateway, and those that it has received from other gateways.
 #[derive(Debug, Clone)]
 pub struct ReplicatedCounts {
     own_slot: Slot,
@@ -141,13 +144,13 @@
     version: u32,
     table: CountTable,
     received_at: BTreeMap<Slot, Duration>,
-    /// So that a late datagram does not bring an expired row back.
+    /// Latest versions of the expired rows, so that a delayed datagram does not restore an expired row.
     expired_rows: BTreeMap<Slot, ExpiredRow>,
     superseded_by: Option<u64>,
 }
 
 impl ReplicatedCounts {
-    /// The counts of the gateway at `own_slot`, in this incarnation.
+    /// Creates the counts of the gateway at `own_slot` in this incarnation.
     #[must_use]
     pub fn new(own_slot: Slot, incarnation: u64, now: Duration) -> Self {
         let mut table = CountTable::default();
@@ -164,13 +167,13 @@
         }
     }
 
-    /// Puts a mutation in.
+    /// Activates a mutation.
     #[cfg(feature = "mutation")]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.table.mutation.mutation = Some(mutation);
     }
 
-    /// Sets one of this gateway's own counts.
+    /// Sets a count of this gateway.
     pub fn set(&mut self, key: CounterKey, value: u32) {
         let version = self.version + 1;
         let Some(row) = self.table.rows.get_mut(&self.own_slot) else { return };
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Goes on as a later incarnation: its counts are sent anew, but for those that are zero.
+    /// Continues as a later incarnation. All counts except zeros are sent again.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         if let Some(row) = self.table.rows.get_mut(&self.own_slot) {
@@ -193,7 +196,8 @@
         }
     }
 
-    /// Gives all own counts a new version, unchanged, so that they do not expire elsewhere.
+    /// Assigns a new version to all counts of this gateway, so that they do not expire at other gateways. The
+    /// values do not change.
     pub fn refresh(&mut self) {
         if let Some(row) = self.table.rows.get_mut(&self.own_slot) {
             self.version += 1;
@@ -201,8 +205,8 @@
         }
     }
 
-    /// Merges a row of the gateway at `slot`, or a part of it; true where it was news. A row of an earlier incarnation
-    /// of this gateway, or of an expired one, changes nothing.
+    /// Merges a row of the gateway at `slot`, or a part of the row. Returns true if the table changed. A row
+    /// of this gateway, of an earlier incarnation, or not later than an expired row is ignored.
     pub fn merge_remote(&mut self, now: Duration, slot: Slot, row: &ReplicaCounts) -> bool {
         self.advance_to(now);
         if slot == self.own_slot {
@@ -212,7 +216,7 @@
             return false;
         }
         let is_expired = self.expired_rows.get(&slot).is_some_and(|&expired| ExpiredRow::of(row) <= expired);
-        if is_expired || !self.has_room(slot, row) || !self.table.merge_row(slot, row) {
+        if is_expired || !self.has_capacity_for(slot, row) || !self.table.merge_row(slot, row) {
             return false;
         }
         if let Some(row) = self.table.rows.get_mut(&slot) {
@@ -225,16 +229,16 @@
         true
     }
 
-    fn has_room(&self, slot: Slot, row: &ReplicaCounts) -> bool {
-        let has_room = match self.table.rows.get(&slot) {
+    fn has_capacity_for(&self, slot: Slot, row: &ReplicaCounts) -> bool {
+        let has_capacity = match self.table.rows.get(&slot) {
             Some(known) => known.cells.len() + row.cells.len() <= 2 * MAX_CELLS,
             None => self.table.rows.len() < MAX_ROWS,
         };
-        has_room && row.cells.len() <= MAX_CELLS
+        has_capacity && row.cells.len() <= MAX_CELLS
     }
 
-    /// Records that the gateway at `slot` is there in this incarnation: its row counts on, and where it has expired,
-    /// what it sends again is news.
+    /// Records that the gateway at `slot` is alive in this incarnation. This extends the lifetime of its row;
+    /// if the row has expired, the same row is accepted again.
     pub fn record_heartbeat(&mut self, now: Duration, slot: Slot, incarnation: u64) {
         self.advance_to(now);
         if self.expired_rows.get(&slot).is_some_and(|expired| expired.incarnation <= incarnation) {
@@ -246,11 +250,12 @@
         }
     }
 
-    /// Lets time pass: rows without news for [`ROW_LIFETIME`] expire.
+    /// Advances the time to `now`. Rows without an update for [`ROW_LIFETIME`] expire.
     pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
-        let received = self.received_at.iter();
-        let expired: Vec<Slot> = received
+        let expired: Vec<Slot> = self
+            .received_at
+            .iter()
             .filter(|&(_, &received_at)| self.now - received_at >= ROW_LIFETIME)
             .map(|(&slot, _)| slot)
             .collect();
@@ -262,7 +267,7 @@
         }
     }
 
-    /// The sum over all gateways whose rows are known.
+    /// Returns the sum over all gateways with a current row.
     #[must_use]
     pub fn total(&self, key: CounterKey) -> FleetTotal {
         let mut total = FleetTotal::default();
@@ -277,19 +282,20 @@
         total
     }
 
-    /// This gateway's own row.
+    /// Returns the row of this gateway.
     #[must_use]
     pub fn own_row(&self) -> &ReplicaCounts {
         &self.table.rows[&self.own_slot]
     }
 
-    /// All rows that count.
+    /// Returns the table of all rows that have not expired.
     #[must_use]
     pub fn table(&self) -> &CountTable {
         &self.table
     }
 
-    /// The later incarnation under this gateway's own slot that is known: this one is to stop.
+    /// Returns the later incarnation that another process has reported for the slot of this gateway, if any.
+    /// This process must then stop.
     #[must_use]
     pub fn superseded_by(&self) -> Option<u64> {
         self.superseded_by
@@ -299,7 +305,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
         let found = self.own_row().incarnation;
         if found != self.incarnation {
--- a/crates/ashtide-fleet/src/state/escrow.rs
+++ b/crates/ashtide-fleet/src/state/escrow.rs
@@ -1,23 +1,26 @@
-//! Rights of a budget that are moved between gateways and never copied (escrow).
+//! Units of a budget that are moved between gateways and never copied (escrow).
 //!
-//! **Shares.** The total of a budget is split among gateways by the settings ([`initial_shares`](super::initial_shares)): the same at all
-//! of them, so the initial shares make up the total exactly, whoever is there. No gateway elects or counts another to
-//! know its own.
+//! **Shares.** The settings split the total of a budget among the gateways
+//! ([`initial_shares`](super::initial_shares)). The settings are the same at all gateways, so the initial
+//! shares sum to exactly the total, whichever gateways run. A gateway determines its share without electing
+//! or counting others.
 //!
-//! **Leases.** Of its share a gateway lends what is above its floor, on request, for [`LeaseConfig::duration`]. The
-//! holder counts a lease from its own time of the *request*; the grantor books it from its own time of the *grant*,
-//! which is later, and for [`LeaseConfig::margin`] longer. So a lease has ended at its holder before its grantor uses
-//! the right again, whatever the network did meanwhile and whatever the clocks show: only the lengths of two intervals
-//! are compared.
+//! **Leases.** A gateway lends units of its share above the floor, on request, for [`LeaseConfig::duration`].
+//! The holder measures a lease from its own time of the *request*. The grantor books the lease from its own
+//! time of the *grant*, which is later, and for [`LeaseConfig::margin`] longer. So a lease has ended at its
+//! holder before its grantor uses the units again, whatever the network delays and the clock readings: only
+//! the lengths of two intervals are compared.
 //!
-//! **Requests.** A request has all that is wanted and all that is held, never a difference: applied twice, it books the
-//! same once. It is numbered within the requester's incarnation; the grantor takes only later numbers, the holder only
-//! the grant of its latest request. What is booked is the larger of what the holder had and what it is granted, so
-//! neither a lost grant nor a lost request lets a right be lent again; it is lowered by the next request, which has what
-//! is held by then.
+//! **Requests.** A request states the total of wanted units and of leased units, never a difference, so that
+//! a repeated request is booked once. Requests are numbered within the incarnation of the requester. The
+//! grantor accepts only increasing numbers, and the holder accepts only the grant of its latest request. The
+//! grantor books the larger of the units that the holder had and the units granted. So no unit is lent twice
+//! when a grant or a request is lost. The next request, which states the units held by then, lowers the
+//! booked number.
 //!
-//! **Restarts.** A new incarnation holds nothing and has stored nothing. It lends nothing before all that its earlier
-//! process may have lent has ended ([`Escrow::new`]); its floor was never lent, so it may use that at once.
+//! **Restarts.** A new incarnation has no leases and no stored credit. It lends nothing until all leases that
+//! its earlier process may have granted have ended ([`Escrow::new`]). The floor is never lent, so it is
+//! usable immediately.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,26 +31,27 @@
 use super::shares::{InitialShare, max_min_fair};
 use super::{Slot, Violation};
 
-/// Leases that a grantor books at once.
+/// Maximum number of leases that a grantor books at a time.
 pub const MAX_GRANTED_LEASES: usize = 256;
-/// Grantors that a holder has leases of at once.
+/// Maximum number of grantors that a holder has leases from at a time.
 pub const MAX_LEASES: usize = 64;
 
-/// The lengths of leases; the same at all gateways.
+/// The durations of leases; the same at all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How long a lease lasts, by the holder, from its request.
+    /// Duration of a lease at its holder, from the request.
     pub duration: Duration,
-    /// How much longer it is booked, by the grantor, from its grant: for clocks that run at different rates, and for
-    /// steps back that are too short to be noticed (shorter than the time between two calls).
+    /// Additional time for which the grantor books a lease, from the grant. It covers clocks with different
+    /// rates, and backward clock steps that are too short to be detected (shorter than the time between two
+    /// calls).
     pub margin: Duration,
-    /// Time that passes between two calls beyond this may be a clock that jumped, and ends nothing that is booked. Call
-    /// [`Escrow::advance_to`] twice as often; a jump that is shorter is for the margin to cover.
+    /// Longest time between two calls that is not treated as a clock jump. Time beyond it does not shorten
+    /// booked leases. Call [`Escrow::advance_to`] twice as often. The margin covers shorter jumps.
     pub max_clock_gap: Duration,
 }
 
 impl LeaseConfig {
-    /// How long a lease is booked by its grantor.
+    /// Returns the duration for which a grantor books a lease.
     fn booked_duration(&self) -> Duration {
         self.duration + self.margin
     }
@@ -63,51 +67,53 @@
     }
 }
 
-/// A holder requests units of a grantor.
+/// A request of a holder for units of a grantor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The requester's incarnation.
+    /// The incarnation of the requester.
     pub incarnation: u64,
-    /// Rises with every request of that incarnation for this budget.
+    /// Number of the request, increasing within the incarnation and the budget.
     pub sequence: u32,
-    /// Units that it would hold of this grantor, all told.
+    /// Total number of units that the requester wants to lease from this grantor.
     pub wanted_units: u64,
-    /// The most units that it holds of this grantor from now on, until a grant of this request or a later one.
+    /// Maximum number of units that the requester has leased from this grantor until it receives a grant for
+    /// this or a later request.
     pub leased_units: u64,
 }
 
-/// A grantor's answer.
+/// The answer of a grantor to a [`LeaseRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The requester's incarnation.
+    /// The incarnation of the requester.
     pub incarnation: u64,
-    /// The request that this answers.
+    /// The sequence number of the answered request.
     pub sequence: u32,
-    /// Units that the holder has of this grantor from now on, all told.
+    /// Total number of units that the holder has leased from this grantor.
     pub units: u64,
-    /// Units that the grantor could lend beyond them.
+    /// Units that the grantor could lend in addition.
     pub spare_units: u64,
 }
 
-/// Why a request or a grant changed nothing.
+/// The reason why a request or a grant is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum LeaseRejected {
-    /// A request whose number is not above the last one taken, or a grant of no outstanding one: late or repeated.
+    /// The sequence number of a request is not above the last accepted one, or a grant matches no outstanding
+    /// request: the message is delayed or repeated.
     #[error("late or repeated")]
     Duplicate,
-    /// This process began less than a lease ago, or another has its slot.
+    /// This process started less than one booked lease ago, or another process uses its slot.
     #[error("nothing is lent yet")]
     NotLendingYet,
-    /// There is no room for another lease.
+    /// The maximum number of leases is reached.
     #[error("no room for another")]
     Full,
-    /// The grant took so long to arrive that its lease has ended.
+    /// The lease ended before its grant arrived.
     #[error("the lease is over")]
     Expired,
 }
 
 impl LeaseRejected {
-    /// What an operator can do.
+    /// Returns advice for the operator.
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
@@ -121,7 +127,7 @@
     }
 }
 
-/// A lease as its grantor books it.
+/// A lease in the records of its grantor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct GrantedLease {
     sequence: u32,
@@ -130,14 +136,14 @@
     expires_at: Duration,
 }
 
-/// A lease as its holder has it.
+/// A lease in the records of its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Lease {
     units: u64,
     expires_at: Duration,
 }
 
-/// A request that has not been answered.
+/// A lease request without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct OutstandingRequest {
     sequence: u32,
@@ -151,18 +157,22 @@
     incarnation: u64,
 }
 
-/// One gateway's rights of one budget.
+/// The units of one budget at one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Escrow {
     own_slot: Slot,
     incarnation: u64,
     config: LeaseConfig,
     share: InitialShare,
-    /// Units that may be lent: more than the share's for as long as leases of an earlier, larger share last.
+    /// Upper limit of lent units. It exceeds the lendable units of the share while leases of an earlier,
+    /// larger share last.
     lendable_limit: u64,
     now: Duration,
+    /// Time before which nothing is lent, as leases of an earlier process may still be valid.
     lending_starts_at: Duration,
+    /// Whether another process uses the slot of this gateway.
     is_relinquished: bool,
+    /// Units that this gateway wants to use itself.
     wanted_units: u64,
     last_sequence: u32,
     granted: BTreeMap<Holder, GrantedLease>,
@@ -172,9 +182,9 @@
 }
 
 impl Escrow {
-    /// The rights of the gateway at `own_slot`, in this incarnation. `first` means that nobody can have lent this
-    /// gateway's share before (a budget made just now, as for a server that was never listed); else nothing is lent for
-    /// as long as the leases of an earlier process may last.
+    /// Creates the escrow of the gateway at `own_slot` in this incarnation. `first` states that no earlier
+    /// process can have lent units of this share (a new budget, as for a server that was never listed).
+    /// Otherwise nothing is lent while leases of an earlier process may last.
     #[must_use]
     pub fn new(
         own_slot: Slot,
@@ -203,7 +213,7 @@
         }
     }
 
-    /// Puts a mutation in.
+    /// Activates a mutation.
     #[cfg(feature = "mutation")]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation.mutation = Some(mutation);
@@ -212,16 +222,16 @@
         }
     }
 
-    /// Lets time pass. Where it goes backwards, held leases end at once, as how long they have lasted is not known;
-    /// where it leaps, what is booked lasts longer by the leap.
+    /// Advances the time to `now`. A backward step ends all leases of this holder, as their age is no longer
+    /// known. A forward jump extends all booked leases by the jump.
     pub fn advance_to(&mut self, now: Duration) {
         if now < self.now {
             self.leases.clear();
             self.outstanding_requests.clear();
         }
-        let leap = now.saturating_sub(self.now).saturating_sub(self.config.max_clock_gap);
-        if !leap.is_zero() {
-            self.extend_booked(leap);
+        let jump = now.saturating_sub(self.now).saturating_sub(self.config.max_clock_gap);
+        if !jump.is_zero() {
+            self.extend_booked(jump);
         }
         self.now = now;
         self.granted.retain(|_, lease| lease.expires_at > now);
@@ -231,26 +241,26 @@
         self.update_lendable_limit();
     }
 
-    fn extend_booked(&mut self, leap: Duration) {
+    fn extend_booked(&mut self, jump: Duration) {
         if self.lending_starts_at > self.now {
-            self.lending_starts_at += leap;
+            self.lending_starts_at += jump;
         }
-        self.granted.values_mut().for_each(|lease| lease.expires_at += leap);
+        self.granted.values_mut().for_each(|lease| lease.expires_at += jump);
     }
 
     fn update_lendable_limit(&mut self) {
         self.lendable_limit = self.share.lendable.max(self.lendable_limit.min(self.lent_units()));
     }
 
-    /// Sets another share from now on. What is lent beyond it stays so until it ends: nothing is lent meanwhile, and
-    /// nothing but the floor is used. When a share may become larger is for
-    /// [`AllocationAgreement`](super::AllocationAgreement) to say.
+    /// Replaces the share. Leases beyond the new share remain until they end; until then nothing more is
+    /// lent, and of the share only the floor is usable. [`AllocationAgreement`](super::AllocationAgreement)
+    /// decides when a share may grow.
     pub fn set_share(&mut self, share: InitialShare) {
         self.share = share;
         self.update_lendable_limit();
     }
 
-    /// Whether no more than the share allows is lent, also by an earlier process.
+    /// Returns whether the lent units, including those of an earlier process, are within the share.
     #[must_use]
     pub fn is_within_share(&self) -> bool {
         self.now >= self.lending_starts_at
@@ -258,14 +268,14 @@
             && self.lent_units() <= self.share.lendable
     }
 
-    /// Uses and lends the share no more, as another process has this gateway's slot now. Held leases stay its own until
-    /// they end.
+    /// Stops the use and lending of the share, as another process uses the slot of this gateway. Leases from
+    /// other gateways remain usable until they end.
     pub fn relinquish(&mut self) {
         self.is_relinquished = true;
     }
 
-    /// Goes on as a later incarnation of this gateway: it holds nothing of others, and lends nothing for as long as
-    /// leases of a process between may last. What this one has lent stays booked.
+    /// Continues as a later incarnation of this gateway. Leases from other gateways end, and nothing is lent
+    /// while leases of a process in between may last. Leases granted by this process remain booked.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.leases.clear();
@@ -273,31 +283,31 @@
         self.lending_starts_at = self.now + self.config.booked_duration();
     }
 
-    /// The lengths of leases.
+    /// Returns the durations of leases.
     #[must_use]
     pub fn config(&self) -> LeaseConfig {
         self.config
     }
 
-    /// Units that are lent, by this gateway's book.
+    /// Returns the number of units that this gateway has booked as lent.
     #[must_use]
     pub fn lent_units(&self) -> u64 {
         self.granted.values().map(|lease| lease.units).sum()
     }
 
-    /// Units of other gateways' shares that this one holds.
+    /// Returns the number of units leased from other gateways.
     #[must_use]
     pub fn leased_units(&self) -> u64 {
         self.leases.values().map(|lease| lease.units).sum()
     }
 
-    /// Units of `grantor`'s share that this one holds.
+    /// Returns the number of units leased from `grantor`.
     #[must_use]
     pub fn units_leased_from(&self, grantor: Slot) -> u64 {
         self.leases.get(&grantor).map_or(0, |lease| lease.units)
     }
 
-    /// Units that this gateway may use now.
+    /// Returns the number of units that this gateway may use now.
     #[must_use]
     pub fn usable_units(&self) -> u64 {
         if self.is_relinquished {
@@ -310,7 +320,7 @@
         self.share.floor + lendable + self.leased_units()
     }
 
-    /// When each held lease ends, and its units, the first first.
+    /// Returns the end and the units of each lease from another gateway, ordered by their end.
     #[must_use]
     pub fn lease_expiries(&self) -> Vec<(Duration, u64)> {
         let mut expiries: Vec<_> =
@@ -319,12 +329,13 @@
         expiries
     }
 
-    /// Sets what this gateway would use itself: it lends by that, too.
+    /// Sets the number of units that this gateway wants to use itself. It also affects the units lent.
     pub fn set_wanted_units(&mut self, units: u64) {
         self.wanted_units = units;
     }
 
-    /// Requests `wanted_units` of `grantor`, all told; what is held beyond them is given back by it, at once.
+    /// Requests a lease of `wanted_units` from `grantor` in total. Leased units beyond them are returned
+    /// immediately.
     pub fn request_lease(&mut self, grantor: Slot, wanted_units: u64) -> LeaseRequest {
         self.last_sequence += 1;
         let mut leased_units = 0;
@@ -334,8 +345,8 @@
         }
         self.leases.retain(|_, lease| lease.units > 0);
         let requests = &mut self.outstanding_requests;
-        let has_room = requests.len() < MAX_LEASES || requests.contains_key(&grantor);
-        if wanted_units > 0 && has_room {
+        let has_capacity = requests.len() < MAX_LEASES || requests.contains_key(&grantor);
+        if wanted_units > 0 && has_capacity {
             requests.insert(grantor, OutstandingRequest { sequence: self.last_sequence, sent_at: self.now });
         } else {
             requests.remove(&grantor);
@@ -348,11 +359,12 @@
         }
     }
 
-    /// Answers a request of the gateway at `slot`; `in_use` units of this gateway's rights are in use and stay.
+    /// Handles a request of the gateway at `slot` and returns the grant. `in_use` is the number of units of
+    /// this gateway that are in use and are not lent.
     ///
     /// # Errors
     ///
-    /// Says why it is not answered; nothing has changed.
+    /// Returns the reason why the request is rejected; the state is unchanged.
     pub fn grant_lease(
         &mut self,
         slot: Slot,
@@ -371,7 +383,8 @@
         if booked.is_none() && self.granted.len() >= MAX_GRANTED_LEASES {
             return Err(LeaseRejected::Full);
         }
-        // It can hold no more than is booked; more is a liar's, or of a lease that has ended.
+        // The holder cannot have more than is booked. A higher number is false, or belongs to a lease that
+        // has ended.
         let leased_units = request.leased_units.min(booked.map_or(0, |lease| lease.units));
         let free = self.free_units(holder, in_use);
         let units = self.fair_portion(holder, request.wanted_units).min(free);
@@ -398,15 +411,16 @@
         self.granted.iter().filter(move |&(&other, _)| other != holder).map(|(_, lease)| lease)
     }
 
-    /// Units that may be lent to `holder`, beside those that others hold and that are in use here.
+    /// Returns the number of units that may be lent to `holder`: those that neither other holders nor this
+    /// gateway use.
     fn free_units(&self, holder: Holder, in_use: u64) -> u64 {
         let others: u64 = self.leases_of_others(holder).map(|lease| lease.units).sum();
         let in_use = in_use.saturating_sub(self.share.floor + self.leased_units());
         self.share.lendable.saturating_sub(others).saturating_sub(in_use)
     }
 
-    /// The fair part of what may be lent for one holder, by what all want. This gateway itself is one of them, with
-    /// what its floor does not cover.
+    /// Returns the max-min fair part of the lendable units for `holder`, by the wanted units of all holders.
+    /// This gateway takes part with its own demand beyond its floor.
     fn fair_portion(&self, holder: Holder, wanted_units: u64) -> u64 {
         let mut wanted = vec![wanted_units, self.wanted_units.saturating_sub(self.share.floor)];
         wanted.extend(self.leases_of_others(holder).map(|lease| lease.wanted_units));
@@ -417,18 +431,18 @@
     ///
     /// # Errors
     ///
-    /// Says why it is not used; nothing has changed.
+    /// Returns the reason why the grant is not used.
     pub fn accept_lease(&mut self, grantor: Slot, grant: LeaseGrant) -> Result<(), LeaseRejected> {
         let request = self.outstanding_requests.get(&grantor).copied();
         let is_own = grant.incarnation == self.incarnation;
         let is_current = is_own && request.is_some_and(|request| request.sequence == grant.sequence);
-        let is_blind = is_own && self.mutation.is(Mutation::AcceptRepeatedGrant);
-        if !is_current && !is_blind {
+        let accepts_any = is_own && self.mutation.is(Mutation::AcceptRepeatedGrant);
+        if !is_current && !accepts_any {
             return Err(LeaseRejected::Duplicate);
         }
-        let counts_from_grant = is_blind || self.mutation.is(Mutation::LeaseFromGrantTime);
+        let starts_at_grant = accepts_any || self.mutation.is(Mutation::LeaseFromGrantTime);
         let starts_at = match request {
-            Some(request) if !counts_from_grant => request.sent_at,
+            Some(request) if !starts_at_grant => request.sent_at,
             _ => self.now,
         };
         self.outstanding_requests.remove(&grantor);
@@ -447,11 +461,11 @@
         Ok(())
     }
 
-    /// Checks the invariants of the rights.
+    /// Checks the invariants of the escrow.
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
         let lent = self.lent_units();
         if lent > self.lendable_limit {
@@ -469,11 +483,12 @@
     }
 }
 
-/// Checks the invariant B4, which no gateway can see: what all may use at one moment against the total.
+/// Checks the invariant B4, which a single gateway cannot check: the units that all gateways may use at one
+/// moment are at most `total`.
 ///
 /// # Errors
 ///
-/// Fails where it is more.
+/// Returns an error if the sum of `usable_units` exceeds `total`.
 pub fn check_total(total: u64, usable_units: impl IntoIterator<Item = u64>) -> Result<(), Violation> {
     let usable = usable_units.into_iter().sum();
     if usable > total { Err(Violation::OverTotal { usable, total }) } else { Ok(()) }
--- a/crates/ashtide-fleet/src/state/exchange/budgets.rs
+++ b/crates/ashtide-fleet/src/state/exchange/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets and the agreement on their totals.
+//! Budgets of an exchange: lease requests, and the agreement on the totals.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,34 @@
 };
 use super::{Exchange, FANOUT};
 
-/// Grantors of which a gateway requests leases of a budget.
+/// Number of grantors from which a gateway requests leases of a budget.
 pub const GRANTORS_PER_BUDGET: usize = 3;
-/// The part of a lease that must be left for nothing to be requested: in time for two more requests.
+/// Remaining part of a lease at which it is renewed. It leaves time for two more requests.
 const RENEWAL_MARGIN: f64 = 0.6;
 
-/// A budget, and what is requested for it.
+/// A budget and the state of its lease requests.
 pub(super) struct SharedBudget {
     pub(super) budget: Budget,
     pub(super) grantors: Vec<Slot>,
+    /// Units that this gateway wants to use.
     wanted_units: u64,
-    /// The part that was requested of each grantor last.
+    /// Units that were last requested from each grantor.
     requested_portion: u64,
 }
 
 impl SharedBudget {
-    /// The part that is to be requested of each grantor; none where nothing is lacking and nothing held.
+    /// Returns the number of units to request from each grantor; `None` if the own units suffice and nothing
+    /// is leased.
     fn portion_to_request(&self) -> Option<u64> {
         let escrow = self.budget.escrow();
         let own_units = escrow.usable_units() - escrow.leased_units();
-        let lacking = self.wanted_units.saturating_sub(own_units);
-        if lacking == 0 && escrow.leased_units() == 0 {
+        let missing_units = self.wanted_units.saturating_sub(own_units);
+        if missing_units == 0 && escrow.leased_units() == 0 {
             return None;
         }
-        // An equal part of each, more than is lacking together: one of them may not answer.
-        Some((lacking * 3 / 2).div_ceil(self.grantors.len().max(1) as u64))
+        // Each grantor is requested an equal part. The sum exceeds the missing units, as a grantor may not
+        // answer.
+        Some((missing_units * 3 / 2).div_ceil(self.grantors.len().max(1) as u64))
     }
 
     fn has_enough(&self) -> bool {
@@ -44,7 +47,8 @@
 }
 
 impl Exchange {
-    /// Adds a budget, by the shares of all slots; the gateway's part of it begins now. `first` as in [`Escrow::new`].
+    /// Adds a budget that is split into `shares`. The escrow of this gateway starts now; for `first` see
+    /// [`Escrow::new`].
     pub fn add_budget(
         &mut self,
         id: u32,
@@ -63,17 +67,17 @@
         self.budgets.insert(id, shared);
     }
 
-    /// Sets the agreement that gives the budgets from now on: their shares are those that it says may be used.
+    /// Sets the agreement, which determines the budgets and their usable shares.
     pub fn set_agreement(&mut self, agreement: AllocationAgreement) {
         self.agreement = Some(agreement);
         self.apply_shares();
     }
 
-    /// Takes over settings that were read while it runs.
+    /// Adopts settings that were read while the process runs.
     ///
     /// # Errors
     ///
-    /// As [`AllocationAgreement::update`].
+    /// Returns the errors of [`AllocationAgreement::update`].
     pub fn update_allocation(&mut self, allocation: Allocation) -> Result<(), StaleAllocation> {
         if let Some(agreement) = &mut self.agreement {
             agreement.update(allocation)?;
@@ -82,13 +86,13 @@
         Ok(())
     }
 
-    /// The agreement on the budgets' settings, if there is one.
+    /// Returns the agreement on the allocation; `None` if none is set.
     #[must_use]
     pub fn agreement(&self) -> Option<&AllocationAgreement> {
         self.agreement.as_ref()
     }
 
-    /// Changes the agreement by something that does not come by datagram.
+    /// Applies `change` to the agreement, and applies the shares if the agreement is completed or reopened.
     pub fn with_agreement(&mut self, change: impl FnOnce(&mut AllocationAgreement)) {
         let Some(agreement) = &mut self.agreement else { return };
         let was_agreed = agreement.is_agreed();
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Takes over the shares that may be used now.
+    /// Applies the active shares of the agreement to the budgets.
     fn apply_shares(&mut self) {
         let Some(agreement) = self.agreement.take() else { return };
         let allocation = agreement.allocation();
@@ -114,7 +118,7 @@
         let kind = allocation.totals.get(&id).map(|&(_, kind)| kind);
         if !self.budgets.contains_key(&id) {
             let Some(kind) = kind else { return };
-            // An earlier process may have lent of it.
+            // An earlier process may have lent units of this share.
             self.add_budget(id, &allocation.initial_shares(id), kind, false);
         }
         let Some(shared) = self.budgets.get_mut(&id) else { return };
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Sets what this gateway would use of a budget, in units.
+    /// Sets the number of units that this gateway wants to use of a budget.
     pub fn set_wanted_units(&mut self, id: u32, units: u64) {
         if let Some(shared) = self.budgets.get_mut(&id) {
             shared.wanted_units = units;
@@ -133,12 +137,12 @@
         }
     }
 
-    /// All budgets, by id.
+    /// Returns all budgets with their IDs.
     pub fn budgets(&self) -> impl Iterator<Item = (u32, &Budget)> {
         self.budgets.iter().map(|(&id, shared)| (id, &shared.budget))
     }
 
-    /// A budget.
+    /// Returns the budget `id`; `None` if it does not exist.
     pub fn budget_mut(&mut self, id: u32) -> Option<&mut Budget> {
         self.budgets.get_mut(&id).map(|shared| &mut shared.budget)
     }
@@ -149,8 +153,8 @@
         for (&id, shared) in &mut self.budgets {
             let Some(portion) = shared.portion_to_request() else { continue };
             let first_expiry = shared.budget.escrow().lease_expiries().first().map(|&(at, _)| at);
-            let lasts = first_expiry.unwrap_or(self.now) > renew_before;
-            if portion == shared.requested_portion && shared.has_enough() && lasts {
+            let is_fresh = first_expiry.unwrap_or(self.now) > renew_before;
+            if portion == shared.requested_portion && shared.has_enough() && is_fresh {
                 continue;
             }
             shared.requested_portion = portion;
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Sends which gateways have committed to which settings, until all have.
+    /// Sends the generation and its known commitments to a few peers, until the generation is agreed.
     pub(super) fn send_allocation_version(&mut self) {
         let Some(agreement) = self.agreement.as_mut().filter(|agreement| !agreement.is_agreed()) else {
             return;
@@ -177,7 +181,7 @@
     }
 }
 
-/// The gateways of which leases of a budget are requested.
+/// Returns the gateways from which leases of a budget are requested.
 fn choose_grantors(id: u32, own: Slot, shares: &BTreeMap<Slot, InitialShare>) -> Vec<Slot> {
     let lenders = shares.iter().filter(|&(&slot, share)| share.lendable > 0 && slot != own);
     let key = mix(u64::from(id), u64::from(own.0));
--- a/crates/ashtide-fleet/src/state/exchange/counting.rs
+++ b/crates/ashtide-fleet/src/state/exchange/counting.rs
@@ -1,4 +1,4 @@
-//! Counts: which gateway keeps which, and how they stay the same there.
+//! Replication of counts: which gateways store which counts, and how the replicas stay up to date.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,43 +7,45 @@
 use super::super::{CounterKey, FleetTotal, MAX_CELLS, ReplicatedCounts, Slot, mix, rendezvous};
 use super::Exchange;
 
-/// Gateways that send a key's count: up to so many gateways the sum is exact, beyond it is a sample's.
+/// Number of gateways that send their count of a key. In a fleet of at most this size the sum is exact; in a
+/// larger one it is the sum of a sample.
 pub const SAMPLE_SIZE: usize = 64;
-/// Gateways that keep a key's count.
+/// Number of gateways that store the counts of a key.
 pub const REPLICAS: usize = 2;
-/// Groups of keys, at least.
+/// Minimum number of key groups.
 const MIN_KEY_GROUPS: u64 = 8;
-/// Slots for which there is a group.
+/// Number of slots per key group.
 const SLOTS_PER_GROUP: u16 = 16;
-/// Tells groups from other choices by rendezvous.
+/// Distinguishes key groups from other rendezvous hashes.
 const GROUP_SALT: u64 = 4;
-/// Rounds of counts of which the last has a digest of all.
+/// Number of rounds between two digests of the sent counts.
 const ROUNDS_PER_DIGEST: u32 = 3;
-/// Counts that a snapshot has.
+/// Maximum number of counts in a snapshot.
 const MAX_SNAPSHOT_COUNTS: usize = 96;
-/// Totals of other gateways that are cached.
+/// Maximum number of cached totals of other gateways.
 const MAX_CACHED_TOTALS: usize = 256;
 
-/// A total that another gateway has sent.
+/// A total received from another gateway.
 struct CachedTotal {
     total: FleetTotal,
     received_at: Duration,
 }
 
-/// The last digest of a gateway.
+/// The position of a digest in the sequence of digests of a gateway.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DigestNumber {
     incarnation: u64,
     round: u32,
 }
 
-/// The counts, and their state of delivery.
+/// The counts and the state of their replication.
 pub(super) struct CountSync {
     pub(super) counts: ReplicatedCounts,
-    /// Own keys, with the gateways that are sent them; chosen anew where the peers change.
+    /// Gateways that each key of this gateway is sent to. They are chosen again when the peers change.
     recipients: BTreeMap<CounterKey, Vec<Slot>>,
+    /// Keys whose counts have changed since the last round.
     changed: BTreeSet<CounterKey>,
-    /// Whether this gateway keeps a key; forgotten where the peers change.
+    /// Cache of whether this gateway is a replica of a key. It is cleared when the peers change.
     is_replica: BTreeMap<CounterKey, bool>,
     last_digests: BTreeMap<Slot, DigestNumber>,
     cached_totals: BTreeMap<CounterKey, CachedTotal>,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// The digest of the own counts that `recipient` is sent.
+    /// Returns the digest of the counts of this gateway that are sent to `recipient`.
     fn digest_for(&self, recipient: Slot) -> u64 {
         let sent = self.recipients.iter().filter(|(_, slots)| slots.contains(&recipient));
         let own = &self.counts.own_row().cells;
@@ -76,13 +78,13 @@
 }
 
 impl Exchange {
-    /// The counts.
+    /// Returns the replicated counts.
     #[must_use]
     pub fn counts(&self) -> &ReplicatedCounts {
         &self.counting.counts
     }
 
-    /// Chooses again who is sent what, as the peers have changed.
+    /// Chooses the recipients of all counts again after the peers have changed.
     pub(super) fn rechoose_recipients(&mut self) {
         self.counting.is_replica.clear();
         let keys: Vec<CounterKey> = std::mem::take(&mut self.counting.recipients).into_keys().collect();
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Forgets own counts that are zero, at all gateways: counts are sent anew as by a process of this incarnation,
-    /// which is later than the present one and earlier than any to come.
+    /// Removes the counts of this gateway that are zero, at all gateways. The other counts are sent again
+    /// under `incarnation`, which must be later than the current incarnation and earlier than that of any
+    /// later process.
     pub fn reset_counts(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         let counting = &mut self.counting;
@@ -103,7 +106,7 @@
         counting.changed = counting.recipients.keys().copied().collect();
     }
 
-    /// Sets one of the own counts.
+    /// Sets a count of this gateway.
     pub fn set_count(&mut self, key: CounterKey, value: u32) {
         let before = self.counting.counts.own_row().cells.get(&key).copied();
         self.counting.counts.set(key, value);
@@ -117,8 +120,8 @@
         }
     }
 
-    /// The group of a key: a group has its sample and its replicas, so that few gateways are sent much and not many
-    /// little.
+    /// Returns the group of a key. All keys of a group have the same sample and replicas, so that a gateway
+    /// sends a few long datagrams and not many short ones.
     fn key_group(&self, key: CounterKey) -> u64 {
         let groups = u64::from(self.config.slot_count / SLOTS_PER_GROUP).max(MIN_KEY_GROUPS);
         mix(GROUP_SALT, key_hash(key) % groups)
@@ -128,7 +131,8 @@
         rendezvous(self.key_group(key), self.all_gateways(), REPLICAS)
     }
 
-    /// Who is sent this gateway's count of a key: nobody where it is not in the key's sample.
+    /// Returns the gateways that the count of a key is sent to; empty if this gateway is not in the sample of
+    /// the key.
     fn choose_recipients(&self, key: CounterKey) -> Vec<Slot> {
         let sample_key = !self.key_group(key);
         if self.peers.len() >= SAMPLE_SIZE
@@ -153,8 +157,8 @@
         is_replica
     }
 
-    /// The total of a count as it is known here; requests it of a replica where this gateway is none. None: not
-    /// received, which is not zero.
+    /// Returns the known total of a count. If this gateway is no replica of the key, requests the total from
+    /// a replica and returns the last one received; `None` if none was received, which does not mean zero.
     pub fn fleet_total(&mut self, key: CounterKey) -> Option<FleetTotal> {
         if self.is_replica_of(key) {
             return Some(self.counting.counts.total(key));
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Sends all counts again that `recipient` is sent.
+    /// Sends all counts again that have `recipient` as a replica.
     pub(super) fn resend_counts(&mut self, recipient: Slot) {
         let sent = self.counting.recipients.iter().filter(|(_, slots)| slots.contains(&recipient));
         let keys: Vec<CounterKey> = sent.map(|(&key, _)| key).collect();
@@ -205,7 +209,8 @@
         }
     }
 
-    /// The sender's counts are as it sent them last, or it is asked to send them again.
+    /// Handles a digest of the counts of `from`. Requests the counts again if the digest of the stored counts
+    /// differs.
     pub(super) fn handle_counts_digest(&mut self, from: Slot, incarnation: u64, round: u32, digest: u64) {
         let rows = self.counting.counts.table().rows();
         let row = rows.get(&from).filter(|row| row.incarnation == incarnation);
@@ -214,7 +219,7 @@
         known.retain(|&(key, _)| self.is_replica_of(key));
         let number = DigestNumber { incarnation, round };
         if self.counting.last_digests.get(&from).is_none_or(|&last| last < number) {
-            // One whose row has expired is there after all: its counts are news again.
+            // The sender is alive even if its row has expired: its counts are accepted again.
             self.counting.counts.record_heartbeat(self.now, from, incarnation);
             self.counting.last_digests.insert(from, number);
         }
@@ -223,7 +228,7 @@
         }
     }
 
-    /// Sends what a gateway that starts is to keep, as far as it is known here.
+    /// Sends the known counts to a gateway that has just started.
     pub(super) fn send_snapshot(&mut self, to: Slot) {
         let mut messages = Vec::new();
         for (&slot, row) in self.counting.counts.table().rows() {
@@ -248,7 +253,7 @@
     }
 }
 
-/// The same for the same versions in any order.
+/// Returns a digest of keys and versions, independent of their order.
 fn counts_digest(versions: impl Iterator<Item = (CounterKey, u32)>) -> u64 {
     versions.fold(0, |digest, (key, version)| digest ^ mix(key_hash(key), u64::from(version)))
 }
--- a/crates/ashtide-fleet/src/state/exchange/mod.rs
+++ b/crates/ashtide-fleet/src/state/exchange/mod.rs
@@ -1,10 +1,16 @@
-//! Delivery: which gateway is sent what, when, in how many datagrams.
+//! Exchange of shared state between gateways: recipients, timing and datagrams.
 //!
-//! Nothing is passed on, so nobody can speak for another and a late message is late by the network alone; a snapshot for
-//! a gateway that starts is the one exception, and has counts only. What a gateway sends does not grow with the fleet:
-//! of each key [`SAMPLE_SIZE`] gateways send their count to [`REPLICAS`] others, both by rendezvous hashing; a gateway
-//! requests leases of [`GRANTORS_PER_BUDGET`] of a budget's grantors; evidence goes to a few peers at a time, and as
-//! those who observed the same are many where it matters, each receives a quorum of them within seconds.
+//! Gateways do not forward messages of others. So no gateway can send state in the name of another, and only
+//! the network delays messages. The one exception is the snapshot for a gateway that starts, which includes
+//! counts only.
+//!
+//! The traffic of a gateway does not grow with the fleet:
+//!
+//! - For each key, [`SAMPLE_SIZE`] gateways send their count to [`REPLICAS`] others. Rendezvous hashing
+//!   selects both.
+//! - A gateway requests leases from [`GRANTORS_PER_BUDGET`] grantors of a budget.
+//! - A gateway sends its evidence to a few peers at a time. When it matters, many gateways have observed the
+//!   same, so each gateway receives the evidence of a quorum within seconds.
 
 mod budgets;
 mod counting;
@@ -26,42 +32,42 @@
 pub use counting::{REPLICAS, SAMPLE_SIZE};
 use outbox::{MAX_QUEUED_MESSAGES, Outbox};
 
-/// Peers that own evidence is sent to at a time, and commitments are.
+/// Number of peers that evidence and commitments are sent to at a time.
 const FANOUT: usize = 2;
-/// Messages of evidence that one peer is sent at a time.
+/// Maximum number of evidence messages sent to one peer at a time.
 const MAX_EVIDENCE_PER_PEER: usize = MAX_QUEUED_MESSAGES / 4;
-/// How often a gateway that starts requests a snapshot.
+/// Interval between the snapshot requests of a starting gateway.
 const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
-/// How long it waits for one.
+/// Time after which a starting gateway stops waiting for a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The configuration of an exchange.
+/// The configuration of an [`Exchange`].
 #[derive(Debug, Clone, Copy)]
 pub struct ExchangeConfig {
-    /// A number that the gateways of one tier have in common, and no other tier.
+    /// ID of the fleet: the same at all its gateways and different from other fleets.
     pub fleet_id: u32,
-    /// Slots of the settings' list: all that may be there.
+    /// Number of slots in the configured list of all possible gateways.
     pub slot_count: u16,
-    /// Datagrams that may be sent a second.
+    /// Maximum number of datagrams sent per second.
     pub datagrams_per_second: u32,
-    /// The lengths of leases.
+    /// Durations of leases.
     pub lease: LeaseConfig,
-    /// What outlier reports may do.
+    /// Limits on the effect of outlier reports.
     pub outlier_limits: OutlierLimits,
 }
 
-/// Counts since the start.
+/// Traffic of an [`Exchange`] since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams sent.
+    /// Datagrams sent, and their bytes.
     pub sent: DatagramCount,
-    /// Messages that there was no room for: later ones replace them.
+    /// Messages dropped because a queue was full. Later messages replace them.
     pub dropped_messages: u64,
-    /// Datagrams rejected, by reason.
+    /// Number of rejected datagrams, by reason.
     pub rejected: BTreeMap<DecodeError, u64>,
 }
 
-/// What is done now and then.
+/// A task that runs periodically.
 #[derive(Debug, Clone, Copy)]
 enum PeriodicTask {
     RequestLeases,
@@ -80,7 +86,7 @@
     }
 }
 
-/// One gateway's shared state, and what it sends of it.
+/// The shared state of one gateway, and its exchange with other gateways.
 pub struct Exchange {
     own_slot: Slot,
     incarnation: u64,
@@ -92,24 +98,25 @@
     peers: Vec<Slot>,
     rng: ChaCha8Rng,
     now: Duration,
-    /// When each of [`PeriodicTask::ALL`] is due.
+    /// Due time of each task of [`PeriodicTask::ALL`].
     next_due: [Duration; PeriodicTask::ALL.len()],
-    /// The peer that evidence was sent to last.
+    /// Index of the peer that evidence was last sent to.
     next_evidence_peer: usize,
     started_at: Duration,
     is_started: bool,
-    /// By the time since the start.
+    /// Time of the next snapshot request, relative to the start, plus one interval.
     next_snapshot_request: Duration,
     outbox: Outbox,
     traffic: Traffic,
 }
 
 impl Exchange {
-    /// The exchange of the gateway at `own_slot`, in this incarnation. `seed` feeds its random choices.
+    /// Creates the exchange of the gateway at `own_slot` in this incarnation. `seed` initializes its random
+    /// generator.
     #[must_use]
     pub fn new(config: ExchangeConfig, own_slot: Slot, incarnation: u64, seed: u64, now: Duration) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Not at one moment for all gateways that are restarted together.
+        // A random phase prevents gateways that restart together from sending at the same time.
         let next_due = PeriodicTask::ALL.map(|task| now + task.interval().mul_f64(rng.random::<f64>()));
         Self {
             own_slot,
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Sets the other gateways that the view holds to be alive.
+    /// Sets the other gateways that are alive according to the membership view.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = Slot>) {
         self.peers = peers.into_iter().filter(|&slot| slot != self.own_slot).collect();
         self.peers.sort_unstable();
@@ -150,15 +157,15 @@
         self.peers[self.rng.random_range(0..self.peers.len())]
     }
 
-    /// Uses this gateway's shares no more, as another process has its slot now.
+    /// Stops the use of the shares of this gateway, as another process uses its slot.
     pub fn relinquish(&mut self) {
         let now = self.now;
         self.budgets.values_mut().for_each(|shared| shared.budget.with_escrow(now, Escrow::relinquish));
     }
 
-    /// Goes on as a later incarnation, as others know one that is later than this one was. What it held of others is
-    /// that process's or lost, and for a lease it lends nothing, as that process may have lent. What is in use stays
-    /// counted.
+    /// Continues as a later incarnation, as other gateways have recorded a later one than the current. Leases
+    /// from other gateways end, as they belong to the other process or are lost. Nothing is lent for the
+    /// duration of a lease, as the other process may have lent units. Uses in progress remain counted.
     pub fn restart(&mut self, incarnation: u64) {
         let now = self.now;
         self.reset_counts(incarnation);
@@ -168,25 +175,25 @@
         }
     }
 
-    /// The other gateways that the view holds to be alive.
+    /// Returns the other gateways that are alive according to the membership view.
     #[must_use]
     pub fn peers(&self) -> &[Slot] {
         &self.peers
     }
 
-    /// The outlier reports, to be read.
+    /// Returns the outlier reports.
     #[must_use]
     pub fn outlier_reports(&self) -> &OutlierReports {
         &self.outlier_reports
     }
 
-    /// The outlier reports.
+    /// Returns the outlier reports for modification.
     pub fn outlier_reports_mut(&mut self) -> &mut OutlierReports {
         &mut self.outlier_reports
     }
 
-    /// True once a peer has sent a snapshot, or none has for as long as is waited: until then nothing is decided by
-    /// shared state, afterwards by what there is.
+    /// Returns true once a peer has sent a snapshot or the wait for one has timed out. Until then, callers
+    /// must not base decisions on shared state; afterwards they use the state received so far.
     #[must_use]
     pub fn is_started(&self) -> bool {
         self.is_started
@@ -196,15 +203,16 @@
         self.traffic.dropped_messages += self.outbox.enqueue(to, message);
     }
 
-    /// Sets the time and does no more: before budgets are spent at a time that [`advance_to`](Self::advance_to) has not
-    /// been told, as to them a time before the last is a clock that was put back.
+    /// Sets the time without running any task. Call it before budgets are spent at a time after the last call
+    /// of [`advance_to`](Self::advance_to): a budget treats a time before its last one as a backward clock
+    /// step.
     pub fn set_time(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.now);
-        self.outbox.add_tokens(f64::from(self.config.datagrams_per_second), passed);
+        let elapsed = now.saturating_sub(self.now);
+        self.outbox.add_tokens(f64::from(self.config.datagrams_per_second), elapsed);
         self.now = now;
     }
 
-    /// Lets time pass; to be called every 50 ms.
+    /// Advances the time to `now` and runs the due tasks. Call it every 50 ms.
     pub fn advance_to(&mut self, now: Duration) {
         self.set_time(now);
         self.counting.counts.advance_to(now);
@@ -220,7 +228,7 @@
         for (index, task) in PeriodicTask::ALL.into_iter().enumerate() {
             let interval = task.interval();
             if self.next_due[index] > now {
-                // A clock that is put back does not silence it.
+                // After a backward clock step the task is still due within two intervals.
                 self.next_due[index] = self.next_due[index].min(now + 2 * interval);
             } else {
                 self.next_due[index] = now + interval.mul_f64(self.rng.random_range(0.9..1.1));
@@ -257,7 +265,8 @@
             return;
         }
         for _ in 0..FANOUT.min(self.peers.len()) {
-            // In turn, from a random one on: by chance alone one in a few receives it when it is old.
+            // Round robin from a random start: with random peers, some would receive the evidence only when
+            // it is old.
             self.next_evidence_peer = (self.next_evidence_peer + 1) % self.peers.len();
             let peer = self.peers[self.next_evidence_peer];
             for &message in evidence.iter().take(MAX_EVIDENCE_PER_PEER) {
@@ -266,7 +275,8 @@
         }
     }
 
-    /// The next datagram to be sent, and to which gateway: the most useful first, several messages in one.
+    /// Returns the next datagram and its destination. It includes several messages, those of the highest
+    /// priority first. Returns `None` if the rate limit is reached or nothing is queued.
     pub fn next_datagram(&mut self) -> Option<(Slot, Vec<u8>)> {
         if !self.outbox.has_token() {
             return None;
@@ -280,23 +290,24 @@
         Some((destination, bytes))
     }
 
-    /// A datagram of at most `room` bytes for `to`, which is sent to anyway: it is carried with the view's.
-    pub fn piggyback_datagram(&mut self, to: Slot, room: usize) -> Option<Vec<u8>> {
+    /// Returns a datagram of at most `max_len` bytes for `to`, to be sent along with a datagram of the
+    /// membership view; `None` if no queued message fits.
+    pub fn piggyback_datagram(&mut self, to: Slot, max_len: usize) -> Option<Vec<u8>> {
         let mut bytes = encode_header(self.config.fleet_id, self.own_slot, self.incarnation);
-        (self.outbox.fill_datagram(to, &mut bytes, room) > 0).then_some(bytes)
+        (self.outbox.fill_datagram(to, &mut bytes, max_len) > 0).then_some(bytes)
     }
 
-    /// Counts since the start.
+    /// Returns the traffic since the start.
     #[must_use]
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// Checks the invariants of all of it; `ready` as in [`OutlierReports::check`].
+    /// Checks the invariants of the entire shared state; for `ready` see [`OutlierReports::check`].
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self, ready: &[(u32, u64)]) -> Result<(), Violation> {
         self.counting.counts.check()?;
         self.outlier_reports.check(ready)?;
--- a/crates/ashtide-fleet/src/state/exchange/outbox.rs
+++ b/crates/ashtide-fleet/src/state/exchange/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be sent.
+//! The queues of messages to be sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,35 +7,36 @@
 use super::super::{Slot, Violation};
 use crate::MAX_DATAGRAM;
 
-/// Messages that wait for one gateway.
+/// Maximum number of messages queued for one gateway.
 pub(super) const MAX_QUEUED_MESSAGES: usize = 128;
-/// Gateways that any messages wait for.
+/// Maximum number of gateways with queued messages.
 const MAX_DESTINATIONS: usize = 512;
 
-/// By priority, then in the order in which they came.
+/// Queued messages, ordered by priority and then by message ID.
 type Queue = BTreeMap<(u8, u64), StateMessage>;
 
-/// The messages that wait, by gateway, and the tokens of the datagrams that may be sent.
+/// The queued messages of each gateway, and a token bucket that limits the rate of datagrams.
 #[derive(Default)]
 pub(super) struct Outbox {
     queues: BTreeMap<Slot, Queue>,
     last_message_id: u64,
+    /// Number of datagrams that may be sent now.
     tokens: f64,
 }
 
 impl Outbox {
-    /// Drops what waits for other gateways than these.
+    /// Drops the messages queued for gateways outside `destinations`.
     pub(super) fn retain_destinations(&mut self, destinations: &BTreeSet<Slot>) {
         self.queues.retain(|slot, _| destinations.contains(slot));
     }
 
-    /// Queues a message for a gateway; gives how many messages were dropped.
+    /// Queues a message for a gateway. Returns the number of messages dropped for it.
     pub(super) fn enqueue(&mut self, to: Slot, message: StateMessage) -> u64 {
         if self.queues.len() >= MAX_DESTINATIONS && !self.queues.contains_key(&to) {
             return 1;
         }
         let queue = self.queues.entry(to).or_default();
-        queue.retain(|_, waiting| !waiting.is_replaced_by(&message));
+        queue.retain(|_, queued| !queued.is_replaced_by(&message));
         self.last_message_id += 1;
         queue.insert((message.priority(), self.last_message_id), message);
         if queue.len() <= MAX_QUEUED_MESSAGES {
@@ -45,9 +46,9 @@
         1
     }
 
-    /// Adds the tokens of the time that has passed; a second's tokens are stored at most.
-    pub(super) fn add_tokens(&mut self, per_second: f64, passed: Duration) {
-        self.tokens = (self.tokens + per_second * passed.as_secs_f64()).min(per_second);
+    /// Adds the tokens of the elapsed time. The bucket stores at most the tokens of one second.
+    pub(super) fn add_tokens(&mut self, per_second: f64, elapsed: Duration) {
+        self.tokens = (self.tokens + per_second * elapsed.as_secs_f64()).min(per_second);
     }
 
     pub(super) fn has_token(&self) -> bool {
@@ -58,18 +59,19 @@
         self.tokens -= 1.0;
     }
 
-    /// The gateway that the most useful message waits for.
+    /// Returns the gateway that the queued message of the highest priority is for.
     pub(super) fn next_destination(&self) -> Option<Slot> {
-        let waiting = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
-        waiting.min_by_key(|(_, queue)| queue.keys().next().copied()).map(|(&slot, _)| slot)
+        let nonempty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        nonempty.min_by_key(|(_, queue)| queue.keys().next().copied()).map(|(&slot, _)| slot)
     }
 
-    /// Moves what waits for `to` into a datagram of at most `room` bytes; gives how many messages that were.
-    pub(super) fn fill_datagram(&mut self, to: Slot, bytes: &mut Vec<u8>, room: usize) -> usize {
+    /// Moves queued messages for `to` into a datagram of at most `max_len` bytes. Returns the number of moved
+    /// messages.
+    pub(super) fn fill_datagram(&mut self, to: Slot, bytes: &mut Vec<u8>, max_len: usize) -> usize {
         let Some(queue) = self.queues.get_mut(&to) else { return 0 };
         let mut sent = 0;
         while let Some(entry) = queue.first_entry() {
-            if !append_message(bytes, entry.get(), room.min(MAX_DATAGRAM)) {
+            if !append_message(bytes, entry.get(), max_len.min(MAX_DATAGRAM)) {
                 break;
             }
             entry.remove();
@@ -83,7 +85,7 @@
 
     pub(super) fn check(&self) -> Result<(), Violation> {
         let longest = self.queues.values().map(BTreeMap::len).max().unwrap_or(0);
-        Violation::check_size("peers waited for", self.queues.len(), MAX_DESTINATIONS)?;
-        Violation::check_size("items for a peer", longest, MAX_QUEUED_MESSAGES)
+        Violation::check_size("destinations with queued messages", self.queues.len(), MAX_DESTINATIONS)?;
+        Violation::check_size("messages queued for a gateway", longest, MAX_QUEUED_MESSAGES)
     }
 }
--- a/crates/ashtide-fleet/src/state/exchange/receive.rs
+++ b/crates/ashtide-fleet/src/state/exchange/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in.
+//! Handling of received datagrams.
 
 use std::time::Duration;
 
@@ -10,20 +10,22 @@
 use crate::DecodeError;
 
 impl Exchange {
-    /// Handles a datagram.
+    /// Handles a received datagram and trusts the sender named in it.
     ///
     /// # Errors
     ///
-    /// Says why it is rejected; it is counted, and has changed nothing.
+    /// Returns the reason why the datagram is rejected. The rejection is counted, and the state is unchanged.
     pub fn handle_datagram(&mut self, datagram: &[u8]) -> Result<(), DecodeError> {
         self.decode_and_handle(datagram, Some)
     }
 
-    /// Handles a datagram that came from the address of this gateway, or of none.
+    /// Handles a datagram from the source address of the gateway `sender`; `None` if the address belongs to
+    /// no gateway.
     ///
     /// # Errors
     ///
-    /// As [`handle_datagram`](Self::handle_datagram), and where it claims to be sent by another gateway.
+    /// Returns the errors of [`handle_datagram`](Self::handle_datagram), and an error if the datagram names a
+    /// sender other than `sender`.
     pub fn handle_datagram_from(&mut self, sender: Option<Slot>, datagram: &[u8]) -> Result<(), DecodeError> {
         self.decode_and_handle(datagram, |_| sender)
     }
@@ -68,7 +70,7 @@
             StateMessage::LeaseRequest(id, request) => self.handle_lease_request(from, id, request),
             StateMessage::LeaseGrant(id, grant) => {
                 if let Some(shared) = self.budgets.get_mut(&id) {
-                    // One that comes too late is requested again.
+                    // A rejected grant is ignored: the next lease request replaces it.
                     let _ = shared.budget.accept_lease(self.now, from, grant);
                 }
             }
--- a/crates/ashtide-fleet/src/state/message.rs
+++ b/crates/ashtide-fleet/src/state/message.rs
@@ -1,4 +1,4 @@
-//! What gateways send each other, as bytes: a header, then messages one after another until the end.
+//! Encoding of the datagrams of shared state: a header, followed by messages up to the end of the datagram.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,45 +7,50 @@
 use super::{AllocationVersion, LeaseGrant, LeaseRequest, Slot};
 use crate::{DecodeError, MAX_DATAGRAM};
 
-/// Begins each datagram of shared state; those of the view and of servers begin with other bytes.
+/// First byte of each datagram of shared state. Datagrams of the membership view and of servers have other
+/// first bytes.
 const VERSION: u8 = 0x53;
-/// Bytes of the version, the tier, the sender's slot and its incarnation.
+/// Length of the header in bytes: version, fleet ID, slot of the sender and incarnation of the sender.
 const HEADER_LEN: usize = 1 + 4 + 2 + 8;
-/// Longest message.
+/// Maximum length of an encoded message, in bytes.
 const MAX_MESSAGE_LEN: usize = 64;
 
-/// One message.
+/// A message of shared state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateMessage {
-    /// Requests rights of a budget.
+    /// A request for a lease of the budget with this ID.
     LeaseRequest(u32, LeaseRequest),
-    /// Grants rights of a budget.
+    /// A grant of a lease of the budget with this ID.
     LeaseGrant(u32, LeaseGrant),
-    /// What the sender observed.
+    /// Evidence that the sender observed.
     Evidence(EvidenceMessage),
-    /// One of the sender's counts.
+    /// A count of the sender.
     Count(CounterKey, VersionedCount),
-    /// The sender's counts are unchanged: a rising number, and a hash of all that it has sent the receiver.
+    /// A round number and a digest of all counts that the sender has sent to the receiver.
     CountsDigest(u32, u64),
-    /// The receiver's counts as they are here are not what it sent last: it is to send them again.
+    /// A request to the receiver to send all its counts again, as those stored at the sender do not match the
+    /// receiver's digest.
     ResendCounts,
-    /// Requests the total of a count.
+    /// A request for the total of a count.
     TotalRequest(CounterKey),
-    /// The total of a count, over so many gateways, the oldest row so many milliseconds old.
+    /// The total of a count: key, sum, number of gateways included, and age of the oldest row in
+    /// milliseconds.
     Total(CounterKey, u64, u16, u16),
-    /// The sender has just started, and requests a snapshot.
+    /// A request for a snapshot by a gateway that has just started.
     SnapshotRequest,
-    /// Another gateway's count, for one that has just started.
+    /// A count in a snapshot: slot and incarnation of the gateway that counted, key and count.
     SnapshotCount(Slot, u64, CounterKey, VersionedCount),
-    /// The snapshot ends.
+    /// The end of a snapshot.
     SnapshotEnd,
-    /// Which settings the sender is at, and which gateways have committed to them.
+    /// The allocation that the sender uses, and the gateways that have committed to it.
     AllocationVersion(AllocationVersion),
 }
 
 impl StateMessage {
-    /// What goes first where not all can go: rights, as they expire; evidence; counts by news, then as they are; and
-    /// last what only asks about them, so that a gateway that asks often does not hold up what is asked for.
+    /// Returns the priority of the message when the datagram rate is limited; 0 is the highest. Leases come
+    /// first, as they expire, followed by evidence, snapshot requests, and changes and digests of counts.
+    /// Totals, their requests and snapshots come last, so that frequent requests do not delay the counts
+    /// themselves.
     pub(super) fn priority(&self) -> u8 {
         match self {
             Self::LeaseGrant(..) | Self::LeaseRequest(..) | Self::AllocationVersion(_) => 0,
@@ -56,7 +61,7 @@
         }
     }
 
-    /// Whether this message, which waits for the same gateway, has no use beside `newer`.
+    /// Returns whether `newer`, queued for the same gateway, makes this queued message obsolete.
     pub(super) fn is_replaced_by(&self, newer: &Self) -> bool {
         match (self, newer) {
             (Self::Count(key, _), Self::Count(newer, _)) => key == newer,
@@ -72,20 +77,20 @@
     }
 }
 
-/// Whether a datagram is one of shared state, which may share a socket with others.
+/// Returns whether a datagram is one of shared state. Other kinds of datagrams may use the same socket.
 #[must_use]
 pub fn is_shared_state(datagram: &[u8]) -> bool {
     datagram.first() == Some(&VERSION)
 }
 
-/// A datagram as it was received.
+/// A decoded datagram.
 pub(super) struct Received {
     pub(super) sender: Slot,
     pub(super) incarnation: u64,
     pub(super) messages: Vec<StateMessage>,
 }
 
-/// A datagram without a message yet.
+/// Returns a datagram that has only a header.
 pub(super) fn encode_header(fleet_id: u32, sender: Slot, incarnation: u64) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
     bytes.push(VERSION);
@@ -95,27 +100,27 @@
     bytes
 }
 
-/// Appends a message to a datagram of at most `room` bytes; false where there is no room.
-pub(super) fn append_message(bytes: &mut Vec<u8>, message: &StateMessage, room: usize) -> bool {
+/// Appends a message to a datagram. Returns false if the datagram would exceed `max_len` bytes.
+pub(super) fn append_message(bytes: &mut Vec<u8>, message: &StateMessage, max_len: usize) -> bool {
     let mut buffer = [0; MAX_MESSAGE_LEN];
     let Ok(encoded) = postcard::to_slice(message, &mut buffer) else { return false };
-    let has_room = bytes.len() + encoded.len() <= room;
-    if has_room {
+    let fits = bytes.len() + encoded.len() <= max_len;
+    if fits {
         bytes.extend_from_slice(encoded);
     }
-    has_room
+    fits
 }
 
-/// Decodes a datagram, or says why it is rejected.
+/// Decodes a datagram, or returns the reason why it is rejected.
 pub(super) fn decode_datagram(fleet_id: u32, datagram: &[u8]) -> Result<Received, DecodeError> {
     if datagram.len() > MAX_DATAGRAM {
         return Err(DecodeError::Length);
     }
     let (header, mut remaining) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
-    let [VERSION, t0, t1, t2, t3, s0, s1, incarnation @ ..] = header else {
+    let [VERSION, fleet0, fleet1, fleet2, fleet3, slot0, slot1, incarnation @ ..] = header else {
         return Err(DecodeError::Version);
     };
-    if fleet_id != u32::from_be_bytes([*t0, *t1, *t2, *t3]) {
+    if fleet_id != u32::from_be_bytes([*fleet0, *fleet1, *fleet2, *fleet3]) {
         return Err(DecodeError::OtherFleet);
     }
     let incarnation = incarnation.try_into().map_err(|_| DecodeError::Length)?;
@@ -125,6 +130,6 @@
         messages.push(message);
         remaining = after;
     }
-    let sender = Slot(u16::from_be_bytes([*s0, *s1]));
+    let sender = Slot(u16::from_be_bytes([*slot0, *slot1]));
     Ok(Received { sender, incarnation: u64::from_be_bytes(incarnation), messages })
 }
--- a/crates/ashtide-fleet/src/state/mod.rs
+++ b/crates/ashtide-fleet/src/state/mod.rs
@@ -1,17 +1,18 @@
-//! What the gateways of a tier share, and what it is worth when a part of them is cut off.
+//! State that the gateways of a fleet share, and its guarantees while some of the gateways are partitioned.
 //!
-//! Three kinds of state, a type each, all without a socket or a clock:
+//! There are three kinds of state, each with its own type and without sockets or clocks:
 //!
-//! - [`ReplicatedCounts`]: a row per gateway, never a sum of sums (a state-based CRDT). A fact of the past, with its
-//!   age.
-//! - [`Escrow`], and [`Budget`] on top of it: rights to spend, which are moved and never copied. The sum of what all
-//!   gateways may use at one moment is at most the total, whoever is cut off.
-//! - [`OutlierReports`]: what gateways observed of servers. Evidence with an age; a verdict follows from it, and is
-//!   never sent.
+//! - [`ReplicatedCounts`]: counts with one row per gateway, never a sum of sums (a state-based CRDT). A count
+//!   describes the past and has an age.
+//! - [`Escrow`], and [`Budget`] on top of it: units of a budget, which are moved between gateways and never
+//!   copied. At any moment all gateways together may use at most the total, whichever of them are
+//!   partitioned.
+//! - [`OutlierReports`]: what gateways observed of servers. Evidence has an age. Each gateway derives the
+//!   outliers from the evidence; conclusions are never sent.
 //!
-//! Each says what it holds to in `check`, which names the violated invariant ([`Violation`]); the numbers are those of
-//! `docs/design/shared-state.md`. Time is passed in and is a steady one of each gateway's own (no gateway's time is
-//! compared with another's).
+//! The `check` method of each type verifies its invariants and names the violated one ([`Violation`]). The
+//! invariants are numbered as in `docs/design/shared-state.md`. The time is a parameter: the monotonic time
+//! of the gateway itself. Times of different gateways are never compared.
 
 mod allocation;
 mod budget;
@@ -48,22 +49,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A gateway's number in the settings' list of all that may be there; the same at all gateways.
+/// The index of a gateway in the configured list of all possible gateways; the same at all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Slot(pub u16);
 
-/// Mixes two numbers, alike at all gateways (the finalizer of SplitMix64, Steele and others 2014).
+/// Hashes two numbers into one, with the same result at all gateways (finalizer of SplitMix64, Steele et al.
+/// 2014).
 #[must_use]
-pub fn mix(one: u64, other: u64) -> u64 {
+pub fn mix(first: u64, second: u64) -> u64 {
     let mut mixed =
-        one.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(other).wrapping_add(0x9e37_79b9_7f4a_7c15);
+        first.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(second).wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// The `count` of `slots` that come first for `key` by rendezvous hashing (Thaler and Ravishankar 1998), the first one
-/// first: all gateways name the same, and where one goes only its keys move.
+/// Returns the `count` highest-ranked of `slots` for `key` by rendezvous hashing (Thaler and Ravishankar
+/// 1998), in rank order. All gateways compute the same slots, and the removal of a slot moves only the keys
+/// of that slot.
 #[must_use]
 pub fn rendezvous(key: u64, slots: impl IntoIterator<Item = Slot>, count: usize) -> Vec<Slot> {
     let mut ranked: Vec<(u64, Slot)> =
--- a/crates/ashtide-fleet/src/state/mutation.rs
+++ b/crates/ashtide-fleet/src/state/mutation.rs
@@ -1,40 +1,41 @@
-//! Mutations: faults put in on purpose, to show that the checks find them. Without the feature `mutation`, which only
-//! tests turn on, none can be chosen and [`ActiveMutation::is`] is a constant `false`.
+//! Mutations: deliberate faults, which show that the invariant checks detect them. Only tests enable the
+//! feature `mutation`. Without it no mutation can be activated, and [`ActiveMutation::is`] always returns
+//! `false`.
 
-/// One fault put in on purpose.
+/// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// Counts are merged by adding.
+    /// Merges counts by addition.
     MergeBySum,
-    /// A row's incarnation is ignored.
+    /// Ignores the incarnation of a row.
     IgnoreIncarnation,
-    /// A lease request that comes late or twice is taken as new.
+    /// Accepts a delayed or repeated lease request as a new one.
     AcceptRepeatedRequest,
-    /// A grant that the holder has not confirmed is not booked.
+    /// Books only the units that the holder has confirmed.
     ForgetUnconfirmedGrant,
-    /// A grant that comes late or twice is taken as the answer to the outstanding request.
+    /// Accepts a delayed or repeated grant as the answer to the outstanding request.
     AcceptRepeatedGrant,
-    /// A lease does not end at its holder.
+    /// Does not end a lease at its holder.
     NoExpiry,
-    /// A lease runs from the moment at which its grant is received.
+    /// Measures a lease from the receipt of its grant.
     LeaseFromGrantTime,
-    /// A restarted grantor lends at once what its earlier process had lent.
+    /// Lets a restarted grantor immediately lend the units that its earlier process had lent.
     #[cfg(feature = "mutation")]
     NoLendingDelay,
-    /// One observer is enough.
+    /// Requires one observer instead of a quorum.
     NoQuorum,
-    /// A larger share is used as soon as it is read.
+    /// Uses a larger share as soon as it is read.
     RaiseShareImmediately,
-    /// A gateway commits to new settings while more is lent by the old ones.
+    /// Commits to new settings while more units are lent than the new share allows.
     CommitBeforeLeasesEnd,
-    /// A gateway at a later generation counts as committed to this one.
+    /// Counts a gateway at a later generation as committed to the current one.
     CountLaterGeneration,
-    /// A restarted gateway goes by its file alone.
+    /// Ignores the persisted allocation after a restart and uses the shares of the settings.
     #[cfg(feature = "mutation")]
     ForgetCommitment,
 }
 
-/// The mutation of a core, if any.
+/// The active mutation of a component, if any.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ActiveMutation {
     #[cfg(feature = "mutation")]
@@ -48,7 +49,7 @@
     }
 
     #[cfg(not(feature = "mutation"))]
-    #[allow(clippy::unused_self)] // The same signature as with the feature.
+    #[allow(clippy::unused_self)] // The signature must match the one with the feature.
     pub(crate) fn is(self, _: Mutation) -> bool {
         false
     }
--- a/crates/ashtide-fleet/src/state/outliers.rs
+++ b/crates/ashtide-fleet/src/state/outliers.rs
@@ -1,8 +1,8 @@
-//! Outlier reports: what gateways observed of servers, never what they concluded from it.
+//! Outlier reports: the observations of gateways about servers, not their conclusions.
 //!
-//! Evidence counts only from the gateway that observed it, so nobody can speak for another, and it includes what
-//! succeeded, too: a server that three cannot reach and thirty can is no outlier. What follows from it is computed by
-//! each gateway anew.
+//! Evidence is accepted only from the gateway that observed it, so no gateway can report in the name of
+//! another. Evidence includes successful attempts: a server that three gateways cannot reach and thirty can
+//! is no outlier. Each gateway computes the outliers itself.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,55 +13,61 @@
 use super::mutation::{ActiveMutation, Mutation};
 use super::{Slot, Violation, mix};
 
-/// Evidence that is older has no weight.
+/// Age at which evidence expires and has no weight.
 pub const EVIDENCE_LIFETIME: Duration = Duration::from_secs(24);
-/// Time in which the weight of evidence falls by half.
+/// Half-life of the weight of evidence.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(6);
-/// Observers that are kept of one server and kind; which ones, no observer can choose.
+/// Maximum number of observers stored per server and kind of evidence. A hash selects them, so that no
+/// observer can influence the selection.
 pub const MAX_OBSERVERS: usize = 16;
-/// Servers and kinds that are kept.
+/// Maximum number of evidence sets, one per server and kind of evidence.
 pub const MAX_EVIDENCE_SETS: usize = 2048;
-/// Successful attempts that each observer is given: one failure of one attempt weighs a half, two of two two thirds. A
-/// gateway that ejects a server makes no more attempts than these for seconds.
+/// Number of successful attempts added to those of each observer: one failure in one attempt has a weight of
+/// one half, two failures in two attempts of two thirds. A gateway that ejects a server makes no further
+/// attempts for seconds.
 const PRIOR_ATTEMPTS: u32 = 1;
-/// The weight of one full observer.
+/// Weight of one full observer, in thousandths.
 const FULL_WEIGHT: u32 = 1_000;
-/// The weight from which an observer counts for the quorum.
+/// Minimum weight at which an observer counts for the quorum, in thousandths.
 const QUORUM_WEIGHT: u32 = 250;
-/// The mean weight of all observers from which a server is an outlier.
+/// Minimum mean weight of all observers at which a server becomes an outlier, in thousandths.
 const EJECT_WEIGHT: u32 = 500;
-/// The weight down to which an outlier remains one: evidence falls while nobody tries the server, and it would come and
-/// go with each attempt.
+/// Minimum mean weight at which an ejected server remains an outlier, in thousandths. It is lower than
+/// [`EJECT_WEIGHT`] because the weight decays while no gateway tries the server; with one limit the server
+/// would alternate between ejected and in use with each attempt.
 const RETAIN_WEIGHT: u32 = 350;
 
-/// What was observed.
+/// A kind of evidence against a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EvidenceKind {
-    /// It refuses, resets or cannot be connected to.
+    /// Connections to the server are refused, reset or cannot be established.
     Failing,
-    /// It does not answer.
+    /// The server does not answer.
     Silent,
-    /// It sheds load, or reports that it is overrun.
+    /// The server sheds load, or reports that it is overloaded.
     Overrun,
-    /// It takes longer than similar servers.
+    /// The server has longer response times than similar servers.
     Slow,
 }
 
-/// What one observer observed.
+/// The evidence of one observer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Evidence {
-    /// The observer's incarnation and, within it, a rising number: the later evidence replaces the earlier.
+    /// Incarnation of the observer, and a sequence number that increases within it. Later evidence replaces
+    /// earlier.
     pub stamp: (u64, u32),
-    /// Attempts on which it was observed.
+    /// Number of attempts in which the kind of evidence was observed.
     pub observed: u16,
-    /// Attempts in all.
+    /// Total number of attempts.
     pub attempts: u16,
-    /// When, by the time of the gateway that keeps it; the earliest that it was received with.
+    /// Time of the observation, on the clock of the gateway that stores it: the earliest of all received
+    /// copies.
     pub observed_at: Duration,
 }
 
 impl Evidence {
-    /// The later stamp; of two with one, that which weighs less by its age.
+    /// Joins two pieces of evidence of one observer: the one with the later stamp. For equal stamps, the
+    /// result has the larger counts and the earlier time, which gives less weight by age.
     fn join(self, other: Self) -> Self {
         match self.stamp.cmp(&other.stamp) {
             Ordering::Less => other,
@@ -79,7 +85,8 @@
         now.saturating_sub(self.observed_at) >= EVIDENCE_LIFETIME
     }
 
-    /// The part of attempts on which it was observed, with the prior, falling with age; [`FULL_WEIGHT`] at most.
+    /// Returns the weight at `now`: the part of attempts in which the evidence was observed, with
+    /// [`PRIOR_ATTEMPTS`] and exponential decay. It is at most [`FULL_WEIGHT`].
     fn weight_at(self, now: Duration) -> u32 {
         if self.has_expired(now) {
             return 0;
@@ -92,20 +99,22 @@
     }
 }
 
-/// The evidence on one server of one kind: a join semilattice. An observer's later evidence replaces its earlier; of
-/// more than [`MAX_OBSERVERS`] those that come first by the server's name are kept, so any order ends alike.
+/// The evidence of one kind against one server: a join semilattice. Later evidence of an observer replaces
+/// its earlier evidence. Of more than [`MAX_OBSERVERS`] observers, those that are first by a hash of server
+/// and observer are retained, so that the result does not depend on the order of insertion.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvidenceSet {
     by_observer: BTreeMap<(u64, Slot), Evidence>,
 }
 
 impl EvidenceSet {
-    /// Where the evidence of an observer is kept.
+    /// Returns the key of the evidence of `observer`.
     fn key(server: u32, observer: Slot) -> (u64, Slot) {
         (mix(u64::from(server), u64::from(observer.0)), observer)
     }
 
-    /// Inserts what `observer` observed of `server`; true where that was news.
+    /// Inserts the evidence of `observer` against `server`. Returns true if the set changed and includes the
+    /// evidence.
     pub fn insert(&mut self, server: u32, observer: Slot, evidence: Evidence) -> bool {
         let key = Self::key(server, observer);
         let before = self.by_observer.get(&key).copied();
@@ -128,40 +137,41 @@
         self.by_observer.get(&Self::key(server, observer))
     }
 
-    /// The weights that have not expired, each with its observer.
+    /// Returns the observers whose evidence has not expired, with their weights.
     fn weights(&self, now: Duration) -> impl Iterator<Item = (Slot, u32)> {
         let current = self.by_observer.iter().filter(move |(_, evidence)| !evidence.has_expired(now));
         current.map(move |(&(_, observer), evidence)| (observer, evidence.weight_at(now)))
     }
 }
 
-/// What a gateway sends of a server.
+/// The evidence of a gateway against a server, as it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceMessage {
     /// The server, by a hash of its name.
     pub server: u32,
-    /// What was observed.
+    /// The kind of evidence.
     pub kind: EvidenceKind,
-    /// The observer's incarnation.
+    /// The incarnation of the observer.
     pub incarnation: u64,
-    /// Rises within it.
+    /// Sequence number of the evidence, increasing within the incarnation.
     pub sequence: u32,
-    /// Attempts on which it was observed.
+    /// Number of attempts in which the kind of evidence was observed.
     pub observed: u16,
-    /// Attempts in all.
+    /// Total number of attempts.
     pub attempts: u16,
-    /// How long ago, in milliseconds: times are not compared between gateways.
+    /// Age of the evidence in milliseconds. An age is sent because clocks of different gateways are not
+    /// compared.
     pub age_ms: u16,
 }
 
-/// What outlier reports may do.
+/// Limits on the effect of outlier reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutlierLimits {
-    /// Observers needed for an effect on all gateways.
+    /// Number of observers required to eject a server.
     pub quorum: usize,
-    /// Thousandths of the ready capacity that may be ejected together.
+    /// Maximum part of the ready capacity that may be ejected at a time, in thousandths.
     pub max_ejected_permille: u64,
-    /// Kinds of evidence that eject a server.
+    /// Kinds of evidence that can eject a server.
     pub ejecting_kinds: &'static [EvidenceKind],
 }
 
@@ -180,7 +190,8 @@
     }
 }
 
-/// A server that may be ejected, in the order in which they are.
+/// A candidate for ejection. Candidates are ejected in ascending order, so those with the highest weight come
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     weight: Reverse<u32>,
@@ -189,7 +200,7 @@
     capacity: u64,
 }
 
-/// One gateway's evidence, its own and what it has received.
+/// The evidence at one gateway: its own, and that received from other gateways.
 #[derive(Debug, Clone)]
 pub struct OutlierReports {
     own_slot: Slot,
@@ -198,13 +209,13 @@
     now: Duration,
     last_sequence: u32,
     evidence: BTreeMap<(u32, EvidenceKind), EvidenceSet>,
-    /// What was an outlier last.
+    /// Servers that were outliers at the last update.
     ejected: BTreeSet<u32>,
     mutation: ActiveMutation,
 }
 
 impl OutlierReports {
-    /// The evidence of the gateway at `own_slot`, in this incarnation.
+    /// Creates the reports of the gateway at `own_slot` in this incarnation.
     #[must_use]
     pub fn new(own_slot: Slot, incarnation: u64, limits: OutlierLimits, now: Duration) -> Self {
         Self {
@@ -219,26 +230,26 @@
         }
     }
 
-    /// Puts a mutation in.
+    /// Activates a mutation.
     #[cfg(feature = "mutation")]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation.mutation = Some(mutation);
     }
 
-    /// Goes on as a later incarnation: what is observed from now on replaces what the earlier observed.
+    /// Continues as a later incarnation, whose evidence replaces that of the earlier one.
     pub fn restart(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
     }
 
-    /// Whether anybody has evidence against a server.
+    /// Returns whether any observer has evidence of the given kind against a server.
     #[must_use]
     pub fn has_evidence_against(&self, server: u32, kind: EvidenceKind) -> bool {
         let evidence = self.evidence.get(&(server, kind));
         evidence.is_some_and(|evidence| evidence.weights(self.now).any(|(_, weight)| weight > 0))
     }
 
-    /// Records what this gateway itself observed, on `observed` of `attempts` attempts up to now. It replaces what it
-    /// observed before.
+    /// Records an observation of this gateway in `observed` of the latest `attempts` attempts. It replaces
+    /// the earlier evidence of this gateway.
     pub fn record_observation(
         &mut self,
         now: Duration,
@@ -254,7 +265,8 @@
         self.insert(server, kind, self.own_slot, evidence);
     }
 
-    /// Handles what `observer` itself sends; true where that was news. The caller knows who sent the datagram.
+    /// Handles evidence sent by `observer` itself. Returns true if the evidence is new. The caller must
+    /// verify the sender of the datagram.
     pub fn handle_message(&mut self, now: Duration, observer: Slot, message: EvidenceMessage) -> bool {
         self.advance_to(now);
         let age = Duration::from_millis(u64::from(message.age_ms));
@@ -278,7 +290,7 @@
         self.evidence.entry(key).or_default().insert(server, observer, evidence)
     }
 
-    /// Lets time pass; evidence that has expired is dropped.
+    /// Advances the time to `now` and drops expired evidence.
     pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
         let now = self.now;
@@ -288,7 +300,7 @@
         self.evidence.retain(|_, set| !set.by_observer.is_empty());
     }
 
-    /// This gateway's own evidence, to be sent.
+    /// Returns the evidence of this gateway, to be sent.
     pub fn own_evidence(&self) -> impl Iterator<Item = EvidenceMessage> {
         self.evidence.iter().filter_map(|(&(server, kind), set)| {
             let evidence = set.get(server, self.own_slot)?;
@@ -310,8 +322,9 @@
         if self.mutation.is(Mutation::NoQuorum) { 1 } else { self.limits.quorum }
     }
 
-    /// The weight of one kind of evidence against a server, in thousandths: the mean over its observers, and over a
-    /// quorum where there are fewer. One observer moves it by at most a quorum's part.
+    /// Returns the weight of one kind of evidence against a server, in thousandths: the sum of the weights
+    /// divided by the number of observers, or by the quorum if there are fewer observers. So one observer
+    /// changes the weight by at most one part in a quorum.
     #[must_use]
     pub fn evidence_weight(&self, server: u32, kind: EvidenceKind) -> u32 {
         let Some(set) = self.evidence.get(&(server, kind)) else { return 0 };
@@ -324,32 +337,33 @@
         sum / observers.max(self.quorum()).max(1) as u32
     }
 
-    /// Observers that count for the quorum.
+    /// Returns the number of observers that count for the quorum.
     fn observer_count(&self, server: u32, kind: EvidenceKind) -> usize {
         let Some(set) = self.evidence.get(&(server, kind)) else { return 0 };
         set.weights(self.now).filter(|&(_, weight)| weight >= QUORUM_WEIGHT).count()
     }
 
-    /// As [`outliers`](Self::outliers), and those are ejected from now on: a server stays so until little evidence
-    /// against it is left.
+    /// Returns the [`outliers`](Self::outliers) and records them as ejected. An ejected server remains an
+    /// outlier until the weight of the evidence falls below `RETAIN_WEIGHT`.
     pub fn update_outliers(&mut self, ready: &[(u32, u64)]) -> Vec<(u32, EvidenceKind)> {
         let outliers = self.outliers(ready);
         self.ejected = outliers.iter().map(|&(server, _)| server).collect();
         outliers
     }
 
-    /// Which of the `ready` servers, each with its capacity, are outliers, by each server's worst kind: those with most
-    /// evidence against them, as far as the limit allows.
+    /// Returns the outliers among the `ready` servers (pairs of server and capacity), each with the kind of
+    /// evidence of the highest weight. Servers with the highest weight come first, up to the limit on the
+    /// ejected capacity.
     #[must_use]
     pub fn outliers(&self, ready: &[(u32, u64)]) -> Vec<(u32, EvidenceKind)> {
         let mut candidates: Vec<Candidate> =
             ready.iter().filter_map(|&(server, capacity)| self.candidate(server, capacity)).collect();
         candidates.sort_unstable();
-        let mut room = self.ejectable_capacity(ready);
+        let mut remaining_capacity = self.ejectable_capacity(ready);
         let mut outliers = Vec::new();
         for candidate in candidates {
-            if candidate.capacity <= room {
-                room -= candidate.capacity;
+            if candidate.capacity <= remaining_capacity {
+                remaining_capacity -= candidate.capacity;
                 outliers.push((candidate.server, candidate.kind));
             }
         }
@@ -361,21 +375,21 @@
         let has_quorum = |kind: &&EvidenceKind| self.observer_count(server, **kind) >= quorum;
         let kinds = self.limits.ejecting_kinds.iter().filter(has_quorum);
         let (weight, kind) = kinds.map(|&kind| (self.evidence_weight(server, kind), kind)).max()?;
-        let least = if self.ejected.contains(&server) { RETAIN_WEIGHT } else { EJECT_WEIGHT };
-        (weight >= least).then_some(Candidate { weight: Reverse(weight), server, kind, capacity })
+        let min_weight = if self.ejected.contains(&server) { RETAIN_WEIGHT } else { EJECT_WEIGHT };
+        (weight >= min_weight).then_some(Candidate { weight: Reverse(weight), server, kind, capacity })
     }
 
     fn ejectable_capacity(&self, ready: &[(u32, u64)]) -> u64 {
         total_capacity(ready).saturating_mul(self.limits.max_ejected_permille) / 1_000
     }
 
-    /// Checks the invariants of the evidence, and of the outliers of `ready`.
+    /// Checks the invariants of the evidence, and of the outliers among the `ready` servers.
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self, ready: &[(u32, u64)]) -> Result<(), Violation> {
-        let mut out = 0;
+        let mut ejected_capacity = 0;
         let most = self.ejectable_capacity(ready);
         for (server, kind) in self.outliers(ready) {
             let quorum = self.limits.quorum;
@@ -383,11 +397,15 @@
             if observers < quorum {
                 return Err(Violation::NoQuorum { server, observers, quorum });
             }
-            out +=
+            ejected_capacity +=
                 ready.iter().filter(|&&(key, _)| key == server).map(|&(_, capacity)| capacity).sum::<u64>();
         }
-        if out > most {
-            return Err(Violation::TooMuchEjected { out, ready: total_capacity(ready), most });
+        if ejected_capacity > most {
+            return Err(Violation::TooMuchEjected {
+                out: ejected_capacity,
+                ready: total_capacity(ready),
+                most,
+            });
         }
         for (&(server, _), set) in &self.evidence {
             if let Some((observer, weight)) = set.weights(self.now).find(|&(_, weight)| weight > FULL_WEIGHT)
--- a/crates/ashtide-fleet/src/state/violation.rs
+++ b/crates/ashtide-fleet/src/state/violation.rs
@@ -1,144 +1,146 @@
-//! Violated invariants, by name. The numbers are those of `docs/design/shared-state.md`.
+//! Invariants of the shared state and their violations, numbered as in `docs/design/shared-state.md`.
 
 use std::time::Duration;
 
 use super::{InitialShare, Slot};
 
-/// An invariant that does not hold: a fault of the program, never of the network.
+/// A violated invariant: a program error, which network faults alone cannot cause.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// C1: the own row is of the own life.
+    /// C1: the row of this gateway has the incarnation of this gateway.
     #[error("C1: the own row is of generation {found}, expected {expected}")]
     OwnRow {
-        /// The row's generation.
+        /// The incarnation of the row.
         found: u64,
-        /// The own one.
+        /// The incarnation of this gateway.
         expected: u64,
     },
-    /// C2: a row that has not been heard of for [`ROW_LIFETIME`](super::ROW_LIFETIME) is not counted.
+    /// C2: a row without an update for [`ROW_LIFETIME`](super::ROW_LIFETIME) is not counted.
     #[error("C2: the row of gateway {} was heard {age:?} ago and is still counted", .slot.0)]
     StaleRow {
-        /// Whose.
+        /// The gateway of the row.
         slot: Slot,
-        /// Its age.
+        /// The time since the last update of the row.
         age: Duration,
     },
-    /// C3: a row says what its gateway said last, once.
+    /// C3: a row has the counts that its gateway sent last, each counted once.
     #[error("C3: gateway {} is counted with {found}, it said {expected}", .slot.0)]
     MiscountedRow {
-        /// Whose.
+        /// The gateway of the row.
         slot: Slot,
-        /// What is counted.
+        /// The count in the row.
         found: u32,
-        /// What the gateway itself has.
+        /// The count at the gateway itself.
         expected: u32,
     },
-    /// B1: what is lent is at most what may be lent; the floor is never lent.
+    /// B1: the lent units are at most the lendable units; the floor is never lent.
     #[error("B1: {lent} units are lent of {lendable}")]
     OverLent {
-        /// Units on loan.
+        /// Units that are lent.
         lent: u64,
-        /// Units that may be.
+        /// Units that may be lent.
         lendable: u64,
     },
-    /// B2: a lease that is held ends within its length from now.
+    /// B2: a lease ends at its holder within the lease duration from now.
     #[error("B2: a lease of gateway {} ends in {left:?}, at most {longest:?} is granted", .slot.0)]
     LongLease {
-        /// Who granted it.
+        /// The grantor of the lease.
         slot: Slot,
-        /// Time left.
+        /// The remaining time of the lease.
         left: Duration,
-        /// The longest.
+        /// The lease duration.
         longest: Duration,
     },
-    /// B3: what a budget has stored is at most its rights times its burst.
+    /// B3: the stored credit of a budget is at most its usable units times its burst.
     #[error("B3: {stored} units x ns are stored, room for {room}")]
     OverStored {
-        /// What is there.
+        /// The stored credit, in unit-nanoseconds.
         stored: u128,
-        /// What may be.
+        /// The maximum of the stored credit, in unit-nanoseconds.
         room: u128,
     },
-    /// B4: the rights of all gateways together are at most the total.
+    /// B4: the usable units of all gateways together are at most the total.
     #[error("B4: all gateways together may use {usable} units of a total of {total}")]
     OverTotal {
-        /// Sum of what they may use.
+        /// The sum of the usable units of all gateways.
         usable: u64,
-        /// The total.
+        /// The total of the budget, in units.
         total: u64,
     },
-    /// B5: what all gateways spend in a window is at most the total's pace times the window, and one burst.
+    /// B5: the spends of all gateways in a window are at most the rate of the total times the window, plus
+    /// one burst.
     #[error("B5: {spent} were spent in {window:?}, at most {most} may be")]
     OverSpent {
-        /// Spent.
+        /// The number of spends in the window.
         spent: u64,
-        /// Allowed.
+        /// The maximum number of spends in the window.
         most: u64,
-        /// The window.
+        /// The length of the window.
         window: Duration,
     },
-    /// J1: a server is out of use only where a quorum of observers has evidence.
+    /// J1: a server is ejected only if a quorum of observers has evidence against it.
     #[error("J1: server {server:#x} is out of use by {observers} observers, a quorum is {quorum}")]
     NoQuorum {
-        /// Which.
+        /// The server, by a hash of its name.
         server: u32,
-        /// Observers with evidence that counts.
+        /// The number of observers with evidence of sufficient weight.
         observers: usize,
-        /// Needed.
+        /// The number of observers that is required.
         quorum: usize,
     },
-    /// J2: judgements take at most their part of the ready capacity out of use.
+    /// J2: outlier reports eject at most the configured part of the ready capacity.
     #[error("J2: {out} of {ready} ready capacity is out of use by judgements, at most {most} may be")]
     TooMuchEjected {
-        /// Capacity out.
+        /// The ejected capacity.
         out: u64,
-        /// Capacity that is ready.
+        /// The capacity of all ready servers.
         ready: u64,
-        /// The most.
+        /// The maximum of the ejected capacity.
         most: u64,
     },
-    /// J3: one observer's evidence weighs at most one.
+    /// J3: the evidence of one observer has at most the weight of one full observer.
     #[error("J3: gateway {} weighs {weight} thousandths on server {server:#x}, at most 1000 is one's", .observer.0)]
     OverWeight {
-        /// Who.
+        /// The observer.
         observer: Slot,
-        /// On which.
+        /// The server, by a hash of its name.
         server: u32,
-        /// Thousandths of one full observer.
+        /// The weight, in thousandths of one full observer.
         weight: u32,
     },
-    /// A1: what a gateway uses of its root is at most what the settings give it, and all of it once they are agreed on.
+    /// A1: the active share of a gateway is at most the share that the settings assign to it, and equal to
+    /// that once the settings are agreed.
     #[error(
         "A1: of budget {budget:#x} a floor of {} and {} lendable units are in use, the settings give {} and {}",
         .found.floor, .found.lendable, .due.floor, .due.lendable
     )]
     ShareMismatch {
-        /// Of which.
+        /// The ID of the budget.
         budget: u32,
-        /// What is in use.
+        /// The active share.
         found: InitialShare,
-        /// What the settings give.
+        /// The share according to the settings.
         due: InitialShare,
     },
-    /// S1: a table stays within its bound.
+    /// S1: a table has at most its maximum number of entries.
     #[error("S1: {table} has {found} entries, room for {most}")]
     OverFull {
-        /// Which.
+        /// The name of the table.
         table: &'static str,
-        /// Entries.
+        /// The number of entries.
         found: usize,
-        /// Room.
+        /// The maximum number of entries.
         most: usize,
     },
 }
 
 impl Violation {
-    /// Checks that a table has at most `most` entries.
+    /// Checks the invariant S1: `table` has at most `most` entries, with `found` being their number.
     pub(super) fn check_size(table: &'static str, found: usize, most: usize) -> Result<(), Self> {
         if found > most { Err(Self::OverFull { table, found, most }) } else { Ok(()) }
     }
 
-    /// The invariant's number in `docs/design/shared-state.md`.
+    /// Returns the number of the invariant, as in `docs/design/shared-state.md`.
     #[must_use]
     pub fn invariant_id(&self) -> &'static str {
         match self {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// What an operator can do.
+    /// Returns advice for the operator.
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
