--- a/crates/ashtide-fleet/src/state/allocation.rs
+++ b/crates/ashtide-fleet/src/state/allocation.rs
@@ -88,7 +88,8 @@
     /// Whether the list includes this gateway.
     pub listed: bool,
     /// The most that the gateway uses of each budget, by budget ID.
-    pub roots: BTreeMap<u32, InitialShare>,
+    #[serde(rename = "roots")]
+    pub active_shares: BTreeMap<u32, InitialShare>,
 }
 
 /// The reason why settings are not adopted. The settings in use remain.
@@ -314,7 +315,7 @@
         // A gateway that was not on the earlier list was not needed for agreements since then: it has no
         // share of new budgets until it receives that all gateways have committed.
         let mut shares = if before.listed { self.target_shares.clone() } else { self.empty_shares() };
-        for (&id, &earlier) in &before.roots {
+        for (&id, &earlier) in &before.active_shares {
             // A budget that is missing on one side is not limited by that side.
             let share = shares.entry(id).or_insert(earlier);
             share.floor = share.floor.min(earlier.floor);
@@ -369,7 +370,7 @@
             agreed: self.is_agreed,
             slots: self.required_slots,
             listed: self.own_slot.0 < self.allocation.slot_count,
-            roots: self.active_shares.clone(),
+            active_shares: self.active_shares.clone(),
         }
     }
 
--- a/crates/ashtide-fleet/src/state/budget.rs
+++ b/crates/ashtide-fleet/src/state/budget.rs
@@ -137,7 +137,8 @@
         self.in_use
     }
 
-    /// Returns the time until the usable units permit a spend; `None` if waiting does not help.
+    /// Returns the time until the usable units permit a spend; `None` if they do not permit one
+    /// at any time, or if the limit is on concurrent uses.
     #[must_use]
     pub fn time_until_available(&self) -> Option<Duration> {
         let units = self.escrow.usable_units();
--- a/crates/ashtide-fleet/src/state/counts.rs
+++ b/crates/ashtide-fleet/src/state/counts.rs
@@ -21,9 +21,9 @@
 pub enum CounterKey {
     /// Open connections on a server.
     OpenOnServer(u32),
-    /// Open connections of a partner, on all servers.
+    /// Open connections of a partner.
     OpenForPartner(u32),
-    /// Total number of connections that this incarnation of the gateway has assigned to a new server.
+    /// Total number of connections that this incarnation of the gateway has sent to a new server.
     SentToServer(u32),
 }
 
--- a/crates/ashtide-fleet/src/state/escrow.rs
+++ b/crates/ashtide-fleet/src/state/escrow.rs
@@ -46,7 +46,8 @@
     /// calls).
     pub margin: Duration,
     /// Longest time between two calls that is not treated as a clock jump. Time beyond it does not shorten
-    /// booked leases. Call [`Escrow::advance_to`] twice as often. The margin covers shorter jumps.
+    /// booked leases. Call [`Escrow::advance_to`] at least twice in this time. The margin covers shorter
+    /// jumps.
     pub max_clock_gap: Duration,
 }
 
--- a/crates/ashtide-fleet/tests/compatibility.rs
+++ b/crates/ashtide-fleet/tests/compatibility.rs
@@ -493,7 +493,7 @@
             kept.digest,
             kept.slots,
             kept.listed,
-            kept.roots
+            kept.active_shares
                 .iter()
                 .map(|(id, it)| format!("{id}:{}+{}", it.floor, it.lendable))
                 .collect::<String>()
--- a/tests/compatibility_fleet.rs
+++ b/tests/compatibility_fleet.rs
@@ -387,7 +387,7 @@
         agreed: false,
         slots: 300,
         listed: true,
-        roots: roots.into(),
+        active_shares: roots.into(),
     }
 }
 
