--- a/crates/ashtide-fleet/src/state/allocation.rs
+++ b/crates/ashtide-fleet/src/state/allocation.rs
@@ -473,11 +473,11 @@
     ///
     /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
-        for (&budget, due) in &self.target_shares {
+        for (&budget, expected) in &self.target_shares {
             let active = self.active_shares.get(&budget).copied().unwrap_or_default();
-            let is_over = active.floor > due.floor || active.lendable > due.lendable;
-            if is_over || (self.is_agreed && active != *due) {
-                return Err(Violation::ShareMismatch { budget, found: active, due: *due });
+            let is_over = active.floor > expected.floor || active.lendable > expected.lendable;
+            if is_over || (self.is_agreed && active != *expected) {
+                return Err(Violation::ShareMismatch { budget, found: active, expected: *expected });
             }
         }
         Violation::check_size("gateways with other settings", self.mismatches.len(), MAX_MISMATCHES)
--- a/crates/ashtide-fleet/src/state/budget.rs
+++ b/crates/ashtide-fleet/src/state/budget.rs
@@ -208,7 +208,7 @@
         self.escrow.check()?;
         let capacity = self.credit_capacity(self.escrow.usable_units());
         if self.stored_credit > capacity {
-            return Err(Violation::OverStored { stored: self.stored_credit, room: capacity });
+            return Err(Violation::OverStored { stored: self.stored_credit, capacity });
         }
         Ok(())
     }
--- a/crates/ashtide-fleet/src/state/escrow.rs
+++ b/crates/ashtide-fleet/src/state/escrow.rs
@@ -474,9 +474,9 @@
         }
         let longest = self.config.duration;
         for (&slot, lease) in &self.leases {
-            let left = lease.expires_at.saturating_sub(self.now);
-            if left > longest || left.is_zero() {
-                return Err(Violation::LongLease { slot, left, longest });
+            let remaining = lease.expires_at.saturating_sub(self.now);
+            if remaining > longest || remaining.is_zero() {
+                return Err(Violation::LongLease { slot, remaining, longest });
             }
         }
         Violation::check_size("loans", self.granted.len(), MAX_GRANTED_LEASES)?;
--- a/crates/ashtide-fleet/src/state/outliers.rs
+++ b/crates/ashtide-fleet/src/state/outliers.rs
@@ -402,7 +402,7 @@
         }
         if ejected_capacity > most {
             return Err(Violation::TooMuchEjected {
-                out: ejected_capacity,
+                ejected: ejected_capacity,
                 ready: total_capacity(ready),
                 most,
             });
--- a/crates/ashtide-fleet/src/state/violation.rs
+++ b/crates/ashtide-fleet/src/state/violation.rs
@@ -42,22 +42,22 @@
         lendable: u64,
     },
     /// B2: a lease ends at its holder within the lease duration from now.
-    #[error("B2: a lease of gateway {} ends in {left:?}, at most {longest:?} is granted", .slot.0)]
+    #[error("B2: a lease of gateway {} ends in {remaining:?}, at most {longest:?} is granted", .slot.0)]
     LongLease {
         /// The grantor of the lease.
         slot: Slot,
         /// The remaining time of the lease.
-        left: Duration,
+        remaining: Duration,
         /// The lease duration.
         longest: Duration,
     },
     /// B3: the stored credit of a budget is at most its usable units times its burst.
-    #[error("B3: {stored} units x ns are stored, room for {room}")]
+    #[error("B3: {stored} units x ns are stored, room for {capacity}")]
     OverStored {
         /// The stored credit, in unit-nanoseconds.
         stored: u128,
         /// The maximum of the stored credit, in unit-nanoseconds.
-        room: u128,
+        capacity: u128,
     },
     /// B4: the usable units of all gateways together are at most the total.
     #[error("B4: all gateways together may use {usable} units of a total of {total}")]
@@ -89,10 +89,10 @@
         quorum: usize,
     },
     /// J2: outlier reports eject at most the configured part of the ready capacity.
-    #[error("J2: {out} of {ready} ready capacity is out of use by judgements, at most {most} may be")]
+    #[error("J2: {ejected} of {ready} ready capacity is out of use by judgements, at most {most} may be")]
     TooMuchEjected {
         /// The ejected capacity.
-        out: u64,
+        ejected: u64,
         /// The capacity of all ready servers.
         ready: u64,
         /// The maximum of the ejected capacity.
@@ -112,7 +112,7 @@
     /// that once the settings are agreed.
     #[error(
         "A1: of budget {budget:#x} a floor of {} and {} lendable units are in use, the settings give {} and {}",
-        .found.floor, .found.lendable, .due.floor, .due.lendable
+        .found.floor, .found.lendable, .expected.floor, .expected.lendable
     )]
     ShareMismatch {
         /// The ID of the budget.
@@ -120,7 +120,7 @@
         /// The active share.
         found: InitialShare,
         /// The share according to the settings.
-        due: InitialShare,
+        expected: InitialShare,
     },
     /// S1: a table has at most its maximum number of entries.
     #[error("S1: {table} has {found} entries, room for {most}")]
--- a/crates/ashtide-fleet/tests/compatibility.rs
+++ b/crates/ashtide-fleet/tests/compatibility.rs
@@ -521,14 +521,14 @@
         Violation::StaleRow { slot, age },
         Violation::MiscountedRow { slot, found: 1, expected: 2 },
         Violation::OverLent { lent: 2, lendable: 1 },
-        Violation::LongLease { slot, left: age, longest: Duration::from_secs(2) },
-        Violation::OverStored { stored: 5, room: 4 },
+        Violation::LongLease { slot, remaining: age, longest: Duration::from_secs(2) },
+        Violation::OverStored { stored: 5, capacity: 4 },
         Violation::OverTotal { usable: 6, total: 5 },
         Violation::OverSpent { spent: 7, most: 6, window: age },
         Violation::NoQuorum { server: 255, observers: 2, quorum: 3 },
-        Violation::TooMuchEjected { out: 3, ready: 10, most: 2 },
+        Violation::TooMuchEjected { ejected: 3, ready: 10, most: 2 },
         Violation::OverWeight { observer: slot, server: 255, weight: 1_001 },
-        Violation::ShareMismatch { budget: 255, found: InitialShare::default(), due: root },
+        Violation::ShareMismatch { budget: 255, found: InitialShare::default(), expected: root },
         Violation::OverFull { table: "loans", found: 257, most: 256 },
     ];
     let mut text = String::new();
