--- a/crates/ashtide-throughput/examples/placement.rs
+++ b/crates/ashtide-throughput/examples/placement.rs
@@ -1,92 +1,190 @@
-//! Load per capacity by equal, the list's, measured and true weights, in virtual time.
+//! Distribution of the load by equal, listed, measured and true weights, in virtual time.
 //!
-//! `cargo run --release -p ashtide-throughput --example placement -- [seeds [case]]`, or `-- 6 hour` for equal
-//! servers over an hour, `-- 1 cost` for what it costs.
+//! `cargo run --release -p ashtide-throughput --example placement -- [seeds [case]]` compares the weights,
+//! with the cases of [`CASES`]. `-- 6 hour` shows the weights of equal servers over an hour of bursts, and
+//! `-- 1 cost` the computation time and the traffic.
 
-#[path = "../tests/site/mod.rs"]
-#[allow(dead_code, reason = "the tests use the rest")]
-mod site;
+#[path = "../tests/simulation/mod.rs"]
+#[allow(dead_code, reason = "shared with the tests, which use the rest")]
+mod simulation;
 
-use site::{By, Plan, Site};
+use std::time::{Duration, Instant};
+
+use simulation::{Scenario, Simulation, WeightSource};
 
 const THREADS: u64 = 3;
 
-/// Mean and standard error.
-fn spread(values: &[f64]) -> (f64, f64) {
-    let n = values.len() as f64;
-    let mean = values.iter().sum::<f64>() / n;
-    let square = values.iter().map(|it| (it - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    (mean, (square / n).sqrt())
+/// Numbers of gateways and servers that are compared.
+const SIZES: [(usize, usize); 4] = [(3, 30), (30, 30), (100, 60), (300, 90)];
+
+/// Change of a scenario for one case.
+type Change = fn(&mut Scenario);
+
+/// Names of the cases, each with its change of the default scenario.
+const CASES: [(&str, Change); 10] = [
+    ("plain", |_| {}),
+    ("liars", add_faulty_gateways),
+    ("cut", add_partition),
+    ("liars+cut", |scenario| {
+        add_faulty_gateways(scenario);
+        add_partition(scenario);
+    }),
+    ("spread", |scenario| scenario.perturb = true),
+    ("spread+liars+cut", |scenario| {
+        scenario.perturb = true;
+        add_faulty_gateways(scenario);
+        add_partition(scenario);
+    }),
+    ("bursts", |scenario| scenario.burst = 3.0),
+    ("wide", |scenario| (scenario.speed_deviation, scenario.load_sigma) = (0.3, 1.0)),
+    ("no unit", |scenario| scenario.load_per_weight = None),
+    ("open/weight", |scenario| scenario.open_over_weight = true),
+];
+
+fn add_faulty_gateways(scenario: &mut Scenario) {
+    scenario.faulty_gateways = scenario.gateways / 10;
+}
+
+fn add_partition(scenario: &mut Scenario) {
+    scenario.partition_s = Some(40.0..70.0);
+}
+
+/// Mean of a sample with its standard error.
+struct Mean {
+    mean: f64,
+    std_error: f64,
+}
+
+impl Mean {
+    fn new(values: &[f64]) -> Self {
+        let count = values.len() as f64;
+        let mean = values.iter().sum::<f64>() / count;
+        let square_sum = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
+        let variance = square_sum / (count - 1.0).max(1.0);
+        Self { mean, std_error: (variance / count).sqrt() }
+    }
 }
 
-/// Worst server, unevenness and the weights' error, from 50 to 70 s and from 230 to 250 s after learning began.
-fn play(plan: Plan) -> [f64; 6] {
-    let mut site = Site::new(plan);
-    site.fill();
-    site.run(20.0);
-    site.learn();
-    let mut found = [0.0; 6];
-    for (which, until) in [(0, 50.0), (3, 230.0)] {
-        let began = 20.0 + until;
-        site.run(began - site.now);
+/// Largest relative utilization, deviation of the utilization, and error of the weights: means from 50 to 70
+/// s after the weights were enabled, then the same from 230 to 250 s.
+type Results = [f64; 6];
+
+/// Starts a simulation and runs it for 20 s with the listed weights.
+fn start(scenario: Scenario) -> Simulation {
+    let mut simulation = Simulation::new(scenario);
+    simulation.fill();
+    simulation.run(20.0);
+    simulation.enable_weights();
+    simulation
+}
+
+fn simulate(scenario: Scenario) -> Results {
+    let mut simulation = start(scenario);
+    let mut results = [0.0; 6];
+    for (offset, from) in [(0, 50.0), (3, 230.0)] {
+        let period_start = 20.0 + from;
+        simulation.run(period_start - simulation.now);
         for _ in 0..10 {
-            site.run(2.0);
-            for (at, value) in [site.worst(), site.uneven(), site.off(1)].into_iter().enumerate() {
-                found[which + at] += value / 10.0;
+            simulation.run(2.0);
+            let values = [
+                simulation.max_relative_utilization(),
+                simulation.utilization_deviation(),
+                simulation.weight_error(1),
+            ];
+            for (index, value) in values.into_iter().enumerate() {
+                results[offset + index] += value / 10.0;
             }
         }
     }
-    found
+    results
 }
 
-/// An hour of bursts on equal servers: the heaviest weight over the lightest, at its most and after five minutes.
-fn hour() {
-    println!("| gateways, servers | seed | most | most after 300 s |\n|---|---|---|---|");
+/// Prints the ratio of the largest to the smallest weight of equal servers during an hour of bursts: its
+/// maximum, and its maximum after the first 300 s.
+fn print_equal_servers() {
+    println!("| gateways, servers | seed | max ratio | max ratio after 300 s |\n|---|---|---|---|");
     for (gateways, servers) in [(3, 12), (3, 30), (30, 30)] {
         for seed in 1..=6 {
-            let mut plan = Plan::new(seed, gateways, servers, By::Measured);
-            (plan.kinds, plan.inside, plan.rough, plan.burst) = (vec![1.0], 0.0, 0.0, 3.0);
-            let mut site = Site::new(plan);
-            site.fill();
-            site.run(20.0);
-            site.learn();
-            let (mut most, mut late) = (1.0_f64, 1.0_f64);
-            for turn in 0..360 {
-                site.run(10.0);
-                let weights: Vec<f64> = (0..servers).map(|server| site.weight(1, server)).collect();
-                let least = weights.iter().copied().fold(f64::MAX, f64::min);
-                let ratio = weights.iter().copied().fold(0.0, f64::max) / least;
-                most = most.max(ratio);
-                late = if turn < 30 { 1.0 } else { late.max(ratio) };
+            let mut scenario = Scenario::new(seed, gateways, servers, WeightSource::Measured);
+            scenario.kind_speeds = vec![1.0];
+            (scenario.speed_deviation, scenario.list_sigma, scenario.burst) = (0.0, 0.0, 3.0);
+            let mut simulation = start(scenario);
+            let (mut max_ratio, mut max_settled_ratio) = (1.0_f64, 1.0_f64);
+            for period in 0..360 {
+                simulation.run(10.0);
+                let weights: Vec<f64> = (0..servers).map(|server| simulation.weight(1, server)).collect();
+                let min = weights.iter().copied().fold(f64::MAX, f64::min);
+                let ratio = weights.iter().copied().fold(0.0, f64::max) / min;
+                max_ratio = max_ratio.max(ratio);
+                max_settled_ratio = if period < 30 { 1.0 } else { max_settled_ratio.max(ratio) };
             }
-            println!("| {gateways}, {servers} | {seed} | {most:.3} | {late:.3} |");
+            println!("| {gateways}, {servers} | {seed} | {max_ratio:.3} | {max_settled_ratio:.3} |");
         }
     }
 }
 
-/// What a turn and a check cost at a reader, and what a gateway says.
-fn cost() {
+/// Prints the duration of an update and of a check, and the traffic that a gateway sends.
+fn print_cost() {
     println!(
-        "| gateways, servers | a turn, ms | a check, ms | bytes a gateway a second |\n|---|---|---|---|"
+        "| gateways, servers | update, ms | check, ms | bytes per gateway and second |\n|---|---|---|---|"
     );
-    for (gateways, servers) in [(3, 30), (30, 30), (100, 60), (300, 90)] {
-        let mut site = Site::new(Plan::new(1, gateways, servers, By::Measured));
-        site.fill();
-        site.run(20.0);
-        site.learn();
-        site.run(60.0);
-        let before = site.said;
-        site.run(20.0);
-        let bytes = (site.said - before) as f64 / 20.0 / gateways as f64;
-        let reader = &mut site.readers[0];
-        let began = std::time::Instant::now();
-        (0..50).for_each(|at| reader.turn(std::time::Duration::from_millis(100_000 + at)));
-        let turned = began.elapsed().as_secs_f64() * 20.0;
-        let began = std::time::Instant::now();
-        let good = (0..50).all(|_| reader.check(std::time::Duration::from_secs(101)).is_ok());
-        let checked = began.elapsed().as_secs_f64() * 20.0;
-        assert!(good, "every invariant holds");
-        println!("| {gateways}, {servers} | {turned:.2} | {checked:.2} | {bytes:.0} |");
+    for (gateways, servers) in SIZES {
+        let mut simulation = start(Scenario::new(1, gateways, servers, WeightSource::Measured));
+        simulation.run(60.0);
+        let sent_before = simulation.sent_bytes;
+        simulation.run(20.0);
+        let bytes_per_second = (simulation.sent_bytes - sent_before) as f64 / 20.0 / gateways as f64;
+        let reader = &mut simulation.readers[0];
+        let started = Instant::now();
+        (0..50).for_each(|number| reader.update(Duration::from_millis(100_000 + number)));
+        // Milliseconds per call: 1000 ms per second over 50 calls.
+        let update_ms = started.elapsed().as_secs_f64() * 20.0;
+        let started = Instant::now();
+        let satisfied = (0..50).all(|_| reader.check(Duration::from_secs(101)).is_ok());
+        let check_ms = started.elapsed().as_secs_f64() * 20.0;
+        assert!(satisfied, "all invariants are satisfied");
+        println!("| {gateways}, {servers} | {update_ms:.2} | {check_ms:.2} | {bytes_per_second:.0} |");
+    }
+}
+
+/// Simulates a scenario with each of the seeds and returns the means of the results.
+fn simulate_seeds(seeds: u64, scenario: impl Fn(u64) -> Scenario + Sync) -> Vec<Mean> {
+    let scenario = &scenario;
+    let results: Vec<Results> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread| {
+                let seeds = (1..=seeds).filter(move |seed| seed % THREADS == thread);
+                scope.spawn(move || seeds.map(|seed| simulate(scenario(seed))).collect::<Vec<_>>())
+            })
+            .collect();
+        threads.into_iter().flat_map(|it| it.join().expect("the simulation does not panic")).collect()
+    });
+    let mean = |index: usize| Mean::new(&results.iter().map(|row| row[index]).collect::<Vec<_>>());
+    (0..6).map(mean).collect()
+}
+
+/// Prints the results of one case and size for all sources of weights.
+fn print_case(seeds: u64, name: &str, change: Change, gateways: usize, servers: usize) {
+    let mut by_source: Vec<Vec<Mean>> = Vec::new();
+    for source in [WeightSource::Equal, WeightSource::List, WeightSource::Measured, WeightSource::True] {
+        let means = simulate_seeds(seeds, |seed| {
+            let mut scenario = Scenario::new(seed, gateways, servers, source);
+            change(&mut scenario);
+            scenario
+        });
+        let cells: Vec<String> =
+            means.iter().map(|it| format!("{:.2} +- {:.2}", it.mean, it.std_error)).collect();
+        by_source.push(means);
+        let mut closed = String::new();
+        if source == WeightSource::True {
+            let closed_fraction = |index: usize| {
+                let mean = |source: usize| by_source[source][index].mean;
+                let (list, measured, truth) = (mean(1), mean(2), mean(3));
+                format!("{:.0}%", 100.0 * (list - measured) / (list - truth))
+            };
+            closed = (0..6).map(closed_fraction).collect::<Vec<_>>().join(", ");
+        }
+        println!("| {name} | {gateways}, {servers} | {source:?} | {} | {closed} |", cells.join(" | "));
     }
 }
 
@@ -95,70 +193,22 @@
     let seeds: u64 = args.next().and_then(|it| it.parse().ok()).unwrap_or(8);
     let only = args.next();
     if only.as_deref() == Some("hour") {
-        return hour();
+        return print_equal_servers();
     }
     if only.as_deref() == Some("cost") {
-        return cost();
+        return print_cost();
     }
-    type Change = fn(&mut Plan);
-    let cases: [(&str, Change); 10] = [
-        ("plain", |_| {}),
-        ("liars", |plan| plan.liars = plan.gateways / 10),
-        ("cut", |plan| plan.cut = Some((40.0, 70.0))),
-        ("liars+cut", |plan| {
-            plan.liars = plan.gateways / 10;
-            plan.cut = Some((40.0, 70.0));
-        }),
-        ("spread", |plan| plan.spread = true),
-        ("spread+liars+cut", |plan| {
-            plan.spread = true;
-            plan.liars = plan.gateways / 10;
-            plan.cut = Some((40.0, 70.0));
-        }),
-        ("bursts", |plan| plan.burst = 3.0),
-        ("wide", |plan| (plan.inside, plan.sigma) = (0.3, 1.0)),
-        ("no unit", |plan| plan.unit = None),
-        ("open/weight", |plan| plan.bare = true),
-    ];
     println!(
-        "| case | gateways, servers | by | max/mean at 60 s | uneven | weights off | at 240 s | uneven | off | gap closed at 60, 240 s: max, uneven, off |"
+        "| case | gateways, servers | weights | max/mean at 60 s | deviation | weight error | \
+         max/mean at 240 s | deviation | weight error | gap closed at 60, 240 s: max, deviation, error |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
-    for (name, change) in cases {
-        if only.as_ref().is_some_and(|it| it != name) {
+    for (name, change) in CASES {
+        if only.as_ref().is_some_and(|only| only != name) {
             continue;
         }
-        for (gateways, servers) in [(3, 30), (30, 30), (100, 60), (300, 90)] {
-            let mut means = Vec::new();
-            for by in [By::Equal, By::List, By::Measured, By::True] {
-                let plan = |seed| {
-                    let mut plan = Plan::new(seed, gateways, servers, by);
-                    change(&mut plan);
-                    plan
-                };
-                let rows: Vec<[f64; 6]> = std::thread::scope(|scope| {
-                    let threads: Vec<_> = (0..THREADS)
-                        .map(|at| {
-                            let own = (1..=seeds).filter(move |seed| seed % THREADS == at);
-                            scope.spawn(move || own.map(|seed| play(plan(seed))).collect::<Vec<_>>())
-                        })
-                        .collect();
-                    threads.into_iter().flat_map(|it| it.join().expect("a play ends")).collect()
-                });
-                let of = |at: usize| spread(&rows.iter().map(|row| row[at]).collect::<Vec<_>>());
-                let all: Vec<(f64, f64)> = (0..6).map(of).collect();
-                let cells: Vec<String> = all.iter().map(|it| format!("{:.2} +- {:.2}", it.0, it.1)).collect();
-                means.push(all);
-                let mut closed = String::new();
-                if by == By::True {
-                    let gap = |at: usize| {
-                        let (list, measured, truth) = (means[1][at].0, means[2][at].0, means[3][at].0);
-                        format!("{:.0}%", 100.0 * (list - measured) / (list - truth))
-                    };
-                    closed = (0..6).map(gap).collect::<Vec<_>>().join(", ");
-                }
-                println!("| {name} | {gateways}, {servers} | {by:?} | {} | {closed} |", cells.join(" | "));
-            }
+        for (gateways, servers) in SIZES {
+            print_case(seeds, name, change, gateways, servers);
         }
     }
 }
--- a/crates/ashtide-throughput/src/lib.rs
+++ b/crates/ashtide-throughput/src/lib.rs
@@ -1,40 +1,43 @@
-//! What servers bear, learnt from what gateways see, and weights out of it: a core without I/O or clock.
+//! Estimates of the capacity of servers from what gateways observe, and load-balancing weights derived from
+//! them. The crate does no I/O and reads no clock.
 //!
-//! Each gateway tells its [`Throughput`] what it sees of each server (set-ups, loads held, sheds), and what the
-//! others say in datagrams of at most [`MAX_DATAGRAM`] bytes. Registers are joined, never added up: see
-//! [`Registers`]. What they show together is pooled by kind ([`pooling`]) and becomes weights ([`Weights`]) within
-//! bounds that [`Throughput::check`] names.
+//! Each gateway passes its observations of each server (set-ups, load, overload signals) to its
+//! [`Throughput`], and the reports of the other gateways, received in datagrams of at most [`MAX_DATAGRAM`]
+//! bytes. Registers are merged, never added up: see [`Registers`]. The evidence of all registers is pooled by
+//! kind of server ([`pooling`]) and results in weights ([`Weights`]), whose bounds [`Throughput::check`]
+//! verifies.
 //!
 //! ```
 //! use std::time::Duration;
-//! use ashtide_throughput::{Event, GatewayId, Life, Options, Server, ServerKey, Throughput};
+//! use ashtide_throughput::{Event, GatewayId, Incarnation, Options, Server, ServerKey, Throughput};
 //!
 //! let at = Duration::from_secs;
-//! let mut one = Throughput::new(Options::new(1), GatewayId(0), 1).unwrap();
+//! let mut gateway = Throughput::new(Options::new(1), GatewayId(0), 1).unwrap();
 //! for (key, load) in [(1, 500_000.0), (2, 500_000.0), (3, 200_000.0)] {
 //!     let key = ServerKey(key);
-//!     one.hear(at(0), Event::Listed(Server { key, kind: 0, weight: 1.0, life: Life(7), started: None }));
-//!     one.hear(at(0), Event::Holds { server: key, connections: 20, load });
+//!     let server = Server { key, kind: 0, weight: 1.0, incarnation: Incarnation(7), started: None };
+//!     gateway.handle(at(0), Event::ServerListed(server));
+//!     gateway.handle(at(0), Event::LoadChanged { server: key, connections: 20, load });
 //! }
 //! for second in 0..120 {
 //!     for (key, ms) in [(1, 10), (2, 10), (3, 30)] {
-//!         let took = Duration::from_millis(ms);
+//!         let duration = Duration::from_millis(ms);
 //!         let (server, network) = (ServerKey(key), Duration::ZERO);
-//!         one.hear(at(second), Event::SetUp { server, took, network, out: 1 });
+//!         gateway.handle(at(second), Event::SetUp { server, duration, network, in_flight: 1 });
 //!     }
-//!     one.turn(at(second));
-//!     one.check(at(second)).unwrap();
+//!     gateway.update(at(second));
+//!     gateway.check(at(second)).unwrap();
 //! }
-//! let weight = |key| one.weights().weight(at(120), ServerKey(key)).unwrap();
+//! let weight = |key| gateway.weights().weight(at(120), ServerKey(key)).unwrap();
 //! assert!(weight(3) < 0.7 * weight(1));
 //! ```
 
 mod observer;
 mod options;
+mod perturbation;
 pub mod pooling;
 mod register;
 mod robust;
-mod spread;
 mod violation;
 mod weights;
 
@@ -44,129 +47,136 @@
 
 pub use observer::Observer;
 pub use options::{Options, Unusable};
+pub use perturbation::perturbed_weight;
 pub use register::{
-    Entry, GatewayId, Life, Log, MAX_DATAGRAM, MAX_DIGEST, MAX_ENTRIES, MAX_GATEWAYS, MAX_SAMPLES,
-    MAX_SERVERS, Register, Registers, Said, ServerKey, Unheard, decode, encode,
+    Entry, GatewayId, Incarnation, Log, MAX_DATAGRAM, MAX_DIGEST, MAX_ENTRIES, MAX_GATEWAYS, MAX_SAMPLES,
+    MAX_SERVERS, ReceivedEntry, Register, Registers, Report, ServerKey, Unheard, decode, encode,
 };
-pub use spread::spread;
 #[cfg(feature = "broken")]
-pub use violation::Broken;
+pub use violation::Defect;
 pub use violation::Violation;
-pub use weights::{Evidence, Server, Weights};
+pub use weights::{Contribution, Evidence, MeasuredWeight, Server, Weights};
 
-/// What a gateway sees.
+/// An observation of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
     /// A server is on the list, or its entry has changed.
-    Listed(Server),
+    ServerListed(Server),
     /// A server has left the list.
-    Gone(ServerKey),
+    ServerRemoved(ServerKey),
     /// A connection was set up.
     SetUp {
-        /// Where.
+        /// Server of the connection.
         server: ServerKey,
-        /// From the line sent to its answer.
-        took: Duration,
-        /// Of that, the network's part; zero where that is not known.
+        /// Time from sending the request to receiving the answer.
+        duration: Duration,
+        /// Network time contained in `duration`; zero if unknown.
         network: Duration,
-        /// Set-ups of this gateway out there when it began, itself included.
-        out: u32,
+        /// Set-ups of this gateway in progress at the server when this one began, itself included.
+        in_flight: u32,
     },
-    /// What this gateway holds there from now on.
-    Holds {
-        /// Where.
+    /// The load that this gateway has on a server has changed.
+    LoadChanged {
+        /// Server of the connections.
         server: ServerKey,
-        /// Connections that stand.
+        /// Number of established connections.
         connections: u32,
-        /// Their loads together: what `LOAD X` told of each, the usual load where it told nothing.
+        /// Total load of the connections: the load that `LOAD X` reported for each, and the typical load for
+        /// those without a report.
         load: f64,
     },
-    /// The server shed a connection, or says that it has slowed.
-    Strained(ServerKey),
+    /// The server shed a connection, or reported that it has slowed down.
+    ServerOverloaded(ServerKey),
 }
 
-/// One gateway's measuring, and its weights.
+/// Capacity observations of one gateway, and the weights that it uses.
 #[derive(Debug, Clone)]
 pub struct Throughput {
-    own: GatewayId,
+    gateway: GatewayId,
     generation: u64,
     observer: Observer,
     weights: Weights,
 }
 
 impl Throughput {
-    /// For the gateway `own`, whose life began at `generation` (Unix milliseconds).
-    pub fn new(options: Options, own: GatewayId, generation: u64) -> Result<Self, Unusable> {
+    /// Creates the state of the gateway `gateway`, whose `generation` is its start time in Unix milliseconds.
+    pub fn new(options: Options, gateway: GatewayId, generation: u64) -> Result<Self, Unusable> {
         let observer = Observer::new(&options);
-        Ok(Self { own, generation, observer, weights: Weights::new(options)? })
+        Ok(Self { gateway, generation, observer, weights: Weights::new(options)? })
     }
 
-    /// Breaks it on purpose.
+    /// Injects a defect.
     #[cfg(feature = "broken")]
-    pub fn break_by(&mut self, broken: Broken) {
-        self.weights.broken = Some(broken);
+    pub fn inject(&mut self, defect: Defect) {
+        self.weights.defect = Some(defect);
     }
 
-    /// Takes in what was seen.
-    pub fn hear(&mut self, now: Duration, event: Event) {
+    /// Handles an observation.
+    pub fn handle(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Listed(server) => {
-                self.weights.listed(server);
-                self.observer.listed(now, server.key, server.life);
+            Event::ServerListed(server) => {
+                self.weights.add_server(server);
+                self.observer.add_server(now, server.key, server.incarnation);
             }
-            Event::Gone(server) => {
-                self.weights.gone(server);
-                self.observer.gone(server);
+            Event::ServerRemoved(server) => {
+                self.weights.remove_server(server);
+                self.observer.remove_server(server);
             }
-            Event::SetUp { server, took, network, out } => {
-                if let Some(held) = self.held_warm(now, server) {
-                    self.observer.set_up(now, server, took.saturating_sub(network), out, held);
+            Event::SetUp { server, duration, network, in_flight } => {
+                if let Some(load) = self.warm_server_load(now, server) {
+                    let duration = duration.saturating_sub(network);
+                    self.observer.record_setup(now, server, duration, in_flight, load);
                 }
             }
-            Event::Holds { server, connections, load } => self.observer.holds(now, server, connections, load),
-            Event::Strained(server) => {
-                if let Some(held) = self.held_warm(now, server) {
-                    self.observer.strained(now, server, held);
+            Event::LoadChanged { server, connections, load } => {
+                self.observer.set_load(now, server, connections, load);
+            }
+            Event::ServerOverloaded(server) => {
+                if let Some(load) = self.warm_server_load(now, server) {
+                    self.observer.record_overload(now, server, load);
                 }
             }
         }
     }
 
-    /// What is held of a warm server: what others do says nothing of what they will bear.
-    fn held_warm(&self, now: Duration, server: ServerKey) -> Option<f64> {
-        self.weights.held(server).filter(|_| self.weights.warm(now, server))
+    /// Returns the load of all gateways on a warm server; `None` while it warms up, as its behaviour then
+    /// doesn't show the capacity that it will have.
+    fn warm_server_load(&self, now: Duration, server: ServerKey) -> Option<f64> {
+        self.weights.load(server).filter(|_| self.weights.is_warm(now, server))
     }
 
-    /// Takes in a datagram of another gateway. Says how many of its entries were news.
+    /// Merges a datagram of another gateway. Returns the number of new or changed entries.
     pub fn receive(&mut self, now: Duration, datagram: &[u8]) -> Result<usize, Unheard> {
-        let said = decode(datagram)?;
-        if said.0 == self.own {
-            return Err(Unheard::Own { gateway: said.0.0 });
+        let report = decode(datagram)?;
+        if report.gateway == self.gateway {
+            return Err(Unheard::Own { gateway: report.gateway.0 });
         }
-        self.weights.join(now, &said)
+        self.weights.merge(now, &report)
     }
 
-    /// Weighs all evidence anew, and says what the others are to be told, if anything: one datagram a turn, so
-    /// what this gateway sends does not grow with the tier. To be called every second or two.
-    pub fn turn(&mut self, now: Duration) -> Option<Bytes> {
-        let bears = |load, rate| self.weights.capacity(load, rate);
-        let said = (self.own, self.generation, self.observer.say(now, bears));
-        // Its own register always has room: it is the first to be joined.
-        let _ = self.weights.join(now, &said);
-        self.weights.turn(now);
-        (!said.2.is_empty()).then(|| encode(said.0, said.1, &said.2))
+    /// Updates the weights from all evidence and returns the datagram to send to the other gateways; `None`
+    /// if nothing is due. To be called every one or two seconds. At most one datagram is due per call, so the
+    /// traffic that this gateway sends does not grow with the fleet.
+    pub fn update(&mut self, now: Duration) -> Option<Bytes> {
+        let entries = self.observer.take_due_entries(now, |load, rate| self.weights.capacity(load, rate));
+        let report = Report { gateway: self.gateway, generation: self.generation, entries };
+        // This gateway's own register is merged first, so the limit on the number of registers cannot reject
+        // it.
+        let _ = self.weights.merge(now, &report);
+        self.weights.update(now);
+        (!report.entries.is_empty()).then(|| encode(report.gateway, report.generation, &report.entries))
     }
 
-    /// The weights, and what stands behind them.
+    /// Returns the weights and their evidence.
     pub fn weights(&self) -> &Weights {
         &self.weights
     }
 
-    /// Whether all that must hold does, at the time of the last event.
+    /// Checks all invariants; `now` is the time of the last event.
     pub fn check(&self, now: Duration) -> Result<(), Violation> {
-        let (found, most) = (self.observer.most_samples(), usize::from(MAX_SAMPLES));
-        if found > most {
-            return Err(Violation::TooMany { found, most });
+        let (found, max) = (self.observer.max_stored_samples(), usize::from(MAX_SAMPLES));
+        if found > max {
+            return Err(Violation::TooMany { found, max });
         }
         self.weights.check(now)
     }
--- a/crates/ashtide-throughput/src/observer.rs
+++ b/crates/ashtide-throughput/src/observer.rs
@@ -1,186 +1,243 @@
-//! What this gateway itself sees of each server, with its exposure; from it its own register.
+//! Observations of one gateway: samples of each server, and the entries of the gateway's own register.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::options::Options;
-use crate::register::{Entry, Life, Log, MAX_ENTRIES, MAX_SAMPLES, MAX_SERVERS, ServerKey};
+use crate::register::{Entry, Incarnation, Log, MAX_ENTRIES, MAX_SAMPLES, MAX_SERVERS, ServerKey};
 use crate::robust::median;
 
-/// The load held of late is the mean over so many seconds, older ones counting less.
-const OF_LATE: f64 = 5.0;
-/// An entry is said anew when its load has changed by so much (logarithm)...
-const CHANGED: f64 = 0.05;
-/// ...or after this part of the time for which it counts.
+/// Time constant in seconds of the exponentially weighted mean load.
+const LOAD_TIME_CONSTANT_S: f64 = 5.0;
+/// Change of the natural logarithm of a load or capacity above which an entry is sent again.
+const SEND_THRESHOLD: f64 = 0.05;
+/// Fraction of [`Options::report_ttl`] after which an unchanged entry is sent again.
 const REFRESH: f64 = 0.4;
 
-/// One set-up, or a shed.
+/// One set-up, or one overload signal.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     at: Duration,
-    /// Logarithms of the free rate, if it is a set-up, and of the load that all gateways held.
-    rate: f64,
-    held: f64,
+    /// Natural logarithm of the rate of set-ups per second; 0 for an overload signal.
+    ln_rate: f64,
+    /// Natural logarithm of the load that all gateways held on the server.
+    ln_load: f64,
 }
 
+/// Exponentially weighted integrals for the mean load.
+#[derive(Debug, Clone, Copy, Default)]
+struct LoadIntegral {
+    /// Integral of the load over time.
+    load_seconds: f64,
+    /// Integral of time, in seconds.
+    seconds: f64,
+}
+
+/// An entry as it was last sent.
+#[derive(Debug, Clone, Copy)]
+struct SentEntry {
+    entry: Entry,
+    at: Duration,
+}
+
+/// Observations of one server.
 #[derive(Debug, Clone, Default)]
-struct Seen {
-    life: Life,
+struct Observations {
+    incarnation: Incarnation,
     setups: VecDeque<Sample>,
-    strains: VecDeque<Sample>,
+    overloads: VecDeque<Sample>,
     connections: u32,
     load: f64,
-    /// Load times time and time, both fading, up to `reckoned`.
-    exposure: (f64, f64),
-    reckoned: Duration,
+    /// Integrals up to `integrated_until`.
+    integral: LoadIntegral,
+    integrated_until: Duration,
+    /// Time since which this incarnation has been observed.
     since: Duration,
-    said: Option<(Entry, Duration)>,
+    sent: Option<SentEntry>,
 }
 
-impl Seen {
-    fn reckon(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.reckoned).as_secs_f64();
-        let fade = (-passed / OF_LATE).exp();
-        let gained = OF_LATE * (1.0 - fade);
-        self.exposure = (self.exposure.0 * fade + self.load * gained, self.exposure.1 * fade + gained);
-        self.reckoned = self.reckoned.max(now);
+impl Observations {
+    /// Extends the load integrals to `now`.
+    fn integrate(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.integrated_until).as_secs_f64();
+        let decay = (-elapsed / LOAD_TIME_CONSTANT_S).exp();
+        let added = LOAD_TIME_CONSTANT_S * (1.0 - decay);
+        self.integral.load_seconds = self.integral.load_seconds * decay + self.load * added;
+        self.integral.seconds = self.integral.seconds * decay + added;
+        self.integrated_until = self.integrated_until.max(now);
     }
 
-    fn entry(&self, bears: &dyn Fn(f64, f64) -> Option<f64>) -> Entry {
-        let middle = |samples: &VecDeque<Sample>, of: fn(&Sample) -> f64| {
-            median(samples.iter().map(of)).map_or(Log::NONE, Log::from_ln)
+    /// Returns the entry for the gateway's register, without a version.
+    fn entry(&self, capacity: &dyn Fn(f64, f64) -> Option<f64>) -> Entry {
+        let median_log = |samples: &VecDeque<Sample>, value: fn(&Sample) -> f64| {
+            median(samples.iter().map(value)).map_or(Log::NONE, Log::from_ln)
         };
-        let (load_time, time) = self.exposure;
-        let mean = if time > 0.0 { load_time / time } else { self.load };
+        let LoadIntegral { load_seconds, seconds } = self.integral;
+        let mean_load = if seconds > 0.0 { load_seconds / seconds } else { self.load };
+        let capacities =
+            self.setups.iter().filter_map(|sample| capacity(sample.ln_load.exp(), sample.ln_rate.exp()));
         Entry {
             version: 0,
-            life: self.life,
+            incarnation: self.incarnation,
             setups: self.setups.len() as u8,
-            seconds: self.reckoned.saturating_sub(self.since).as_secs().min(65_535) as u16,
-            rate: middle(&self.setups, |it| it.rate),
-            beside: middle(&self.setups, |it| it.held),
-            bears: median(self.setups.iter().filter_map(|it| bears(it.held.exp(), it.rate.exp())))
-                .map_or(Log::NONE, Log::of),
-            load: Log::of(mean),
+            observed_s: self.integrated_until.saturating_sub(self.since).as_secs().min(65_535) as u16,
+            setup_rate: median_log(&self.setups, |sample| sample.ln_rate),
+            load_at_setup: median_log(&self.setups, |sample| sample.ln_load),
+            capacity: median(capacities).map_or(Log::NONE, Log::of),
+            load: Log::of(mean_load),
             connections: self.connections.min(65_535) as u16,
-            strains: self.strains.len() as u8,
-            held: middle(&self.strains, |it| it.held),
+            overloads: self.overloads.len() as u8,
+            load_at_overload: median_log(&self.overloads, |sample| sample.ln_load),
         }
     }
 }
 
-/// What one gateway sees.
+/// Observations of one gateway.
 #[derive(Debug, Clone)]
 pub struct Observer {
     window: Duration,
-    keep: Duration,
-    seen: BTreeMap<ServerKey, Seen>,
+    report_ttl: Duration,
+    servers: BTreeMap<ServerKey, Observations>,
     version: u32,
 }
 
 impl Observer {
-    /// Nothing seen so far.
+    /// Creates an observer without observations.
     pub fn new(options: &Options) -> Self {
-        Self { window: options.window, keep: options.keep, seen: BTreeMap::new(), version: 0 }
+        Self { window: options.window, report_ttl: options.report_ttl, servers: BTreeMap::new(), version: 0 }
     }
 
-    /// A server is listed with this life; another life than before forgets what was seen of the former.
-    pub fn listed(&mut self, now: Duration, server: ServerKey, life: Life) {
-        if self.seen.get(&server).is_some_and(|seen| seen.life == life) {
+    /// Adds a listed server. A new incarnation discards the observations of the former one.
+    pub fn add_server(&mut self, now: Duration, server: ServerKey, incarnation: Incarnation) {
+        if self.servers.get(&server).is_some_and(|observations| observations.incarnation == incarnation) {
             return;
         }
-        if self.seen.len() < MAX_SERVERS || self.seen.contains_key(&server) {
-            self.seen.insert(server, Seen { life, reckoned: now, since: now, ..Seen::default() });
+        if self.servers.len() < MAX_SERVERS || self.servers.contains_key(&server) {
+            let observations =
+                Observations { incarnation, integrated_until: now, since: now, ..Observations::default() };
+            self.servers.insert(server, observations);
         }
     }
 
-    /// A server has left the list.
-    pub fn gone(&mut self, server: ServerKey) {
-        self.seen.remove(&server);
+    /// Removes a server that has left the list.
+    pub fn remove_server(&mut self, server: ServerKey) {
+        self.servers.remove(&server);
     }
 
-    /// A connection was set up: how long it took at the server (the network's time taken off), and how many
-    /// set-ups of this gateway were out there then, itself included; and what all gateways `held` there, as far as
-    /// is known. Not to be told of a server that warms up: what it does then says nothing of what it will bear.
-    pub fn set_up(&mut self, now: Duration, server: ServerKey, took: Duration, out: u32, held: f64) {
-        let rate = (f64::from(out.max(1)) / took.as_secs_f64().max(1e-6)).ln();
-        // With nothing held, the whole is free: the logarithm of the least load that is told.
-        let held = if held.is_finite() { held.max(1e-3).ln() } else { return };
-        self.sample(server, Sample { at: now, rate, held }, |seen| &mut seen.setups);
+    /// Records the set-up of a connection.
+    ///
+    /// `duration` is the set-up time at the server, without the network's part. `in_flight` is the number of
+    /// set-ups of this gateway in progress at the server when this one began, itself included. `load` is the
+    /// known load of all gateways on the server. Set-ups at a server that is warming up must not be recorded:
+    /// they don't show the capacity that it will have.
+    pub fn record_setup(
+        &mut self,
+        now: Duration,
+        server: ServerKey,
+        duration: Duration,
+        in_flight: u32,
+        load: f64,
+    ) {
+        let ln_rate = (f64::from(in_flight.max(1)) / duration.as_secs_f64().max(1e-6)).ln();
+        // The logarithm needs a positive load: without load the whole server is free, and 0.001 stands for
+        // zero.
+        let ln_load = if load.is_finite() { load.max(1e-3).ln() } else { return };
+        self.push_sample(server, Sample { at: now, ln_rate, ln_load }, |observations| {
+            &mut observations.setups
+        });
     }
 
-    /// The server shed a connection or slowed while all gateways together held `load` there.
-    pub fn strained(&mut self, now: Duration, server: ServerKey, load: f64) {
+    /// Records that the server shed a connection or slowed down while all gateways together held `load` on
+    /// it.
+    pub fn record_overload(&mut self, now: Duration, server: ServerKey, load: f64) {
         if load > 0.0 && load.is_finite() {
-            let sample = Sample { at: now, rate: 0.0, held: load.ln() };
-            self.sample(server, sample, |seen| &mut seen.strains);
+            let sample = Sample { at: now, ln_rate: 0.0, ln_load: load.ln() };
+            self.push_sample(server, sample, |observations| &mut observations.overloads);
         }
     }
 
-    fn sample(&mut self, server: ServerKey, sample: Sample, of: fn(&mut Seen) -> &mut VecDeque<Sample>) {
-        let Some(seen) = self.seen.get_mut(&server) else { return };
-        let samples = of(seen);
+    /// Appends a sample and discards the oldest one beyond [`MAX_SAMPLES`].
+    fn push_sample(
+        &mut self,
+        server: ServerKey,
+        sample: Sample,
+        queue: fn(&mut Observations) -> &mut VecDeque<Sample>,
+    ) {
+        let Some(observations) = self.servers.get_mut(&server) else { return };
+        let samples = queue(observations);
         if samples.len() >= usize::from(MAX_SAMPLES) {
             samples.pop_front();
         }
         samples.push_back(sample);
     }
 
-    /// From now on this gateway holds so many connections there, and so much load of all of them.
-    pub fn holds(&mut self, now: Duration, server: ServerKey, connections: u32, load: f64) {
-        if let Some(seen) = self.seen.get_mut(&server) {
-            seen.reckon(now);
-            seen.connections = connections;
-            seen.load = if load.is_finite() { load.max(0.0) } else { seen.load };
+    /// Sets the number and the total load of the connections that this gateway has on the server.
+    pub fn set_load(&mut self, now: Duration, server: ServerKey, connections: u32, load: f64) {
+        if let Some(observations) = self.servers.get_mut(&server) {
+            observations.integrate(now);
+            observations.connections = connections;
+            observations.load = if load.is_finite() { load.max(0.0) } else { observations.load };
         }
     }
 
-    /// The entries to be said now, at most what one datagram holds: first those that have changed, then those
-    /// said longest ago. Empty where nothing is due. `bears` tells what a server would bear by one set-up, from the
-    /// load held then and its rate: see [`crate::Weights::capacity`].
-    pub fn say(&mut self, now: Duration, bears: impl Fn(f64, f64) -> Option<f64>) -> Vec<(ServerKey, Entry)> {
-        let (window, refresh) = (self.window, self.keep.mul_f64(REFRESH));
+    /// Returns the entries that are due, at most as many as fit into one datagram: changed ones first, then
+    /// those sent longest ago. `capacity` returns the capacity that one set-up shows, from the load at that
+    /// time and the set-up rate, as [`crate::Weights::capacity`] does.
+    pub fn take_due_entries(
+        &mut self,
+        now: Duration,
+        capacity: impl Fn(f64, f64) -> Option<f64>,
+    ) -> Vec<(ServerKey, Entry)> {
+        let (window, refresh) = (self.window, self.report_ttl.mul_f64(REFRESH));
         let mut due = Vec::new();
-        for (&server, seen) in &mut self.seen {
-            seen.reckon(now);
-            for samples in [&mut seen.setups, &mut seen.strains] {
-                while samples.front().is_some_and(|it| now.saturating_sub(it.at) > window) {
+        for (&server, observations) in &mut self.servers {
+            observations.integrate(now);
+            for samples in [&mut observations.setups, &mut observations.overloads] {
+                while samples.front().is_some_and(|sample| now.saturating_sub(sample.at) > window) {
                     samples.pop_front();
                 }
             }
-            let entry = seen.entry(&bears);
-            let age = seen.said.map_or(Duration::MAX, |it| now.saturating_sub(it.1));
-            let changed = seen.said.is_none_or(|(said, _)| differs(&said, &entry));
+            let entry = observations.entry(&capacity);
+            let age = observations.sent.map_or(Duration::MAX, |sent| now.saturating_sub(sent.at));
+            let changed = observations.sent.is_none_or(|sent| differs(&sent.entry, &entry));
             if changed || age >= refresh {
-                due.push((!changed, std::cmp::Reverse(age), server, entry));
+                due.push((!changed, Reverse(age), server, entry));
             }
         }
-        due.sort_by_key(|it| (it.0, it.1, it.2));
+        due.sort_by_key(|&(unchanged, age, server, _)| (unchanged, age, server));
         due.truncate(MAX_ENTRIES);
-        let mut said = Vec::with_capacity(due.len());
+        let mut entries = Vec::with_capacity(due.len());
         for (_, _, server, mut entry) in due {
             self.version += 1;
             entry.version = self.version;
-            if let Some(seen) = self.seen.get_mut(&server) {
-                seen.said = Some((entry, now));
+            if let Some(observations) = self.servers.get_mut(&server) {
+                observations.sent = Some(SentEntry { entry, at: now });
             }
-            said.push((server, entry));
+            entries.push((server, entry));
         }
-        said
+        entries
     }
 
-    /// Most samples that are kept of any server; for [`crate::Throughput::check`].
-    pub(crate) fn most_samples(&self) -> usize {
-        self.seen.values().map(|seen| seen.setups.len().max(seen.strains.len())).max().unwrap_or(0)
+    /// Returns the largest number of samples of one kind stored for any server, for
+    /// [`crate::Throughput::check`].
+    pub(crate) fn max_stored_samples(&self) -> usize {
+        let samples = self
+            .servers
+            .values()
+            .map(|observations| observations.setups.len().max(observations.overloads.len()));
+        samples.max().unwrap_or(0)
     }
 }
 
-fn differs(said: &Entry, now: &Entry) -> bool {
-    let far = |one: Log, two: Log| match (one.ln(), two.ln()) {
-        (Some(one), Some(two)) => (one - two).abs() > CHANGED,
-        (one, two) => one.is_some() != two.is_some(),
+/// Returns whether an entry differs enough from the one last sent to be sent again.
+fn differs(sent: &Entry, current: &Entry) -> bool {
+    let far = |sent: Log, current: Log| match (sent.ln(), current.ln()) {
+        (Some(sent), Some(current)) => (sent - current).abs() > SEND_THRESHOLD,
+        (sent, current) => sent.is_some() != current.is_some(),
     };
-    (said.life, said.setups, said.strains) != (now.life, now.setups, now.strains)
-        || far(said.load, now.load)
-        || far(said.bears, now.bears)
+    (sent.incarnation, sent.setups, sent.overloads)
+        != (current.incarnation, current.setups, current.overloads)
+        || far(sent.load, current.load)
+        || far(sent.capacity, current.capacity)
 }
--- a/crates/ashtide-throughput/src/robust.rs
+++ b/crates/ashtide-throughput/src/robust.rs
@@ -1,23 +1,31 @@
-//! Medians, which up to half of their weight cannot carry away.
+//! Medians: robust against outliers that have less than half of the weight.
 
-/// The middle of some numbers, none if there are none.
+/// A value with its weight in a median.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Weighted {
+    pub(crate) value: f64,
+    pub(crate) weight: f64,
+}
+
+/// Returns the median; `None` if there are no finite values.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
-    weighted_median(values.map(|value| (value, 1.0)).collect())
+    weighted_median(values.map(|value| Weighted { value, weight: 1.0 }).collect())
 }
 
-/// The value at which half of the weight lies on either side; midway where a gap does.
-pub(crate) fn weighted_median(mut rows: Vec<(f64, f64)>) -> Option<f64> {
-    rows.retain(|row| row.0.is_finite() && row.1 > 0.0);
-    rows.sort_by(|one, two| one.0.total_cmp(&two.0));
-    let half = rows.iter().map(|row| row.1).sum::<f64>() / 2.0;
-    let mut below = 0.0;
-    for (at, &(value, weight)) in rows.iter().enumerate() {
-        below += weight;
-        if below > half * (1.0 + 1e-9) {
+/// Returns the value that has half of the weight on either side, or the midpoint if that falls between two
+/// values. Values that are not finite or have no weight are ignored.
+pub(crate) fn weighted_median(mut rows: Vec<Weighted>) -> Option<f64> {
+    rows.retain(|row| row.value.is_finite() && row.weight > 0.0);
+    rows.sort_by(|left, right| left.value.total_cmp(&right.value));
+    let half = rows.iter().map(|row| row.weight).sum::<f64>() / 2.0;
+    let mut cumulative = 0.0;
+    for (index, &Weighted { value, weight }) in rows.iter().enumerate() {
+        cumulative += weight;
+        if cumulative > half * (1.0 + 1e-9) {
             return Some(value);
         }
-        if below >= half * (1.0 - 1e-9) {
-            let next = rows.get(at + 1).map_or(value, |row| row.0);
+        if cumulative >= half * (1.0 - 1e-9) {
+            let next = rows.get(index + 1).map_or(value, |row| row.value);
             return Some((value + next) / 2.0);
         }
     }
--- a/crates/ashtide-throughput/src/violation.rs
+++ b/crates/ashtide-throughput/src/violation.rs
@@ -1,133 +1,148 @@
-//! What must hold at any time, by name.
+//! Invariants, each named by the violation that reports it, and defects that tests inject.
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// A register is not what its gateway said.
-    #[error("weights: the register of gateway {gateway} is not what it said; expected its own words alone")]
+    /// A register differs from the reports of its gateway.
+    #[error(
+        "weights: the register of gateway {gateway} differs from that gateway's reports; expected equality"
+    )]
     Altered {
-        /// Whose.
+        /// Gateway whose register differs.
         gateway: u16,
     },
-    /// A weight is off the list's by more than the clamp.
-    #[error("weights: server {server:#010x} weighs {weight}; expected it within the clamp round {list}")]
+    /// The ratio of a weight to the listed weight exceeds the clamp.
+    #[error(
+        "weights: server {server:#010x} has weight {weight}; expected it within the clamp around {listed}"
+    )]
     OutOfClamp {
-        /// Which.
+        /// Server with the weight.
         server: u32,
-        /// Its weight.
+        /// Weight found.
         weight: f64,
-        /// The list's.
-        list: f64,
+        /// Listed weight.
+        listed: f64,
     },
-    /// A weight moved faster than it may.
+    /// A weight changed faster than the configured rate.
     #[error(
-        "weights: server {server:#010x} moved by {moved} in a turn; expected at most {most} (logarithms)"
+        "weights: server {server:#010x} changed by {change} in one update; expected at most {max} \
+         (logarithms)"
     )]
     Jumped {
-        /// Which.
+        /// Server with the weight.
         server: u32,
-        /// How far.
-        moved: f64,
-        /// How far it might.
-        most: f64,
+        /// Change of the weight's natural logarithm.
+        change: f64,
+        /// Largest permitted change of the weight's natural logarithm.
+        max: f64,
     },
-    /// A weight moved though too few gateways were heard.
-    #[error("weights: server {server:#010x} moved with {heard} of the gateways heard; expected a quorum")]
+    /// A weight changed without a quorum of reporting gateways.
+    #[error(
+        "weights: server {server:#010x} changed with a fraction of {reporting} of the gateways reporting; \
+         expected a quorum"
+    )]
     MovedUnheard {
-        /// Which.
+        /// Server with the weight.
         server: u32,
-        /// Part of the gateways.
-        heard: f64,
+        /// Fraction of the gateways that reported.
+        reporting: f64,
     },
-    /// A cold server has more than its ramp.
-    #[error("weights: server {server:#010x} weighs {weight} while it warms up; expected at most {most}")]
+    /// The weight of a server that is warming up exceeds its recovery ramp.
+    #[error("weights: server {server:#010x} has weight {weight} while warming up; expected at most {max}")]
     ColdWhole {
-        /// Which.
+        /// Server that is warming up.
         server: u32,
-        /// Its weight.
+        /// Weight found.
         weight: f64,
-        /// The most by its ramp.
-        most: f64,
+        /// Largest weight by the ramp.
+        max: f64,
     },
-    /// What a former server of this name did counts.
-    #[error("weights: {entries} entries of a former life of server {server:#010x} count; expected none")]
+    /// Evidence of a server's former incarnation counts.
+    #[error(
+        "weights: {entries} entries of a former incarnation of server {server:#010x} were counted; expected \
+         none"
+    )]
     OtherLife {
-        /// Which.
+        /// Server with the entries.
         server: u32,
-        /// How many.
+        /// Number of entries of another incarnation.
         entries: u32,
     },
-    /// One gateway counts for more than it may.
+    /// One gateway's set-ups count for more than their limit.
     #[error(
-        "weights: one gateway counts {counted} set-ups of server {server:#010x}; expected at most {most}"
+        "weights: {counted} set-ups of one gateway count for server {server:#010x}; expected at most {max}"
     )]
     TooLoud {
-        /// Which.
+        /// Server of the set-ups.
         server: u32,
-        /// What it counts.
+        /// Number of set-ups counted of one gateway.
         counted: f64,
-        /// What it may.
-        most: f64,
+        /// Largest number that may be counted of one gateway.
+        max: f64,
     },
-    /// Too much is believed of a measurement.
+    /// An estimate follows its measurement more closely than the variance permits.
     #[error(
-        "weights: {believed} of what was measured of server {server:#010x} is believed; expected 0 to {most}"
+        "weights: a fraction of {gamma} of the measured difference of server {server:#010x} enters the \
+         estimate; expected 0 to {max}"
     )]
     NotPooled {
-        /// Which.
+        /// Server of the estimate.
         server: u32,
-        /// The part believed.
-        believed: f64,
-        /// The most that its evidence allows.
-        most: f64,
+        /// Fraction of the measured difference that enters the estimate.
+        gamma: f64,
+        /// Largest fraction that the variance permits.
+        max: f64,
     },
-    /// What a server was given changes what it is held to bear: the feedback loop.
-    #[error("weights: server {server:#010x}, given half, would bear {found}; expected {expected} as before")]
+    /// The capacity estimate depends on the load that the server was given, which would form a feedback loop.
+    #[error(
+        "weights: server {server:#010x} has a capacity estimate of {found} at half its load; expected \
+         {expected} as at full load"
+    )]
     FollowsLoad {
-        /// Which.
+        /// Server of the estimate.
         server: u32,
-        /// With half the load.
+        /// Capacity estimate at half the load.
         found: f64,
-        /// With all.
+        /// Capacity estimate at the present load.
         expected: f64,
     },
-    /// More is kept than may be.
-    #[error("weights: {found} set-ups kept of one server; expected at most {most}")]
+    /// A server has more stored samples than the limit.
+    #[error("weights: {found} samples are stored for one server; expected at most {max}")]
     TooMany {
-        /// What is kept.
+        /// Number of stored samples.
         found: usize,
-        /// What may be.
-        most: usize,
+        /// Largest permitted number.
+        max: usize,
     },
 }
 
 impl Violation {
-    /// What an operator can do.
+    /// Returns what an operator can do about the violation.
     pub fn help(&self) -> &'static str {
-        "Turn weights off in the deploy file (the list's count from then on) and report this line: it is a fault \
-         of the program, not of the site."
+        "Disable weights in the deployment file (the listed weights then take effect) and report this \
+         line: it is a fault of the program, not of the deployment."
     }
 }
 
-/// Variants of the program that are wrong on purpose: tests show that the check finds each. Without the
-/// feature `broken`, which only tests turn on, none can be chosen.
+/// Defects that tests inject to show that the check finds each of them. Without the feature `broken`, which
+/// only tests enable, none can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// What a server holds is taken for what it bears.
-    CapacityIsUse,
-    /// Registers are added up where they are joined.
+pub enum Defect {
+    /// The load of a server is used as its capacity.
+    CapacityIsLoad,
+    /// Registers are added up when they are merged.
     #[cfg(feature = "broken")]
     MergeBySum,
-    /// What was measured is believed whole.
+    /// The estimate equals the measurement, without pooling.
     NoPooling,
-    /// No bound on the change a second.
-    NoBound,
-    /// Evidence of a former life counts.
-    OtherLife,
-    /// A cold server has its whole weight.
-    ColdWhole,
-    /// One gateway counts for all it says.
-    NoCap,
-    /// Weights move whoever is heard.
-    MovesUnheard,
+    /// The change of a weight per second is unbounded.
+    NoRateLimit,
+    /// Evidence of a former incarnation counts.
+    FormerIncarnation,
+    /// A server that is warming up has its full weight.
+    NoRamp,
+    /// The set-ups that one gateway reports count without a limit.
+    NoContributionLimit,
+    /// Weights change without a quorum of reporting gateways.
+    NoQuorum,
 }
--- a/crates/ashtide-throughput/src/weights.rs
+++ b/crates/ashtide-throughput/src/weights.rs
@@ -1,285 +1,367 @@
-//! From the registers of all gateways to a weight for each server.
+//! Weights of the servers, computed from the registers of all gateways.
 //!
-//! What a server bears, in load, is what it holds and what it has free: `L + w x`, with `L` the load held of all
-//! gateways, `x` the rate at which it serves one set-up (a processor shared by all serves a job of work `w` in
-//! `w / (c - L)` on average: M/G/1-PS, Kleinrock 1967), and `w` the work of a set-up. So a server given less holds
-//! less and is free for as much more: what it was given cancels. `w` is not told: it is what makes the whole fleet's
-//! throughput the list's. Where the list says too much, `w` is too large, and who was given less looks faster, so
-//! what error is left drives loads together and not apart.
+//! The capacity of a server, in units of load, is the load that it has plus its free capacity: `L + w x`. `L`
+//! is the load of all gateways on the server, `x` the rate at which it completes one set-up, and `w` the work
+//! of a set-up. A processor that is shared by all jobs completes a job of work `w` in `w / (c - L)` on
+//! average (M/G/1-PS, Kleinrock 1967). A server that is given less load thus has less load and as much more
+//! free capacity, so the load that it was given cancels out. `w` is not reported: its value is the one at
+//! which the throughput of the whole fleet equals the listed throughput. If the listed throughput is too
+//! high, `w` is too large and servers that were given less load appear faster. The remaining error therefore
+//! makes the loads converge instead of diverging.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::options::{Options, Unusable};
-use crate::pooling::{Pooled, Row, pool};
-use crate::register::{Entry, GatewayId, Life, MAX_SERVERS, Registers, Said, ServerKey, Unheard};
-use crate::robust::{median, weighted_median};
-use crate::violation::{Broken, Violation};
-
-/// Where no unit is known, the fleet is taken to be in use by this part.
-const USED: f64 = 0.5;
-/// At least this part of the list's throughput is taken to be free: more where servers are overrun is an error.
-const LEAST_FREE: f64 = 0.25;
-/// A gateway's set-ups, all servers together, count at most this many times those of the median gateway...
-const SETUPS_OVER: f64 = 2.0;
-/// ...and at least so many do.
-const SETUPS_LEAST: f64 = 4.0;
-/// Of one server, this many times what the median gateway would have of each, and at least one.
-const SETUPS_ONE: f64 = 3.0;
-/// A gateway's load, all servers together, against that of the median gateway...
-const LOAD_OVER: f64 = 1.5;
-/// ...and of one server, against the median gateway's mean; or so many usual connections.
-const LOAD_ONE: f64 = 6.0;
-const LOAD_CONNECTIONS: f64 = 6.0;
-/// A gateway whose words on what servers bear are off the others' by so many times what is usual is passed over...
-const DISCREDIT: f64 = 2.5;
-/// ...if it speaks of so many servers; and no more than this part of the gateways.
-const DISCREDIT_SERVERS: usize = 5;
-const DISCREDIT_PART: f64 = 0.25;
-/// Spread of one set-up's rate (logarithm): least, before any is known, most.
-const NOISE: (f64, f64, f64) = (0.45, 0.6, 1.2);
-/// Residuals needed to reckon it.
-const NOISE_KNOWN: usize = 30;
-/// A median has this many times the variance of a mean.
-const MEDIAN_COST: f64 = std::f64::consts::FRAC_PI_2;
-/// Doubt of the load held, and of the load at a strain (logarithms).
-const LOAD_DOUBT: f64 = 0.07;
-const STRAIN_DOUBT: f64 = 0.25;
-const LEAST_DOUBT: f64 = 0.02;
-/// Servers that must have strained for them to tell the unit.
-const STRAINED_KNOWN: usize = 3;
-/// A weight that moves comes to rest within this part of the hysteresis.
-const AT_REST: f64 = 0.2;
-/// However long ago the last turn was, a weight moves no further than in this time.
-const LONGEST_STEP: Duration = Duration::from_secs(2);
-/// Registers are forgotten after this many times the time for which they count.
-const FORGET: u32 = 10;
-
-/// A server as the list has it.
+use crate::pooling::{Measurement, Pooled, Row, max_gamma, pool};
+use crate::register::{
+    Entry, GatewayId, Incarnation, MAX_SERVERS, ReceivedEntry, Registers, Report, ServerKey, Unheard,
+};
+use crate::robust::{Weighted, median, weighted_median};
+use crate::violation::{Defect, Violation};
+
+/// Utilization of the fleet that is assumed if the load per unit of weight is unknown.
+const ASSUMED_UTILIZATION: f64 = 0.5;
+/// Least fraction of the listed throughput that is taken to be free. If servers are overloaded, taking more
+/// to be free is an error.
+const MIN_FREE_FRACTION: f64 = 0.25;
+/// Limit of one gateway's set-ups at all servers together, as a multiple of those of the median gateway.
+const MAX_SETUPS_RATIO: f64 = 2.0;
+/// Minimum of the limit of one gateway's set-ups at all servers together.
+const MIN_SETUPS_LIMIT: f64 = 4.0;
+/// Limit of one gateway's set-ups at one server, as a multiple of the median gateway's mean per server. The
+/// limit is at least one set-up.
+const MAX_SERVER_SETUPS_RATIO: f64 = 3.0;
+/// Limit of one gateway's load on all servers together, as a multiple of that of the median gateway.
+const MAX_LOAD_RATIO: f64 = 1.5;
+/// Limit of one gateway's load on one server, as a multiple of the median gateway's mean per server.
+const MAX_SERVER_LOAD_RATIO: f64 = 6.0;
+/// Minimum of the limit of one gateway's load on one server, as a number of connections of typical load.
+const MIN_SERVER_LOAD_CONNECTIONS: f64 = 6.0;
+/// Deviation of a gateway's capacity estimates from those of all gateways above which the gateway is an
+/// outlier, as a multiple of the median deviation.
+const OUTLIER_DEVIATION_RATIO: f64 = 2.5;
+/// Minimum number of servers that a gateway must report on to be an outlier.
+const OUTLIER_MIN_SERVERS: usize = 5;
+/// Maximum fraction of the gateways that are treated as outliers.
+const MAX_OUTLIER_FRACTION: f64 = 0.25;
+/// Minimum standard deviation of one set-up's rate (logarithm).
+const NOISE_MIN: f64 = 0.45;
+/// Standard deviation of one set-up's rate (logarithm) that is assumed until there are enough residuals.
+const NOISE_DEFAULT: f64 = 0.6;
+/// Maximum standard deviation of one set-up's rate (logarithm).
+const NOISE_MAX: f64 = 1.2;
+/// Minimum number of residuals for an estimate of the standard deviation of one set-up's rate.
+const NOISE_MIN_RESIDUALS: usize = 30;
+/// Ratio of the median absolute deviation to the standard deviation of a normal distribution.
+const NORMAL_MAD_RATIO: f64 = 0.6745;
+/// Ratio of the variance of a median to that of a mean, for a normal distribution.
+const MEDIAN_VARIANCE_RATIO: f64 = std::f64::consts::FRAC_PI_2;
+/// Standard deviation of the known load (logarithm).
+const LOAD_STD_DEV: f64 = 0.07;
+/// Standard deviation of the known load at an overload signal (logarithm).
+const OVERLOAD_STD_DEV: f64 = 0.25;
+/// Minimum standard deviation of a measurement (logarithm).
+const MIN_STD_DEV: f64 = 0.02;
+/// Minimum number of overloaded servers for an estimate of the load per unit of weight.
+const MIN_OVERLOADED_SERVERS: usize = 3;
+/// Distance from the target at which a changing weight stops, as a fraction of the hysteresis.
+const STOP_FRACTION: f64 = 0.2;
+/// Longest time between two updates that counts for the change of a weight.
+const MAX_STEP: Duration = Duration::from_secs(2);
+/// Tolerance of the invariant checks for rounding errors.
+const TOLERANCE: f64 = 1e-6;
+/// Age at which entries are removed, as a multiple of the time for which they count.
+const RETENTION_FACTOR: u32 = 10;
+
+/// A server of the list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Server {
-    /// Which.
+    /// Number of the server.
     pub key: ServerKey,
-    /// Its kind; only "the same or not" has a meaning.
+    /// Kind of the server. Kinds are compared for equality only.
     pub kind: u32,
-    /// The list's weight; what is not above zero counts as 1.
+    /// Listed weight. A weight that is not positive and finite counts as 1.
     pub weight: f64,
-    /// Its present life: another start is another life.
-    pub life: Life,
-    /// When that began, by the caller's time; `None` if long ago.
+    /// Present incarnation; a restarted server has another one.
+    pub incarnation: Incarnation,
+    /// Start time of the incarnation by the caller's clock; `None` if it started long ago.
     pub started: Option<Duration>,
 }
 
-/// What stands behind a server's weight.
+/// Largest contribution of one gateway to a server's evidence, in set-ups.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Contribution {
+    /// Largest number of set-ups counted of one gateway.
+    pub largest: f64,
+    /// Largest number that may be counted of one gateway.
+    pub limit: f64,
+}
+
+/// Evidence for a server's weight.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Evidence {
-    /// Set-ups counted, after the bounds on what one gateway may say.
+    /// Number of set-ups counted, after the limits per gateway.
     pub setups: f64,
-    /// Gateways that saw them.
+    /// Number of gateways that reported these set-ups.
     pub gateways: u32,
-    /// Free rate, set-ups a second, and the load that all gateways held when they were made.
-    pub rate: f64,
-    /// See `rate`.
-    pub beside: f64,
-    /// Load held of all gateways now.
+    /// Rate at which the server completes a set-up, per second.
+    pub setup_rate: f64,
+    /// Load of all gateways on the server when the set-ups were made.
+    pub load_at_setup: f64,
+    /// Present load of all gateways on the server.
     pub load: f64,
-    /// What it would bear, as the set-ups show it; zero where the work of a set-up was not known.
-    pub bears: f64,
-    /// Gateways that have told their load there of late.
-    pub told: u32,
-    /// Most that was counted of one gateway, and the most that may be.
-    pub loudest: (f64, f64),
-    /// Entries counted that are of another life: none.
-    pub other_lives: u32,
+    /// Capacity that the set-ups show; zero if the work of a set-up was unknown.
+    pub capacity: f64,
+    /// Number of gateways with a recent report of their load on the server.
+    pub reporting_gateways: u32,
+    /// Largest contribution of one gateway.
+    pub contribution: Contribution,
+    /// Number of counted entries of another incarnation; always zero unless there is a defect.
+    pub other_incarnations: u32,
+}
+
+/// Measured capacity of a server, as a weight.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct MeasuredWeight {
+    /// Weight by the measurement alone.
+    pub weight: f64,
+    /// Standard deviation of the weight's natural logarithm.
+    pub ln_std_dev: f64,
+    /// Fraction of the difference from the kind's value that enters the estimate.
+    pub gamma: f64,
 }
 
+/// Period in which a server has sent overload signals.
+#[derive(Debug, Clone, Copy)]
+struct OverloadPeriod {
+    first: Duration,
+    last: Duration,
+}
+
+/// State of one listed server.
 #[derive(Debug, Clone)]
-struct Standing {
+struct ServerState {
     server: Server,
     evidence: Evidence,
-    /// Logarithm of what was measured in the list's scale, and its variance.
-    measured: Option<(f64, f64)>,
+    /// Measured capacity in the scale of the listed weights.
+    measurement: Option<Measurement>,
     pooled: Pooled,
-    /// Logarithm of the weight, without the ramp; what it was a turn before, and how long that was.
-    learned: f64,
-    before: (f64, f64),
-    moving: bool,
-    /// First and last news of it shedding or slowing.
-    strained: Option<(Duration, Duration)>,
+    /// Natural logarithm of the weight, without the recovery ramp.
+    ln_weight: f64,
+    /// Value of `ln_weight` before the last update.
+    previous_ln_weight: f64,
+    /// Time in seconds between the last two updates.
+    step_s: f64,
+    /// Whether the weight is changing towards its target.
+    changing: bool,
+    overload: Option<OverloadPeriod>,
 }
 
-/// What one gateway has said of late: by the place of the server among the listed, and together.
-struct Heard {
+/// Recent entries of one gateway.
+struct GatewayEntries {
     gateway: GatewayId,
+    /// Entries, each with the index of its server among the listed ones.
     entries: Vec<(usize, Entry)>,
+    /// Total number of set-ups.
     setups: f64,
+    /// Total load.
     load: f64,
+    /// Total number of connections.
     connections: f64,
 }
 
-/// How much of what one gateway says counts, of all servers together and of one.
-struct Bounds {
-    setups_all: f64,
-    setups_one: f64,
-    load_all: f64,
-    load_one: f64,
+/// Set-ups of one gateway at one server; rate, load and capacity are natural logarithms.
+struct SetupRow {
+    ln_rate: f64,
+    ln_load: f64,
+    /// Capacity that the set-ups show; not a number if unknown.
+    ln_capacity: f64,
+    /// Number of set-ups counted.
+    weight: f64,
+}
+
+/// Returns the weighted median of one column of `rows`.
+fn column_median(rows: &[SetupRow], column: fn(&SetupRow) -> f64) -> Option<f64> {
+    weighted_median(rows.iter().map(|row| Weighted { value: column(row), weight: row.weight }).collect())
+}
+
+/// Limits on the contribution of one gateway.
+struct Limits {
+    total_setups: f64,
+    server_setups: f64,
+    total_load: f64,
+    server_load: f64,
 }
 
-impl Bounds {
-    fn of<'a>(heard: impl Iterator<Item = &'a Heard> + Clone, servers: usize) -> Self {
+impl Limits {
+    /// Derives the limits from the median gateway.
+    fn new<'a>(gateways: impl Iterator<Item = &'a GatewayEntries> + Clone, servers: usize) -> Self {
         let servers = servers.max(1) as f64;
-        let setups = median(heard.clone().map(|it| it.setups)).unwrap_or(0.0);
-        let load = median(heard.clone().map(|it| it.load)).unwrap_or(0.0);
-        let holding = heard.filter(|it| it.connections > 0.0);
-        let each = median(holding.map(|it| it.load / it.connections)).unwrap_or(0.0);
+        let setups = median(gateways.clone().map(|it| it.setups)).unwrap_or(0.0);
+        let load = median(gateways.clone().map(|it| it.load)).unwrap_or(0.0);
+        let connected = gateways.filter(|it| it.connections > 0.0);
+        let connection_load = median(connected.map(|it| it.load / it.connections)).unwrap_or(0.0);
         Self {
-            setups_all: (SETUPS_OVER * setups).max(SETUPS_LEAST),
-            setups_one: (SETUPS_ONE * setups / servers).max(1.0),
-            load_all: LOAD_OVER * load,
-            load_one: (LOAD_ONE * load / servers).max(LOAD_CONNECTIONS * each),
+            total_setups: (MAX_SETUPS_RATIO * setups).max(MIN_SETUPS_LIMIT),
+            server_setups: (MAX_SERVER_SETUPS_RATIO * setups / servers).max(1.0),
+            total_load: MAX_LOAD_RATIO * load,
+            server_load: (MAX_SERVER_LOAD_RATIO * load / servers)
+                .max(MIN_SERVER_LOAD_CONNECTIONS * connection_load),
         }
     }
 }
 
-/// The weights of all listed servers.
+/// Returns the factor that reduces `total` to `limit`; 1 if the limit is not exceeded.
+fn reduction(total: f64, limit: f64) -> f64 {
+    if total > limit { limit / total } else { 1.0 }
+}
+
+/// Weights of all listed servers.
 #[derive(Debug, Clone)]
 pub struct Weights {
     options: Options,
     registers: Registers,
-    standing: BTreeMap<ServerKey, Standing>,
-    turned: Option<Duration>,
-    /// When old words are next to be forgotten.
-    sweep: Duration,
-    /// Work of a set-up, as it was last reckoned.
-    work: f64,
-    /// Part of the gateways heard of late.
-    heard: f64,
-    /// Gateways whose words are passed over, as they were off in the last turn.
-    discredited: BTreeSet<GatewayId>,
+    servers: BTreeMap<ServerKey, ServerState>,
+    /// Time of the last update.
+    updated_at: Option<Duration>,
+    /// Time from which old entries are removed again.
+    next_removal: Duration,
+    /// Work of a set-up by the last update, in units of load times seconds; zero if unknown.
+    setup_work: f64,
+    /// Fraction of the gateways with recent reports, by the last update.
+    reporting: f64,
+    /// Gateways whose reports are ignored, by the last update.
+    outliers: BTreeSet<GatewayId>,
     #[cfg(feature = "broken")]
-    pub(crate) broken: Option<Broken>,
+    pub(crate) defect: Option<Defect>,
 }
 
 impl Weights {
-    /// The list's weights, to begin with.
+    /// Creates the state without servers. A new server starts with its listed weight.
     pub fn new(options: Options) -> Result<Self, Unusable> {
         options.check()?;
         Ok(Self {
             options,
             registers: Registers::default(),
-            standing: BTreeMap::new(),
-            turned: None,
-            sweep: Duration::ZERO,
-            work: 0.0,
-            heard: 0.0,
-            discredited: BTreeSet::new(),
+            servers: BTreeMap::new(),
+            updated_at: None,
+            next_removal: Duration::ZERO,
+            setup_work: 0.0,
+            reporting: 0.0,
+            outliers: BTreeSet::new(),
             #[cfg(feature = "broken")]
-            broken: None,
+            defect: None,
         })
     }
 
     #[cfg(feature = "broken")]
-    fn is(&self, broken: Broken) -> bool {
-        self.broken == Some(broken)
+    fn has_defect(&self, defect: Defect) -> bool {
+        self.defect == Some(defect)
     }
 
     #[cfg(not(feature = "broken"))]
-    fn is(&self, _broken: Broken) -> bool {
+    fn has_defect(&self, _defect: Defect) -> bool {
         false
     }
 
-    /// A server is listed, or listed anew. One that is new, or has begun another life, starts from its kind's.
-    /// Further servers than [`MAX_SERVERS`] keep the list's weight.
-    pub fn listed(&mut self, server: Server) {
+    /// Adds or updates a listed server. A new server, or a new incarnation of one, starts with the weight of
+    /// its kind. Servers beyond [`MAX_SERVERS`] are ignored, so the caller uses their listed weights.
+    pub fn add_server(&mut self, server: Server) {
         let weight = if server.weight.is_finite() && server.weight > 0.0 { server.weight } else { 1.0 };
         let server = Server { weight, ..server };
-        let known = self.standing.get_mut(&server.key);
-        if let Some(standing) = known {
-            if standing.server.life == server.life && standing.server.kind == server.kind {
-                standing.server = server;
+        if let Some(state) = self.servers.get_mut(&server.key) {
+            if state.server.incarnation == server.incarnation && state.server.kind == server.kind {
+                state.server = server;
                 return;
             }
-        } else if self.standing.len() >= MAX_SERVERS {
+        } else if self.servers.len() >= MAX_SERVERS {
             return;
         }
-        let learned = self.newcomer(&server);
-        let pooled = Pooled { expected: learned, gamma: 0.0, estimate: learned };
-        let standing = Standing {
+        let ln_weight = self.initial_ln_weight(&server);
+        let state = ServerState {
             server,
             evidence: Evidence::default(),
-            measured: None,
-            pooled,
-            learned,
-            before: (learned, 0.0),
-            moving: false,
-            strained: None,
+            measurement: None,
+            pooled: Pooled { expected: ln_weight, gamma: 0.0, estimate: ln_weight },
+            ln_weight,
+            previous_ln_weight: ln_weight,
+            step_s: 0.0,
+            changing: false,
+            overload: None,
         };
-        self.standing.insert(server.key, standing);
+        self.servers.insert(server.key, state);
     }
 
-    /// What servers of its kind have been found to bear, against the list's word on them, clamped.
-    fn newcomer(&self, server: &Server) -> f64 {
-        let others = self.standing.values().filter(|it| it.server.kind == server.kind);
-        let others = others.filter(|it| it.server.key != server.key);
-        let off = median(others.map(|it| it.learned - it.server.weight.ln())).unwrap_or(0.0);
+    /// Returns the logarithm of a new server's weight: its listed weight, corrected by the median ratio of
+    /// weight to listed weight among the other servers of its kind.
+    fn initial_ln_weight(&self, server: &Server) -> f64 {
+        let same_kind = self.servers.values().filter(|state| state.server.kind == server.kind);
+        let others = same_kind.filter(|state| state.server.key != server.key);
+        let correction =
+            median(others.map(|state| state.ln_weight - state.server.weight.ln())).unwrap_or(0.0);
         let clamp = self.options.clamp.ln();
-        server.weight.ln() + off.clamp(-clamp, clamp)
+        server.weight.ln() + correction.clamp(-clamp, clamp)
     }
 
-    /// A server has left the list.
-    pub fn gone(&mut self, server: ServerKey) {
-        self.standing.remove(&server);
+    /// Removes a server that has left the list.
+    pub fn remove_server(&mut self, server: ServerKey) {
+        self.servers.remove(&server);
     }
 
-    /// Takes in what a gateway said.
-    pub fn join(&mut self, now: Duration, said: &Said) -> Result<usize, Unheard> {
-        for (key, entry) in &said.2 {
-            let before = self.registers.entry(said.0, *key).map_or(0, |old| old.strains);
-            let Some(standing) = self.standing.get_mut(key) else { continue };
-            if entry.strains > before && entry.life == standing.server.life {
-                let lapse = self.options.trouble * 2;
-                let going_on = standing.strained.filter(|it| now.saturating_sub(it.1) <= lapse);
-                standing.strained = Some((going_on.map_or(now, |it| it.0), now));
+    /// Merges a gateway's report. Returns the number of new or changed entries.
+    pub fn merge(&mut self, now: Duration, report: &Report) -> Result<usize, Unheard> {
+        for (key, entry) in &report.entries {
+            let previous = self.registers.entry(report.gateway, *key).map_or(0, |entry| entry.overloads);
+            let Some(state) = self.servers.get_mut(key) else { continue };
+            if entry.overloads > previous && entry.incarnation == state.server.incarnation {
+                let max_pause = self.options.max_fault * 2;
+                let ongoing = state.overload.filter(|period| now.saturating_sub(period.last) <= max_pause);
+                let first = ongoing.map_or(now, |period| period.first);
+                state.overload = Some(OverloadPeriod { first, last: now });
             }
         }
-        let news = self.registers.join(now, said)?;
+        let changed = self.registers.merge(now, report)?;
         #[cfg(feature = "broken")]
-        if self.is(Broken::MergeBySum) {
-            for (key, said_entry) in &said.2 {
-                if let Some(entry) = self.registers.entry_mut(said.0, *key) {
-                    entry.setups = entry.setups.saturating_add(said_entry.setups);
+        if self.has_defect(Defect::MergeBySum) {
+            for (key, reported) in &report.entries {
+                if let Some(entry) = self.registers.entry_mut(report.gateway, *key) {
+                    entry.setups = entry.setups.saturating_add(reported.setups);
                 }
             }
         }
-        Ok(news)
+        Ok(changed)
     }
 
-    /// What all gateways say of all servers.
+    /// Returns the registers of all gateways.
     pub fn registers(&self) -> &Registers {
         &self.registers
     }
 
-    /// The load that all gateways together hold there; `None` where too few have told theirs, or the server is not
-    /// listed.
-    pub fn held(&self, server: ServerKey) -> Option<f64> {
-        let evidence = self.standing.get(&server)?.evidence;
-        let enough = f64::from(evidence.told) >= self.options.quorum * f64::from(self.options.gateways);
-        enough.then_some(evidence.load)
+    /// Returns the load that all gateways together have on a server; `None` if too few gateways have reported
+    /// theirs, or if the server is not listed.
+    pub fn load(&self, server: ServerKey) -> Option<f64> {
+        let evidence = self.servers.get(&server)?.evidence;
+        let quorum = self.options.quorum * f64::from(self.options.gateways);
+        (f64::from(evidence.reporting_gateways) >= quorum).then_some(evidence.load)
     }
 
-    /// What was measured of a server, as a weight, its doubt (standard deviation of the logarithm), and the part of
-    /// its difference from the kind that is believed.
-    pub fn measured(&self, server: ServerKey) -> Option<(f64, f64, f64)> {
-        let standing = self.standing.get(&server)?;
-        standing.measured.map(|(y, v)| (y.exp(), v.sqrt(), standing.pooled.gamma))
+    /// Returns the measured capacity of a server, as a weight; `None` if there is no measurement.
+    pub fn measured(&self, server: ServerKey) -> Option<MeasuredWeight> {
+        let state = self.servers.get(&server)?;
+        state.measurement.map(|measurement| MeasuredWeight {
+            weight: measurement.ln_capacity.exp(),
+            ln_std_dev: measurement.variance.sqrt(),
+            gamma: state.pooled.gamma,
+        })
     }
 
-    /// What stands behind a server's weight.
+    /// Returns the evidence for a server's weight.
     pub fn evidence(&self, server: ServerKey) -> Option<Evidence> {
-        self.standing.get(&server).map(|it| it.evidence)
+        self.servers.get(&server).map(|state| state.evidence)
     }
 
-    /// What a server that started then bears now, as a part of what it will.
+    /// Returns the fraction of its throughput that a server has at `now` by its recovery ramp.
     fn ramp(&self, now: Duration, started: Option<Duration>) -> f64 {
         let Some(started) = started else { return 1.0 };
         let (age, warm) = (now.saturating_sub(started).as_secs_f64(), self.options.warm_within.as_secs_f64());
@@ -289,320 +371,393 @@
         self.options.cold_from + (1.0 - self.options.cold_from) * age / warm
     }
 
-    /// Whether the server is warm: what it does before says nothing of what it will bear.
-    pub fn warm(&self, now: Duration, server: ServerKey) -> bool {
-        self.standing.get(&server).is_some_and(|it| self.ramp(now, it.server.started) >= 1.0)
+    /// Returns whether the server is warm. Before that, its behaviour doesn't show the capacity that it will
+    /// have.
+    pub fn is_warm(&self, now: Duration, server: ServerKey) -> bool {
+        self.servers.get(&server).is_some_and(|state| self.ramp(now, state.server.started) >= 1.0)
     }
 
-    /// The weight of a server, its ramp included; `None` where it is not listed.
+    /// Returns the weight of a server, including its recovery ramp; `None` if it is not listed.
     pub fn weight(&self, now: Duration, server: ServerKey) -> Option<f64> {
-        let standing = self.standing.get(&server)?;
-        let cold = if self.is(Broken::ColdWhole) { 1.0 } else { self.ramp(now, standing.server.started) };
-        Some(standing.learned.exp() * cold)
+        let state = self.servers.get(&server)?;
+        let ramp = if self.has_defect(Defect::NoRamp) { 1.0 } else { self.ramp(now, state.server.started) };
+        Some(state.ln_weight.exp() * ramp)
     }
 
-    /// All listed servers with their weights.
+    /// Returns all listed servers with their weights.
     pub fn weights(&self, now: Duration) -> impl Iterator<Item = (ServerKey, f64)> {
-        self.standing.keys().filter_map(move |&key| Some((key, self.weight(now, key)?)))
+        self.servers.keys().filter_map(move |&key| Some((key, self.weight(now, key)?)))
     }
 
-    /// Load borne by a server that holds `load` and serves a set-up at `rate`; `None` while the work of a set-up is
-    /// not known.
-    pub fn capacity(&self, load: f64, rate: f64) -> Option<f64> {
-        let all = if self.is(Broken::CapacityIsUse) { load } else { load + self.work * rate };
-        (self.work > 0.0 && all > 0.0).then_some(all)
+    /// Returns the capacity of a server that has `load` and completes a set-up at `setup_rate` per second;
+    /// `None` while the work of a set-up is unknown.
+    pub fn capacity(&self, load: f64, setup_rate: f64) -> Option<f64> {
+        let capacity =
+            if self.has_defect(Defect::CapacityIsLoad) { load } else { load + self.setup_work * setup_rate };
+        (self.setup_work > 0.0 && capacity > 0.0).then_some(capacity)
     }
 
-    /// Weighs all evidence anew and moves the weights towards it. To be called every second or two.
-    pub fn turn(&mut self, now: Duration) {
-        if now >= self.sweep {
-            self.registers.forget(now.saturating_sub(self.options.keep * FORGET));
-            self.sweep = now + self.options.keep;
+    /// Evaluates all evidence and changes the weights towards the estimates. To be called every one or two
+    /// seconds.
+    pub fn update(&mut self, now: Duration) {
+        if now >= self.next_removal {
+            let retention = self.options.report_ttl * RETENTION_FACTOR;
+            self.registers.remove_older(now.saturating_sub(retention));
+            self.next_removal = now + self.options.report_ttl;
         }
-        let noise = self.gather(now);
+        let noise = self.collect_evidence(now);
         self.measure(noise);
-        let rows: Vec<Row> = self
-            .standing
-            .values()
-            .map(|it| Row { kind: it.server.kind, list: it.server.weight.ln(), measured: it.measured })
-            .collect();
-        for (standing, pooled) in self.standing.values_mut().zip(pool(&rows)) {
-            standing.pooled = pooled;
+        let row = |state: &ServerState| Row {
+            kind: state.server.kind,
+            ln_listed: state.server.weight.ln(),
+            measurement: state.measurement,
+        };
+        let rows: Vec<Row> = self.servers.values().map(row).collect();
+        for (state, pooled) in self.servers.values_mut().zip(pool(&rows)) {
+            state.pooled = pooled;
         }
-        if self.is(Broken::NoPooling) {
-            for standing in self.standing.values_mut() {
-                standing.pooled.estimate = standing.measured.map_or(standing.pooled.expected, |it| it.0);
+        if self.has_defect(Defect::NoPooling) {
+            for state in self.servers.values_mut() {
+                let expected = state.pooled.expected;
+                state.pooled.estimate = state.measurement.map_or(expected, |it| it.ln_capacity);
             }
         }
-        self.step(now);
+        self.change_weights(now);
     }
 
-    /// What each gateway has said of late of the listed servers, in their present lives.
-    fn fresh(&self, now: Duration) -> Vec<Heard> {
-        let any_life = self.is(Broken::OtherLife);
-        let mut all = Vec::new();
+    /// Returns the recent entries of each gateway on the present incarnations of the listed servers.
+    fn recent_entries(&self, now: Duration) -> Vec<GatewayEntries> {
+        let any_incarnation = self.has_defect(Defect::FormerIncarnation);
+        let mut gateways = Vec::new();
         for (gateway, register) in self.registers.iter() {
-            let mut heard = Heard { gateway, entries: Vec::new(), setups: 0.0, load: 0.0, connections: 0.0 };
-            // Both go by the server's key, so one pass finds each in the other.
-            let mut listed = self.standing.iter().enumerate().peekable();
-            for (key, &(entry, at)) in &register.entries {
-                while listed.next_if(|(_, (other, _))| *other < key).is_some() {}
-                let Some(&(row, (other, standing))) = listed.peek() else { break };
-                let counts = other == key && now.saturating_sub(at) <= self.options.keep;
-                if counts && (entry.life == standing.server.life || any_life) {
-                    heard.setups += f64::from(entry.setups);
-                    heard.load += entry.load.value();
-                    heard.connections += f64::from(entry.connections);
-                    heard.entries.push((row, entry));
+            let mut recent =
+                GatewayEntries { gateway, entries: Vec::new(), setups: 0.0, load: 0.0, connections: 0.0 };
+            // Both maps are ordered by the server's key, so one pass over both finds the common servers.
+            let mut listed = self.servers.iter().enumerate().peekable();
+            for (key, &ReceivedEntry { entry, received_at }) in &register.entries {
+                while listed.next_if(|(_, (listed_key, _))| *listed_key < key).is_some() {}
+                let Some(&(index, (listed_key, state))) = listed.peek() else { break };
+                let counts = listed_key == key && now.saturating_sub(received_at) <= self.options.report_ttl;
+                if counts && (entry.incarnation == state.server.incarnation || any_incarnation) {
+                    recent.setups += f64::from(entry.setups);
+                    recent.load += entry.load.value();
+                    recent.connections += f64::from(entry.connections);
+                    recent.entries.push((index, entry));
                 }
             }
-            if !heard.entries.is_empty() {
-                all.push(heard);
+            if !recent.entries.is_empty() {
+                gateways.push(recent);
             }
         }
-        all
-    }
-
-    /// Adds up the registers by server, what one gateway says held within bounds. Says the spread of a set-up.
-    fn gather(&mut self, now: Duration) -> f64 {
-        let heard = self.fresh(now);
-        self.heard = heard.len() as f64 / f64::from(self.options.gateways);
-        let credited = || heard.iter().filter(|it| !self.discredited.contains(&it.gateway));
-        let bounds = Bounds::of(credited(), self.standing.len());
-        let mut evidence = vec![Evidence::default(); self.standing.len()];
-        let mut rates: Vec<Vec<[f64; 4]>> = vec![Vec::new(); self.standing.len()];
-        let lives: Vec<Life> = self.standing.values().map(|it| it.server.life).collect();
-        let unbounded = self.is(Broken::NoCap);
-        for it in credited() {
-            let part = |all: f64, most: f64| if all > most { most / all } else { 1.0 };
-            let setups_part = part(it.setups, bounds.setups_all);
-            let load_part = part(it.load, bounds.load_all);
-            for &(at, entry) in &it.entries {
-                let row = &mut evidence[at];
-                row.other_lives += u32::from(entry.life != lives[at]);
-                row.told += 1;
-                row.load += (entry.load.value() * load_part).min(bounds.load_one);
-                let seen = entry.rate.ln().zip(entry.beside.ln()).filter(|_| entry.setups > 0);
-                let Some((rate, beside)) = seen else { continue };
-                let said = f64::from(entry.setups);
-                let counted = if unbounded { said } else { (said * setups_part).min(bounds.setups_one) };
-                row.setups += counted;
-                row.gateways += 1;
-                row.loudest = (row.loudest.0.max(counted), bounds.setups_one);
-                rates[at].push([rate, beside, entry.bears.ln().unwrap_or(f64::NAN), counted]);
+        gateways
+    }
+
+    /// Combines the registers to the evidence of each server, with limits per gateway. Returns the standard
+    /// deviation of one set-up's rate (logarithm).
+    fn collect_evidence(&mut self, now: Duration) -> f64 {
+        let gateways = self.recent_entries(now);
+        self.reporting = gateways.len() as f64 / f64::from(self.options.gateways);
+        let accepted = || gateways.iter().filter(|it| !self.outliers.contains(&it.gateway));
+        let limits = Limits::new(accepted(), self.servers.len());
+        let mut evidence = vec![Evidence::default(); self.servers.len()];
+        let mut setups: Vec<Vec<SetupRow>> = self.servers.values().map(|_| Vec::new()).collect();
+        let incarnations: Vec<Incarnation> =
+            self.servers.values().map(|state| state.server.incarnation).collect();
+        let unlimited = self.has_defect(Defect::NoContributionLimit);
+        for gateway in accepted() {
+            let setups_factor = reduction(gateway.setups, limits.total_setups);
+            let load_factor = reduction(gateway.load, limits.total_load);
+            for &(index, entry) in &gateway.entries {
+                let server = &mut evidence[index];
+                server.other_incarnations += u32::from(entry.incarnation != incarnations[index]);
+                server.reporting_gateways += 1;
+                server.load += (entry.load.value() * load_factor).min(limits.server_load);
+                let logs = entry.setup_rate.ln().zip(entry.load_at_setup.ln());
+                let Some((ln_rate, ln_load)) = logs.filter(|_| entry.setups > 0) else { continue };
+                let reported = f64::from(entry.setups);
+                let counted =
+                    if unlimited { reported } else { (reported * setups_factor).min(limits.server_setups) };
+                server.setups += counted;
+                server.gateways += 1;
+                server.contribution = Contribution {
+                    largest: server.contribution.largest.max(counted),
+                    limit: limits.server_setups,
+                };
+                let ln_capacity = entry.capacity.ln().unwrap_or(f64::NAN);
+                setups[index].push(SetupRow { ln_rate, ln_load, ln_capacity, weight: counted });
             }
         }
+        let residuals = self.store_evidence(evidence, &setups);
+        self.find_outliers(&gateways);
+        if residuals.len() < NOISE_MIN_RESIDUALS {
+            return NOISE_DEFAULT;
+        }
+        median(residuals.into_iter())
+            .map_or(NOISE_DEFAULT, |deviation| (deviation / NORMAL_MAD_RATIO).clamp(NOISE_MIN, NOISE_MAX))
+    }
+
+    /// Stores the evidence of each server with the medians of its set-ups. Returns the absolute deviations of
+    /// the set-up rates (logarithms) from their medians, each scaled to one set-up.
+    fn store_evidence(&mut self, evidence: Vec<Evidence>, setups: &[Vec<SetupRow>]) -> Vec<f64> {
         let mut residuals = Vec::new();
-        for ((standing, mut evidence), seen) in self.standing.values_mut().zip(evidence).zip(rates) {
-            // Those who have not told theirs are taken to hold what the others do.
-            evidence.load *= (f64::from(self.options.gateways) / f64::from(evidence.told.max(1))).max(1.0);
-            let of = |which: usize| weighted_median(seen.iter().map(|it| (it[which], it[3])).collect());
-            if let Some((rate, beside)) = of(0).zip(of(1)) {
-                (evidence.rate, evidence.beside) = (rate.exp(), beside.exp());
-                evidence.bears = of(2).map_or(0.0, f64::exp);
-                if seen.len() > 2 {
-                    // The one in the middle says nothing of the spread.
-                    let off = seen.iter().map(|it| (it[0] - rate).abs() * it[3].max(1.0).sqrt());
-                    residuals.extend(off.filter(|&it| it > 0.0));
+        for ((state, mut evidence), rows) in self.servers.values_mut().zip(evidence).zip(setups) {
+            // Gateways without a report are assumed to have the mean load of the others.
+            evidence.load *=
+                (f64::from(self.options.gateways) / f64::from(evidence.reporting_gateways.max(1))).max(1.0);
+            let ln_rate = column_median(rows, |row| row.ln_rate);
+            let ln_load = column_median(rows, |row| row.ln_load);
+            if let Some((ln_rate, ln_load)) = ln_rate.zip(ln_load) {
+                (evidence.setup_rate, evidence.load_at_setup) = (ln_rate.exp(), ln_load.exp());
+                evidence.capacity = column_median(rows, |row| row.ln_capacity).map_or(0.0, f64::exp);
+                if rows.len() > 2 {
+                    // The row at the median has no deviation by construction and is left out.
+                    let deviations =
+                        rows.iter().map(|row| (row.ln_rate - ln_rate).abs() * row.weight.max(1.0).sqrt());
+                    residuals.extend(deviations.filter(|&deviation| deviation > 0.0));
                 }
             }
-            standing.evidence = evidence;
+            state.evidence = evidence;
         }
-        self.discredit(&heard);
-        if residuals.len() < NOISE_KNOWN {
-            return NOISE.1;
-        }
-        // The median deviation of a normal spread is 0.6745 of the standard one.
-        median(residuals.into_iter()).map_or(NOISE.1, |it| (it / 0.6745).clamp(NOISE.0, NOISE.2))
+        residuals
     }
 
-    /// Finds who is off the others, for the next turn: the furthest first, and not more than may be.
-    fn discredit(&mut self, heard: &[Heard]) {
-        let bears: Vec<f64> = self.standing.values().map(|it| it.evidence.bears).collect();
-        let off = |it: &Heard| {
-            let from = |&(at, entry): &(usize, Entry)| {
-                let said = entry.bears.ln().filter(|_| entry.setups > 0 && bears[at] > 0.0)?;
-                Some((said - bears[at].ln()).abs() * f64::from(entry.setups).sqrt())
+    /// Finds the gateways whose capacity estimates deviate from those of all gateways, for the next update:
+    /// those with the largest deviations, up to the maximum fraction of the gateways.
+    fn find_outliers(&mut self, gateways: &[GatewayEntries]) {
+        let capacities: Vec<f64> = self.servers.values().map(|state| state.evidence.capacity).collect();
+        let deviation = |gateway: &GatewayEntries| {
+            let server_deviation = |&(index, entry): &(usize, Entry)| {
+                let reported = entry.capacity.ln().filter(|_| entry.setups > 0 && capacities[index] > 0.0)?;
+                Some((reported - capacities[index].ln()).abs() * f64::from(entry.setups).sqrt())
             };
-            let all: Vec<f64> = it.entries.iter().filter_map(from).collect();
-            let enough = all.len() >= DISCREDIT_SERVERS;
-            median(all.into_iter()).filter(|_| enough).map(|off| (off, it.gateway))
+            let deviations: Vec<f64> = gateway.entries.iter().filter_map(server_deviation).collect();
+            let enough = deviations.len() >= OUTLIER_MIN_SERVERS;
+            median(deviations.into_iter()).filter(|_| enough).map(|deviation| (deviation, gateway.gateway))
         };
-        let mut rows: Vec<(f64, GatewayId)> = heard.iter().filter_map(off).collect();
-        rows.sort_by(|one, two| two.0.total_cmp(&one.0).then(one.1.cmp(&two.1)));
-        let usual = median(rows.iter().map(|it| it.0)).unwrap_or(f64::MAX);
-        let most = (DISCREDIT_PART * f64::from(self.options.gateways)) as usize;
-        let far = rows.into_iter().take(most).filter(|it| it.0 > DISCREDIT * usual);
-        self.discredited = far.map(|it| it.1).collect();
+        let mut rows: Vec<(f64, GatewayId)> = gateways.iter().filter_map(deviation).collect();
+        rows.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
+        let typical = median(rows.iter().map(|row| row.0)).unwrap_or(f64::MAX);
+        let max_outliers = (MAX_OUTLIER_FRACTION * f64::from(self.options.gateways)) as usize;
+        let largest = rows.into_iter().take(max_outliers);
+        self.outliers = largest
+            .filter(|&(deviation, _)| deviation > OUTLIER_DEVIATION_RATIO * typical)
+            .map(|(_, gateway)| gateway)
+            .collect();
     }
 
-    /// Gateways whose words on servers are passed over, as they are off all others'.
-    pub fn discredited(&self) -> impl Iterator<Item = GatewayId> {
-        self.discredited.iter().copied()
+    /// Returns the gateways whose reports are ignored because they deviate from those of the other gateways.
+    pub fn outliers(&self) -> impl Iterator<Item = GatewayId> {
+        self.outliers.iter().copied()
     }
 
-    /// From evidence to what was measured of each server, in the list's scale.
+    /// Computes the measured capacity of each server from the evidence, in the scale of the listed weights.
     fn measure(&mut self, noise: f64) {
-        let lasting = self.options.trouble;
-        let strained: BTreeMap<ServerKey, (f64, f64)> = self.strains(lasting);
-        let unit = self.options.unit.or_else(|| {
-            let ratio = |(key, row): (&ServerKey, &(f64, f64))| row.0 - self.standing[key].server.weight.ln();
-            let known = strained.len() >= STRAINED_KNOWN;
-            known.then(|| median(strained.iter().map(ratio)).map(f64::exp)).flatten()
+        let overloaded = self.overload_measurements(self.options.max_fault);
+        let load_per_weight = self.options.load_per_weight.or_else(|| {
+            let enough = overloaded.len() >= MIN_OVERLOADED_SERVERS;
+            enough.then(|| median(self.ln_ratios(&overloaded)).map(f64::exp)).flatten()
         });
-        let seen = || self.standing.values().filter(|it| it.evidence.rate > 0.0);
-        let (mut listed, mut load, mut rate) = (0.0, 0.0, 0.0);
-        for it in seen() {
-            listed += it.server.weight;
-            load += it.evidence.beside;
-            rate += it.evidence.rate;
-        }
-        let free = unit.map_or(load * (1.0 - USED) / USED, |unit| {
-            (unit * listed - load).max(LEAST_FREE * unit * listed)
-        });
-        self.work = if rate > 0.0 { free / rate } else { 0.0 };
-        // By its own rate alone, a server would be held the better known the slower its few set-ups went.
-        let free_usual = if free > 0.0 { free / (load + free) } else { 1.0 };
-        let mut measured: BTreeMap<ServerKey, (f64, f64)> = BTreeMap::new();
-        for it in seen() {
-            let by_medians = self.capacity(it.evidence.beside, it.evidence.rate);
-            let Some(all) = Some(it.evidence.bears).filter(|&it| it > 0.0).or(by_medians) else { continue };
-            let free = (self.work * it.evidence.rate / all).clamp(free_usual, 1.0);
-            let doubt = (free * noise).powi(2) * MEDIAN_COST / it.evidence.setups.max(0.1)
-                + ((1.0 - free) * LOAD_DOUBT).powi(2)
-                + LEAST_DOUBT.powi(2);
-            measured.insert(it.server.key, (all.ln(), doubt));
-        }
-        if unit.is_some() {
-            for (key, &(held, doubt)) in &strained {
-                let (one, two) = (measured.get(key).map_or((0.0, 0.0), |it| (it.0, 1.0 / it.1)), 1.0 / doubt);
-                let all = one.1 + two;
-                measured.insert(*key, ((one.0 * one.1 + held * two) / all, 1.0 / all));
+        let mut measured = self.setup_measurements(load_per_weight, noise);
+        if load_per_weight.is_some() {
+            for (key, overload) in &overloaded {
+                let (ln_capacity, precision) =
+                    measured.get(key).map_or((0.0, 0.0), |it| (it.ln_capacity, 1.0 / it.variance));
+                let overload_precision = 1.0 / overload.variance;
+                let total = precision + overload_precision;
+                let mean = (ln_capacity * precision + overload.ln_capacity * overload_precision) / total;
+                measured.insert(*key, Measurement { ln_capacity: mean, variance: 1.0 / total });
             }
         }
-        let off = |(key, it): (&ServerKey, &(f64, f64))| it.0 - self.standing[key].server.weight.ln();
-        let shift = median(measured.iter().map(off)).unwrap_or(0.0);
-        for (key, standing) in &mut self.standing {
+        let shift = median(self.ln_ratios(&measured)).unwrap_or(0.0);
+        for (key, state) in &mut self.servers {
             let clamp = self.options.clamp.ln();
-            let list = standing.server.weight.ln();
-            standing.measured =
-                measured.get(key).map(|it| ((it.0 - shift).clamp(list - clamp, list + clamp), it.1));
+            let ln_listed = state.server.weight.ln();
+            state.measurement = measured.get(key).map(|it| Measurement {
+                ln_capacity: (it.ln_capacity - shift).clamp(ln_listed - clamp, ln_listed + clamp),
+                variance: it.variance,
+            });
         }
     }
 
-    /// Servers that have been shedding or slowing for longer than a trouble lasts: what they held then
-    /// (logarithm), and its doubt.
-    fn strains(&self, lasting: Duration) -> BTreeMap<ServerKey, (f64, f64)> {
-        let long = |it: &&Standing| it.strained.is_some_and(|(first, last)| last - first > lasting);
-        let mut rows = BTreeMap::new();
-        for standing in self.standing.values().filter(long) {
-            let said = self.registers.iter().filter_map(|(_, it)| it.entries.get(&standing.server.key));
-            let said = said.filter(|(entry, _)| entry.strains > 0 && entry.life == standing.server.life);
-            let held: Vec<f64> = said.filter_map(|(entry, _)| entry.held.ln()).collect();
-            let doubt = STRAIN_DOUBT.powi(2) / (held.len() as f64).clamp(1.0, 4.0);
-            if let Some(middle) = median(held.into_iter()) {
-                rows.insert(standing.server.key, (middle, doubt));
+    /// Returns the logarithm of the ratio of each measured capacity to the listed weight.
+    fn ln_ratios(&self, measured: &BTreeMap<ServerKey, Measurement>) -> impl Iterator<Item = f64> {
+        measured
+            .iter()
+            .map(|(key, measurement)| measurement.ln_capacity - self.servers[key].server.weight.ln())
+    }
+
+    /// Estimates the work of a set-up, and from it the capacity of each server with set-ups, in units of
+    /// load.
+    fn setup_measurements(
+        &mut self,
+        load_per_weight: Option<f64>,
+        noise: f64,
+    ) -> BTreeMap<ServerKey, Measurement> {
+        let (mut listed, mut load, mut setup_rate) = (0.0, 0.0, 0.0);
+        for state in self.servers.values().filter(|state| state.evidence.setup_rate > 0.0) {
+            listed += state.server.weight;
+            load += state.evidence.load_at_setup;
+            setup_rate += state.evidence.setup_rate;
+        }
+        let free = load_per_weight.map_or(
+            load * (1.0 - ASSUMED_UTILIZATION) / ASSUMED_UTILIZATION,
+            |load_per_weight| {
+                (load_per_weight * listed - load).max(MIN_FREE_FRACTION * load_per_weight * listed)
+            },
+        );
+        let setup_work = if setup_rate > 0.0 { free / setup_rate } else { 0.0 };
+        self.setup_work = setup_work;
+        let mean_free_fraction = if free > 0.0 { free / (load + free) } else { 1.0 };
+        let mut measured = BTreeMap::new();
+        for state in self.servers.values().filter(|state| state.evidence.setup_rate > 0.0) {
+            let evidence = &state.evidence;
+            let by_medians = self.capacity(evidence.load_at_setup, evidence.setup_rate);
+            let by_setups = Some(evidence.capacity).filter(|&capacity| capacity > 0.0);
+            let Some(capacity) = by_setups.or(by_medians) else { continue };
+            // Without the fleet's mean as the lower bound, a server's variance would be the smaller, the
+            // slower its few set-ups were.
+            let free_fraction = (setup_work * evidence.setup_rate / capacity).clamp(mean_free_fraction, 1.0);
+            let variance = (free_fraction * noise).powi(2) * MEDIAN_VARIANCE_RATIO / evidence.setups.max(0.1)
+                + ((1.0 - free_fraction) * LOAD_STD_DEV).powi(2)
+                + MIN_STD_DEV.powi(2);
+            measured.insert(state.server.key, Measurement { ln_capacity: capacity.ln(), variance });
+        }
+        measured
+    }
+
+    /// Returns the loads at the overload signals, in units of load, of the servers that have been shedding
+    /// connections or slow for longer than `max_fault`.
+    fn overload_measurements(&self, max_fault: Duration) -> BTreeMap<ServerKey, Measurement> {
+        let lasting = |state: &&ServerState| {
+            state.overload.is_some_and(|period| period.last - period.first > max_fault)
+        };
+        let mut measured = BTreeMap::new();
+        for state in self.servers.values().filter(lasting) {
+            let received =
+                self.registers.iter().filter_map(|(_, register)| register.entries.get(&state.server.key));
+            let entries = received
+                .map(|received| &received.entry)
+                .filter(|entry| entry.overloads > 0 && entry.incarnation == state.server.incarnation);
+            let loads: Vec<f64> = entries.filter_map(|entry| entry.load_at_overload.ln()).collect();
+            let variance = OVERLOAD_STD_DEV.powi(2) / (loads.len() as f64).clamp(1.0, 4.0);
+            if let Some(ln_capacity) = median(loads.into_iter()) {
+                measured.insert(state.server.key, Measurement { ln_capacity, variance });
             }
         }
-        rows
+        measured
     }
 
-    /// Moves each weight towards its estimate, as far as it may go since the last turn.
-    fn step(&mut self, now: Duration) {
-        let passed = self.turned.map_or(Duration::ZERO, |it| now.saturating_sub(it)).min(LONGEST_STEP);
-        self.turned = Some(now.max(self.turned.unwrap_or_default()));
-        let may = if self.is(Broken::NoBound) { f64::MAX } else { self.options.rate * passed.as_secs_f64() };
-        let listed: f64 = self.standing.values().map(|it| it.server.weight).sum();
-        let estimated: f64 = self.standing.values().map(|it| it.pooled.estimate.exp()).sum();
+    /// Changes each weight towards its estimate, by at most the configured rate since the last update.
+    fn change_weights(&mut self, now: Duration) {
+        let step =
+            self.updated_at.map_or(Duration::ZERO, |updated_at| now.saturating_sub(updated_at)).min(MAX_STEP);
+        self.updated_at = Some(now.max(self.updated_at.unwrap_or_default()));
+        let max_change = if self.has_defect(Defect::NoRateLimit) {
+            f64::MAX
+        } else {
+            self.options.max_rate * step.as_secs_f64()
+        };
+        let listed: f64 = self.servers.values().map(|state| state.server.weight).sum();
+        let estimated: f64 = self.servers.values().map(|state| state.pooled.estimate.exp()).sum();
         let shift = if estimated > 0.0 { (listed / estimated).ln() } else { 0.0 };
-        let hold = self.heard < self.options.quorum && !self.is(Broken::MovesUnheard);
-        let (clamp, begin) = (self.options.clamp.ln(), self.options.hysteresis);
-        for it in self.standing.values_mut() {
-            it.before = (it.learned, passed.as_secs_f64());
-            let list = it.server.weight.ln();
-            if hold {
+        let frozen = self.reporting < self.options.quorum && !self.has_defect(Defect::NoQuorum);
+        let (clamp, hysteresis) = (self.options.clamp.ln(), self.options.hysteresis);
+        for state in self.servers.values_mut() {
+            (state.previous_ln_weight, state.step_s) = (state.ln_weight, step.as_secs_f64());
+            if frozen {
                 continue;
             }
-            let target = (it.pooled.estimate + shift).clamp(list - clamp, list + clamp);
-            let off = target - it.learned;
-            it.moving = off.abs() > if it.moving { begin * AT_REST } else { begin };
-            if it.moving {
-                it.learned += off.clamp(-may, may);
+            let ln_listed = state.server.weight.ln();
+            let target = (state.pooled.estimate + shift).clamp(ln_listed - clamp, ln_listed + clamp);
+            let distance = target - state.ln_weight;
+            state.changing =
+                distance.abs() > if state.changing { hysteresis * STOP_FRACTION } else { hysteresis };
+            if state.changing {
+                state.ln_weight += distance.clamp(-max_change, max_change);
             }
         }
     }
 
-    /// Whether all that must hold does. `now` is the time of the last event.
+    /// Checks all invariants; `now` is the time of the last event.
     pub fn check(&self, now: Duration) -> Result<(), Violation> {
         for (gateway, register) in self.registers.iter() {
-            if register.seal != register.digest() {
+            if register.checksum != register.digest() {
                 return Err(Violation::Altered { gateway: gateway.0 });
             }
         }
-        for (&key, it) in &self.standing {
-            self.check_one(now, key.0, it)?;
+        for (&key, state) in &self.servers {
+            self.check_weight(now, key.0, state)?;
+            self.check_estimate(key.0, state)?;
         }
         Ok(())
     }
 
-    fn check_one(&self, now: Duration, server: u32, it: &Standing) -> Result<(), Violation> {
-        const SLACK: f64 = 1e-6;
-        let weight = self.weight(now, it.server.key).unwrap_or(f64::NAN);
-        let list = it.server.weight.ln();
-        let off = (it.learned - list).abs();
-        if !(off <= self.options.clamp.ln() + SLACK && weight > 0.0) {
-            return Err(Violation::OutOfClamp { server, weight, list: it.server.weight });
+    /// Checks the clamp, the rate of change, the quorum and the recovery ramp of one server's weight.
+    fn check_weight(&self, now: Duration, server: u32, state: &ServerState) -> Result<(), Violation> {
+        let weight = self.weight(now, state.server.key).unwrap_or(f64::NAN);
+        let distance = (state.ln_weight - state.server.weight.ln()).abs();
+        if !(distance <= self.options.clamp.ln() + TOLERANCE && weight > 0.0) {
+            return Err(Violation::OutOfClamp { server, weight, listed: state.server.weight });
         }
-        let (before, passed) = it.before;
-        let moved = (it.learned - before).abs();
-        let most = self.options.rate * passed;
-        if moved > most + SLACK {
-            return Err(Violation::Jumped { server, moved, most });
+        let change = (state.ln_weight - state.previous_ln_weight).abs();
+        let max = self.options.max_rate * state.step_s;
+        if change > max + TOLERANCE {
+            return Err(Violation::Jumped { server, change, max });
         }
-        if moved > 0.0 && self.heard < self.options.quorum {
-            return Err(Violation::MovedUnheard { server, heard: self.heard });
+        if change > 0.0 && self.reporting < self.options.quorum {
+            return Err(Violation::MovedUnheard { server, reporting: self.reporting });
         }
-        let most = it.learned.exp() * self.ramp(now, it.server.started);
-        if weight > most * (1.0 + SLACK) {
-            return Err(Violation::ColdWhole { server, weight, most });
+        let max = state.ln_weight.exp() * self.ramp(now, state.server.started);
+        if weight > max * (1.0 + TOLERANCE) {
+            return Err(Violation::ColdWhole { server, weight, max });
         }
-        if it.evidence.other_lives > 0 {
-            return Err(Violation::OtherLife { server, entries: it.evidence.other_lives });
+        Ok(())
+    }
+
+    /// Checks the evidence and the capacity estimate of one server.
+    fn check_estimate(&self, server: u32, state: &ServerState) -> Result<(), Violation> {
+        let evidence = &state.evidence;
+        if evidence.other_incarnations > 0 {
+            return Err(Violation::OtherLife { server, entries: evidence.other_incarnations });
         }
-        let (loudest, most) = it.evidence.loudest;
-        if loudest > most + SLACK {
-            return Err(Violation::TooLoud { server, counted: loudest, most });
+        let Contribution { largest, limit } = evidence.contribution;
+        if largest > limit + TOLERANCE {
+            return Err(Violation::TooLoud { server, counted: largest, max: limit });
         }
-        let believed = match it.measured {
-            Some((y, _)) if (y - it.pooled.expected).abs() > SLACK => {
-                (it.pooled.estimate - it.pooled.expected) / (y - it.pooled.expected)
+        let Pooled { expected, estimate, .. } = state.pooled;
+        let gamma = match state.measurement {
+            Some(Measurement { ln_capacity, .. }) if (ln_capacity - expected).abs() > TOLERANCE => {
+                (estimate - expected) / (ln_capacity - expected)
             }
             _ => 0.0,
         };
-        let most = it.measured.map_or(0.0, |it| crate::pooling::most_believed(it.1));
-        if !(-SLACK..=most + SLACK).contains(&believed) {
-            return Err(Violation::NotPooled { server, believed, most });
+        let max = state.measurement.map_or(0.0, |measurement| max_gamma(measurement.variance));
+        if !(-TOLERANCE..=max + TOLERANCE).contains(&gamma) {
+            return Err(Violation::NotPooled { server, gamma, max });
         }
-        if self.work > 0.0 && it.evidence.beside > 0.0 {
-            let (load, rate) = (it.evidence.beside, it.evidence.rate);
-            let half = self.capacity(load / 2.0, rate + load / 2.0 / self.work);
-            let both = self.capacity(load, rate).zip(half);
-            if let Some((as_is, half)) = both.filter(|(as_is, half)| (half / as_is - 1.0).abs() > SLACK) {
-                return Err(Violation::FollowsLoad { server, found: half, expected: as_is });
+        if self.setup_work > 0.0 && evidence.load_at_setup > 0.0 {
+            let (load, setup_rate) = (evidence.load_at_setup, evidence.setup_rate);
+            let expected = self.capacity(load, setup_rate);
+            let found = self.capacity(load / 2.0, setup_rate + load / 2.0 / self.setup_work);
+            if let Some((expected, found)) =
+                expected.zip(found).filter(|(expected, found)| (found / expected - 1.0).abs() > TOLERANCE)
+            {
+                return Err(Violation::FollowsLoad { server, found, expected });
             }
         }
         Ok(())
     }
 
-    /// Part of the gateways heard of late; below the quorum, weights are held.
-    pub fn heard(&self) -> f64 {
-        self.heard
+    /// Returns the fraction of the gateways with recent reports. Below the quorum, weights don't change.
+    pub fn reporting(&self) -> f64 {
+        self.reporting
     }
 
-    /// Who has said something that counts at `now`.
-    pub fn heard_of(&self, now: Duration) -> Vec<GatewayId> {
-        let fresh = |at: &Duration| now.saturating_sub(*at) <= self.options.keep;
-        let fresh = self.registers.iter().filter(|(_, it)| it.entries.values().any(|(_, at)| fresh(at)));
-        fresh.map(|(gateway, _)| gateway).collect()
+    /// Returns the gateways that have an entry that counts at `now`.
+    pub fn reporting_gateways(&self, now: Duration) -> Vec<GatewayId> {
+        let recent =
+            |received: &ReceivedEntry| now.saturating_sub(received.received_at) <= self.options.report_ttl;
+        let reporting = self.registers.iter().filter(|(_, register)| register.entries.values().any(recent));
+        reporting.map(|(gateway, _)| gateway).collect()
     }
 }
