--- a/crates/ashtide-throughput/src/pooling.rs
+++ b/crates/ashtide-throughput/src/pooling.rs
@@ -2,12 +2,13 @@
 //! estimator.
 //!
 //! All values are natural logarithms. For server `s` of kind `k`, the measurement is `y_s = theta_s + e_s`,
-//! and the variance `v_s` of `e_s` is known from the evidence. The capacity is `theta_s = mu_k + beta (list_s
-//! - list_k) + u_s`, where all kinds share the variance `tau^2` of `u_s`. `mu_k`, `beta` and `tau^2` are
-//! fitted to the fleet by the method of moments (after DerSimonian and Laird 1986). Each has a weak prior at
-//! the listed weights, so that without measurements the estimates equal the listed weights. The estimate is
-//! `m_s + gamma_s (y_s - m_s)`, where `m_s` is the expected value of `theta_s` and `gamma_s = tau^2 / (tau^2
-//! + v_s)`: a server without evidence gets the value of its kind, one with much evidence gets its own.
+//! and the variance `v_s` of `e_s` is known from the evidence. The capacity is
+//! `theta_s = mu_k + beta (list_s - list_k) + u_s`, where all kinds share the variance `tau^2` of `u_s`.
+//! `mu_k`, `beta` and `tau^2` are fitted to the fleet by the method of moments (after DerSimonian and Laird
+//! 1986). Each has a weak prior at the listed weights, so that without measurements the estimates equal the
+//! listed weights. The estimate is `m_s + gamma_s (y_s - m_s)`, where `m_s` is the expected value of
+//! `theta_s` and `gamma_s = tau^2 / (tau^2 + v_s)`: a server without evidence gets the value of its kind,
+//! and one with much evidence gets its own.
 
 use std::collections::BTreeMap;
 
--- a/crates/ashtide-throughput/src/weights.rs
+++ b/crates/ashtide-throughput/src/weights.rs
@@ -22,8 +22,8 @@
 
 /// Utilization of the fleet that is assumed if the load per unit of weight is unknown.
 const ASSUMED_UTILIZATION: f64 = 0.5;
-/// Least fraction of the listed throughput that is taken to be free. If servers are overloaded, taking more
-/// to be free is an error.
+/// Minimum fraction of the listed throughput that is taken to be free. A larger minimum would be wrong where
+/// servers are overloaded.
 const MIN_FREE_FRACTION: f64 = 0.25;
 /// Limit of one gateway's set-ups at all servers together, as a multiple of those of the median gateway.
 const MAX_SETUPS_RATIO: f64 = 2.0;
