--- a/crates/ashtide-bench/src/fault_comparison.rs
+++ b/crates/ashtide-bench/src/fault_comparison.rs
@@ -104,15 +104,15 @@
     let (fault_start, fault_end, run_end) =
         (FAULT_START_S * 1_000_000, FAULT_END_S * 1_000_000, RUN_END_S * 1_000_000);
     let (fault, end_of_fault) = match kind {
-        FaultKind::Slowed => (Fault::Speed(0.2), Fault::Speed(1.0)),
-        FaultKind::HalfRefuse => (Fault::Refusing(0.5), Fault::Refusing(0.0)),
+        FaultKind::Slowed => (Fault::ServerSpeed(0.2), Fault::ServerSpeed(1.0)),
+        FaultKind::HalfRefuse => (Fault::RejectingServers(0.5), Fault::RejectingServers(0.0)),
     };
     let established = (users.arrivals_per_s * users.mean_connection_s) as usize;
     let mut simulation = Simulation::new(
         behavior,
         deployment,
         users,
-        vec![(fault_start, fault), (fault_start, Fault::Cut(0.3)), (fault_end, end_of_fault)],
+        vec![(fault_start, fault), (fault_start, Fault::BreakConnections(0.3)), (fault_end, end_of_fault)],
         seed,
     );
     simulation.add_established_users(established);
--- a/crates/ashtide-bench/src/reconnect_burst.rs
+++ b/crates/ashtide-bench/src/reconnect_burst.rs
@@ -109,7 +109,7 @@
         reopen_delay: (Duration::from_secs(5), Duration::from_secs(15)),
     };
     let mut simulation =
-        Simulation::new(behavior, deployment, users, vec![(BREAK_AT_US, Fault::Cut(1.0))], seed);
+        Simulation::new(behavior, deployment, users, vec![(BREAK_AT_US, Fault::BreakConnections(1.0))], seed);
     simulation.add_established_users(sessions);
     simulation.run(BREAK_AT_US + 300_000_000);
     let arrivals = simulation.measurements.arrivals.iter().map(|at| at.saturating_sub(BREAK_AT_US)).collect();
--- a/crates/ashtide-bench/src/simulation.rs
+++ b/crates/ashtide-bench/src/simulation.rs
@@ -5,9 +5,9 @@
 //! an exponentially distributed time. Its cost is also paid if the client has left in the meantime, and each
 //! rejection because of a full queue costs a small part of a set-up. A queue has a maximum length, beyond
 //! which the server rejects. A client rejected by three servers receives `BUSY MS`, and so does one that has
-//! waited for its `d`. Established connections cost nothing in this model, as retries and reconnects cause
-//! set-ups, and the model is meant to study these. Both directions between clients and the deployment have
-//! the same constant delay.
+//! waited for the time in its parameter `d`. Established connections cost nothing in this model, as retries
+//! and reconnects cause set-ups, and the model is meant to study these. Both directions between clients and
+//! the deployment have the same constant delay.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -65,11 +65,11 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// All servers run at this fraction of their speed.
-    Speed(f64),
+    ServerSpeed(f64),
     /// This fraction of the servers rejects everything.
-    Refusing(f64),
+    RejectingServers(f64),
     /// This fraction of the established connections breaks at once.
-    Cut(f64),
+    BreakConnections(f64),
 }
 
 /// Model of the users.
@@ -147,6 +147,7 @@
 enum Answer {
     /// The server with this index has accepted the connection.
     Up(usize),
+    /// No server has accepted the connection.
     Busy,
 }
 
@@ -611,14 +612,14 @@
 
     fn apply_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Speed(speed) => self.servers.iter_mut().for_each(|server| server.speed = speed),
-            Fault::Refusing(fraction) => {
+            Fault::ServerSpeed(speed) => self.servers.iter_mut().for_each(|server| server.speed = speed),
+            Fault::RejectingServers(fraction) => {
                 let count = (self.servers.len() as f64 * fraction).round() as usize;
                 for (number, server) in self.servers.iter_mut().enumerate() {
                     server.rejects = number < count;
                 }
             }
-            Fault::Cut(fraction) => {
+            Fault::BreakConnections(fraction) => {
                 for index in 0..self.devices.len() {
                     if self.devices[index].established.is_some() && self.rng.random::<f64>() < fraction {
                         let attempt = self.current_attempt(index);
--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -167,7 +167,7 @@
         let _ = self.sockets[socket % self.sockets.len()].send(datagram).await;
     }
 
-    /// Returns the next datagram, or `None` if none is received within [`RESEND_TIMEOUT`].
+    /// Returns the next datagram, or `None` if none is received within the resend time-out.
     pub async fn next(&mut self) -> Option<Bytes> {
         timeout(RESEND_TIMEOUT, self.received.recv()).await.ok().flatten()
     }
@@ -200,6 +200,7 @@
     /// Clients by index.
     pub all: Vec<QuicClient>,
     reset_key: ResetKey,
+    /// Index of the client by stateless reset token.
     reset_tokens: HashMap<[u8; RESET_TOKEN_LENGTH], usize>,
     /// Number of answers from a server other than the one that accepted the client.
     pub wrong_server: u64,
@@ -320,8 +321,8 @@
         self.all.get(index).is_some_and(|client| client.number == number).then_some(index)
     }
 
-    /// Sends the datagram of `datagram` for each client in `indices`, again if needed, until `done` holds for
-    /// it. Returns the number of clients for which it doesn't hold in the end.
+    /// Sends the result of `datagram` for each client in `indices`, repeatedly if needed, until `done` returns
+    /// true for the client. Returns the number of clients for which it still returns false.
     pub async fn exchange(
         &mut self,
         pool: &mut SocketPool,
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -815,13 +815,13 @@
     let first = Daemon::start(program, &backend, &high).await?;
     let mut series = 100;
     checks.record(
-        "the only virtual router becomes active",
+        "the only gateway of the virtual router becomes active",
         wait_for_acceptance(&first, true, &mut series).await?,
         "accepts connections",
     );
     let second = Daemon::start(program, &backend, &low).await?;
     checks.record(
-        "a virtual router of lower priority remains backup",
+        "a gateway of lower priority remains backup",
         !accepts_connection(&second, &mut series).await?,
         "accepts no connections",
     );
@@ -854,7 +854,7 @@
     checks.record("the daemon exits with success", status.success(), status);
     let states: Vec<&str> = log.iter().filter_map(|line| line.strip_prefix("vrrp: router 7 is ")).collect();
     checks.record_equal(
-        "the states of the second",
+        "the VRRP states of the second",
         states,
         vec!["Backup", "Active", "Backup", "Active", "Initialize"],
     );
