--- a/crates/ashtide-quota/src/decision.rs
+++ b/crates/ashtide-quota/src/decision.rs
@@ -1,47 +1,47 @@
-//! What is decided about, and what the decision may be.
+//! Inputs and results of a quota decision.
 
 use std::time::Duration;
 
-/// A partner's budgets, by their ids in the exchange.
+/// Ids of a partner's budgets in the exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartnerBudgets {
-    /// New connections a second, in units of a thousandth a second.
+    /// Budget of new connections. Its units are thousandths of a connection per second.
     pub rate_budget: u32,
-    /// How long unspent rights to new connections are stored: the same as the budget's.
+    /// Duration for which unspent units of the rate budget are stored. Equals the burst of that budget.
     pub burst: Duration,
-    /// Open connections; none where they are not limited.
+    /// Budget of open connections, `None` if they are not limited.
     pub connections_budget: Option<u32>,
 }
 
-/// What asks for a connection. Attempts of one request are one connection.
+/// Kind of a connection request. All attempts of one request count as one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// One that its client has not asked for before.
+    /// First request of the client for this connection.
     New,
-    /// One that its client asks for again after a rejection or a failure (`r=1`). It costs what a new one does, as a
-    /// rejection cost nothing, but it is no further demand.
+    /// Repeated request after a rejection or a failure (`r=1`). It costs as much as a new one, because a rejection costs
+    /// nothing, but does not count as further demand.
     Retry,
-    /// One that a gateway or server migrated (`again=1`). Free, up to a tenth of the partner's rate here: beyond that
-    /// it costs what a new one does, as any client can claim to be migrated.
+    /// Connection that a gateway or server migrated (`again=1`). It is free up to a tenth of the partner's rate at this
+    /// gateway. Beyond that it costs as much as a new one, because any client can claim to be migrated.
     Migrated,
 }
 
-/// A decision about one connection.
+/// Decision about one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// Admitted within the partner's quota.
     WithinQuota,
-    /// Admitted as a migration, which does not count against the rate.
+    /// Admitted as a migrated connection, which does not count against the rate.
     Migrated,
-    /// Admitted on what another partner leaves unused here.
+    /// Admitted with units that another partner leaves unused at this gateway.
     Borrowed {
-        /// Whose right it took.
+        /// Index of the partner whose units were spent.
         owner: usize,
     },
-    /// Rejected. The wait ends when a right is expected here by the present rate, after those of the clients that were
-    /// rejected before: so clients come back spread out, and are then admitted.
+    /// Rejected. At the current rate, units for one connection are expected after the wait, in addition to those
+    /// reserved for clients that were rejected earlier. Retries are thus spread over time and find units.
     Rejected {
-        /// How long the client is to wait.
+        /// Duration that the client waits before its retry.
         retry_after: Duration,
     },
 }
--- a/crates/ashtide-quota/src/demand.rs
+++ b/crates/ashtide-quota/src/demand.rs
@@ -1,21 +1,23 @@
-//! Estimates how many connections a partner asks for here.
+//! Estimates the rate of new connections that a partner requests at this gateway.
 
 use std::time::Duration;
 
-/// The window that demand is counted over: shorter ones follow chance, and rights that move about lose what they have
-/// stored.
+/// Number of buckets in the window over which demand is counted. A shorter window follows random variation; quota units
+/// would then move between gateways and lose the burst that they have stored.
 const BUCKETS: usize = 8;
+/// Duration of one bucket.
 const BUCKET_DURATION: Duration = Duration::from_millis(250);
-/// Connections in the two newest buckets from which a rise is more than chance.
+/// Minimum number of connections in the two newest buckets for a rise to count as more than random variation.
 const MIN_RISE: u64 = 4;
-/// Thousandths a second of one connection in the whole window, and in the two newest buckets.
+/// Rate that one connection in the entire window (2 s) stands for, in thousandths of a connection per second.
 const WINDOW_RATE_UNITS: u64 = 500;
+/// Rate that one connection in the two newest buckets (0.5 s) stands for, in thousandths of a connection per second.
 const NEWEST_RATE_UNITS: u64 = 2_000;
 
-/// New connections a second, over the last two seconds.
+/// Estimator of the rate of new connections over the last two seconds.
 #[derive(Debug, Clone)]
 pub(crate) struct DemandEstimator {
-    /// Connections by bucket, the newest first.
+    /// Number of connections by bucket, the newest first.
     buckets: [u64; BUCKETS],
     bucket_started_at: Duration,
 }
@@ -29,8 +31,8 @@
         self.buckets[0] += 1;
     }
 
-    /// The rate up to `now`, in thousandths a second. A rise shows at once: the two newest buckets count by themselves
-    /// where they hold more than half of the window, and more than chance would.
+    /// Returns the rate at `now`, in thousandths of a connection per second. To follow a rise without delay, only the two
+    /// newest buckets are used if they contain more than half of the window's connections and at least [`MIN_RISE`].
     pub(crate) fn rate_at(&mut self, now: Duration) -> u64 {
         self.advance_to(now);
         let newest = self.buckets[0] + self.buckets[1];
@@ -43,7 +45,7 @@
     }
 
     fn advance_to(&mut self, now: Duration) {
-        // A clock that was put back.
+        // The clock may have been set back.
         self.bucket_started_at = self.bucket_started_at.min(now);
         let elapsed = now - self.bucket_started_at;
         let passed = (elapsed.as_millis() / BUCKET_DURATION.as_millis()) as usize;
@@ -55,7 +57,7 @@
         self.buckets[..passed.min(BUCKETS)].fill(0);
     }
 
-    /// Whether there was no demand within the window.
+    /// Checks whether no connection was requested within the window.
     pub(crate) fn is_idle(&self) -> bool {
         self.buckets.iter().all(|&count| count == 0)
     }
--- a/crates/ashtide-quota/src/quota.rs
+++ b/crates/ashtide-quota/src/quota.rs
@@ -1,4 +1,4 @@
-//! The decisions of one gateway.
+//! Quota decisions of one gateway.
 
 use std::time::Duration;
 
@@ -7,39 +7,43 @@
 use crate::decision::{ConnectionKind, Decision, PartnerBudgets};
 use crate::demand::DemandEstimator;
 
-/// Longest time that a rejected client is told to wait, by default.
+/// Default of the longest `Retry-After` sent to a rejected client.
 pub const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(2);
-/// More than the demand is requested by one part in so many, so that a demand that rises finds rights.
+/// Divisor for the headroom: the requested rate exceeds the demand by this fraction of it (1/8), so that rising demand
+/// finds usable units.
 const HEADROOM_DIVISOR: u64 = 8;
-/// Time for which open connections are requested ahead, by the demand.
+/// Period of expected demand for which units of open connections are requested in advance.
 const LOOKAHEAD: Duration = Duration::from_secs(2);
-/// Of a partner's rate here, migrated connections may have one part in so many without it being counted.
+/// Divisor for the rate of free migrations: this fraction (1/10) of a partner's rate at this gateway is available to
+/// migrated connections in addition to the rate.
 const MIGRATION_DIVISOR: u64 = 10;
-/// Seconds for which unused migrations are stored.
+/// Period over which unused free migrations accumulate, in seconds.
 const MIGRATION_BURST_S: u64 = 5;
-/// Thousandths of one connection.
+/// Cost of one connection, in thousandths of a connection.
 const ONE_CONNECTION: u64 = 1_000;
-/// Longest time between two ticks for which migrations are stored, in milliseconds.
+/// Longest time between two ticks for which free migrations accumulate, in milliseconds.
 const MAX_TICK_MS: u64 = 1_000;
 
+/// Quota state of one partner at this gateway.
 #[derive(Debug, Clone)]
 struct PartnerAccount {
     budgets: PartnerBudgets,
     demand: DemandEstimator,
-    /// Until when rights have been promised to clients that were rejected.
-    promised_until: Duration,
-    /// Migrations that are still free, in thousandths.
+    /// Time up to which expected units are reserved for retries of rejected clients.
+    reserved_until: Duration,
+    /// Available free migrations, in thousandths of a connection.
     free_migrations: u64,
+    /// Rate requested from the shared state, in thousandths of a connection per second.
     wanted_rate: u64,
 }
 
 impl PartnerAccount {
     fn new(budgets: PartnerBudgets, now: Duration) -> Self {
         let demand = DemandEstimator::new(now);
-        Self { budgets, demand, promised_until: now, free_migrations: 0, wanted_rate: 0 }
+        Self { budgets, demand, reserved_until: now, free_migrations: 0, wanted_rate: 0 }
     }
 
-    /// Tells the shared state what this partner wants here.
+    /// Sets the number of units that this partner wants at this gateway in the shared state.
     fn request_units(&mut self, now: Duration, state: &mut Exchange) {
         let rate = self.demand.rate_at(now);
         self.wanted_rate = match rate {
@@ -54,17 +58,18 @@
         }
     }
 
-    /// The lowest rate that can store one whole connection within the burst.
+    /// Returns the lowest rate at which units for one complete connection accumulate within the burst, in thousandths of
+    /// a connection per second.
     fn min_useful_rate(&self) -> u64 {
         let burst = self.budgets.burst.as_millis().max(1) as u64;
         1_000_000u64.div_ceil(burst) + 1
     }
 
-    /// Stores free migrations for `passed` milliseconds with these rights.
-    fn store_migrations(&mut self, passed: u64, units: u64) {
-        let rate = units / MIGRATION_DIVISOR;
+    /// Adds the free migrations of `elapsed_ms` milliseconds at a rate of `usable_units`.
+    fn add_free_migrations(&mut self, elapsed_ms: u64, usable_units: u64) {
+        let rate = usable_units / MIGRATION_DIVISOR;
         let limit = ONE_CONNECTION.max(rate * MIGRATION_BURST_S);
-        self.free_migrations = (self.free_migrations + rate * passed / 1_000).min(limit);
+        self.free_migrations = (self.free_migrations + rate * elapsed_ms / 1_000).min(limit);
     }
 
     fn take_free_migration(&mut self) -> bool {
@@ -75,9 +80,9 @@
         is_free
     }
 
-    /// Promises the next right to a client that is rejected, and gives the time until then. Rights come every
-    /// `interval`, the first one after `first`.
-    fn promise_right(
+    /// Reserves the next expected units for the retry of a rejected client, and returns the time until then. Units for
+    /// one connection are expected after `first`, and then every `interval`.
+    fn reserve_retry(
         &mut self,
         now: Duration,
         first: Duration,
@@ -85,16 +90,16 @@
         max_wait: Duration,
     ) -> Duration {
         let latest = now + max_wait;
-        let promised_at = self.promised_until.max(now + first);
-        let next = promised_at + interval;
-        // Beyond the longest wait clients are spread over the whole of it again.
+        let retry_at = self.reserved_until.max(now + first);
+        let next = retry_at + interval;
+        // Once the reservations reach the longest wait, further retries are spread over the entire period again.
         let next = if next > latest { now + first + next.saturating_sub(latest) } else { next };
-        self.promised_until = next.min(latest);
-        promised_at.min(latest) - now
+        self.reserved_until = next.min(latest);
+        retry_at.min(latest) - now
     }
 }
 
-/// The decisions of one gateway about the connections of all partners.
+/// Quotas of all partners at one gateway; decides about each connection.
 #[derive(Debug, Clone)]
 pub struct Quota {
     accounts: Vec<PartnerAccount>,
@@ -103,7 +108,8 @@
 }
 
 impl Quota {
-    /// Quotas of these partners, numbered in their order.
+    /// Creates the quotas of `partners`. A partner's index is its position in `partners`. `max_wait` is the longest
+    /// wait of a rejected client.
     #[must_use]
     pub fn new(
         partners: impl IntoIterator<Item = PartnerBudgets>,
@@ -114,38 +120,39 @@
         Self { accounts, now, max_wait }
     }
 
-    /// Sets other partners, numbered in their order: what is known of those that stay is kept.
+    /// Replaces the partners and the longest wait. A partner's index is its position in `partners`. Partners whose rate
+    /// budget remains in the list retain their state.
     pub fn set_partners(&mut self, partners: impl IntoIterator<Item = PartnerBudgets>, max_wait: Duration) {
         let previous = std::mem::replace(self, Self::new(partners, max_wait, self.now));
         for account in &mut self.accounts {
             let same = |known: &&PartnerAccount| known.budgets.rate_budget == account.budgets.rate_budget;
             if let Some(known) = previous.accounts.iter().find(same) {
                 *account = PartnerAccount { budgets: account.budgets, ..known.clone() };
-                account.promised_until = account.promised_until.min(self.now + max_wait);
+                account.reserved_until = account.reserved_until.min(self.now + max_wait);
             }
         }
     }
 
-    /// Lets time pass, and tells the shared state what is wanted here; to be called every 100 ms, after the exchange's
-    /// own.
+    /// Advances the time to `now`, and sets the wanted units of all partners in the shared state. To be called every
+    /// 100 ms, after [`Exchange::advance_to`].
     pub fn advance_to(&mut self, now: Duration, state: &mut Exchange) {
-        let passed = now.saturating_sub(self.now).as_millis().min(u128::from(MAX_TICK_MS)) as u64;
+        let elapsed_ms = now.saturating_sub(self.now).as_millis().min(u128::from(MAX_TICK_MS)) as u64;
         if now < self.now {
-            // Promises by a clock that was put back would keep clients waiting.
-            self.accounts.iter_mut().for_each(|account| account.promised_until = now);
+            // The clock was set back: reservations made before that would make clients wait too long.
+            self.accounts.iter_mut().for_each(|account| account.reserved_until = now);
         }
         self.now = now;
         for account in &mut self.accounts {
             account.request_units(now, state);
             let budget = state.budget_mut(account.budgets.rate_budget);
             let units = budget.map_or(0, |budget| budget.escrow().usable_units());
-            account.store_migrations(passed, units);
+            account.add_free_migrations(elapsed_ms, units);
         }
     }
 
-    /// Decides about one connection of `partner`. `has_capacity` means that the fleet has capacity beyond what the
-    /// quotas promise: without it only what is within a quota is admitted. `now` is not before the time that `state`
-    /// was told last.
+    /// Decides about one connection of `partner`. `has_capacity` means that the fleet has capacity beyond the sum of the
+    /// quotas; without it, only connections within the partner's own quota are admitted. `now` must not be earlier than
+    /// the time to which `state` was last advanced.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -179,8 +186,9 @@
         self.reject(now, state, partner)
     }
 
-    /// Takes a right of another partner that wants none here. It refills at its rate, so an owner that returns finds it
-    /// within the time of one connection, and nothing is borrowed of it from its first connection on.
+    /// Spends units of another partner that has no demand at this gateway, and returns the index of that partner. The
+    /// units refill at their rate: an owner whose demand returns has them back within the interval of one connection.
+    /// From its first connection on, none of its units are borrowed.
     fn borrow(&self, now: Duration, state: &mut Exchange, partner: usize) -> Option<usize> {
         let others = self.accounts.iter().enumerate().filter(|&(index, _)| index != partner);
         others
@@ -193,14 +201,15 @@
         let account = &mut self.accounts[partner];
         let budget = state.budget_mut(account.budgets.rate_budget);
         let units = budget.as_ref().map_or(0, |budget| budget.escrow().usable_units());
-        // Rights that were requested are about to come; without them, by the rights there are.
+        // The budget estimates when requested units become available. Without an estimate, the first units are expected
+        // after one interval of the current usable units.
         let interval = Duration::from_nanos(1_000_000_000_000 / units.max(1)).min(self.max_wait);
         let first = budget.and_then(|budget| budget.time_until_available()).unwrap_or(interval);
         let first = first.min(self.max_wait);
-        Decision::Rejected { retry_after: account.promise_right(now, first, interval, self.max_wait) }
+        Decision::Rejected { retry_after: account.reserve_retry(now, first, interval, self.max_wait) }
     }
 
-    /// Counts that a connection of `partner` has ended.
+    /// Releases the unit of an open connection of `partner` that has ended.
     pub fn release(&mut self, state: &mut Exchange, partner: usize) {
         let connections_budget =
             self.accounts.get(partner).and_then(|account| account.budgets.connections_budget);
@@ -209,25 +218,27 @@
         }
     }
 
-    /// The part of its rate that `partner` wants here, in thousandths a second.
+    /// Returns the rate that `partner` wants at this gateway, in thousandths of a connection per second.
     #[must_use]
     pub fn wanted_rate(&self, partner: usize) -> u64 {
         self.accounts.get(partner).map_or(0, |account| account.wanted_rate)
     }
 
-    /// Checks the bound on waits; the rights have [`Exchange::check`].
+    /// Checks that no reserved wait exceeds the longest wait. The budgets are checked by [`Exchange::check`].
     ///
     /// # Errors
     ///
-    /// Names the broken invariant.
+    /// Returns the violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
-        let most = self.max_wait.as_millis() as usize;
-        let waits = self.accounts.iter().map(|account| account.promised_until.saturating_sub(self.now));
-        let longest = waits.max().map(|wait| wait.as_millis() as usize);
-        match longest.filter(|&found| found > most) {
-            Some(found) => {
-                Err(Violation::OverFull { table: "promised waits, in milliseconds,", found, most })
-            }
+        let max_wait_ms = self.max_wait.as_millis() as usize;
+        let waits = self.accounts.iter().map(|account| account.reserved_until.saturating_sub(self.now));
+        let longest_ms = waits.max().map(|wait| wait.as_millis() as usize);
+        match longest_ms.filter(|&found| found > max_wait_ms) {
+            Some(found) => Err(Violation::OverFull {
+                table: "reserved waits, in milliseconds,",
+                found,
+                most: max_wait_ms,
+            }),
             None => Ok(()),
         }
     }
