--- a/crates/ashtide-maintenance/src/assembler.rs
+++ b/crates/ashtide-maintenance/src/assembler.rs
@@ -1,5 +1,5 @@
-//! Puts the parts of messages together. Parts are told apart by a digest of the whole message, so that what is sent
-//! again fills the gaps.
+//! Reassembly of messages from their parts. Parts are assigned to a message by a digest of the complete message, so that
+//! a retransmission supplies the parts that were lost.
 
 use std::collections::VecDeque;
 
@@ -9,15 +9,16 @@
 
 use crate::message::{DecodeError, HEADER_LEN, MAX_PARTS, MAX_PAYLOAD, Message, VERSION, message_digest};
 
-/// Messages that are put together at a time; the oldest is dropped.
+/// Maximum number of incomplete messages; the oldest is dropped.
 const MAX_PARTIAL_MESSAGES: usize = 64;
 
-/// Messages of which some parts have arrived.
+/// Reassembler of messages that arrive in several datagrams.
 #[derive(Debug, Clone, Default)]
 pub struct MessageAssembler {
     partial: VecDeque<PartialMessage>,
 }
 
+/// Message of which some parts are missing.
 #[derive(Debug, Clone)]
 struct PartialMessage {
     sender: Slot,
@@ -25,7 +26,7 @@
     parts: Vec<Option<Bytes>>,
 }
 
-/// What stands round each part.
+/// Header of a datagram that contains one part of a message.
 #[derive(Debug, Clone, Copy)]
 struct PartHeader {
     sender: Slot,
@@ -35,22 +36,22 @@
 }
 
 impl PartHeader {
-    /// Splits a datagram into its header and its part of the message.
+    /// Splits a datagram into its header and its payload, which is one part of a message.
     fn split(fleet_id: u32, datagram: &[u8]) -> Result<(Self, &[u8]), DecodeError> {
         if datagram.len() > MAX_DATAGRAM {
             return Err(DecodeError::Length);
         }
         let (header, payload) = datagram.split_at_checked(HEADER_LEN).ok_or(DecodeError::Length)?;
         let header: [u8; HEADER_LEN] = header.try_into().map_err(|_| DecodeError::Length)?;
-        let [version, t0, t1, t2, t3, s0, s1, digest @ .., number, count] = header;
+        let [version, id0, id1, id2, id3, slot0, slot1, digest @ .., number, count] = header;
         if version != VERSION {
             return Err(DecodeError::Version);
         }
-        if u32::from_be_bytes([t0, t1, t2, t3]) != fleet_id {
+        if u32::from_be_bytes([id0, id1, id2, id3]) != fleet_id {
             return Err(DecodeError::OtherFleet);
         }
         let header = Self {
-            sender: Slot(u16::from_be_bytes([s0, s1])),
+            sender: Slot(u16::from_be_bytes([slot0, slot1])),
             digest: u64::from_be_bytes(digest),
             number: usize::from(number),
             count: usize::from(count),
@@ -79,7 +80,7 @@
         self.sender == header.sender && self.digest == header.digest && self.parts.len() == header.count
     }
 
-    /// The whole message's bytes, once all parts have arrived.
+    /// Returns the bytes of the complete message, or `None` while parts are missing.
     fn complete(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<Bytes>> = self.parts.iter().cloned().collect();
         parts.map(|parts| parts.concat())
@@ -87,11 +88,11 @@
 }
 
 impl MessageAssembler {
-    /// Adds a datagram; gives the message that it completes, and its sender.
+    /// Adds a datagram. Returns the message that it completes and the sender, or `None` if parts are still missing.
     ///
     /// # Errors
     ///
-    /// Says why the datagram, or the message that it completes, is rejected.
+    /// Returns the reason why the datagram, or the message that it completes, is rejected.
     pub fn add_datagram(
         &mut self,
         fleet_id: u32,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The index of the message that this part is of; a new one where it is the first.
+    /// Returns the index of the incomplete message that this part belongs to, and adds the message if it is new.
     fn partial_index(&mut self, header: &PartHeader) -> usize {
         if let Some(index) = self.partial.iter().position(|partial| partial.includes(header)) {
             return index;
@@ -124,13 +125,13 @@
         self.partial.len() - 1
     }
 
-    /// How many messages have arrived in part.
+    /// Returns the number of incomplete messages.
     #[must_use]
     pub fn len(&self) -> usize {
         self.partial.len()
     }
 
-    /// Whether there is none.
+    /// Checks whether there is no incomplete message.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.partial.is_empty()
--- a/crates/ashtide-maintenance/src/lib.rs
+++ b/crates/ashtide-maintenance/src/lib.rs
@@ -1,13 +1,14 @@
-//! Taking machines out for maintenance, in an order that the gateways of a tier settle among themselves.
+//! Maintenance queue: takes machines out of service in an order that the gateways of a fleet agree on.
 //!
-//! Operators ask any gateway; requests wait in one queue of all gateways. At most so many machines are out at once,
-//! whatever is lost, late, cut off, stalled or restarted meanwhile, and none is taken out while too few would be left.
-//! `docs/design/maintenance.md` says why this holds and what was not built.
+//! Operators send requests to any gateway. All gateways share one queue. The number of machines out at a time never
+//! exceeds its limit, whatever messages are lost or delayed and whichever gateways are partitioned, stalled or
+//! restarted. No server is taken out while fewer ready servers than the configured minimum would remain.
+//! `docs/design/maintenance.md` contains the safety argument and the alternatives that were not implemented.
 //!
-//! - [`MaintenanceQueue`]: the queue and the grants, with fencing tokens. One value, changed by [`Change`].
-//! - [`Acceptor`], [`Proposal`]: how a majority of the settings' list keeps that value (Paxos).
-//! - [`LeasedState`]: what one gateway knows of it, and for how long it may act on that.
-//! - [`Replica`]: all of it for one gateway, without a socket, a file or a clock.
+//! - [`MaintenanceQueue`]: the queue and the grants, with fencing tokens. One replicated value, modified by [`Change`].
+//! - [`Acceptor`], [`Proposal`]: replication of that value to a majority of the configured acceptors (Paxos).
+//! - [`LeasedState`]: one gateway's copy of the value, and the lease during which the gateway may act on it.
+//! - [`Replica`]: the complete protocol of one gateway, without a socket, a file or a clock.
 //! - [`Store`]: an acceptor's state on disk.
 
 #![deny(
--- a/crates/ashtide-maintenance/src/message.rs
+++ b/crates/ashtide-maintenance/src/message.rs
@@ -1,5 +1,5 @@
-//! What gateways send each other, in datagrams of at most [`MAX_DATAGRAM`] bytes: a longer message goes in several
-//! parts, which [`MessageAssembler`](crate::MessageAssembler) puts together.
+//! Messages between gateways, in datagrams of at most [`MAX_DATAGRAM`] bytes. A longer message is sent in several parts,
+//! which [`MessageAssembler`](crate::MessageAssembler) reassembles.
 
 use ashtide_fleet::MAX_DATAGRAM;
 use ashtide_fleet::state::{Slot, mix};
@@ -9,111 +9,111 @@
 use crate::paxos::{AcceptorState, Ballot};
 use crate::queue::MaintenanceQueue;
 
-/// The version spoken here; other datagrams of the tier begin with other bytes.
+/// Version of this protocol, the first byte of each datagram. The other protocols of the fleet use other first bytes.
 pub(crate) const VERSION: u8 = 0x4d;
-/// Version, tier, sender, digest, part, parts.
+/// Length of the datagram header in bytes: version, fleet id, sender, digest, part number, part count.
 pub(crate) const HEADER_LEN: usize = 1 + 4 + 2 + 8 + 1 + 1;
-/// Bytes of a message that one datagram takes.
+/// Maximum number of message bytes in one datagram.
 pub(crate) const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_LEN;
-/// Datagrams that one message may take; the state of an acceptor with a full queue takes fewer.
+/// Maximum number of datagrams of one message. The state of an acceptor with a full queue needs fewer.
 pub const MAX_PARTS: usize = 24;
 
-/// A message between gateways.
+/// Message between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    /// A proposer asks for a promise.
+    /// Request for a promise (phase 1 of a proposal), sent to the acceptors.
     Prepare {
-        /// Its ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// An acceptor promises, and sends its value.
+    /// Promise of an acceptor not to answer earlier ballots, with the value that it has accepted.
     Promise {
-        /// The ballot that is promised.
+        /// Ballot that is promised.
         ballot: Ballot,
-        /// The value's ballot.
+        /// Ballot under which the acceptor accepted its value.
         accepted: Ballot,
-        /// The value.
+        /// Value of the acceptor.
         queue: MaintenanceQueue,
     },
-    /// A proposer proposes the changed value.
+    /// Request to accept the changed value (phase 2 of a proposal), sent to the acceptors.
     Accept {
-        /// Its ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
-        /// The value.
+        /// Changed value.
         queue: MaintenanceQueue,
     },
-    /// An acceptor has accepted it.
+    /// Confirmation of an acceptor that it has accepted the value of the proposal.
     Accepted {
-        /// The ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// An acceptor has promised a later ballot.
+    /// Rejection by an acceptor that has promised a later ballot.
     Nack {
-        /// The ballot that is rejected.
+        /// Ballot that is rejected.
         ballot: Ballot,
-        /// The later one.
+        /// Later ballot that the acceptor has promised.
         promised: Ballot,
     },
-    /// A gateway reads an acceptor's value, and reports its own state.
+    /// Read of an acceptor's value, with a report of the reader's own state.
     ReadRequest {
-        /// The reader's incarnation.
+        /// Incarnation of the reader.
         incarnation: u64,
-        /// Counts its reads.
+        /// Sequence number of the read within the incarnation.
         sequence: u64,
-        /// The ballot of the newest value that it has.
+        /// Ballot of the newest value that the reader has.
         known_ballot: Ballot,
-        /// The version that it acts on; 0 where its lease has ended.
+        /// Version of the queue that the reader acts on; 0 if its lease has expired.
         acting_version: u64,
-        /// How many connections it still has, by token.
+        /// Number of open connections that the reader has to each cordoned machine, by fencing token.
         open_connections: Vec<(u64, u32)>,
     },
-    /// An acceptor's value.
+    /// Answer of an acceptor to a read.
     ReadReply {
-        /// The reader's incarnation.
+        /// Incarnation of the reader.
         incarnation: u64,
-        /// The read.
+        /// Sequence number of the read.
         sequence: u64,
-        /// The value's ballot.
+        /// Ballot under which the acceptor accepted its value.
         accepted: Ballot,
-        /// The value, where the reader does not have it.
+        /// Value of the acceptor, `None` if the reader already has it.
         queue: Option<MaintenanceQueue>,
     },
-    /// An acceptor that has lost its state asks another for its own.
+    /// Request of an acceptor that has lost its state for the state of another acceptor.
     CatchUpRequest {
-        /// The sender's incarnation.
+        /// Incarnation of the sender.
         incarnation: u64,
     },
-    /// An acceptor's state, if it has one.
+    /// Answer of an acceptor to a catch-up request.
     CatchUpReply {
-        /// The receiver's incarnation.
+        /// Incarnation of the receiver.
         incarnation: u64,
-        /// The state.
+        /// State of the acceptor, `None` if it has lost its own state.
         state: Option<AcceptorState>,
     },
 }
 
-/// Why a datagram is rejected. It has changed nothing.
+/// Reason why a datagram is rejected. A rejected datagram changes no state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DecodeError {
-    /// Over [`MAX_DATAGRAM`] bytes, or too few for a header.
+    /// The datagram is longer than [`MAX_DATAGRAM`] bytes, or shorter than its header.
     #[error("a length that no datagram has")]
     Length,
-    /// Another version's.
+    /// The datagram has another protocol version.
     #[error("another version")]
     Version,
-    /// Another tier's.
+    /// The datagram belongs to another fleet.
     #[error("another tier")]
     OtherFleet,
-    /// Its payload cannot be read, or its parts do not make up what they should.
+    /// The payload cannot be decoded, or the reassembled parts do not match the digest.
     #[error("malformed")]
     Malformed,
-    /// Its sender is not on the settings' list, or is this gateway itself.
+    /// The sender is not a configured member, or is this gateway itself.
     #[error("of nobody on the list")]
     UnknownSender,
 }
 
 impl DecodeError {
-    /// What an operator can do.
+    /// Returns what an operator can do about it.
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
@@ -129,15 +129,15 @@
     }
 }
 
-/// Tells apart the parts of different messages, and detects a wrong part.
+/// Returns the digest of a message, which distinguishes the parts of different messages and detects a corrupted part.
 pub(crate) fn message_digest(bytes: &[u8]) -> u64 {
-    let number = |chunk: &[u8]| chunk.iter().fold(0, |number, &byte| number << 8 | u64::from(byte));
-    bytes.chunks(8).fold(bytes.len() as u64, |digest, chunk| mix(digest, number(chunk)))
+    let big_endian = |chunk: &[u8]| chunk.iter().fold(0, |value, &byte| value << 8 | u64::from(byte));
+    bytes.chunks(8).fold(bytes.len() as u64, |digest, chunk| mix(digest, big_endian(chunk)))
 }
 
-/// The datagrams of one message; none where it takes more than [`MAX_PARTS`].
+/// Encodes a message as datagrams. Returns an empty list if the message needs more than [`MAX_PARTS`] datagrams.
 pub fn encode_message(fleet_id: u32, from: Slot, message: &Message) -> Vec<Bytes> {
-    // Writing to memory does not fail.
+    // Serialization into a vector does not fail.
     let Ok(encoded) = postcard::to_allocvec(message) else { return Vec::new() };
     let digest = message_digest(&encoded);
     let parts = encoded.chunks(MAX_PAYLOAD);
--- a/crates/ashtide-maintenance/src/mutation.rs
+++ b/crates/ashtide-maintenance/src/mutation.rs
@@ -1,30 +1,31 @@
-//! Mutations: faults put in on purpose, to show that the checks find them. Without the feature `mutation`, which only
-//! tests turn on, none can be chosen and [`ActiveMutation::is`] is a constant `false`.
+//! Mutations: deliberate faults in the protocol, with which tests verify that the invariant checks detect them. Without
+//! the feature `mutation`, which only tests enable, no mutation can be activated and [`ActiveMutation::is`] always
+//! returns `false`.
 
-/// One fault put in on purpose.
+/// Deliberate fault in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// A change under an old token is applied.
+    /// A change with an outdated fencing token is applied.
     NoFencing,
-    /// An acceptor answers before its vote is on disk.
+    /// An acceptor answers before its vote is persisted.
     UnsyncedVote,
-    /// A lease on the queue runs from when the answer came, not from when it was requested.
+    /// The lease on the queue starts when the answer arrived, not when the read was sent.
     LeaseFromAnswerTime,
-    /// A majority of those that answer is enough, not of the settings' list.
+    /// A majority of the present acceptors is a quorum, instead of a majority of the configured acceptors.
     MajorityOfResponders,
-    /// A released machine makes room at once.
+    /// A released machine stops counting as out at once.
     NoCooling,
-    /// A lease on the queue never ends.
+    /// The lease on the queue never expires.
     NoLease,
-    /// A restarted gateway acts on what its disk says.
+    /// A restarted gateway acts on the grants in its persisted state.
     #[cfg(feature = "mutation")]
     ActOnPersistedGrant,
-    /// An acceptor that has lost its state votes at once.
+    /// An acceptor that has lost its state votes without catching up.
     #[cfg(feature = "mutation")]
     VoteWithoutCatchUp,
 }
 
-/// The mutation of a core, if any.
+/// Mutation that is active, `None` in production.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ActiveMutation {
     #[cfg(feature = "mutation")]
--- a/crates/ashtide-maintenance/src/paxos.rs
+++ b/crates/ashtide-maintenance/src/paxos.rs
@@ -1,5 +1,5 @@
-//! One value that a majority of acceptors keeps, changed as a whole: CASPaxos (Rystsov 2018), single-decree Paxos whose
-//! value is read, changed and written in each round. No leader and no log.
+//! Replicated value stored by a majority of acceptors: CASPaxos (Rystsov 2018), which is single-decree Paxos in which
+//! each round reads the complete value, changes it and writes it back. It has no leader and no log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,63 +9,63 @@
 
 use crate::queue::MaintenanceQueue;
 
-/// Identifies one proposal. No two share a ballot: a gateway counts rounds up within an incarnation, and no two
-/// incarnations of it have one number.
+/// Identifier of one proposal. Ballots are unique: the rounds of a gateway increase within an incarnation, and the
+/// incarnations of a gateway have different numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than every round its proposer has heard of.
+    /// Round, higher than every round that the proposer has received.
     pub round: u32,
-    /// The proposer's slot.
+    /// Slot of the proposer.
     pub slot: u16,
-    /// The proposer's incarnation.
+    /// Incarnation of the proposer.
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// The ballot of a value that nobody has written: the empty queue.
+    /// Ballot of the initial value, the empty queue, which no proposer has written.
     pub const NONE: Self = Self { round: 0, slot: 0, incarnation: 0 };
 }
 
-/// What an acceptor must never forget.
+/// State that an acceptor must persist across restarts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AcceptorState {
-    /// No ballot below this is answered any more.
+    /// Highest promised ballot. Proposals with lower ballots are rejected.
     pub promised: Ballot,
-    /// The ballot of the value.
+    /// Ballot under which the value was accepted.
     pub accepted: Ballot,
-    /// The value.
+    /// Accepted value.
     pub queue: MaintenanceQueue,
 }
 
-/// A ballot that comes too late; holds the one that has been promised since.
+/// Error of a proposal whose ballot is lower than the promised one. Contains the promised ballot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a later round has begun")]
+#[error("ballot is stale: the acceptor has promised {0:?}")]
 pub struct StaleBallot(pub Ballot);
 
-/// One acceptor. What changes here must be on disk before the answer leaves.
+/// Acceptor. A changed state must be persisted before the answer is sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     state: AcceptorState,
 }
 
 impl Acceptor {
-    /// An acceptor that goes on from this state.
+    /// Creates an acceptor that continues from this state.
     #[must_use]
     pub fn new(state: AcceptorState) -> Self {
         Self { state }
     }
 
-    /// What it must never forget.
+    /// Returns the state that must be persisted.
     #[must_use]
     pub fn state(&self) -> &AcceptorState {
         &self.state
     }
 
-    /// Promises to answer no earlier ballot. True where that changed the state, which then has to be persisted.
+    /// Promises to reject earlier ballots. Returns whether the state has changed and must be persisted.
     ///
     /// # Errors
     ///
-    /// Fails where a later ballot has been promised.
+    /// Fails if a later ballot has been promised.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<bool, StaleBallot> {
         self.check_promise(ballot)?;
         let has_changed = ballot > self.state.promised;
@@ -73,11 +73,11 @@
         Ok(has_changed)
     }
 
-    /// Accepts the value of a ballot. True where that changed the state, which then has to be persisted.
+    /// Accepts the value of a ballot. Returns whether the state has changed and must be persisted.
     ///
     /// # Errors
     ///
-    /// Fails where a later ballot has been promised.
+    /// Fails if a later ballot has been promised.
     pub fn accept(&mut self, ballot: Ballot, queue: &MaintenanceQueue) -> Result<bool, StaleBallot> {
         self.check_promise(ballot)?;
         if ballot == self.state.accepted {
@@ -92,26 +92,26 @@
     }
 }
 
-/// How many of so many acceptors are a majority.
+/// Returns the size of a majority of `acceptors`.
 #[must_use]
 pub fn majority(acceptors: usize) -> usize {
     acceptors / 2 + 1
 }
 
-/// A value with the ballot under which it was accepted.
+/// Value with the ballot under which it was accepted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct AcceptedValue {
     ballot: Ballot,
     queue: MaintenanceQueue,
 }
 
-/// A proposer's round: first a majority promises, then a majority accepts the changed value. It is given up after a
-/// while, so that the answers of acceptors are of no use to it for longer.
+/// Round of a proposer: first a majority promises, then a majority accepts the changed value. A proposal is cancelled
+/// after a time-out, which bounds the period during which it may use the answers of acceptors.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Proposal {
-    /// Its ballot.
+    /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// When it began; its result is known as of then.
+    /// Start time. A chosen value is current as of this time.
     pub started_at: Duration,
     acceptors: BTreeSet<Slot>,
     quorum: usize,
@@ -122,7 +122,7 @@
 }
 
 impl Proposal {
-    /// A round among these acceptors.
+    /// Creates a proposal to these acceptors.
     #[must_use]
     pub fn new(ballot: Ballot, started_at: Duration, acceptors: impl IntoIterator<Item = Slot>) -> Self {
         let acceptors: BTreeSet<Slot> = acceptors.into_iter().collect();
@@ -143,7 +143,7 @@
         self.quorum = quorum;
     }
 
-    /// Handles an acceptor's promise, with the value it has. Gives the value to be changed once a majority has
+    /// Handles an acceptor's promise, which contains its accepted value. Returns the value to change once a majority has
     /// promised.
     pub fn handle_promise(
         &mut self,
@@ -162,18 +162,18 @@
         (self.promises.len() >= self.quorum).then(|| self.newest_accepted.queue.clone())
     }
 
-    /// Proposes the changed value to the acceptors from now on.
+    /// Sets the changed value and starts the second phase, in which acceptors accept it.
     pub fn propose(&mut self, queue: MaintenanceQueue) {
         self.value = Some(queue);
     }
 
-    /// The value that is proposed.
+    /// Returns the proposed value, or `None` during the first phase.
     #[must_use]
     pub fn proposed(&self) -> Option<&MaintenanceQueue> {
         self.value.as_ref()
     }
 
-    /// Handles that an acceptor has accepted the value. True once a majority has.
+    /// Handles the confirmation of an acceptor that it has accepted the value. Returns whether a majority has done so.
     pub fn handle_accepted(&mut self, from: Slot, ballot: Ballot) -> bool {
         if ballot != self.ballot || self.value.is_none() || !self.acceptors.contains(&from) {
             return false;
@@ -182,7 +182,7 @@
         self.accepts.len() >= self.quorum
     }
 
-    /// The acceptors that have not answered yet what the round waits for.
+    /// Returns the acceptors that have not answered in the current phase.
     pub fn unanswered(&self) -> impl Iterator<Item = Slot> + '_ {
         let answered = if self.value.is_some() { &self.accepts } else { &self.promises };
         self.acceptors.iter().copied().filter(move |acceptor| !answered.contains(acceptor))
--- a/crates/ashtide-maintenance/src/queue/apply.rs
+++ b/crates/ashtide-maintenance/src/queue/apply.rs
@@ -1,4 +1,4 @@
-//! Applies changes to the queue, one function a change.
+//! Application of changes to the queue, with one function for each kind of change.
 
 use std::collections::BTreeSet;
 
@@ -15,11 +15,11 @@
 }
 
 impl MaintenanceQueue {
-    /// Applies one change, given these limits and the names of the servers that are ready.
+    /// Applies one change. `ready` contains the names of the ready servers.
     ///
     /// # Errors
     ///
-    /// Says why it is rejected.
+    /// Returns the reason why the change is rejected. The queue is then unchanged.
     pub fn apply(
         &mut self,
         change: &Change,
@@ -29,11 +29,11 @@
         self.apply_mutated(change, limits, ready, ActiveMutation::default())
     }
 
-    /// The same with a mutation put in.
+    /// Applies one change like [`apply`](Self::apply), with a mutation.
     ///
     /// # Errors
     ///
-    /// Says why it is rejected.
+    /// Returns the reason why the change is rejected. The queue is then unchanged.
     #[cfg(feature = "mutation")]
     pub fn apply_with_mutation(
         &mut self,
@@ -54,7 +54,7 @@
     ) -> Result<(), ChangeRejected> {
         let request_id = change.request_id();
         if request_id.is_some_and(|id| self.completed_requests.contains(&id)) {
-            // It was applied, and its sender had not learned so.
+            // The request was applied before, but its sender had not learned the result and sent it again.
             return Ok(());
         }
         match change {
@@ -122,7 +122,7 @@
         let index = self.position(name)?;
         match self.entries[index].phase {
             Phase::Queued => drop(self.entries.remove(index)),
-            // Nobody works on it yet.
+            // Maintenance work starts only after the drain, so the grant can still be cancelled.
             Phase::Draining { token, .. } => self.release(index, token, mutation),
             Phase::Out { .. } | Phase::Released { .. } => return Err(ChangeRejected::AlreadyOut),
         }
@@ -220,11 +220,11 @@
         self.entries.iter().position(|entry| entry.name == name).ok_or(ChangeRejected::NotQueued)
     }
 
-    /// The index of the machine that was granted under `token`.
+    /// Returns the index of the machine `name` if `token` is the fencing token of its grant.
     fn check_token(&self, name: &str, token: u64, mutation: ActiveMutation) -> Result<usize, ChangeRejected> {
         let index = self.position(name)?;
         match self.entries[index].phase.token() {
-            Some(own) if own == token || mutation.is(Mutation::NoFencing) => Ok(index),
+            Some(granted) if granted == token || mutation.is(Mutation::NoFencing) => Ok(index),
             _ => Err(ChangeRejected::Fenced),
         }
     }
--- a/crates/ashtide-maintenance/src/queue/change.rs
+++ b/crates/ashtide-maintenance/src/queue/change.rs
@@ -1,84 +1,85 @@
-//! The changes of the queue, and why one is rejected.
+//! Changes of the queue, and the reasons for their rejection.
 
 use ashtide_fleet::state::Slot;
 
 use super::MachineKind;
 
-/// A change of the queue.
+/// Change of the queue.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Change {
-    /// None: the value is only written again, where acceptors differ after a proposer went away midway.
+    /// No change: writes the current value again after a proposer stopped in the middle of a round and left the
+    /// acceptors with different values.
     Nothing,
-    /// An operator requests a machine.
+    /// An operator requests maintenance of a machine.
     Request {
-        /// The request.
+        /// Id of the operator's request.
         request_id: u64,
-        /// What it is.
+        /// Kind of the machine.
         kind: MachineKind,
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// Why.
+        /// Reason for the maintenance.
         reason: String,
-        /// Unix time in milliseconds.
+        /// Unix time of the request in milliseconds.
         requested_at_ms: u64,
     },
-    /// An operator no longer wants it out.
+    /// An operator cancels the maintenance of a machine before its work has started.
     Cancel {
-        /// The request.
+        /// Id of the operator's request.
         request_id: u64,
-        /// Which.
+        /// Name of the machine.
         name: String,
     },
-    /// An operator has finished with it.
+    /// An operator reports that the maintenance work on a machine is done.
     Done {
-        /// The request.
+        /// Id of the operator's request.
         request_id: u64,
-        /// Which.
+        /// Name of the machine.
         name: String,
     },
-    /// It is its turn.
+    /// A queued machine is granted and starts to drain.
     Grant {
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The gateway that holds the grant.
+        /// Gateway that becomes the holder of the grant.
         holder: Slot,
     },
-    /// Its connections are gone, or the drain has lasted for its bound.
+    /// A machine has no open connections any more, or its drain has reached the time limit.
     Drained {
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The grant's token.
+        /// Fencing token of the grant.
         token: u64,
-        /// Whether it is released at once, without work on it.
+        /// Whether the machine is released at once, without maintenance work.
         return_at_once: bool,
     },
-    /// It has been out for its bound.
+    /// A machine has reached the maximum time out.
     Expired {
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The grant's token.
+        /// Fencing token of the grant.
         token: u64,
     },
-    /// Its holder is silent: another gateway holds the grant from now on, under a new token.
+    /// A gateway takes over a grant with a new fencing token, because no message from the holder has been received.
     TakeOver {
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The token so far.
+        /// Fencing token of the grant before the takeover.
         token: u64,
-        /// The new holder.
+        /// Gateway that becomes the holder.
         holder: Slot,
     },
-    /// All gateways have learned that it is back, or their leases have ended.
+    /// A released machine is removed, because all gateways have learned of the release or their leases have expired.
     Removed {
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The ended grant's token.
+        /// Fencing token of the ended grant.
         token: u64,
     },
 }
 
 impl Change {
-    /// The operator's request that this change carries out.
+    /// Returns the id of the operator's request that this change executes, `None` if no operator requested it.
     #[must_use]
     pub fn request_id(&self) -> Option<u64> {
         match self {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The machine that is changed.
+    /// Returns the name of the machine that is changed.
     #[must_use]
     pub fn machine_name(&self) -> Option<&str> {
         match self {
@@ -106,40 +107,41 @@
     }
 }
 
-/// Why a change is rejected. The queue is as it was.
+/// Reason why a change is rejected. A rejected change leaves the queue unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum ChangeRejected {
-    /// A name or reason that cannot be stored.
+    /// The name or the reason is too short, too long, or contains control characters.
     #[error("a name must have 1 to 48 bytes and a reason at most 48, without control characters")]
     InvalidText,
-    /// The queue has no room for another machine.
+    /// The queue is full.
     #[error("32 machines wait or are out already")]
     QueueFull,
-    /// It is in the queue already.
+    /// The machine is already in the queue.
     #[error("the machine waits or is out already")]
     AlreadyQueued,
-    /// It is not in the queue.
+    /// The machine is not in the queue.
     #[error("the machine neither waits nor is out")]
     NotQueued,
-    /// It is out: that is ended by `done`.
+    /// The machine is past the phase in which this change is possible. Maintenance of a machine that is out ends with
+    /// `done`.
     #[error("the machine is out; it is not waiting any more")]
     AlreadyOut,
-    /// It is not out.
+    /// The machine is not out.
     #[error("the machine is not out")]
     NotOut,
-    /// The token is not that of the grant.
+    /// The fencing token is not that of the current grant.
     #[error("the fencing token is an old one")]
     Fenced,
-    /// As many are out as may be.
+    /// The maximum number of machines of this kind is out.
     #[error("as many are out as may be")]
     LimitReached,
-    /// Too few ready servers would be left.
+    /// Fewer ready servers than the configured minimum would remain.
     #[error("fewer ready servers would be left than the floor")]
     TooFewReady,
 }
 
 impl ChangeRejected {
-    /// What an operator can do.
+    /// Returns what an operator can do about it.
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
--- a/crates/ashtide-maintenance/src/queue/mod.rs
+++ b/crates/ashtide-maintenance/src/queue/mod.rs
@@ -1,5 +1,5 @@
-//! The value that all gateways agree on: the queue of machines, the grants, and the last fencing token. It is changed
-//! as a whole.
+//! Value that all gateways agree on: the queue of machines, the grants, and the last fencing token. Each proposal
+//! replaces the complete value.
 
 mod apply;
 mod change;
@@ -13,52 +13,53 @@
 
 use crate::violation::Violation;
 
-/// Machines that the queue holds, waiting or out.
+/// Maximum number of machines in the queue, both queued and out.
 pub const MAX_ENTRIES: usize = 32;
-/// Longest name of a machine, in bytes.
+/// Maximum length of a machine's name, in bytes.
 pub const MAX_NAME: usize = 48;
-/// Longest reason, in bytes.
+/// Maximum length of a reason, in bytes.
 pub const MAX_REASON: usize = 48;
-/// Requests that are remembered, so that one which is sent again is applied once.
+/// Maximum number of completed requests whose ids are stored, so that a repeated request is applied only once.
 pub const MAX_COMPLETED_REQUESTS: usize = 16;
 
-/// A kind of machine.
+/// Kind of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineKind {
-    /// A server.
+    /// Server.
     Server,
-    /// A gateway of this tier.
+    /// Gateway of this fleet.
     Gateway,
 }
 
-/// How far the maintenance of a machine is.
+/// Phase of the maintenance of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// It waits for its turn.
+    /// The machine waits for a grant.
     Queued,
-    /// It is granted: gateways send it no new connections and move those it has.
+    /// The machine is granted and drains: gateways send it no new connections and migrate its open connections.
     Draining {
-        /// The fencing token of the grant.
+        /// Fencing token of the grant.
         token: u64,
-        /// The gateway that reports when its connections are gone.
+        /// Gateway that proposes the end of the drain.
         holder: Slot,
     },
-    /// Its connections are gone, or were given up: it is worked on.
+    /// The machine is out for maintenance: it has no open connections, or the drain has reached its time limit.
     Out {
-        /// The fencing token of the grant.
+        /// Fencing token of the grant.
         token: u64,
-        /// The gateway that reports when it has been out for too long.
+        /// Gateway that proposes the release after the maximum time out.
         holder: Slot,
     },
-    /// It is back, but a gateway may not have learned so yet: it still counts as out.
+    /// The machine is back in service. It still counts as out, because some gateways may not have learned of the release
+    /// yet.
     Released {
-        /// The fencing token of the grant that has ended.
+        /// Fencing token of the ended grant.
         token: u64,
     },
 }
 
 impl Phase {
-    /// The token of a grant, running or ended.
+    /// Returns the fencing token of the grant, which may have ended.
     #[must_use]
     pub fn token(self) -> Option<u64> {
         match self {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The gateway that holds a running grant.
+    /// Returns the holder of the grant, `None` if the machine is queued or its grant has ended.
     #[must_use]
     pub fn holder(self) -> Option<Slot> {
         match self {
@@ -77,47 +78,47 @@
     }
 }
 
-/// One machine.
+/// Entry of one machine in the queue.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MaintenanceEntry {
-    /// What it is.
+    /// Kind of the machine.
     pub kind: MachineKind,
-    /// Its name in the list of servers, or of gateways.
+    /// Name of the machine in the list of servers or gateways.
     pub name: String,
-    /// The operator's reason.
+    /// Reason stated by the operator.
     pub reason: String,
-    /// Unix time of the request in milliseconds, by the clock of the gateway that took it. It is shown, and gives the
-    /// order of the queue.
+    /// Unix time of the request in milliseconds, by the clock of the gateway that received it. It is shown to operators
+    /// and determines the order of the queue.
     pub requested_at_ms: u64,
-    /// The request that queued it.
+    /// Id of the request that added the entry.
     pub request_id: u64,
-    /// The version of the queue in which its phase began.
+    /// Version of the queue in which the current phase started.
     pub phase_version: u64,
-    /// How far it is.
+    /// Current phase.
     pub phase: Phase,
 }
 
-/// The agreed value.
+/// Maintenance queue, the replicated value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MaintenanceQueue {
-    /// Counts changes.
+    /// Number of changes applied so far.
     pub version: u64,
-    /// The last token granted.
+    /// Last granted fencing token.
     pub last_token: u64,
-    /// Machines, by the time of their requests, then by request.
+    /// Entries of the machines, sorted by the time of the request, then by the request id.
     pub entries: Vec<MaintenanceEntry>,
-    /// The last requests that were applied.
+    /// Ids of the last applied requests, the oldest first.
     pub completed_requests: Vec<u64>,
 }
 
-/// What may be out; the same at all gateways.
+/// Limits on the machines that are out. All gateways must have the same limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Servers that may be out at once.
+    /// Maximum number of servers that are out at a time.
     pub max_servers_out: usize,
-    /// Gateways that may be out at once.
+    /// Maximum number of gateways that are out at a time.
     pub max_gateways_out: usize,
-    /// Ready servers that must be left.
+    /// Minimum number of ready servers that must remain.
     pub min_ready_servers: usize,
 }
 
@@ -131,12 +132,12 @@
 }
 
 impl MaintenanceQueue {
-    /// The machines of this kind that count as out.
+    /// Returns the machines of this kind that count as out, including released ones.
     pub fn granted(&self, kind: MachineKind) -> impl Iterator<Item = &MaintenanceEntry> {
         self.entries.iter().filter(move |entry| entry.kind == kind && entry.phase != Phase::Queued)
     }
 
-    /// The machines that are to be kept out, with their tokens.
+    /// Returns the machines that gateways must cordon, with their fencing tokens.
     pub fn machines_out(&self) -> impl Iterator<Item = (&MaintenanceEntry, u64)> {
         self.entries.iter().filter_map(|entry| match entry.phase {
             Phase::Draining { token, .. } | Phase::Out { token, .. } => Some((entry, token)),
@@ -144,23 +145,23 @@
         })
     }
 
-    /// The first machine of this kind that waits.
+    /// Returns the first queued machine of this kind.
     #[must_use]
     pub fn next_queued(&self, kind: MachineKind) -> Option<&MaintenanceEntry> {
         self.entries.iter().find(|entry| entry.kind == kind && entry.phase == Phase::Queued)
     }
 
-    /// The entry of the machine of this name.
+    /// Returns the entry of the machine with this name.
     #[must_use]
     pub fn entry(&self, name: &str) -> Option<&MaintenanceEntry> {
         self.entries.iter().find(|entry| entry.name == name)
     }
 
-    /// Checks whether a machine that waits could be granted now, given the names of the servers that are ready.
+    /// Checks whether a queued machine may be granted. `ready` contains the names of the ready servers.
     ///
     /// # Errors
     ///
-    /// Says why not.
+    /// Returns the limit that prevents the grant.
     pub fn can_grant(
         &self,
         entry: &MaintenanceEntry,
@@ -176,7 +177,7 @@
         Ok(())
     }
 
-    /// How many servers are ready beside those that are granted and this one.
+    /// Returns the number of ready servers that are neither granted nor `entry` itself.
     fn ready_without(&self, entry: &MaintenanceEntry, ready: &BTreeSet<String>) -> usize {
         let granted: BTreeSet<&str> =
             self.granted(MachineKind::Server).map(|entry| entry.name.as_str()).collect();
@@ -187,7 +188,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self, limits: &Limits) -> Result<(), Violation> {
         self.check_limits(limits)?;
         self.check_tokens()?;
@@ -227,12 +228,12 @@
     }
 
     fn check_sizes(&self) -> Result<(), Violation> {
-        for (what, found, room) in [
-            ("the table", self.entries.len(), MAX_ENTRIES),
-            ("the list of calls", self.completed_requests.len(), MAX_COMPLETED_REQUESTS),
+        for (what, found, capacity) in [
+            ("the maintenance queue", self.entries.len(), MAX_ENTRIES),
+            ("the list of completed requests", self.completed_requests.len(), MAX_COMPLETED_REQUESTS),
         ] {
-            if found > room {
-                return Err(Violation::OverFull { what, found, room });
+            if found > capacity {
+                return Err(Violation::OverFull { what, found, capacity });
             }
         }
         Ok(())
--- a/crates/ashtide-maintenance/src/replica/acceptor.rs
+++ b/crates/ashtide-maintenance/src/replica/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's role: votes, and answers reads and catch-up requests.
+//! Acceptor role of a replica: votes, and answers reads and catch-up requests.
 
 use ashtide_fleet::state::Slot;
 
--- a/crates/ashtide-maintenance/src/replica/catch_up.rs
+++ b/crates/ashtide-maintenance/src/replica/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catching up: an acceptor that has lost its state learns from others what it must not forget, before it votes.
+//! Catch-up: an acceptor that has lost its state restores the state from the other acceptors before it votes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use crate::message::Message;
 use crate::paxos::{Acceptor, AcceptorState, majority};
 
-/// How often other acceptors are asked, in retransmit intervals.
+/// Interval between catch-up requests, in multiples of [`RETRANSMIT_INTERVAL`].
 const REQUEST_INTERVALS: u32 = 3;
 
-/// The answers so far, by acceptor: a state, or none where that acceptor has lost its own.
+/// Catch-up in progress.
 #[derive(Default)]
 pub(super) struct CatchUp {
     started_at: Duration,
     next_request_at: Duration,
+    /// Replies by acceptor: its state, or `None` if it has lost its own state too.
     replies: BTreeMap<Slot, Option<AcceptorState>>,
 }
 
@@ -25,12 +26,12 @@
         self.replies.values().flatten()
     }
 
-    /// Whether nobody that has answered has anything to remember.
-    fn is_blank(&self) -> bool {
+    /// Checks whether all states received so far are initial.
+    fn is_initial(&self) -> bool {
         self.states().all(|state| *state == AcceptorState::default())
     }
 
-    /// The newest value, with the latest promise of all.
+    /// Returns the newest accepted value, with the highest promise of all replies.
     fn newest_state(&self) -> AcceptorState {
         let newest = self.states().max_by_key(|state| state.accepted).cloned().unwrap_or_default();
         let promised = self.states().map(|state| state.promised).max().unwrap_or_default();
@@ -41,10 +42,10 @@
 impl Replica {
     pub(super) fn continue_catch_up(&mut self) {
         let now = self.observed_time;
-        // Longer than any proposal may use what this acceptor answered before.
-        let quiet_time = self.config.timing.proposal_timeout * 2 + self.config.timing.margin;
+        // Proposals that may use an answer that this acceptor sent before it lost its state have ended by then.
+        let initial_wait = self.config.timing.proposal_timeout * 2 + self.config.timing.margin;
         let Some(catch_up) = &mut self.catch_up else { return };
-        if now < catch_up.started_at + quiet_time || now < catch_up.next_request_at {
+        if now < catch_up.started_at + initial_wait || now < catch_up.next_request_at {
             return;
         }
         catch_up.next_request_at = now + RETRANSMIT_INTERVAL * REQUEST_INTERVALS;
@@ -64,17 +65,18 @@
         self.finish_catch_up();
     }
 
-    /// Votes from now on where enough have answered: as many as meet every majority that this acceptor was part of, or
-    /// all, and nobody has anything to remember.
+    /// Ends the catch-up and starts to vote once enough replies have arrived. That is the case if the number of states
+    /// is large enough to intersect every majority that included this acceptor. In a new fleet, it is also the case if
+    /// all other acceptors have replied and all states are initial.
     fn finish_catch_up(&mut self) {
         let Some(catch_up) = &self.catch_up else { return };
         let acceptors = self.config.acceptors.len();
         let needed = acceptors - majority(acceptors) + 1;
         let has_enough = catch_up.states().count() >= needed;
-        let founds = catch_up.replies.len() == acceptors - 1
-            && catch_up.is_blank()
+        let is_new_fleet = catch_up.replies.len() == acceptors - 1
+            && catch_up.is_initial()
             && self.observed_time >= catch_up.started_at + self.config.timing.proposal_timeout;
-        if !has_enough && !founds {
+        if !has_enough && !is_new_fleet {
             return;
         }
         let state = catch_up.newest_state();
@@ -82,10 +84,10 @@
         self.catch_up = None;
         self.acceptor = Some(Acceptor::new(state));
         self.persist_vote();
-        let reason = match founds {
-            true => "no acceptor has anything to remember",
+        let reason = match is_new_fleet {
+            true => "no other acceptor has a stored state",
             false => "restored its state from other gateways",
         };
-        self.log(&format!("this gateway votes: {reason} (version {version})"));
+        self.log(&format!("this gateway votes from now on: {reason} (version {version})"));
     }
 }
--- a/crates/ashtide-maintenance/src/replica/config.rs
+++ b/crates/ashtide-maintenance/src/replica/config.rs
@@ -1,4 +1,4 @@
-//! What a replica is configured with, what it observes, and what it wants done.
+//! Configuration, inputs and outputs of a replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,29 +10,29 @@
 use crate::paxos::AcceptorState;
 use crate::queue::{ChangeRejected, Limits, MachineKind};
 
-/// Times, the same at all gateways.
+/// Durations of the protocol. All gateways must have the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TimingConfig {
-    /// How long the queue may be acted on, from when it was requested.
+    /// Duration for which a gateway may act on the queue, starting when the read was sent.
     pub lease: Duration,
-    /// By how much longer other gateways wait: for clocks that run at different rates.
+    /// Additional time that other gateways wait for the end of a lease, because clocks run at different rates.
     pub margin: Duration,
-    /// How long a proposal may take.
+    /// Time-out of a proposal.
     pub proposal_timeout: Duration,
-    /// How often a gateway reads the queue.
+    /// Interval between a gateway's reads of the queue.
     pub read_interval: Duration,
-    /// How much longer each further gateway waits before it does what another should have done.
+    /// Difference between the delays of successive gateways before they propose changes that any acceptor may propose.
     pub takeover_step: Duration,
-    /// How long a drain may last.
+    /// Maximum duration of a drain.
     pub max_drain: Duration,
-    /// How long a machine stays out at most, once drained.
+    /// Maximum time for which a drained machine is out.
     pub max_work: Duration,
-    /// Whether a server that is drained is released at once, without work on it.
+    /// Whether a drained server is released at once, without maintenance work.
     pub return_when_drained: bool,
 }
 
 impl TimingConfig {
-    /// After this time without a message, a gateway's lease has ended, whatever its clock shows.
+    /// Returns the time without a report after which the lease of a gateway must have expired, whatever its clock rate.
     pub(super) fn silence_limit(&self) -> Duration {
         self.lease + self.margin
     }
@@ -53,20 +53,20 @@
     }
 }
 
-/// The configuration of one replica.
+/// Configuration of one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaConfig {
-    /// The tier's key.
+    /// Key of the fleet.
     pub fleet_id: u32,
-    /// This gateway.
+    /// Slot of this gateway.
     pub own_slot: Slot,
-    /// All gateways that may be there; the same at all of them.
+    /// Slots of all gateways of the fleet, running or not. All gateways must have the same members.
     pub members: Vec<Slot>,
-    /// Those that vote, some of `members`; the same at all gateways.
+    /// Slots of the acceptors, a subset of `members`. All gateways must have the same acceptors.
     pub acceptors: Vec<Slot>,
-    /// What may be out.
+    /// Limits on the machines that are out.
     pub limits: Limits,
-    /// How long things last.
+    /// Durations of the protocol.
     pub timing: TimingConfig,
 }
 
@@ -76,23 +76,23 @@
     }
 }
 
-/// What an acceptor brings from its last process.
+/// Acceptor state that the previous incarnation of a gateway has persisted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PersistedVote {
-    /// Its state.
+    /// Stored state.
     Stored(AcceptorState),
-    /// There is none, or it cannot be read.
+    /// No state is stored, or it cannot be read.
     Lost,
 }
 
-/// What this gateway observes.
+/// Current state of servers and gateways as seen by this gateway.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Observations {
-    /// Servers that are ready.
+    /// Names of the ready servers.
     pub ready_servers: BTreeSet<String>,
-    /// Connections that it has with each server.
+    /// Number of open connections of this gateway by server name.
     pub open_connections: BTreeMap<String, u32>,
-    /// Gateways that may still have connections: a drain is over once all of them have reported that they have none.
+    /// Gateways that may have open connections. A drain ends once all of them have reported that they have none.
     pub present_gateways: BTreeSet<Slot>,
 }
 
@@ -102,64 +102,64 @@
     }
 }
 
-/// What has become of an operator's request.
+/// Outcome of an operator's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It is applied, and a majority has it on disk.
+    /// The request is applied, and a majority of the acceptors has persisted it.
     Committed,
-    /// It is not applied.
+    /// The request is rejected and not applied.
     Rejected(ChangeRejected),
-    /// No majority answered in time; it may be applied yet. Requesting it again does no harm.
+    /// No majority answered in time. The request may still be applied later; repeating it is safe.
     Unknown,
 }
 
-/// What the driver is to do, in this order.
+/// Action that the driver must execute. Actions are executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Have this on disk before anything after it is done.
+    /// Persist the acceptor state. It must be on disk before any later action is executed.
     Persist(Box<AcceptorState>),
-    /// Send a datagram.
+    /// Send a datagram to a gateway.
     Send(Slot, Bytes),
-    /// Send no new connections to a machine, and move those it has.
+    /// Cordon a machine and migrate its open connections.
     Drain {
-        /// What it is.
+        /// Kind of the machine.
         kind: MachineKind,
-        /// Which.
+        /// Name of the machine.
         name: String,
-        /// The grant's token.
+        /// Fencing token of the grant.
         token: u64,
     },
-    /// A machine is back.
+    /// Uncordon a machine.
     Return {
-        /// What it is.
+        /// Kind of the machine.
         kind: MachineKind,
-        /// Which.
+        /// Name of the machine.
         name: String,
     },
-    /// Answer an operator.
+    /// Answer an operator's request.
     Answer {
-        /// The request.
+        /// Id of the request.
         request_id: u64,
-        /// What has become of it.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// Log a line.
+    /// Write a log line.
     Log(String),
 }
 
-/// Counts since the start.
+/// Counters of a replica since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaMetrics {
-    /// Proposals begun.
+    /// Number of proposals started.
     pub proposals: u64,
-    /// Proposals that a majority accepted.
+    /// Number of proposals that a majority accepted.
     pub chosen: u64,
-    /// Changes under an old token that were rejected.
+    /// Number of changes rejected because of an outdated fencing token.
     pub fenced: u64,
-    /// Datagrams sent.
+    /// Number and bytes of the datagrams sent.
     pub sent: DatagramCount,
-    /// Datagrams that were rejected.
+    /// Number of received datagrams that were rejected.
     pub rejected_datagrams: u64,
-    /// How often this gateway returned machines because its lease ended.
+    /// Number of times that this gateway uncordoned its machines because its lease had expired.
     pub lease_lapses: u64,
 }
--- a/crates/ashtide-maintenance/src/replica/due.rs
+++ b/crates/ashtide-maintenance/src/replica/due.rs
@@ -1,4 +1,4 @@
-//! Which changes are due by what this gateway knows, and whose turn it is to propose them.
+//! Changes that are due according to this gateway's copy of the queue, and the delay after which it may propose them.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 /// Changes that are due.
 #[derive(Default)]
 pub(super) struct DueChanges {
-    /// Those that fall to this gateway alone, as the holder of a grant.
+    /// Changes that only this gateway proposes, as the holder of a grant.
     pub(super) by_holder: Vec<Change>,
-    /// Those that any acceptor may propose.
+    /// Changes that any acceptor may propose.
     pub(super) by_any: Vec<Change>,
 }
 
@@ -59,26 +59,27 @@
         }
     }
 
-    /// Whether all gateways know that a machine is back, or the leases of those that do not have ended.
+    /// Checks whether every gateway has learned that a machine is released, or its lease has expired.
     fn is_known_released(&self, entry: &MaintenanceEntry) -> bool {
         let age = self.phase_age(&entry.name).unwrap_or_default();
-        let knows = |slot: &Slot| {
+        let has_learned = |slot: &Slot| {
             *slot == self.config.own_slot
                 || self
                     .peer_reports
                     .get(slot)
                     .is_some_and(|report| report.acting_version >= entry.phase_version)
         };
-        age >= self.config.timing.silence_limit() || self.config.members.iter().all(knows)
+        age >= self.config.timing.silence_limit() || self.config.members.iter().all(has_learned)
     }
 
-    /// Whether the lease of a gateway must have ended, as nothing was received of it.
+    /// Checks whether no report of a gateway has been received for so long that its lease must have expired.
     fn is_silent(&self, slot: Slot) -> bool {
-        let last = self.peer_reports.get(&slot).map_or(Duration::ZERO, |report| report.received_at);
-        self.observed_time >= last + self.config.timing.silence_limit()
+        let last_report_at = self.peer_reports.get(&slot).map_or(Duration::ZERO, |report| report.received_at);
+        self.observed_time >= last_report_at + self.config.timing.silence_limit()
     }
 
-    /// Whether no gateway has connections to a machine that drains, or nobody waits for them.
+    /// Checks whether the drain of a machine is complete: no gateway has open connections to it, the time limit is
+    /// reached, or the machine is a gateway, whose drain is not waited for.
     fn is_drained(&self, entry: &MaintenanceEntry, token: u64) -> bool {
         let has_none = |slot: &Slot| {
             let report = self.peer_reports.get(slot);
@@ -91,7 +92,7 @@
         is_empty || age >= self.config.timing.max_drain || entry.kind == MachineKind::Gateway
     }
 
-    /// The grants that the limits allow now.
+    /// Returns the grants that the limits allow.
     fn due_grants(&self) -> Vec<Change> {
         let mut grants = Vec::new();
         let mut queue = self.leased_state.queue().clone();
@@ -108,21 +109,23 @@
         grants
     }
 
-    /// Whether it is this gateway's turn to propose what any may and what has been due since then: each gateway that
-    /// is present waits one step longer than the one before it.
+    /// Checks whether this gateway may propose changes that any acceptor may propose and that have been due since
+    /// `due_since`. Each present acceptor waits one step longer than the acceptor ranked before it.
     pub(super) fn may_take_over(&self, due_since: Duration) -> bool {
         self.observed_time >= due_since + self.config.timing.takeover_step * self.takeover_rank()
     }
 
-    /// How many of those that are present come before this one, for this version of the queue.
+    /// Returns the number of present acceptors that are ranked before this gateway by a rendezvous hash of the queue's
+    /// version.
     fn takeover_rank(&self) -> u32 {
         let own = self.config.own_slot;
         let limit = self.config.timing.silence_limit();
-        let reported_lately = |slot: &Slot| {
+        let has_recent_report = |slot: &Slot| {
             let report = self.peer_reports.get(slot);
             report.is_some_and(|report| self.observed_time < report.received_at + limit)
         };
-        let is_present = |slot: &Slot| *slot == own || self.peer_reports.is_empty() || reported_lately(slot);
+        let is_present =
+            |slot: &Slot| *slot == own || self.peer_reports.is_empty() || has_recent_report(slot);
         let present = self.config.acceptors.iter().copied().filter(is_present);
         let version = self.leased_state.queue().version;
         let ranked = rendezvous(version, present, self.config.acceptors.len());
--- a/crates/ashtide-maintenance/src/replica/learner.rs
+++ b/crates/ashtide-maintenance/src/replica/learner.rs
@@ -114,12 +114,12 @@
     }
 
     pub(super) fn check(&self) -> Result<(), Violation> {
-        for (what, found, room) in [
+        for (what, found, capacity) in [
             ("the list of asks", self.outstanding.len(), MAX_OUTSTANDING_READS),
             ("the list of values", self.known_values.len(), MAX_KNOWN_VALUES),
         ] {
-            if found > room {
-                return Err(Violation::OverFull { what, found, room });
+            if found > capacity {
+                return Err(Violation::OverFull { what, found, capacity });
             }
         }
         Ok(())
--- a/crates/ashtide-maintenance/src/replica/mod.rs
+++ b/crates/ashtide-maintenance/src/replica/mod.rs
@@ -349,9 +349,9 @@
         self.proposer.check()?;
         self.reader.check()?;
         let found = self.peer_reports.len();
-        let room = self.config.members.len();
-        if found > room {
-            return Err(Violation::OverFull { what: "the list of gateways heard", found, room });
+        let capacity = self.config.members.len();
+        if found > capacity {
+            return Err(Violation::OverFull { what: "the list of gateways heard", found, capacity });
         }
         let lease = self.config.timing.lease;
         match self.leased_state.requested_at().map(|requested_at| self.now.saturating_sub(requested_at)) {
--- a/crates/ashtide-maintenance/src/replica/proposer.rs
+++ b/crates/ashtide-maintenance/src/replica/proposer.rs
@@ -91,7 +91,7 @@
         let found = self.pending_requests.len();
         if found > MAX_PENDING_REQUESTS {
             let what = "the list of calls that wait";
-            return Err(Violation::OverFull { what, found, room: MAX_PENDING_REQUESTS });
+            return Err(Violation::OverFull { what, found, capacity: MAX_PENDING_REQUESTS });
         }
         Ok(())
     }
--- a/crates/ashtide-maintenance/src/violation.rs
+++ b/crates/ashtide-maintenance/src/violation.rs
@@ -1,76 +1,76 @@
-//! Violated invariants, by name. The numbers are those of `docs/design/maintenance.md`.
+//! Invariant violations. The invariants are numbered as in `docs/design/maintenance.md`.
 
 use std::time::Duration;
 
-/// An invariant that does not hold: a fault of the program, never of the network.
+/// Violated invariant. The cause is a fault of the program, never of the network.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// M1: all gateways together keep at most so many machines out at one moment.
+    /// M1: the number of machines that all gateways together cordon at a time does not exceed its limit.
     #[error("M1: {found} machines are kept out at once ({names}), at most {most} may be")]
     TooManyOut {
-        /// How many are.
+        /// Number of machines that are cordoned.
         found: usize,
-        /// Which.
+        /// Names of these machines, separated by commas.
         names: String,
-        /// How many may be.
+        /// Maximum number of machines that may be out.
         most: usize,
     },
-    /// M2: a queue grants no more than its limits allow.
+    /// M2: the number of grants in a queue does not exceed its limits.
     #[error("M2: version {version} of the table gives out {found}, at most {most} may be")]
     TooManyGranted {
-        /// The queue's version.
+        /// Version of the queue.
         version: u64,
-        /// How many are granted.
+        /// Number of granted machines.
         found: usize,
-        /// How many may be.
+        /// Maximum number of granted machines.
         most: usize,
     },
-    /// M3: a token is granted once, and none is higher than the last one.
+    /// M3: each fencing token is granted once, and none is higher than the last granted token.
     #[error("M3: version {version} of the table has token {token} twice, or over the last one, {last}")]
     InvalidToken {
-        /// The queue's version.
+        /// Version of the queue.
         version: u64,
-        /// The token.
+        /// Fencing token that is duplicated or too high.
         token: u64,
-        /// The last one granted.
+        /// Last granted token.
         last: u64,
     },
-    /// M4: a machine is in the queue once.
+    /// M4: each machine is in the queue at most once.
     #[error("M4: version {version} of the table names '{name}' twice")]
     DuplicateMachine {
-        /// The queue's version.
+        /// Version of the queue.
         version: u64,
-        /// The machine.
+        /// Name of the machine.
         name: String,
     },
-    /// M5: queues and buffers stay within their bounds.
-    #[error("M5: {what} holds {found}, room for {room}")]
+    /// M5: queues and buffers do not exceed their capacity.
+    #[error("M5: {what} holds {found}, room for {capacity}")]
     OverFull {
-        /// Which.
+        /// Name of the queue or buffer.
         what: &'static str,
-        /// How many are there.
+        /// Number of elements.
         found: usize,
-        /// How many may be.
-        room: usize,
+        /// Maximum number of elements.
+        capacity: usize,
     },
-    /// M6: nothing is kept out after the lease has ended.
+    /// M6: no machine is cordoned after the lease has expired.
     #[error("M6: machines are kept out by what was known {age:?} ago, at most {lease:?} is allowed")]
     LeaseExpired {
-        /// How long ago the queue was requested.
+        /// Time since the queue was requested.
         age: Duration,
-        /// How long it may be acted on.
+        /// Duration of the lease.
         lease: Duration,
     },
-    /// M7: two queues of one version are the same.
+    /// M7: all queues with the same version are equal.
     #[error("M7: version {version} of the table has been chosen with two contents")]
     DivergentValues {
-        /// The version.
+        /// Version of the queue.
         version: u64,
     },
 }
 
 impl Violation {
-    /// What an operator can do.
+    /// Returns what an operator can do about it.
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -228,7 +228,7 @@
         Violation::TooManyGranted { version: 1, found: 2, most: 1 },
         Violation::InvalidToken { version: 1, token: 5, last: 4 },
         Violation::DuplicateMachine { version: 1, name: "a".to_owned() },
-        Violation::OverFull { what: "the table", found: 33, room: 32 },
+        Violation::OverFull { what: "the table", found: 33, capacity: 32 },
         Violation::LeaseExpired { age: Duration::from_secs(7), lease: Duration::from_secs(6) },
         Violation::DivergentValues { version: 1 },
     ] {
