--- a/crates/ashtide-maintenance/src/replica/learner.rs
+++ b/crates/ashtide-maintenance/src/replica/learner.rs
@@ -1,4 +1,4 @@
-//! The learner's role: reads the queue from the acceptors, and keeps out what it says.
+//! Learner role of a replica: reads the queue from the acceptors, and cordons the machines that are out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,36 +11,38 @@
 use crate::queue::{MachineKind, MaintenanceEntry, MaintenanceQueue, Phase};
 use crate::violation::Violation;
 
-/// Reads that are waited for at a time; the oldest is dropped.
+/// Maximum number of outstanding reads; the oldest is dropped.
 const MAX_OUTSTANDING_READS: usize = 4;
-/// Values that are remembered by their ballots.
+/// Maximum number of values that are stored by their ballots.
 const MAX_KNOWN_VALUES: usize = 4;
-/// Reads in a row that found acceptors to differ, from which the value is written again.
+/// Number of successive reads that found different values at the acceptors after which the value is written again.
 const MAX_SPLIT_READS: u32 = 2;
-/// Every so many reads the mutation `UnsyncedVote` persists its vote.
+/// Number of reads after which the mutation `UnsyncedVote` persists a delayed vote.
 const UNSYNCED_VOTE_READS: u64 = 8;
 
-/// A machine that is kept out here.
+/// Machine that this gateway has cordoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CordonedMachine {
     pub(super) kind: MachineKind,
     pub(super) token: u64,
 }
 
-/// A read, and each acceptor's ballot.
+/// Read that has not been answered by a quorum yet.
 struct OutstandingRead {
     sequence: u64,
     sent_at: Duration,
+    /// Ballot of the accepted value by acceptor.
     answers: BTreeMap<Slot, Ballot>,
 }
 
-/// The reads of this gateway.
+/// Reads of this gateway.
 pub(super) struct Reader {
     outstanding: VecDeque<OutstandingRead>,
     next_read_at: Duration,
     last_sequence: u64,
-    /// Reads in a row that a majority answered with different values.
+    /// Number of successive reads that a majority answered with different values.
     split_reads: u32,
+    /// Last received values by ballot.
     known_values: BTreeMap<Ballot, MaintenanceQueue>,
 }
 
@@ -57,13 +59,13 @@
 }
 
 impl Reader {
-    /// Forgets what it waits for, and reads again at once.
+    /// Discards the outstanding reads, and schedules the next read at once.
     pub(super) fn restart(&mut self, now: Duration) {
         self.outstanding.clear();
         self.next_read_at = now;
     }
 
-    /// Whether acceptors keep differing, so that the value has to be written again.
+    /// Checks whether successive reads found different values at the acceptors, so that the value must be written again.
     pub(super) fn is_split(&self) -> bool {
         self.split_reads >= MAX_SPLIT_READS
     }
@@ -79,7 +81,7 @@
         self.known_values.last_key_value().map_or(Ballot::NONE, |(ballot, _)| *ballot)
     }
 
-    /// Begins a read; the oldest is given up where too many are outstanding.
+    /// Starts a read and returns its sequence number. Drops the oldest read if too many are outstanding.
     fn begin(&mut self, now: Duration, acceptors: usize) -> u64 {
         if self.outstanding.len() >= MAX_OUTSTANDING_READS
             && let Some(read) = self.outstanding.pop_front()
@@ -92,8 +94,9 @@
         sequence
     }
 
-    /// Records an acceptor's answer. Gives the time of the read once a quorum has answered with one ballot: that value
-    /// is chosen, and anything chosen before the read would have shown in one answer.
+    /// Records an acceptor's answer. Returns the time at which the read was sent once a quorum has answered with the same
+    /// ballot. The value of that ballot is then chosen, and it is current as of that time: a later ballot chosen before
+    /// the read would be contained in at least one answer.
     fn record_answer(
         &mut self,
         from: Slot,
@@ -115,8 +118,8 @@
 
     pub(super) fn check(&self) -> Result<(), Violation> {
         for (what, found, capacity) in [
-            ("the list of asks", self.outstanding.len(), MAX_OUTSTANDING_READS),
-            ("the list of values", self.known_values.len(), MAX_KNOWN_VALUES),
+            ("the list of outstanding reads", self.outstanding.len(), MAX_OUTSTANDING_READS),
+            ("the list of known values", self.known_values.len(), MAX_KNOWN_VALUES),
         ] {
             if found > capacity {
                 return Err(Violation::OverFull { what, found, capacity });
@@ -132,8 +135,8 @@
             return;
         }
         self.reader.next_read_at = self.now + self.config.timing.read_interval;
-        let persists_late = self.reader.last_sequence.is_multiple_of(UNSYNCED_VOTE_READS);
-        if persists_late && std::mem::take(&mut self.has_unsynced_vote) {
+        let persists_delayed_vote = self.reader.last_sequence.is_multiple_of(UNSYNCED_VOTE_READS);
+        if persists_delayed_vote && std::mem::take(&mut self.has_unsynced_vote) {
             self.persist_vote();
         }
         let sequence = self.reader.begin(self.now, self.config.acceptors.len());
@@ -176,7 +179,7 @@
         self.reader.remember(ballot, queue);
     }
 
-    /// Learns the value of this gateway's own proposal.
+    /// Learns the value chosen by this gateway's own proposal.
     pub(super) fn learn_chosen(&mut self, started_at: Duration, queue: &MaintenanceQueue) {
         self.reader.split_reads = 0;
         self.learn(started_at, queue);
@@ -189,22 +192,22 @@
             return;
         }
         for entry in &queue.entries {
-            let known = previous.entry(&entry.name);
-            if known.is_none_or(|known| known.phase_version != entry.phase_version) {
+            let previous_entry = previous.entry(&entry.name);
+            if previous_entry.is_none_or(|previous| previous.phase_version != entry.phase_version) {
                 self.phase_since.insert(entry.name.clone(), self.observed_time);
-                self.log(&phase_line(entry));
+                self.log(&format_phase(entry));
             }
         }
         for entry in &previous.entries {
             if queue.entry(&entry.name).is_none() {
                 self.phase_since.remove(&entry.name);
                 let token = entry.phase.token().unwrap_or(0);
-                self.log(&format!("{} has left the queue (token {token})", entry.name));
+                self.log(&format!("{} is removed from the queue (token {token})", entry.name));
             }
         }
     }
 
-    /// Tells the driver what is kept out now, where that has changed.
+    /// Adds actions for the driver to cordon and uncordon machines if the machines that are out have changed.
     pub(super) fn apply_leased_state(&mut self) {
         let has_lease = self.has_lease();
         let wanted = match has_lease {
@@ -217,7 +220,7 @@
         if !has_lease {
             self.metrics.lease_lapses += 1;
             let count = self.cordoned.len();
-            self.log(&format!("no majority answered for a lease; {count} machines are no longer kept out"));
+            self.log(&format!("lease on the queue expired without a majority; uncordoned {count} machines"));
         }
         for (name, machine) in &self.cordoned {
             if !wanted.contains_key(name) {
@@ -238,7 +241,7 @@
     machines.map(|(entry, token)| (entry.name.clone(), CordonedMachine { kind: entry.kind, token })).collect()
 }
 
-fn phase_line(entry: &MaintenanceEntry) -> String {
+fn format_phase(entry: &MaintenanceEntry) -> String {
     let name = &entry.name;
     match entry.phase {
         Phase::Queued => format!("{name} is queued (request {})", entry.request_id),
--- a/crates/ashtide-maintenance/src/replica/mod.rs
+++ b/crates/ashtide-maintenance/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! One gateway's part: it votes, reads the queue, proposes the changes that are due, and keeps out what the queue says.
-//! One file a Paxos role; this one has what they share.
+//! Replica of the maintenance queue in one gateway: it votes, reads the queue, proposes the changes that are due, and
+//! cordons the machines that are out. Each Paxos role has its own file; this file contains the shared parts.
 
 mod acceptor;
 mod catch_up;
@@ -29,19 +29,20 @@
 use learner::{CordonedMachine, Reader};
 use proposer::Proposer;
 
-/// More time than this between two looks at the clock is a stall or a leap: as it is not known which, what another
-/// gateway must have done meanwhile is not taken for done.
+/// Longest step of the observed time. A longer time between two clock readings means that the process stalled or the
+/// clock was set forward. Which of the two happened is unknown, so the excess doesn't count as time in which another
+/// gateway's lease has expired.
 const MAX_OBSERVED_STEP: Duration = Duration::from_millis(100);
-/// How often those that have not answered are asked again.
+/// Interval at which a request is sent again to acceptors that have not answered.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a gateway reported with its last read.
+/// Report of a gateway with its last read.
 struct PeerReport {
     received_at: Duration,
     incarnation: u64,
     sequence: u64,
     acting_version: u64,
-    /// Open connections by token.
+    /// Number of open connections by fencing token.
     open_connections: Vec<(u64, u32)>,
 }
 
@@ -50,7 +51,7 @@
     config: ReplicaConfig,
     incarnation: u64,
     now: Duration,
-    /// Time as far as this gateway has observed it pass.
+    /// Sum of the elapsed times between clock readings, each limited to [`MAX_OBSERVED_STEP`].
     observed_time: Duration,
     acceptor: Option<Acceptor>,
     catch_up: Option<CatchUp>,
@@ -59,24 +60,25 @@
     proposer: Proposer,
     reader: Reader,
     peer_reports: BTreeMap<Slot, PeerReport>,
-    /// Since when each machine's phase has been known here.
+    /// Observed time at which this gateway learned of the current phase, by machine name.
     phase_since: BTreeMap<String, Duration>,
-    /// What the driver was told to keep out.
+    /// Machines that the driver was instructed to cordon, by name.
     cordoned: BTreeMap<String, CordonedMachine>,
     random_state: u64,
     assembler: MessageAssembler,
-    /// Messages to this gateway itself.
+    /// Messages from this gateway to itself.
     loopback: VecDeque<Message>,
     actions: VecDeque<Action>,
     metrics: ReplicaMetrics,
     mutation: ActiveMutation,
-    /// Used by a mutation.
+    /// Whether a vote was answered but not persisted. Set only by the mutation `UnsyncedVote`.
     has_unsynced_vote: bool,
 }
 
 impl Replica {
-    /// A replica that begins now. `incarnation` is a number that no earlier process of this gateway had, whatever
-    /// became of its disk: Unix milliseconds, or one more than what the disk says.
+    /// Creates a replica that starts at `now`. `incarnation` must differ from those of all earlier processes of this
+    /// gateway, even if its disk was lost. Suitable numbers are the Unix time in milliseconds, or the persisted
+    /// incarnation plus one.
     #[must_use]
     pub fn new(config: ReplicaConfig, incarnation: u64, vote: PersistedVote, now: Duration) -> Self {
         let (acceptor, catch_up) = match vote {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Puts a mutation in; to be called before anything else.
+    /// Activates a mutation. To be called before any other method.
     #[cfg(feature = "mutation")]
     pub fn set_mutation(&mut self, mutation: Mutation) {
         self.mutation.mutation = Some(mutation);
@@ -122,47 +124,47 @@
         }
     }
 
-    /// What the driver is to do next.
+    /// Returns the next action of the driver.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Sets what this gateway observes.
+    /// Sets the current state of servers and gateways as seen by this gateway.
     pub fn set_observations(&mut self, observations: Observations) {
         self.observations = observations;
     }
 
-    /// The last queue that it learned, and whether its lease lasts.
+    /// Returns the last learned queue, and whether its lease is valid.
     #[must_use]
     pub fn queue(&self) -> (&MaintenanceQueue, bool) {
         (self.leased_state.queue(), self.has_lease())
     }
 
-    /// For how long the phase of a machine has been known here.
+    /// Returns the time since this gateway learned of a machine's current phase.
     #[must_use]
     pub fn phase_age(&self, name: &str) -> Option<Duration> {
         self.phase_since.get(name).map(|&since| self.observed_time.saturating_sub(since))
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn metrics(&self) -> &ReplicaMetrics {
         &self.metrics
     }
 
-    /// Whether it votes: an acceptor that has lost its state catches up first.
+    /// Checks whether this gateway votes. An acceptor that has lost its state votes only after its catch-up.
     #[must_use]
     pub fn is_voting(&self) -> bool {
         self.acceptor.is_some()
     }
 
-    /// The machines of this kind that it keeps out now.
+    /// Returns the names of the machines of this kind that this gateway has cordoned.
     pub fn cordoned_machines(&self, kind: MachineKind) -> impl Iterator<Item = &str> {
         self.cordoned.iter().filter(move |(_, machine)| machine.kind == kind).map(|(name, _)| name.as_str())
     }
 
-    /// Requests maintenance of a machine for an operator. Gives the number that comes back with its
-    /// [`Action::Answer`]; none where [`MAX_PENDING_REQUESTS`] wait.
+    /// Requests maintenance of a machine for an operator. Returns the request id, which its [`Action::Answer`] contains,
+    /// or `None` if [`MAX_PENDING_REQUESTS`] requests are pending.
     pub fn request(
         &mut self,
         kind: MachineKind,
@@ -179,17 +181,17 @@
         })
     }
 
-    /// Cancels the maintenance of a machine for an operator; as [`request`](Self::request).
+    /// Cancels the maintenance of a machine for an operator. Returns the request id like [`request`](Self::request).
     pub fn cancel(&mut self, name: &str) -> Option<u64> {
         self.enqueue_request(|request_id| Change::Cancel { request_id, name: name.to_owned() })
     }
 
-    /// Ends the maintenance of a machine for an operator; as [`request`](Self::request).
+    /// Ends the maintenance of a machine for an operator. Returns the request id like [`request`](Self::request).
     pub fn complete(&mut self, name: &str) -> Option<u64> {
         self.enqueue_request(|request_id| Change::Done { request_id, name: name.to_owned() })
     }
 
-    /// Lets time pass; to be called at least every 100 ms.
+    /// Advances the time to `now`, and sends what is due. To be called at least every 100 ms.
     pub fn advance_to(&mut self, now: Duration) {
         self.update_clock(now);
         self.continue_catch_up();
@@ -199,13 +201,13 @@
         self.apply_leased_state();
     }
 
-    /// Handles a datagram.
+    /// Handles a received datagram.
     ///
     /// # Errors
     ///
-    /// Says why it is rejected.
+    /// Returns the reason why the datagram is rejected.
     pub fn handle_datagram(&mut self, now: Duration, datagram: &[u8]) -> Result<(), DecodeError> {
-        // First of all: a lease may have ended while this gateway slept.
+        // The clock is updated before the datagram is handled, because the lease may have expired during a stall.
         self.update_clock(now);
         match self.decode(datagram) {
             Ok(Some((from, message))) => {
@@ -234,16 +236,17 @@
 
     fn update_clock(&mut self, now: Duration) {
         match now.checked_sub(self.now) {
-            Some(passed) => self.observed_time += passed.min(MAX_OBSERVED_STEP),
-            None => self.handle_clock_put_back(now),
+            Some(elapsed) => self.observed_time += elapsed.min(MAX_OBSERVED_STEP),
+            None => self.handle_clock_set_back(now),
         }
         self.now = now;
-        self.proposer.give_up_after(self.config.timing.proposal_timeout, now);
+        self.proposer.cancel_expired(self.config.timing.proposal_timeout, now);
         self.apply_leased_state();
     }
 
-    /// Nobody knows how much time has passed.
-    fn handle_clock_put_back(&mut self, now: Duration) {
+    /// Ends the lease, the proposal and the reads, because the time since their start is unknown after the clock was set
+    /// back.
+    fn handle_clock_set_back(&mut self, now: Duration) {
         self.leased_state.invalidate();
         self.proposer.attempt = None;
         self.reader.restart(now);
@@ -288,7 +291,7 @@
 
     fn record_report(&mut self, from: Slot, report: PeerReport) {
         let order = |report: &PeerReport| (report.incarnation, report.sequence);
-        if self.peer_reports.get(&from).is_none_or(|known| order(known) < order(&report)) {
+        if self.peer_reports.get(&from).is_none_or(|previous| order(previous) < order(&report)) {
             self.peer_reports.insert(from, report);
         }
     }
@@ -339,11 +342,11 @@
         majority(self.config.acceptors.len())
     }
 
-    /// Checks the invariants M2 to M6, as far as one gateway can see them.
+    /// Checks the invariants M2 to M6 with the state of this gateway.
     ///
     /// # Errors
     ///
-    /// Names the first that does not hold.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), Violation> {
         self.leased_state.queue().check(&self.config.limits)?;
         self.proposer.check()?;
@@ -351,7 +354,7 @@
         let found = self.peer_reports.len();
         let capacity = self.config.members.len();
         if found > capacity {
-            return Err(Violation::OverFull { what: "the list of gateways heard", found, capacity });
+            return Err(Violation::OverFull { what: "the list of gateway reports", found, capacity });
         }
         let lease = self.config.timing.lease;
         match self.leased_state.requested_at().map(|requested_at| self.now.saturating_sub(requested_at)) {
@@ -363,12 +366,12 @@
     }
 }
 
-/// Checks the invariant M1, which no gateway can see: what all gateways keep out together at one moment is no more than
-/// may be out.
+/// Checks the invariant M1: the number of different machines that all gateways together cordon at a time is at most
+/// `most`. A single gateway cannot check this.
 ///
 /// # Errors
 ///
-/// Says how many are out, and which.
+/// Returns [`Violation::TooManyOut`] with the number and names of the machines.
 pub fn check_machines_out<'a>(
     most: usize,
     machines: impl IntoIterator<Item = &'a str>,
--- a/crates/ashtide-maintenance/src/replica/proposer.rs
+++ b/crates/ashtide-maintenance/src/replica/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's role: proposes what operators request and what is due.
+//! Proposer role of a replica: proposes the requests of operators and the changes that are due.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,45 +11,49 @@
 use crate::queue::{Change, ChangeRejected, MaintenanceQueue};
 use crate::violation::Violation;
 
-/// Operators' requests that wait at a gateway.
+/// Maximum number of operators' requests that are pending at a gateway.
 pub const MAX_PENDING_REQUESTS: usize = 16;
-/// How long an operator's request is tried.
+/// Time after which a pending operator's request ends with [`RequestOutcome::Unknown`].
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Changes of one proposal.
+/// Maximum number of changes in one proposal.
 const MAX_CHANGES_PER_PROPOSAL: usize = 16;
-/// How long a proposer that was rejected waits, in milliseconds: at least, and by how much more at random.
+/// Minimum backoff of a proposer after a rejection, in milliseconds.
 const NACK_BACKOFF_MS: u64 = 50;
+/// Exclusive upper bound of the random time added to the backoff, in milliseconds.
 const NACK_JITTER_MS: u64 = 350;
 
-/// An operator's request.
-struct ClientRequest {
+/// Pending request of an operator.
+struct OperatorRequest {
     change: Change,
     request_id: u64,
     expires_at: Duration,
 }
 
-/// A proposal, what it is to change, and whether each change was applied.
+/// Proposal in progress.
 pub(super) struct ProposalAttempt {
     proposal: paxos::Proposal,
     changes: Vec<Change>,
+    /// Result of each change, in the order of `changes`. Empty before a majority has promised.
     results: Vec<Result<(), ChangeRejected>>,
 }
 
-/// Since when changes that any gateway may propose have been due, for one version of the queue.
+/// Period during which changes that any acceptor may propose have been due.
 #[derive(Clone, Copy)]
 struct DueSince {
+    /// Version of the queue in which the changes are due.
     version: u64,
+    /// Observed time at which the first change became due.
     since: Duration,
 }
 
-/// The proposals of this gateway.
+/// Proposals of this gateway.
 #[derive(Default)]
 pub(super) struct Proposer {
     pub(super) attempt: Option<ProposalAttempt>,
     retransmit_at: Duration,
     highest_round: u32,
     propose_not_before: Duration,
-    pending_requests: VecDeque<ClientRequest>,
+    pending_requests: VecDeque<OperatorRequest>,
     request_count: u64,
     due_since: Option<DueSince>,
 }
@@ -59,22 +63,22 @@
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
-    /// Gives a proposal up that has taken too long.
-    pub(super) fn give_up_after(&mut self, timeout: Duration, now: Duration) {
+    /// Cancels the proposal if it has not been chosen within `timeout`.
+    pub(super) fn cancel_expired(&mut self, timeout: Duration, now: Duration) {
         if self.attempt.as_ref().is_some_and(|attempt| now >= attempt.proposal.started_at + timeout) {
             self.attempt = None;
         }
     }
 
-    /// Removes the requests that have been tried for too long.
-    fn take_expired_requests(&mut self, now: Duration) -> VecDeque<ClientRequest> {
+    /// Removes and returns the expired requests.
+    fn take_expired_requests(&mut self, now: Duration) -> VecDeque<OperatorRequest> {
         let requests = std::mem::take(&mut self.pending_requests);
         let (expired, pending) = requests.into_iter().partition(|request| request.expires_at <= now);
         self.pending_requests = pending;
         expired
     }
 
-    fn take_request(&mut self, request_id: u64) -> Option<ClientRequest> {
+    fn take_request(&mut self, request_id: u64) -> Option<OperatorRequest> {
         let index = self.pending_requests.iter().position(|request| request.request_id == request_id)?;
         self.pending_requests.remove(index)
     }
@@ -90,7 +94,7 @@
     pub(super) fn check(&self) -> Result<(), Violation> {
         let found = self.pending_requests.len();
         if found > MAX_PENDING_REQUESTS {
-            let what = "the list of calls that wait";
+            let what = "the list of pending requests";
             return Err(Violation::OverFull { what, found, capacity: MAX_PENDING_REQUESTS });
         }
         Ok(())
@@ -98,7 +102,8 @@
 }
 
 impl Replica {
-    /// Queues an operator's request; none where [`MAX_PENDING_REQUESTS`] wait already.
+    /// Adds an operator's request to the pending ones. Returns the request id, or `None` if [`MAX_PENDING_REQUESTS`]
+    /// requests are pending.
     pub(super) fn enqueue_request(&mut self, change: impl FnOnce(u64) -> Change) -> Option<u64> {
         if self.proposer.pending_requests.len() >= MAX_PENDING_REQUESTS {
             return None;
@@ -106,7 +111,7 @@
         self.proposer.request_count += 1;
         let source = mix(self.incarnation, u64::from(self.config.own_slot.0));
         let request_id = mix(source, self.proposer.request_count);
-        self.proposer.pending_requests.push_back(ClientRequest {
+        self.proposer.pending_requests.push_back(OperatorRequest {
             change: change(request_id),
             request_id,
             expires_at: self.observed_time + REQUEST_TIMEOUT,
@@ -124,7 +129,7 @@
         }
         let changes = self.changes_to_propose();
         if !changes.is_empty() && self.observed_time >= self.proposer.propose_not_before {
-            self.begin_proposal(changes);
+            self.start_proposal(changes);
         }
     }
 
@@ -148,7 +153,7 @@
         changes
     }
 
-    fn begin_proposal(&mut self, changes: Vec<Change>) {
+    fn start_proposal(&mut self, changes: Vec<Change>) {
         self.proposer.highest_round = self.proposer.highest_round.saturating_add(1);
         let ballot = Ballot {
             round: self.proposer.highest_round,
@@ -156,7 +161,7 @@
             incarnation: self.incarnation,
         };
         let acceptors = self.config.acceptors.iter().copied();
-        #[allow(unused_mut)] // Only a mutation changes it.
+        #[allow(unused_mut)] // Modified only with the feature `mutation`.
         let mut proposal = paxos::Proposal::new(ballot, self.now, acceptors);
         #[cfg(feature = "mutation")]
         proposal.set_quorum(self.quorum());
@@ -166,7 +171,7 @@
         self.send_to_acceptors(&Message::Prepare { ballot });
     }
 
-    /// Asks those acceptors again that have not answered.
+    /// Sends the current message again to acceptors that have not answered.
     fn retransmit(&mut self) {
         let Some(ProposalAttempt { proposal, .. }) = &self.proposer.attempt else { return };
         if self.observed_time < self.proposer.retransmit_at {
@@ -202,7 +207,7 @@
         let fenced = attempt.fenced_machines();
         self.metrics.fenced += fenced.len() as u64;
         for name in fenced {
-            self.log(&format!("a change of {name} under an old token was rejected"));
+            self.log(&format!("change of {name} rejected: its fencing token is outdated"));
         }
         self.proposer.retransmit_at = self.observed_time + RETRANSMIT_INTERVAL;
         self.send_to_acceptors(&Message::Accept { ballot, queue });
@@ -245,7 +250,7 @@
 }
 
 impl ProposalAttempt {
-    /// The machines of changes that were rejected because of an old token.
+    /// Returns the names of the machines whose changes were rejected because of an outdated fencing token.
     fn fenced_machines(&self) -> Vec<String> {
         let results = self.changes.iter().zip(&self.results);
         let fenced = results.filter(|(_, result)| **result == Err(ChangeRejected::Fenced));
--- a/crates/ashtide-maintenance/src/store/mod.rs
+++ b/crates/ashtide-maintenance/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! An acceptor's state on disk: a snapshot, written aside and renamed, and a short log of what came after it.
+//! Acceptor state on disk: a snapshot, which is written to a temporary file and renamed, and a short log of the records
+//! since that snapshot.
 //!
-//! A vote that [`Store::persist`] has returned for is read back after any crash. An incomplete last record was never
-//! returned for, and is ignored; anything else that does not match its checksum is named, and the state is lost: then
-//! the acceptor asks the others before it votes.
+//! A vote is durable once [`Store::persist`] has returned. An incomplete last record belongs to a call that did not
+//! return, and is ignored. Any other record that does not match its checksum is reported, and the state counts as lost:
+//! the acceptor then catches up from the other acceptors before it votes.
 
 mod record;
 
@@ -16,40 +17,40 @@
 use crate::replica::PersistedVote;
 use record::{FILE_HEADER, MAX_LOG_RECORDS, encode_record, load};
 
-/// Why a state could not be persisted or read.
+/// Reason why a state cannot be persisted or read.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder or a file in it.
+    /// An operation on the folder or on a file in it failed.
     #[error("maintenance: {0}: {1}")]
     Io(PathBuf, io::Error),
-    /// Another process has it.
+    /// Another process has locked the store.
     #[error("maintenance: {0}: found another process of this name, expected none")]
     Busy(PathBuf),
-    /// Incomplete, or not written by this program. The state is lost.
+    /// The file is incomplete, or was not written by this program. The state is lost.
     #[error("maintenance: {path}: byte {at}: found {found}, expected what this program wrote")]
     Corrupt {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where the record begins that is wrong.
+        /// Offset of the invalid record, in bytes.
         at: usize,
-        /// What is wrong there.
+        /// Defect of the record.
         found: &'static str,
     },
-    /// The last record is incomplete. It was never answered for, and is ignored.
+    /// The last record is incomplete and is ignored. The acceptor has not answered for it.
     #[error("maintenance: {path}: byte {at}: found a last record that is not all there, left it out")]
     TruncatedTail {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where it begins.
+        /// Offset of the incomplete record, in bytes.
         at: usize,
     },
-    /// An earlier vote could not be persisted; nothing is persisted from then on.
+    /// An earlier vote could not be persisted. The store persists nothing after that.
     #[error("maintenance: {0}: an earlier vote could not be kept")]
     Failed(PathBuf),
 }
 
 impl StoreError {
-    /// What an operator can do.
+    /// Returns what an operator can do about it.
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
@@ -64,13 +65,13 @@
     }
 }
 
-/// Gives an [`io::Error`] the path that it concerns.
+/// Returns a function that adds `path` to an [`io::Error`].
 fn io_error(path: &Path) -> impl Fn(io::Error) -> StoreError {
     let path = path.to_owned();
     move |error| StoreError::Io(path.clone(), error)
 }
 
-/// The files of one gateway in a folder.
+/// Paths of the files of one gateway.
 #[derive(Debug)]
 struct StoreFiles {
     folder: PathBuf,
@@ -95,25 +96,26 @@
     }
 }
 
-/// A folder with one acceptor's state, which no other process may have at the same time.
+/// Store of one acceptor's state in a folder. A file lock prevents its use by two processes at the same time.
 #[derive(Debug)]
 pub struct Store {
     files: StoreFiles,
     log: File,
     _lock: File,
-    /// The number of the last record.
+    /// Sequence number of the last record.
     sequence: u64,
-    /// Records in the log.
+    /// Number of records in the log.
     log_records: u64,
     has_failed: bool,
 }
 
 impl Store {
-    /// Opens the store of the gateway of this name; gives what was in it, and what was wrong with it.
+    /// Opens the store of the gateway `name`. Returns the store, the persisted vote, and the defect that was found in the
+    /// files, `None` if they are intact.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be used, or another process has the store.
+    /// Fails if the folder cannot be used, or another process has locked the store.
     pub fn open(folder: &Path, name: &str) -> Result<(Self, PersistedVote, Option<StoreError>), StoreError> {
         fs::create_dir_all(folder).map_err(io_error(folder))?;
         let files = StoreFiles { folder: folder.to_owned(), name: name.to_owned() };
@@ -130,7 +132,7 @@
         let mut store = Self { files, log, _lock: lock, sequence, log_records: 0, has_failed: false };
         let vote = match last_record {
             Some(record) => {
-                // The records that follow must not come after an incomplete one.
+                // Later records must not be appended after an incomplete one, so a new snapshot clears the log.
                 store.write_snapshot(&record.state)?;
                 PersistedVote::Stored(record.state)
             }
@@ -142,11 +144,11 @@
         Ok((store, vote, problem))
     }
 
-    /// Persists a vote: after this has returned, no crash loses it.
+    /// Persists a vote. The vote survives any crash after this method has returned.
     ///
     /// # Errors
     ///
-    /// Fails where it cannot be written. Then the acceptor must not answer, and the store persists nothing more.
+    /// Fails if the vote cannot be written. The acceptor must then not answer, and the store persists nothing more.
     pub fn persist(&mut self, state: &AcceptorState) -> Result<(), StoreError> {
         if self.has_failed {
             return Err(StoreError::Failed(self.files.log()));
@@ -160,8 +162,9 @@
         written
     }
 
-    /// Sets aside files that cannot be used. The snapshot goes first: without it the log is not read, and a log that
-    /// is gone must not make an older snapshot look complete.
+    /// Renames an unusable snapshot and clears the log. The snapshot is renamed first, because the log is not read
+    /// without a snapshot. In the opposite order, a crash between the two steps would leave the snapshot without its log,
+    /// and an outdated vote would be read as complete.
     fn quarantine_files(&mut self) -> Result<(), StoreError> {
         let snapshot = self.files.snapshot();
         match fs::rename(&snapshot, self.files.path("torn")) {
@@ -188,16 +191,17 @@
 
     fn write_snapshot(&mut self, state: &AcceptorState) -> Result<(), StoreError> {
         let path = self.files.snapshot();
-        let next = self.files.path("next");
+        let staged = self.files.path("next");
         let record = encode_record(self.sequence, state).map_err(io_error(&path))?;
-        let written = File::create(&next).and_then(|mut file| {
+        let written = File::create(&staged).and_then(|mut file| {
             file.write_all(FILE_HEADER)?;
             file.write_all(&record)?;
             file.sync_all()
         });
-        written.and_then(|()| fs::rename(&next, &path)).map_err(io_error(&next))?;
+        written.and_then(|()| fs::rename(&staged, &path)).map_err(io_error(&staged))?;
         self.files.sync_folder()?;
-        // Records that the snapshot includes are skipped by their numbers, so a crash here does no harm.
+        // A crash before the log is cleared is harmless: records that the snapshot includes are skipped by their
+        // sequence numbers.
         self.clear_log()?;
         self.log_records = 0;
         Ok(())
--- a/crates/ashtide-maintenance/src/store/record.rs
+++ b/crates/ashtide-maintenance/src/store/record.rs
@@ -1,4 +1,4 @@
-//! The records that the files consist of: a header, then the state.
+//! Records in the files of a store. A record consists of a header and the encoded state.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -10,30 +10,31 @@
 use super::{StoreError, io_error};
 use crate::paxos::AcceptorState;
 
-/// What a snapshot begins with: the program and the version of the format.
+/// Header of a snapshot: the name of the program and the version of the format.
 pub(super) const FILE_HEADER: &[u8] = b"ashtide-maintenance 1\n";
-/// Records of the log before a new snapshot is written.
+/// Number of log records after which a new snapshot is written.
 pub(super) const MAX_LOG_RECORDS: u64 = 64;
-/// Length, its complement, and the first half of a SHA-256.
+/// Length of a record's header in bytes: the length of the body, its complement, and the checksum.
 const RECORD_HEADER_LEN: usize = 4 + 4 + CHECKSUM_LEN;
+/// Length of the checksum in bytes: the first half of a SHA-256 digest.
 const CHECKSUM_LEN: usize = 16;
-/// Longest record; a full queue takes less.
+/// Maximum length of a record's body, in bytes. A full queue needs less.
 const MAX_RECORD_LEN: usize = 8192;
-/// Longest file that is read.
+/// Maximum number of bytes that are read from a file.
 const MAX_FILE_LEN: u64 =
     (MAX_LOG_RECORDS + 1) * (MAX_RECORD_LEN + RECORD_HEADER_LEN) as u64 + FILE_HEADER.len() as u64;
 
-/// One persisted state.
+/// Persisted state with its sequence number.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Record {
     pub(super) sequence: u64,
     pub(super) state: AcceptorState,
 }
 
-/// What the files of a store hold.
+/// Contents of the files of a store.
 pub(super) struct LoadedRecords {
     pub(super) last_record: Option<Record>,
-    /// What was ignored.
+    /// Incomplete last record that was ignored.
     pub(super) problem: Option<StoreError>,
 }
 
@@ -49,7 +50,7 @@
     Ok(encoded)
 }
 
-/// The first record of `bytes`, and its length; none where it is incomplete.
+/// Returns the first record of `bytes` and its length in bytes, or `None` if it is incomplete.
 fn decode_record(bytes: &[u8]) -> Result<Option<(Record, usize)>, &'static str> {
     let Some((header, rest)) = bytes.split_at_checked(RECORD_HEADER_LEN) else { return Ok(None) };
     let number_at = |from: usize| {
@@ -83,7 +84,7 @@
     Ok(Some(bytes))
 }
 
-/// Reads the snapshot, and the records of the log that came after it.
+/// Reads the snapshot and the log records that follow it.
 pub(super) fn load(snapshot: &Path, log: &Path) -> Result<LoadedRecords, StoreError> {
     let log_bytes = read_file(log)?.unwrap_or_default();
     let Some(snapshot_bytes) = read_file(snapshot)? else {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Goes through the log from the snapshot's record on.
+/// Applies the log records that follow the snapshot's record `last`.
 fn replay_log(path: &Path, log: &[u8], mut last: Record) -> Result<LoadedRecords, StoreError> {
     let mut offset = 0;
     while offset < log.len() {
