--- a/crates/ashtide-maintenance/src/assembler.rs
+++ b/crates/ashtide-maintenance/src/assembler.rs
@@ -1,5 +1,5 @@
-//! Reassembly of messages from their parts. Parts are assigned to a message by a digest of the complete message, so that
-//! a retransmission supplies the parts that were lost.
+//! Reassembly of messages from their parts. Parts are assigned to a message by a digest of the complete
+//! message, so that a retransmission supplies the parts that were lost.
 
 use std::collections::VecDeque;
 
@@ -88,7 +88,8 @@
 }
 
 impl MessageAssembler {
-    /// Adds a datagram. Returns the message that it completes and the sender, or `None` if parts are still missing.
+    /// Adds a datagram. Returns the message that it completes and the sender, or `None` if parts are still
+    /// missing.
     ///
     /// # Errors
     ///
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Returns the index of the incomplete message that this part belongs to, and adds the message if it is new.
+    /// Returns the index of the incomplete message that this part belongs to, and adds the message if it is
+    /// new.
     fn partial_index(&mut self, header: &PartHeader) -> usize {
         if let Some(index) = self.partial.iter().position(|partial| partial.includes(header)) {
             return index;
--- a/crates/ashtide-maintenance/src/leased_state.rs
+++ b/crates/ashtide-maintenance/src/leased_state.rs
@@ -6,11 +6,13 @@
 use crate::mutation::{ActiveMutation, Mutation};
 use crate::queue::MaintenanceQueue;
 
-/// Copy of the queue with a lease. The lease starts when the read of the queue was sent, not when its answer arrived.
+/// Copy of the queue with a lease. The lease starts when the read of the queue was sent, not when its answer
+/// arrived.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeasedState {
     lease: Duration,
-    /// Time of the read by this gateway's own clock. `None` before the first read, and after the clock was set back.
+    /// Time of the read by this gateway's own clock. `None` before the first read, and after the clock was
+    /// set back.
     requested_at: Option<Duration>,
     queue: MaintenanceQueue,
     mutation: ActiveMutation,
@@ -34,8 +36,8 @@
         self.mutation.mutation = Some(mutation);
     }
 
-    /// Stores a queue that was current when it was requested, and renews the lease. A queue with a lower version than
-    /// the stored one is ignored. Returns whether the queue or its lease is newer than before.
+    /// Stores a queue that was current when it was requested, and renews the lease. A queue with a lower
+    /// version than the stored one is ignored. Returns whether the queue or its lease is newer than before.
     pub fn learn(&mut self, requested_at: Duration, now: Duration, queue: &MaintenanceQueue) -> bool {
         let starts_at_answer = self.mutation.is(Mutation::LeaseFromAnswerTime);
         let requested_at = if starts_at_answer { now } else { requested_at };
@@ -53,7 +55,8 @@
         is_newer || renews_lease
     }
 
-    /// Ends the lease. Called after the clock was set back, because the remaining time of the lease is then unknown.
+    /// Ends the lease. Called after the clock was set back, because the remaining time of the lease is then
+    /// unknown.
     pub fn invalidate(&mut self) {
         self.requested_at = None;
     }
@@ -78,7 +81,8 @@
         &self.queue
     }
 
-    /// Returns the machines that are cordoned at `now`, with their fencing tokens. Empty if the lease has expired.
+    /// Returns the machines that are cordoned at `now`, with their fencing tokens. Empty if the lease has
+    /// expired.
     #[must_use]
     pub fn machines_out(&self, now: Duration) -> BTreeMap<String, u64> {
         match self.valid_as_of(now) {
--- a/crates/ashtide-maintenance/src/lib.rs
+++ b/crates/ashtide-maintenance/src/lib.rs
@@ -1,11 +1,13 @@
 //! Maintenance queue: takes machines out of service in an order that the gateways of a fleet agree on.
 //!
-//! Operators send requests to any gateway. All gateways share one queue. The number of machines out at a time never
-//! exceeds its limit, whatever messages are lost or delayed and whichever gateways are partitioned, stalled or
-//! restarted. No server is taken out while fewer ready servers than the configured minimum would remain.
-//! `docs/design/maintenance.md` contains the safety argument and the alternatives that were not implemented.
+//! Operators send requests to any gateway. All gateways share one queue. The number of machines out at a time
+//! never exceeds its limit, whatever messages are lost or delayed and whichever gateways are partitioned,
+//! stalled or restarted. No server is taken out while fewer ready servers than the configured minimum would
+//! remain. `docs/design/maintenance.md` contains the safety argument and the alternatives that were not
+//! implemented.
 //!
-//! - [`MaintenanceQueue`]: the queue and the grants, with fencing tokens. One replicated value, modified by [`Change`].
+//! - [`MaintenanceQueue`]: the queue and the grants, with fencing tokens. One replicated value, modified by
+//!   [`Change`].
 //! - [`Acceptor`], [`Proposal`]: replication of that value to a majority of the configured acceptors (Paxos).
 //! - [`LeasedState`]: one gateway's copy of the value, and the lease during which the gateway may act on it.
 //! - [`Replica`]: the complete protocol of one gateway, without a socket, a file or a clock.
--- a/crates/ashtide-maintenance/src/message.rs
+++ b/crates/ashtide-maintenance/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between gateways, in datagrams of at most [`MAX_DATAGRAM`] bytes. A longer message is sent in several parts,
-//! which [`MessageAssembler`](crate::MessageAssembler) reassembles.
+//! Messages between gateways, in datagrams of at most [`MAX_DATAGRAM`] bytes. A longer message is sent in
+//! several parts, which [`MessageAssembler`](crate::MessageAssembler) reassembles.
 
 use ashtide_fleet::MAX_DATAGRAM;
 use ashtide_fleet::state::{Slot, mix};
@@ -9,7 +9,8 @@
 use crate::paxos::{AcceptorState, Ballot};
 use crate::queue::MaintenanceQueue;
 
-/// Version of this protocol, the first byte of each datagram. The other protocols of the fleet use other first bytes.
+/// Version of this protocol, the first byte of each datagram. The other protocols of the fleet use other
+/// first bytes.
 pub(crate) const VERSION: u8 = 0x4d;
 /// Length of the datagram header in bytes: version, fleet id, sender, digest, part number, part count.
 pub(crate) const HEADER_LEN: usize = 1 + 4 + 2 + 8 + 1 + 1;
@@ -129,13 +130,15 @@
     }
 }
 
-/// Returns the digest of a message, which distinguishes the parts of different messages and detects a corrupted part.
+/// Returns the digest of a message, which distinguishes the parts of different messages and detects a
+/// corrupted part.
 pub(crate) fn message_digest(bytes: &[u8]) -> u64 {
     let big_endian = |chunk: &[u8]| chunk.iter().fold(0, |value, &byte| value << 8 | u64::from(byte));
     bytes.chunks(8).fold(bytes.len() as u64, |digest, chunk| mix(digest, big_endian(chunk)))
 }
 
-/// Encodes a message as datagrams. Returns an empty list if the message needs more than [`MAX_PARTS`] datagrams.
+/// Encodes a message as datagrams. Returns an empty list if the message needs more than [`MAX_PARTS`]
+/// datagrams.
 pub fn encode_message(fleet_id: u32, from: Slot, message: &Message) -> Vec<Bytes> {
     // Serialization into a vector does not fail.
     let Ok(encoded) = postcard::to_allocvec(message) else { return Vec::new() };
--- a/crates/ashtide-maintenance/src/mutation.rs
+++ b/crates/ashtide-maintenance/src/mutation.rs
@@ -1,6 +1,6 @@
-//! Mutations: deliberate faults in the protocol, with which tests verify that the invariant checks detect them. Without
-//! the feature `mutation`, which only tests enable, no mutation can be activated and [`ActiveMutation::is`] always
-//! returns `false`.
+//! Mutations: deliberate faults in the protocol, with which tests verify that the invariant checks detect
+//! them. Without the feature `mutation`, which only tests enable, no mutation can be activated and
+//! [`ActiveMutation::is`] always returns `false`.
 
 /// Deliberate fault in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/ashtide-maintenance/src/paxos.rs
+++ b/crates/ashtide-maintenance/src/paxos.rs
@@ -1,5 +1,5 @@
-//! Replicated value stored by a majority of acceptors: CASPaxos (Rystsov 2018), which is single-decree Paxos in which
-//! each round reads the complete value, changes it and writes it back. It has no leader and no log.
+//! Replicated value stored by a majority of acceptors: CASPaxos (Rystsov 2018), which is single-decree Paxos
+//! in which each round reads the complete value, changes it and writes it back. It has no leader and no log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 
 use crate::queue::MaintenanceQueue;
 
-/// Identifier of one proposal. Ballots are unique: the rounds of a gateway increase within an incarnation, and the
-/// incarnations of a gateway have different numbers.
+/// Identifier of one proposal. Ballots are unique: the rounds of a gateway increase within an incarnation,
+/// and the incarnations of a gateway have different numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
     /// Round, higher than every round that the proposer has received.
@@ -105,8 +105,8 @@
     queue: MaintenanceQueue,
 }
 
-/// Round of a proposer: first a majority promises, then a majority accepts the changed value. A proposal is cancelled
-/// after a time-out, which bounds the period during which it may use the answers of acceptors.
+/// Round of a proposer: first a majority promises, then a majority accepts the changed value. A proposal is
+/// cancelled after a time-out, which bounds the period during which it may use the answers of acceptors.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Proposal {
     /// Ballot of the proposal.
@@ -143,8 +143,8 @@
         self.quorum = quorum;
     }
 
-    /// Handles an acceptor's promise, which contains its accepted value. Returns the value to change once a majority has
-    /// promised.
+    /// Handles an acceptor's promise, which contains its accepted value. Returns the value to change once a
+    /// majority has promised.
     pub fn handle_promise(
         &mut self,
         from: Slot,
@@ -173,7 +173,8 @@
         self.value.as_ref()
     }
 
-    /// Handles the confirmation of an acceptor that it has accepted the value. Returns whether a majority has done so.
+    /// Handles the confirmation of an acceptor that it has accepted the value. Returns whether a majority has
+    /// done so.
     pub fn handle_accepted(&mut self, from: Slot, ballot: Ballot) -> bool {
         if ballot != self.ballot || self.value.is_none() || !self.acceptors.contains(&from) {
             return false;
--- a/crates/ashtide-maintenance/src/queue/change.rs
+++ b/crates/ashtide-maintenance/src/queue/change.rs
@@ -7,8 +7,8 @@
 /// Change of the queue.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Change {
-    /// No change: writes the current value again after a proposer stopped in the middle of a round and left the
-    /// acceptors with different values.
+    /// No change: writes the current value again after a proposer stopped in the middle of a round and left
+    /// the acceptors with different values.
     Nothing,
     /// An operator requests maintenance of a machine.
     Request {
@@ -60,7 +60,8 @@
         /// Fencing token of the grant.
         token: u64,
     },
-    /// A gateway takes over a grant with a new fencing token, because no message from the holder has been received.
+    /// A gateway takes over a grant with a new fencing token, because no message from the holder has been
+    /// received.
     TakeOver {
         /// Name of the machine.
         name: String,
@@ -69,7 +70,8 @@
         /// Gateway that becomes the holder.
         holder: Slot,
     },
-    /// A released machine is removed, because all gateways have learned of the release or their leases have expired.
+    /// A released machine is removed, because all gateways have learned of the release or their leases have
+    /// expired.
     Removed {
         /// Name of the machine.
         name: String,
@@ -79,7 +81,8 @@
 }
 
 impl Change {
-    /// Returns the id of the operator's request that this change executes, `None` if no operator requested it.
+    /// Returns the id of the operator's request that this change executes, `None` if no operator requested
+    /// it.
     #[must_use]
     pub fn request_id(&self) -> Option<u64> {
         match self {
@@ -122,8 +125,8 @@
     /// The machine is not in the queue.
     #[error("the machine neither waits nor is out")]
     NotQueued,
-    /// The machine is past the phase in which this change is possible. Maintenance of a machine that is out ends with
-    /// `done`.
+    /// The machine is past the phase in which this change is possible. Maintenance of a machine that is out
+    /// ends with `done`.
     #[error("the machine is out; it is not waiting any more")]
     AlreadyOut,
     /// The machine is not out.
--- a/crates/ashtide-maintenance/src/queue/mod.rs
+++ b/crates/ashtide-maintenance/src/queue/mod.rs
@@ -1,5 +1,5 @@
-//! Value that all gateways agree on: the queue of machines, the grants, and the last fencing token. Each proposal
-//! replaces the complete value.
+//! Value that all gateways agree on: the queue of machines, the grants, and the last fencing token. Each
+//! proposal replaces the complete value.
 
 mod apply;
 mod change;
@@ -19,7 +19,8 @@
 pub const MAX_NAME: usize = 48;
 /// Maximum length of a reason, in bytes.
 pub const MAX_REASON: usize = 48;
-/// Maximum number of completed requests whose ids are stored, so that a repeated request is applied only once.
+/// Maximum number of completed requests whose ids are stored, so that a repeated request is applied only
+/// once.
 pub const MAX_COMPLETED_REQUESTS: usize = 16;
 
 /// Kind of a machine.
@@ -36,22 +37,24 @@
 pub enum Phase {
     /// The machine waits for a grant.
     Queued,
-    /// The machine is granted and drains: gateways send it no new connections and migrate its open connections.
+    /// The machine is granted and drains: gateways send it no new connections and migrate its open
+    /// connections.
     Draining {
         /// Fencing token of the grant.
         token: u64,
         /// Gateway that proposes the end of the drain.
         holder: Slot,
     },
-    /// The machine is out for maintenance: it has no open connections, or the drain has reached its time limit.
+    /// The machine is out for maintenance: it has no open connections, or the drain has reached its time
+    /// limit.
     Out {
         /// Fencing token of the grant.
         token: u64,
         /// Gateway that proposes the release after the maximum time out.
         holder: Slot,
     },
-    /// The machine is back in service. It still counts as out, because some gateways may not have learned of the release
-    /// yet.
+    /// The machine is back in service. It still counts as out, because some gateways may not have learned of
+    /// the release yet.
     Released {
         /// Fencing token of the ended grant.
         token: u64,
@@ -87,8 +90,8 @@
     pub name: String,
     /// Reason stated by the operator.
     pub reason: String,
-    /// Unix time of the request in milliseconds, by the clock of the gateway that received it. It is shown to operators
-    /// and determines the order of the queue.
+    /// Unix time of the request in milliseconds, by the clock of the gateway that received it. It is shown to
+    /// operators and determines the order of the queue.
     pub requested_at_ms: u64,
     /// Id of the request that added the entry.
     pub request_id: u64,
--- a/crates/ashtide-maintenance/src/replica/catch_up.rs
+++ b/crates/ashtide-maintenance/src/replica/catch_up.rs
@@ -42,7 +42,8 @@
 impl Replica {
     pub(super) fn continue_catch_up(&mut self) {
         let now = self.observed_time;
-        // Proposals that may use an answer that this acceptor sent before it lost its state have ended by then.
+        // Proposals that may use an answer that this acceptor sent before it lost its state have ended by
+        // then.
         let initial_wait = self.config.timing.proposal_timeout * 2 + self.config.timing.margin;
         let Some(catch_up) = &mut self.catch_up else { return };
         if now < catch_up.started_at + initial_wait || now < catch_up.next_request_at {
@@ -65,9 +66,9 @@
         self.finish_catch_up();
     }
 
-    /// Ends the catch-up and starts to vote once enough replies have arrived. That is the case if the number of states
-    /// is large enough to intersect every majority that included this acceptor. In a new fleet, it is also the case if
-    /// all other acceptors have replied and all states are initial.
+    /// Ends the catch-up and starts to vote once enough replies have arrived. That is the case if the number
+    /// of states is large enough to intersect every majority that included this acceptor. In a new fleet, it
+    /// is also the case if all other acceptors have replied and all states are initial.
     fn finish_catch_up(&mut self) {
         let Some(catch_up) = &self.catch_up else { return };
         let acceptors = self.config.acceptors.len();
--- a/crates/ashtide-maintenance/src/replica/config.rs
+++ b/crates/ashtide-maintenance/src/replica/config.rs
@@ -15,13 +15,15 @@
 pub struct TimingConfig {
     /// Duration for which a gateway may act on the queue, starting when the read was sent.
     pub lease: Duration,
-    /// Additional time that other gateways wait for the end of a lease, because clocks run at different rates.
+    /// Additional time that other gateways wait for the end of a lease, because clocks run at different
+    /// rates.
     pub margin: Duration,
     /// Time-out of a proposal.
     pub proposal_timeout: Duration,
     /// Interval between a gateway's reads of the queue.
     pub read_interval: Duration,
-    /// Difference between the delays of successive gateways before they propose changes that any acceptor may propose.
+    /// Difference between the delays of successive gateways before they propose changes that any acceptor may
+    /// propose.
     pub takeover_step: Duration,
     /// Maximum duration of a drain.
     pub max_drain: Duration,
@@ -32,7 +34,8 @@
 }
 
 impl TimingConfig {
-    /// Returns the time without a report after which the lease of a gateway must have expired, whatever its clock rate.
+    /// Returns the time without a report after which the lease of a gateway must have expired, whatever its
+    /// clock rate.
     pub(super) fn silence_limit(&self) -> Duration {
         self.lease + self.margin
     }
@@ -92,7 +95,8 @@
     pub ready_servers: BTreeSet<String>,
     /// Number of open connections of this gateway by server name.
     pub open_connections: BTreeMap<String, u32>,
-    /// Gateways that may have open connections. A drain ends once all of them have reported that they have none.
+    /// Gateways that may have open connections. A drain ends once all of them have reported that they have
+    /// none.
     pub present_gateways: BTreeSet<Slot>,
 }
 
--- a/crates/ashtide-maintenance/src/replica/due.rs
+++ b/crates/ashtide-maintenance/src/replica/due.rs
@@ -1,4 +1,5 @@
-//! Changes that are due according to this gateway's copy of the queue, and the delay after which it may propose them.
+//! Changes that are due according to this gateway's copy of the queue, and the delay after which it may
+//! propose them.
 
 use std::time::Duration;
 
@@ -78,8 +79,8 @@
         self.observed_time >= last_report_at + self.config.timing.silence_limit()
     }
 
-    /// Checks whether the drain of a machine is complete: no gateway has open connections to it, the time limit is
-    /// reached, or the machine is a gateway, whose drain is not waited for.
+    /// Checks whether the drain of a machine is complete: no gateway has open connections to it, the time
+    /// limit is reached, or the machine is a gateway, whose drain is not waited for.
     fn is_drained(&self, entry: &MaintenanceEntry, token: u64) -> bool {
         let has_none = |slot: &Slot| {
             let report = self.peer_reports.get(slot);
@@ -109,14 +110,14 @@
         grants
     }
 
-    /// Checks whether this gateway may propose changes that any acceptor may propose and that have been due since
-    /// `due_since`. Each present acceptor waits one step longer than the acceptor ranked before it.
+    /// Checks whether this gateway may propose changes that any acceptor may propose and that have been due
+    /// since `due_since`. Each present acceptor waits one step longer than the acceptor ranked before it.
     pub(super) fn may_take_over(&self, due_since: Duration) -> bool {
         self.observed_time >= due_since + self.config.timing.takeover_step * self.takeover_rank()
     }
 
-    /// Returns the number of present acceptors that are ranked before this gateway by a rendezvous hash of the queue's
-    /// version.
+    /// Returns the number of present acceptors that are ranked before this gateway by a rendezvous hash of
+    /// the queue's version.
     fn takeover_rank(&self) -> u32 {
         let own = self.config.own_slot;
         let limit = self.config.timing.silence_limit();
--- a/crates/ashtide-maintenance/src/replica/learner.rs
+++ b/crates/ashtide-maintenance/src/replica/learner.rs
@@ -15,7 +15,8 @@
 const MAX_OUTSTANDING_READS: usize = 4;
 /// Maximum number of values that are stored by their ballots.
 const MAX_KNOWN_VALUES: usize = 4;
-/// Number of successive reads that found different values at the acceptors after which the value is written again.
+/// Number of successive reads that found different values at the acceptors after which the value is written
+/// again.
 const MAX_SPLIT_READS: u32 = 2;
 /// Number of reads after which the mutation `UnsyncedVote` persists a delayed vote.
 const UNSYNCED_VOTE_READS: u64 = 8;
@@ -65,7 +66,8 @@
         self.next_read_at = now;
     }
 
-    /// Checks whether successive reads found different values at the acceptors, so that the value must be written again.
+    /// Checks whether successive reads found different values at the acceptors, so that the value must be
+    /// written again.
     pub(super) fn is_split(&self) -> bool {
         self.split_reads >= MAX_SPLIT_READS
     }
@@ -94,9 +96,9 @@
         sequence
     }
 
-    /// Records an acceptor's answer. Returns the time at which the read was sent once a quorum has answered with the same
-    /// ballot. The value of that ballot is then chosen, and it is current as of that time: a later ballot chosen before
-    /// the read would be contained in at least one answer.
+    /// Records an acceptor's answer. Returns the time at which the read was sent once a quorum has answered
+    /// with the same ballot. The value of that ballot is then chosen, and it is current as of that time: a
+    /// later ballot chosen before the read would be contained in at least one answer.
     fn record_answer(
         &mut self,
         from: Slot,
--- a/crates/ashtide-maintenance/src/replica/mod.rs
+++ b/crates/ashtide-maintenance/src/replica/mod.rs
@@ -1,5 +1,6 @@
-//! Replica of the maintenance queue in one gateway: it votes, reads the queue, proposes the changes that are due, and
-//! cordons the machines that are out. Each Paxos role has its own file; this file contains the shared parts.
+//! Replica of the maintenance queue in one gateway: it votes, reads the queue, proposes the changes that are
+//! due, and cordons the machines that are out. Each Paxos role has its own file; this file contains the
+//! shared parts.
 
 mod acceptor;
 mod catch_up;
@@ -29,9 +30,9 @@
 use learner::{CordonedMachine, Reader};
 use proposer::Proposer;
 
-/// Longest step of the observed time. A longer time between two clock readings means that the process stalled or the
-/// clock was set forward. Which of the two happened is unknown, so the excess doesn't count as time in which another
-/// gateway's lease has expired.
+/// Longest step of the observed time. A longer time between two clock readings means that the process stalled
+/// or the clock was set forward. Which of the two happened is unknown, so the excess doesn't count as time in
+/// which another gateway's lease has expired.
 const MAX_OBSERVED_STEP: Duration = Duration::from_millis(100);
 /// Interval at which a request is sent again to acceptors that have not answered.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(150);
@@ -76,9 +77,9 @@
 }
 
 impl Replica {
-    /// Creates a replica that starts at `now`. `incarnation` must differ from those of all earlier processes of this
-    /// gateway, even if its disk was lost. Suitable numbers are the Unix time in milliseconds, or the persisted
-    /// incarnation plus one.
+    /// Creates a replica that starts at `now`. `incarnation` must differ from those of all earlier processes
+    /// of this gateway, even if its disk was lost. Suitable numbers are the Unix time in milliseconds, or the
+    /// persisted incarnation plus one.
     #[must_use]
     pub fn new(config: ReplicaConfig, incarnation: u64, vote: PersistedVote, now: Duration) -> Self {
         let (acceptor, catch_up) = match vote {
@@ -163,8 +164,8 @@
         self.cordoned.iter().filter(move |(_, machine)| machine.kind == kind).map(|(name, _)| name.as_str())
     }
 
-    /// Requests maintenance of a machine for an operator. Returns the request id, which its [`Action::Answer`] contains,
-    /// or `None` if [`MAX_PENDING_REQUESTS`] requests are pending.
+    /// Requests maintenance of a machine for an operator. Returns the request id, which its
+    /// [`Action::Answer`] contains, or `None` if [`MAX_PENDING_REQUESTS`] requests are pending.
     pub fn request(
         &mut self,
         kind: MachineKind,
@@ -181,12 +182,14 @@
         })
     }
 
-    /// Cancels the maintenance of a machine for an operator. Returns the request id like [`request`](Self::request).
+    /// Cancels the maintenance of a machine for an operator. Returns the request id like
+    /// [`request`](Self::request).
     pub fn cancel(&mut self, name: &str) -> Option<u64> {
         self.enqueue_request(|request_id| Change::Cancel { request_id, name: name.to_owned() })
     }
 
-    /// Ends the maintenance of a machine for an operator. Returns the request id like [`request`](Self::request).
+    /// Ends the maintenance of a machine for an operator. Returns the request id like
+    /// [`request`](Self::request).
     pub fn complete(&mut self, name: &str) -> Option<u64> {
         self.enqueue_request(|request_id| Change::Done { request_id, name: name.to_owned() })
     }
@@ -207,7 +210,8 @@
     ///
     /// Returns the reason why the datagram is rejected.
     pub fn handle_datagram(&mut self, now: Duration, datagram: &[u8]) -> Result<(), DecodeError> {
-        // The clock is updated before the datagram is handled, because the lease may have expired during a stall.
+        // The clock is updated before the datagram is handled, because the lease may have expired during a
+        // stall.
         self.update_clock(now);
         match self.decode(datagram) {
             Ok(Some((from, message))) => {
@@ -244,8 +248,8 @@
         self.apply_leased_state();
     }
 
-    /// Ends the lease, the proposal and the reads, because the time since their start is unknown after the clock was set
-    /// back.
+    /// Ends the lease, the proposal and the reads, because the time since their start is unknown after the
+    /// clock was set back.
     fn handle_clock_set_back(&mut self, now: Duration) {
         self.leased_state.invalidate();
         self.proposer.attempt = None;
@@ -366,8 +370,8 @@
     }
 }
 
-/// Checks the invariant M1: the number of different machines that all gateways together cordon at a time is at most
-/// `most`. A single gateway cannot check this.
+/// Checks the invariant M1: the number of different machines that all gateways together cordon at a time is
+/// at most `most`. A single gateway cannot check this.
 ///
 /// # Errors
 ///
--- a/crates/ashtide-maintenance/src/replica/proposer.rs
+++ b/crates/ashtide-maintenance/src/replica/proposer.rs
@@ -102,8 +102,8 @@
 }
 
 impl Replica {
-    /// Adds an operator's request to the pending ones. Returns the request id, or `None` if [`MAX_PENDING_REQUESTS`]
-    /// requests are pending.
+    /// Adds an operator's request to the pending ones. Returns the request id, or `None` if
+    /// [`MAX_PENDING_REQUESTS`] requests are pending.
     pub(super) fn enqueue_request(&mut self, change: impl FnOnce(u64) -> Change) -> Option<u64> {
         if self.proposer.pending_requests.len() >= MAX_PENDING_REQUESTS {
             return None;
--- a/crates/ashtide-maintenance/src/store/mod.rs
+++ b/crates/ashtide-maintenance/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! Acceptor state on disk: a snapshot, which is written to a temporary file and renamed, and a short log of the records
-//! since that snapshot.
+//! Acceptor state on disk: a snapshot, which is written to a temporary file and renamed, and a short log of
+//! the records since that snapshot.
 //!
-//! A vote is durable once [`Store::persist`] has returned. An incomplete last record belongs to a call that did not
-//! return, and is ignored. Any other record that does not match its checksum is reported, and the state counts as lost:
-//! the acceptor then catches up from the other acceptors before it votes.
+//! A vote is durable once [`Store::persist`] has returned. An incomplete last record belongs to a call that
+//! did not return, and is ignored. Any other record that does not match its checksum is reported, and the
+//! state counts as lost: the acceptor then catches up from the other acceptors before it votes.
 
 mod record;
 
@@ -110,8 +110,8 @@
 }
 
 impl Store {
-    /// Opens the store of the gateway `name`. Returns the store, the persisted vote, and the defect that was found in the
-    /// files, `None` if they are intact.
+    /// Opens the store of the gateway `name`. Returns the store, the persisted vote, and the defect that was
+    /// found in the files, `None` if they are intact.
     ///
     /// # Errors
     ///
@@ -132,7 +132,8 @@
         let mut store = Self { files, log, _lock: lock, sequence, log_records: 0, has_failed: false };
         let vote = match last_record {
             Some(record) => {
-                // Later records must not be appended after an incomplete one, so a new snapshot clears the log.
+                // Later records must not be appended after an incomplete one, so a new snapshot clears the
+                // log.
                 store.write_snapshot(&record.state)?;
                 PersistedVote::Stored(record.state)
             }
@@ -148,7 +149,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the vote cannot be written. The acceptor must then not answer, and the store persists nothing more.
+    /// Fails if the vote cannot be written. The acceptor must then not answer, and the store persists nothing
+    /// more.
     pub fn persist(&mut self, state: &AcceptorState) -> Result<(), StoreError> {
         if self.has_failed {
             return Err(StoreError::Failed(self.files.log()));
@@ -162,9 +164,9 @@
         written
     }
 
-    /// Renames an unusable snapshot and clears the log. The snapshot is renamed first, because the log is not read
-    /// without a snapshot. In the opposite order, a crash between the two steps would leave the snapshot without its log,
-    /// and an outdated vote would be read as complete.
+    /// Renames an unusable snapshot and clears the log. The snapshot is renamed first, because the log is not
+    /// read without a snapshot. In the opposite order, a crash between the two steps would leave the snapshot
+    /// without its log, and an outdated vote would be read as complete.
     fn quarantine_files(&mut self) -> Result<(), StoreError> {
         let snapshot = self.files.snapshot();
         match fs::rename(&snapshot, self.files.path("torn")) {
@@ -200,8 +202,8 @@
         });
         written.and_then(|()| fs::rename(&staged, &path)).map_err(io_error(&staged))?;
         self.files.sync_folder()?;
-        // A crash before the log is cleared is harmless: records that the snapshot includes are skipped by their
-        // sequence numbers.
+        // A crash before the log is cleared is harmless: records that the snapshot includes are skipped by
+        // their sequence numbers.
         self.clear_log()?;
         self.log_records = 0;
         Ok(())
--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -37,8 +37,8 @@
     assert!(measure(QuotaPolicy::StaticSplit, LoadScenario::ZoneChange, 0).used < 0.4);
 }
 
-/// Single gateway with the complete quotas of two partners: each 10 connections per second with a burst of 1
-/// s, and 20 open connections.
+/// Single gateway with the complete quotas of two partners. Each quota is 10 connections per second with a
+/// burst of 1 s, and 20 open connections.
 struct SingleGateway {
     state: Exchange,
     quota: Quota,
