--- a/crates/ashtide-maintenance/tests/compatibility.rs
+++ b/crates/ashtide-maintenance/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! The bytes and texts that gateways of other builds, disks and operators rely on, against stored ones.
+//! Compatibility of messages, stored files and operator-facing texts with fixtures from earlier builds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -13,83 +13,80 @@
     RequestOutcome, Store, StoreError, TimingConfig, Violation, encode_message,
 };
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         let _ = write!(text, "{byte:02x}");
         text
     })
 }
 
-fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len() / 2).map(|at| u8::from_str_radix(&text[2 * at..2 * at + 2], 16).expect("hex")).collect()
+fn decode_hex(text: &str) -> Vec<u8> {
+    (0..text.len() / 2)
+        .map(|index| u8::from_str_radix(&text[2 * index..2 * index + 2], 16).expect("hex"))
+        .collect()
 }
 
-fn fixture(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility").join(name)
 }
 
-fn stored(name: &str) -> String {
-    fs::read_to_string(fixture(name)).unwrap_or_default()
+fn fixture_text(name: &str) -> String {
+    fs::read_to_string(fixture_path(name)).unwrap_or_default()
 }
 
-/// Compares with the stored text; the first line that differs is named.
-fn same_as_stored(name: &str, found: &str) {
-    let stored = stored(name);
-    for (number, (found, stored)) in found.lines().zip(stored.lines()).enumerate() {
-        assert_eq!(found, stored, "{name}, line {}", number + 1);
+/// Asserts that a text equals a fixture, and reports the first line that differs.
+fn assert_equals_fixture(name: &str, found: &str) {
+    let expected = fixture_text(name);
+    for (number, (found, expected)) in found.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(found, expected, "{name}, line {}", number + 1);
     }
-    if found != stored {
-        let aside = std::env::temp_dir().join(format!("ashtide-maintenance-compatibility-{name}"));
-        fs::write(&aside, found).expect("written aside");
-        panic!("{name} has another length, see {}", aside.display());
+    if found != expected {
+        let found_path = std::env::temp_dir().join(format!("ashtide-maintenance-compatibility-{name}"));
+        fs::write(&found_path, found).expect("the found text is written");
+        panic!("{name} has another length than the text in {}", found_path.display());
     }
 }
 
-fn row(kind: MachineKind, name: &str, call: u64, phase: Phase) -> MaintenanceEntry {
+fn entry(kind: MachineKind, name: &str, request_id: u64, phase: Phase) -> MaintenanceEntry {
     let (name, reason) = (name.to_owned(), "a new disk".to_owned());
     MaintenanceEntry {
         kind,
         name,
         reason,
         requested_at_ms: 1_700_000_000_000,
-        request_id: call,
-        phase_version: 900 + call % 10,
+        request_id,
+        phase_version: 900 + request_id % 10,
         phase,
     }
 }
 
-/// One machine of each phase.
-fn table() -> MaintenanceQueue {
-    let rows = vec![
-        row(MachineKind::Server, "s-1", 1, Phase::Queued),
-        row(MachineKind::Gateway, "127.0.0.1:7947", 2, Phase::Draining { token: 500, holder: Slot(1) }),
-        row(MachineKind::Server, "s-3", u64::MAX - 300, Phase::Out { token: 501, holder: Slot(300) }),
-        row(MachineKind::Server, "s-4", 4, Phase::Released { token: 502 }),
+/// Returns a queue with one machine in each phase.
+fn queue() -> MaintenanceQueue {
+    let entries = vec![
+        entry(MachineKind::Server, "s-1", 1, Phase::Queued),
+        entry(MachineKind::Gateway, "127.0.0.1:7947", 2, Phase::Draining { token: 500, holder: Slot(1) }),
+        entry(MachineKind::Server, "s-3", u64::MAX - 300, Phase::Out { token: 501, holder: Slot(300) }),
+        entry(MachineKind::Server, "s-4", 4, Phase::Released { token: 502 }),
     ];
-    MaintenanceQueue {
-        version: 1_000,
-        last_token: 502,
-        entries: rows,
-        completed_requests: vec![1, 2, u64::MAX],
-    }
+    MaintenanceQueue { version: 1_000, last_token: 502, entries, completed_requests: vec![1, 2, u64::MAX] }
 }
 
 fn vote() -> AcceptorState {
     AcceptorState {
         promised: Ballot { round: 300, slot: 2, incarnation: 1_700_000_000_000 },
         accepted: Ballot { round: 299, slot: 513, incarnation: 7 },
-        queue: table(),
+        queue: queue(),
     }
 }
 
 fn messages() -> Vec<Message> {
-    let AcceptorState { promised: ballot, accepted, queue: table } = vote();
+    let AcceptorState { promised: ballot, accepted, queue } = vote();
     let incarnation = 1_700_000_000_001;
     let sequence = 70_000;
     vec![
         Message::Prepare { ballot },
-        Message::Promise { ballot, accepted, queue: table.clone() },
-        Message::Accept { ballot, queue: table.clone() },
+        Message::Promise { ballot, accepted, queue: queue.clone() },
+        Message::Accept { ballot, queue: queue.clone() },
         Message::Accepted { ballot },
         Message::Nack { ballot, promised: accepted },
         Message::ReadRequest {
@@ -99,7 +96,7 @@
             acting_version: 1_000,
             open_connections: vec![(500, 3), (501, 70_000)],
         },
-        Message::ReadReply { incarnation, sequence, accepted, queue: Some(table) },
+        Message::ReadReply { incarnation, sequence, accepted, queue: Some(queue) },
         Message::ReadReply { incarnation, sequence, accepted, queue: None },
         Message::CatchUpRequest { incarnation },
         Message::CatchUpReply { incarnation, state: Some(vote()) },
@@ -122,29 +119,29 @@
 }
 
 #[test]
-fn messages_are_written_and_read_the_same() {
+fn messages_are_encoded_and_decoded_as_in_the_fixture() {
     let mut text = String::new();
     for message in messages() {
         let datagrams: Vec<String> =
-            encode_message(7, Slot(513), &message).iter().map(|datagram| hex(datagram)).collect();
+            encode_message(7, Slot(513), &message).iter().map(|datagram| encode_hex(datagram)).collect();
         let _ = writeln!(text, "{} {}", message_kind(&message), datagrams.join(" "));
     }
-    same_as_stored("messages.txt", &text);
-    for (line, message) in stored("messages.txt").lines().zip(messages()) {
-        let mut halves = MessageAssembler::default();
-        let mut datagrams: Vec<Vec<u8>> = line.split(' ').skip(1).map(unhex).collect();
+    assert_equals_fixture("messages.txt", &text);
+    for (line, message) in fixture_text("messages.txt").lines().zip(messages()) {
+        let mut assembler = MessageAssembler::default();
+        let mut datagrams: Vec<Vec<u8>> = line.split(' ').skip(1).map(decode_hex).collect();
         let last = datagrams.remove(0);
-        // In any order: the first comes last.
+        // Parts are accepted in any order; here the first part is added last.
         for datagram in datagrams.iter().rev() {
-            assert_eq!(halves.add_datagram(7, datagram), Ok(None), "{line}");
+            assert_eq!(assembler.add_datagram(7, datagram), Ok(None), "{line}");
         }
-        assert_eq!(halves.add_datagram(7, &last), Ok(Some((Slot(513), message))), "{line}");
-        assert!(halves.is_empty());
+        assert_eq!(assembler.add_datagram(7, &last), Ok(Some((Slot(513), message))), "{line}");
+        assert!(assembler.is_empty());
     }
 }
 
-fn unheard_text(why: DecodeError) -> &'static str {
-    match why {
+fn decode_error_label(reason: DecodeError) -> &'static str {
+    match reason {
         DecodeError::Length => "length",
         DecodeError::Version => "version",
         DecodeError::OtherFleet => "tier",
@@ -154,63 +151,64 @@
 }
 
 #[test]
-fn why_a_datagram_is_not_heard_is_told_the_same() {
+fn decode_errors_are_reported_as_in_the_fixture() {
     let mut text = String::new();
-    for why in [
+    for reason in [
         DecodeError::Length,
         DecodeError::Version,
         DecodeError::OtherFleet,
         DecodeError::Malformed,
         DecodeError::UnknownSender,
     ] {
-        let _ = writeln!(text, "{}: {why}; {}", unheard_text(why), why.help());
+        let _ = writeln!(text, "{}: {reason}; {}", decode_error_label(reason), reason.help());
     }
-    let [good] = &encode_message(7, Slot(1), &Message::CatchUpRequest { incarnation: 9 })[..] else {
-        panic!("one datagram")
+    let [valid] = &encode_message(7, Slot(1), &Message::CatchUpRequest { incarnation: 9 })[..] else {
+        panic!("the message needs one datagram")
     };
-    let with = |at: usize, value: u8| {
-        let mut bytes = good.to_vec();
-        bytes[at] = value;
+    let with_byte = |index: usize, value: u8| {
+        let mut bytes = valid.to_vec();
+        bytes[index] = value;
         bytes
     };
     let cases = [
-        ("good", good.to_vec()),
+        ("good", valid.to_vec()),
         ("empty", Vec::new()),
-        ("short", good[..16].to_vec()),
+        ("short", valid[..16].to_vec()),
         ("long", vec![0x4d; 257]),
-        ("version", with(0, 0x53)),
-        ("tier", with(4, 8)),
-        ("no parts", with(16, 0)),
-        ("25 parts", with(16, 25)),
-        ("part over parts", with(15, 1)),
-        ("short part", with(16, 2)),
-        ("digest", with(8, 1)),
-        ("kind", with(17, 9)),
+        ("version", with_byte(0, 0x53)),
+        ("tier", with_byte(4, 8)),
+        ("no parts", with_byte(16, 0)),
+        ("25 parts", with_byte(16, 25)),
+        ("part over parts", with_byte(15, 1)),
+        ("short part", with_byte(16, 2)),
+        ("digest", with_byte(8, 1)),
+        ("kind", with_byte(17, 9)),
     ];
     for (name, bytes) in cases {
-        let told = match MessageAssembler::default().add_datagram(7, &bytes) {
+        let result = match MessageAssembler::default().add_datagram(7, &bytes) {
             Ok(Some((from, message))) => format!("{} of {}", message_kind(&message), from.0),
             Ok(None) => "a part".to_owned(),
-            Err(why) => format!("{} {why}", unheard_text(why)),
+            Err(reason) => format!("{} {reason}", decode_error_label(reason)),
         };
-        let _ = writeln!(text, "{name} {}: {told}", hex(&bytes[..bytes.len().min(30)]));
+        let _ = writeln!(text, "{name} {}: {result}", encode_hex(&bytes[..bytes.len().min(30)]));
     }
-    let mut node = node(0, PersistedVote::Lost);
+    let mut replica = new_replica(0, PersistedVote::Lost);
     for from in [0, 1, 9] {
         let [datagram] = &encode_message(7, Slot(from), &Message::CatchUpRequest { incarnation: 9 })[..]
         else {
-            panic!("one")
+            panic!("the message needs one datagram")
         };
-        let told = node.handle_datagram(Duration::ZERO, datagram).err().map_or("heard", unheard_text);
-        let _ = writeln!(text, "of {from}: {told}");
+        let result =
+            replica.handle_datagram(Duration::ZERO, datagram).err().map_or("heard", decode_error_label);
+        let _ = writeln!(text, "of {from}: {result}");
     }
-    same_as_stored("unheard.txt", &text);
+    assert_equals_fixture("unheard.txt", &text);
 }
 
 #[test]
-fn refusals_and_broken_invariants_are_told_the_same() {
+fn rejections_and_violations_are_reported_as_in_the_fixture() {
     let mut text = String::new();
-    for it in [
+    for rejection in [
         ChangeRejected::InvalidText,
         ChangeRejected::QueueFull,
         ChangeRejected::AlreadyQueued,
@@ -221,9 +219,9 @@
         ChangeRejected::LimitReached,
         ChangeRejected::TooFewReady,
     ] {
-        let _ = writeln!(text, "{it}; {}", it.help());
+        let _ = writeln!(text, "{rejection}; {}", rejection.help());
     }
-    for it in [
+    for violation in [
         Violation::TooManyOut { found: 2, names: "a, b".to_owned(), most: 1 },
         Violation::TooManyGranted { version: 1, found: 2, most: 1 },
         Violation::InvalidToken { version: 1, token: 5, last: 4 },
@@ -232,31 +230,32 @@
         Violation::LeaseExpired { age: Duration::from_secs(7), lease: Duration::from_secs(6) },
         Violation::DivergentValues { version: 1 },
     ] {
-        let _ = writeln!(text, "{it}; {}", it.help());
+        let _ = writeln!(text, "{violation}; {}", violation.help());
     }
-    same_as_stored("refusals.txt", &text);
+    assert_equals_fixture("refusals.txt", &text);
 }
 
-/// A folder of its own, gone at the end.
+/// Temporary folder, removed when the value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
-    fn new(what: &str) -> Self {
-        let name = format!("ashtide-maintenance-compatibility-{}-{what}", std::process::id());
+    fn new(suffix: &str) -> Self {
+        let name = format!("ashtide-maintenance-compatibility-{}-{suffix}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the folder is created");
         Self(path)
     }
 
-    fn file(&self, what: &str) -> PathBuf {
-        self.0.join(format!("maintenance.n0.{what}"))
+    fn file(&self, suffix: &str) -> PathBuf {
+        self.0.join(format!("maintenance.n0.{suffix}"))
     }
 
-    fn put(&self, snapshot: Option<&[u8]>, log: Option<&[u8]>) {
-        for (what, bytes) in [("snapshot", snapshot), ("log", log)] {
+    /// Replaces the files of the store; `None` removes a file.
+    fn replace_files(&self, snapshot: Option<&[u8]>, log: Option<&[u8]>) {
+        for (suffix, bytes) in [("snapshot", snapshot), ("log", log)] {
             match bytes {
-                Some(bytes) => fs::write(self.file(what), bytes).expect("written"),
-                None => drop(fs::remove_file(self.file(what))),
+                Some(bytes) => fs::write(self.file(suffix), bytes).expect("the file is written"),
+                None => drop(fs::remove_file(self.file(suffix))),
             }
         }
         let _ = fs::remove_file(self.file("torn"));
@@ -269,54 +268,59 @@
     }
 }
 
+/// Returns the state after the ballot that [`vote`] has promised was accepted.
 fn later_vote() -> AcceptorState {
     AcceptorState { accepted: vote().promised, ..vote() }
 }
 
-/// A vote in a snapshot, and two that came after it in the log.
+/// Persists three votes: the first is stored in the snapshot, the others in the log.
 #[test]
-fn a_vote_is_on_disk_the_same() {
+fn votes_are_stored_as_in_the_fixture() {
     let folder = Folder::new("written");
-    let (mut store, memory, wrong) = Store::open(&folder.0, "n0").expect("it opens");
-    assert!(memory == PersistedVote::Lost && wrong.is_none());
+    let (mut store, persisted, problem) = Store::open(&folder.0, "n0").expect("the store opens");
+    assert!(persisted == PersistedVote::Lost && problem.is_none());
     for vote in [vote(), AcceptorState::default(), later_vote()] {
-        store.persist(&vote).expect("it is kept");
+        store.persist(&vote).expect("the vote is persisted");
     }
     let mut names: Vec<String> = fs::read_dir(&folder.0)
-        .expect("a folder")
-        .map(|it| it.expect("a file").file_name().to_string_lossy().into_owned())
+        .expect("the folder is created")
+        .map(|entry| entry.expect("the folder is readable").file_name().to_string_lossy().into_owned())
         .collect();
     names.sort();
     let (snapshot, log) = (fs::read(folder.file("snapshot")).unwrap(), fs::read(folder.file("log")).unwrap());
-    let text = format!("{}\n{}\n{}\n", names.join(" "), hex(&snapshot), hex(&log));
-    same_as_stored("store.txt", &text);
+    let text = format!("{}\n{}\n{}\n", names.join(" "), encode_hex(&snapshot), encode_hex(&log));
+    assert_equals_fixture("store.txt", &text);
 }
 
 #[test]
-fn a_vote_is_read_and_what_is_wrong_is_told_the_same() {
-    let fixture = stored("store.txt");
-    let mut lines = fixture.lines().skip(1).map(unhex);
-    let (snapshot, log) = (lines.next().expect("a snapshot"), lines.next().expect("a log"));
+fn votes_and_file_defects_are_read_as_in_the_fixture() {
+    let fixture = fixture_text("store.txt");
+    let mut lines = fixture.lines().skip(1).map(decode_hex);
+    let (snapshot, log) = (
+        lines.next().expect("the fixture contains a snapshot"),
+        lines.next().expect("the fixture contains a log"),
+    );
     let folder = Folder::new("read");
     let read = |snapshot: Option<&[u8]>, log: Option<&[u8]>| {
-        folder.put(snapshot, log);
-        let (_, memory, wrong) = Store::open(&folder.0, "n0").expect("it opens");
-        let wrong = wrong.map_or_else(String::new, |it| format!("{it}; {}", it.help()));
-        let memory = match memory {
-            PersistedVote::Stored(kept) if kept == vote() => "first",
-            PersistedVote::Stored(kept) if kept == AcceptorState::default() => "second",
-            PersistedVote::Stored(kept) if kept == later_vote() => "last",
+        folder.replace_files(snapshot, log);
+        let (_, persisted, problem) = Store::open(&folder.0, "n0").expect("the store opens");
+        let problem = problem.map_or_else(String::new, |error| format!("{error}; {}", error.help()));
+        let persisted = match persisted {
+            PersistedVote::Stored(state) if state == vote() => "first",
+            PersistedVote::Stored(state) if state == AcceptorState::default() => "second",
+            PersistedVote::Stored(state) if state == later_vote() => "last",
             PersistedVote::Stored(_) => "another",
             PersistedVote::Lost => "lost",
         };
-        format!("{memory} {}\n", wrong.replace(&folder.0.display().to_string(), "FOLDER"))
+        format!("{persisted} {}\n", problem.replace(&folder.0.display().to_string(), "FOLDER"))
     };
-    let flipped = |bytes: &[u8], at: usize| {
+    let with_flipped_bit = |bytes: &[u8], index: usize| {
         let mut bytes = bytes.to_vec();
-        bytes[at] ^= 1;
+        bytes[index] ^= 1;
         bytes
     };
-    let first = 24 + u32::from_be_bytes(log[..4].try_into().expect("a length")) as usize;
+    let first_record_len =
+        24 + u32::from_be_bytes(log[..4].try_into().expect("the log contains a length")) as usize;
     let mut text = String::new();
     for (name, snapshot, log) in [
         ("whole", Some(snapshot.clone()), Some(log.clone())),
@@ -324,147 +328,151 @@
         ("nothing", None, None),
         ("no snapshot", None, Some(log.clone())),
         ("cut log", Some(snapshot.clone()), Some(log[..log.len() - 1].to_vec())),
-        ("first record", Some(snapshot.clone()), Some(log[..first].to_vec())),
-        ("gap", Some(snapshot.clone()), Some(log[first..].to_vec())),
-        ("log length", Some(snapshot.clone()), Some(flipped(&log, 0))),
-        ("log checksum", Some(snapshot.clone()), Some(flipped(&log, 10))),
-        ("log body", Some(snapshot.clone()), Some(flipped(&log, first + 30))),
-        ("head", Some(flipped(&snapshot, 3)), Some(log.clone())),
-        ("snapshot length", Some(flipped(&snapshot, 22)), Some(log.clone())),
-        ("snapshot body", Some(flipped(&snapshot, 60)), Some(log.clone())),
+        ("first record", Some(snapshot.clone()), Some(log[..first_record_len].to_vec())),
+        ("gap", Some(snapshot.clone()), Some(log[first_record_len..].to_vec())),
+        ("log length", Some(snapshot.clone()), Some(with_flipped_bit(&log, 0))),
+        ("log checksum", Some(snapshot.clone()), Some(with_flipped_bit(&log, 10))),
+        ("log body", Some(snapshot.clone()), Some(with_flipped_bit(&log, first_record_len + 30))),
+        ("head", Some(with_flipped_bit(&snapshot, 3)), Some(log.clone())),
+        ("snapshot length", Some(with_flipped_bit(&snapshot, 22)), Some(log.clone())),
+        ("snapshot body", Some(with_flipped_bit(&snapshot, 60)), Some(log.clone())),
         ("cut snapshot", Some(snapshot[..60].to_vec()), Some(log.clone())),
     ] {
         let _ = write!(text, "{name}: {}", read(snapshot.as_deref(), log.as_deref()));
     }
-    let told = |it: StoreError| format!("{it}; {}", it.help());
+    let describe = |error: StoreError| format!("{error}; {}", error.help());
     let file = || PathBuf::from("FOLDER/file");
     let io = std::io::Error::other("no room");
-    for it in [StoreError::Io(file(), io), StoreError::Busy(file()), StoreError::Failed(file())] {
-        let _ = writeln!(text, "{}", told(it));
+    for error in [StoreError::Io(file(), io), StoreError::Busy(file()), StoreError::Failed(file())] {
+        let _ = writeln!(text, "{}", describe(error));
     }
-    same_as_stored("store-read.txt", &text);
+    assert_equals_fixture("store-read.txt", &text);
 }
 
-fn node(own: u16, memory: PersistedVote) -> Replica {
+/// Returns a replica of a fleet with three gateways that are all acceptors.
+fn new_replica(own: u16, persisted: PersistedVote) -> Replica {
     let slots: Vec<Slot> = (0..3).map(Slot).collect();
-    let rules = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 1 };
-    let terms = TimingConfig { max_work: Duration::from_secs(20), ..TimingConfig::default() };
-    let setup = ReplicaConfig {
+    let limits = Limits { max_servers_out: 1, max_gateways_out: 1, min_ready_servers: 1 };
+    let timing = TimingConfig { max_work: Duration::from_secs(20), ..TimingConfig::default() };
+    let config = ReplicaConfig {
         fleet_id: 7,
         own_slot: Slot(own),
         members: slots.clone(),
         acceptors: slots,
-        limits: rules,
-        timing: terms,
+        limits,
+        timing,
     };
-    Replica::new(setup, 1_000 + u64::from(own), memory, Duration::ZERO)
+    Replica::new(config, 1_000 + u64::from(own), persisted, Duration::ZERO)
 }
 
 fn outcome_text(outcome: RequestOutcome) -> String {
     match outcome {
         RequestOutcome::Committed => "done".to_owned(),
-        RequestOutcome::Rejected(why) => format!("refused, {why}"),
+        RequestOutcome::Rejected(reason) => format!("refused, {reason}"),
         RequestOutcome::Unknown => "unknown".to_owned(),
     }
 }
 
-/// What the driver is told, but for the lines of the log; datagrams go to `sent`.
+/// Describes an action, `None` for a log line. Adds the datagram of [`Action::Send`] to `sent`.
 fn action_text(action: Action, sent: &mut Vec<(Slot, Vec<u8>)>) -> Option<String> {
-    let kind = |kind| match kind {
+    let kind_text = |kind| match kind {
         MachineKind::Server => "server",
         MachineKind::Gateway => "gateway",
     };
     Some(match action {
-        Action::Persist(vote) => format!("persist {}", hex(&postcard::to_allocvec(&vote).expect("bytes"))),
+        Action::Persist(vote) => {
+            format!("persist {}", encode_hex(&postcard::to_allocvec(&vote).expect("bytes")))
+        }
         Action::Send(to, datagram) => {
-            let text = format!("send {} {}", to.0, hex(&datagram));
+            let text = format!("send {} {}", to.0, encode_hex(&datagram));
             sent.push((to, datagram.to_vec()));
             text
         }
-        Action::Drain { kind: it, name, token } => format!("drain {} {name} {token}", kind(it)),
-        Action::Return { kind: it, name } => format!("return {} {name}", kind(it)),
-        Action::Answer { request_id: call, outcome } => format!("answer {call} {}", outcome_text(outcome)),
+        Action::Drain { kind, name, token } => format!("drain {} {name} {token}", kind_text(kind)),
+        Action::Return { kind, name } => format!("return {} {name}", kind_text(kind)),
+        Action::Answer { request_id, outcome } => format!("answer {request_id} {}", outcome_text(outcome)),
         Action::Log(_) => return None,
     })
 }
 
-/// Three gateways take machines out, one of them with an empty disk and cut off for a while.
+/// Simulates maintenance of servers and a gateway by three gateways, one of which starts without a persisted
+/// state and is partitioned for a while.
 #[test]
-fn gateways_settle_the_same() {
-    let mut nodes: Vec<Replica> = (0..3)
-        .map(|own| {
-            node(
-                own,
-                if own == 2 { PersistedVote::Lost } else { PersistedVote::Stored(AcceptorState::default()) },
-            )
+fn three_gateways_execute_the_actions_in_the_fixture() {
+    let mut replicas: Vec<Replica> = (0..3)
+        .map(|own| match own {
+            2 => new_replica(own, PersistedVote::Lost),
+            _ => new_replica(own, PersistedVote::Stored(AcceptorState::default())),
         })
         .collect();
     let servers: BTreeSet<String> = ["s-1", "s-2", "s-3"].map(str::to_owned).into();
-    let there: BTreeSet<Slot> = (0..3).map(Slot).collect();
+    let present_gateways: BTreeSet<Slot> = (0..3).map(Slot).collect();
     let mut text = String::new();
     for step in 0..900_u64 {
         let now = Duration::from_millis(step * 50);
-        for at in 0..nodes.len() {
-            let open = BTreeMap::from([("s-1".to_owned(), if step < 150 { 2 } else { 0 })]);
-            nodes[at].set_observations(Observations {
+        for index in 0..replicas.len() {
+            let open_connections = BTreeMap::from([("s-1".to_owned(), if step < 150 { 2 } else { 0 })]);
+            replicas[index].set_observations(Observations {
                 ready_servers: servers.clone(),
-                open_connections: open,
-                present_gateways: there.clone(),
+                open_connections,
+                present_gateways: present_gateways.clone(),
             });
-            let call = match (step, at) {
-                (40, 0) => nodes[0].request(MachineKind::Server, "s-1", "a new disk", 5_000),
-                (45, 1) => nodes[1].request(MachineKind::Server, "s-2", "", 5_001),
-                (46, 2) => nodes[2].request(MachineKind::Gateway, "127.0.0.1:7947", "an upgrade", 5_002),
-                (47, 0) => nodes[0].request(MachineKind::Server, "s-1", "again", 5_003),
-                (60, 1) => nodes[1].cancel("s-9"),
-                (260, 2) => nodes[2].complete("s-1"),
-                (500, 0) => nodes[0].complete("127.0.0.1:7947"),
-                (520, 1) => nodes[1].request(MachineKind::Server, "s-3", "late", 5_004),
-                (530, 1) => nodes[1].cancel("s-3"),
+            let request_id = match (step, index) {
+                (40, 0) => replicas[0].request(MachineKind::Server, "s-1", "a new disk", 5_000),
+                (45, 1) => replicas[1].request(MachineKind::Server, "s-2", "", 5_001),
+                (46, 2) => replicas[2].request(MachineKind::Gateway, "127.0.0.1:7947", "an upgrade", 5_002),
+                (47, 0) => replicas[0].request(MachineKind::Server, "s-1", "again", 5_003),
+                (60, 1) => replicas[1].cancel("s-9"),
+                (260, 2) => replicas[2].complete("s-1"),
+                (500, 0) => replicas[0].complete("127.0.0.1:7947"),
+                (520, 1) => replicas[1].request(MachineKind::Server, "s-3", "late", 5_004),
+                (530, 1) => replicas[1].cancel("s-3"),
                 _ => None,
             };
-            if let Some(call) = call {
-                let _ = writeln!(text, "{} {at}: call {call}", now.as_millis());
+            if let Some(request_id) = request_id {
+                let _ = writeln!(text, "{} {index}: call {request_id}", now.as_millis());
             }
-            nodes[at].advance_to(now);
+            replicas[index].advance_to(now);
             let mut sent = Vec::new();
             loop {
-                while let Some(action) = nodes[at].next_action() {
+                while let Some(action) = replicas[index].next_action() {
                     if let Some(line) = action_text(action, &mut sent) {
-                        let _ = writeln!(text, "{} {at}: {line}", now.as_millis());
+                        let _ = writeln!(text, "{} {index}: {line}", now.as_millis());
                     }
                 }
                 if sent.is_empty() {
                     break;
                 }
                 for (to, datagram) in std::mem::take(&mut sent) {
-                    let cut = (300..480).contains(&step) && (at == 2) != (to.0 == 2);
-                    if !cut {
-                        nodes[usize::from(to.0)].handle_datagram(now, &datagram).expect("sound");
+                    let is_partitioned = (300..480).contains(&step) && (index == 2) != (to.0 == 2);
+                    if !is_partitioned {
+                        replicas[usize::from(to.0)]
+                            .handle_datagram(now, &datagram)
+                            .expect("the datagram is valid");
                     }
                 }
             }
             if step % 100 == 99 {
-                let (table, fresh) = nodes[at].queue();
-                let it = nodes[at].metrics();
+                let (queue, has_lease) = replicas[index].queue();
+                let metrics = replicas[index].metrics();
                 let _ = writeln!(
                     text,
-                    "{} {at}: version {} token {} {fresh} votes {} rounds {} {} {} sent {} {} {} {}",
+                    "{} {index}: version {} token {} {has_lease} votes {} rounds {} {} {} sent {} {} {} {}",
                     now.as_millis(),
-                    table.version,
-                    table.last_token,
-                    nodes[at].is_voting(),
-                    it.proposals,
-                    it.chosen,
-                    it.fenced,
-                    it.sent.datagrams,
-                    it.sent.bytes,
-                    it.rejected_datagrams,
-                    it.lease_lapses
+                    queue.version,
+                    queue.last_token,
+                    replicas[index].is_voting(),
+                    metrics.proposals,
+                    metrics.chosen,
+                    metrics.fenced,
+                    metrics.sent.datagrams,
+                    metrics.sent.bytes,
+                    metrics.rejected_datagrams,
+                    metrics.lease_lapses
                 );
             }
-            nodes[at].check().expect("all invariants hold");
+            replicas[index].check().expect("all invariants hold");
         }
     }
-    same_as_stored("gateways.txt", &text);
+    assert_equals_fixture("gateways.txt", &text);
 }
--- a/crates/ashtide-maintenance/tests/model.rs
+++ b/crates/ashtide-maintenance/tests/model.rs
@@ -1,6 +1,7 @@
-//! Grant and lease, checked exhaustively: three gateways that all vote, two servers of which one may be out, every order
-//! of proposals, delivery, loss, repetition, asking, time, crash and restart to a stated depth, on the types that a
-//! [`Node`](ashtide_maintenance::Node) is made of.
+//! Exhaustive model check of grants and leases: three gateways that are all acceptors, and two servers of
+//! which one may be out at a time. The checker explores every order of proposals, deliveries, losses,
+//! duplicates, reads, clock ticks, crashes and restarts up to a stated depth, on the types that a
+//! [`Replica`](ashtide_maintenance::Replica) consists of.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,11 +13,10 @@
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const RULES: Limits = Limits { max_servers_out: 1, max_gateways_out: 0, min_ready_servers: 0 };
-const LEASE: u64 = 2;
-const MARGIN: u64 = 1;
-/// How long a round may take.
-const ROUND: u64 = 2;
+const LIMITS: Limits = Limits { max_servers_out: 1, max_gateways_out: 0, min_ready_servers: 0 };
+const LEASE_S: u64 = 2;
+const MARGIN_S: u64 = 1;
+const PROPOSAL_TIMEOUT_S: u64 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
@@ -24,230 +24,362 @@
     Accept(Ballot, MaintenanceQueue),
 }
 
-/// What a gateway proposes, by what it knows.
+/// Proposal of a gateway according to its copy of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Plan {
-    /// The first in the queue.
+    /// Grants the first queued machine.
     Grant,
-    /// An operator has finished with `a`.
+    /// Ends the maintenance of `a` for an operator.
     Done,
-    /// What was released has cooled, and the next is granted.
-    Next,
-    /// What was released has cooled, is asked for anew and granted again.
-    Again,
+    /// Removes the released `a`, and grants `b`.
+    GrantNext,
+    /// Removes the released `a`, requests it again and grants it again.
+    RequestAgain,
+}
+
+/// Phase of `a` as one gateway knows it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct KnownPhase {
+    /// Version of the queue in which the phase started.
+    version: u64,
+    /// Time in seconds at which the gateway learned of the phase.
+    since: u64,
+}
+
+/// Answer to a read that has not been received yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ReadAnswer {
+    /// Time of the read in seconds.
+    requested_at: u64,
+    queue: MaintenanceQueue,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    voter: Option<Acceptor>,
+    /// Acceptor, `None` after a crash.
+    acceptor: Option<Acceptor>,
     disk: AcceptorState,
     incarnation: u64,
-    round: Option<(Proposal, Vec<Change>)>,
-    knowledge: LeasedState,
-    /// Since when it knows the phase of `a`: that phase's version.
-    watched: (u64, u64),
-    /// An answer on its way: when it was asked for, and what it says.
-    answer: Option<(u64, MaintenanceQueue)>,
+    /// Proposal in progress, and its changes.
+    proposal: Option<(Proposal, Vec<Change>)>,
+    leased_state: LeasedState,
+    phase_of_a: KnownPhase,
+    read_answer: Option<ReadAnswer>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     gateways: Vec<Gateway>,
-    /// What is on its way. What is not delivered is lost.
-    wire: Vec<(usize, usize, Message)>,
+    /// Sender, receiver and content of the messages in flight. A message that is never delivered is lost.
+    in_flight: Vec<(usize, usize, Message)>,
+    /// Time in seconds.
     now: u64,
+    used: EventCounts,
+}
+
+/// Numbers of events, limited because each of them multiplies the number of states.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct EventCounts {
     proposals: u8,
     reads: u8,
-    repeats: u8,
+    /// Duplicated messages and lost answers.
+    network_faults: u8,
     crashes: u8,
 }
 
+impl EventCounts {
+    const NONE: Self = Self { proposals: 0, reads: 0, network_faults: 0, crashes: 0 };
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
+    /// A gateway proposes a plan.
     Propose(usize, Plan),
-    /// To a voter, whose answer comes back at once, or is lost; the message may come again.
-    Deliver(usize, bool, bool),
-    /// A gateway asks two voters; the answer comes when it comes.
+    /// The message in flight with this index is delivered to an acceptor, whose answer arrives at once.
+    Deliver(usize),
+    /// The message is delivered and its answer arrives at once, but a duplicate of the message remains in
+    /// flight.
+    DeliverDuplicate(usize),
+    /// The message is delivered, but its answer is lost.
+    DeliverLosingAnswer(usize),
+    /// A gateway reads from the acceptors other than the second index. The answer is received later.
     Read(usize, usize),
+    /// A gateway receives the answer to its read.
     Receive(usize),
-    Second,
+    /// One second passes.
+    Tick,
     Crash(usize),
     Start(usize),
 }
 
 struct Cluster {
-    broken: Option<Mutation>,
-    proposals: u8,
-    reads: u8,
-    /// Messages that come twice, and answers that are lost.
-    repeats: u8,
-    crashes: u8,
-    seconds: u64,
-    /// Where it begins: all wait, `a` is out, `a` is released, the same and one has slept; or any of these.
-    from: Option<usize>,
+    mutation: Option<Mutation>,
+    limits: EventCounts,
+    /// Time in seconds at which the clock stops.
+    max_time_s: u64,
+    /// Index of the only initial state, `None` for all initial states.
+    initial_state: Option<usize>,
 }
 
-/// How deep, and how many proposals, asks, repeats or lost answers, and crashes.
-const DEPTHS: [(usize, u8, u8, u8, u8); 3] = [(7, 3, 1, 1, 1), (10, 2, 1, 0, 0), (10, 2, 0, 0, 1)];
+/// Depth of a search, and limits on the events in it.
+const SEARCHES: [(usize, EventCounts); 3] = [
+    (7, EventCounts { proposals: 3, reads: 1, network_faults: 1, crashes: 1 }),
+    (10, EventCounts { proposals: 2, reads: 1, network_faults: 0, crashes: 0 }),
+    (10, EventCounts { proposals: 2, reads: 0, network_faults: 0, crashes: 1 }),
+];
+
+/// Index of the initial state in which both machines are queued.
+const ALL_QUEUED: usize = 0;
+/// Index of the initial state in which `a` is out.
+const A_OUT: usize = 1;
+/// Index of the initial state in which `a` is released.
+const A_RELEASED: usize = 2;
+/// Index of the initial state in which `a` was released during a stall of the third gateway.
+const A_RELEASED_DURING_STALL: usize = 3;
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-fn request(call: u64, name: &str) -> Change {
+fn request(request_id: u64, name: &str) -> Change {
     let name = name.to_owned();
     let reason = String::new();
-    Change::Request { request_id: call, kind: MachineKind::Server, name, reason, requested_at_ms: call }
+    Change::Request { request_id, kind: MachineKind::Server, name, reason, requested_at_ms: request_id }
 }
 
-fn found_names<T>(make: impl Fn(String) -> T, name: &str) -> T {
+/// Calls `make` with an owned copy of `name`.
+fn with_name<T>(make: impl Fn(String) -> T, name: &str) -> T {
     make(name.to_owned())
 }
 
 impl Cluster {
-    fn apply(&self, table: &mut MaintenanceQueue, changes: &[Change]) {
+    fn apply(&self, queue: &mut MaintenanceQueue, changes: &[Change]) {
         for change in changes {
-            let _ = table.apply_with_mutation(change, &RULES, &BTreeSet::new(), self.broken);
+            let _ = queue.apply_with_mutation(change, &LIMITS, &BTreeSet::new(), self.mutation);
         }
     }
 
-    fn knowledge(&self) -> LeasedState {
-        let mut knowledge = LeasedState::new(seconds(LEASE));
-        if let Some(broken) = self.broken {
-            knowledge.set_mutation(broken);
+    fn new_leased_state(&self) -> LeasedState {
+        let mut leased_state = LeasedState::new(seconds(LEASE_S));
+        if let Some(mutation) = self.mutation {
+            leased_state.set_mutation(mutation);
         }
-        knowledge
+        leased_state
     }
 
-    /// A tier in which this has been chosen, known everywhere since a second ago, `a` as it is for so long.
-    fn cluster(&self, changes: &[Change], now: u64, age: u64) -> State {
-        let mut table = MaintenanceQueue::default();
-        self.apply(&mut table, changes);
+    /// Returns a state in which these changes have been chosen. All gateways have read the queue one second
+    /// ago, and have known the phase of `a` for `age` seconds.
+    fn state_after(&self, changes: &[Change], now: u64, age: u64) -> State {
+        let mut queue = MaintenanceQueue::default();
+        self.apply(&mut queue, changes);
         let ballot = Ballot { round: 1, slot: 0, incarnation: 1 };
-        let vote = AcceptorState { promised: ballot, accepted: ballot, queue: table.clone() };
+        let vote = AcceptorState { promised: ballot, accepted: ballot, queue: queue.clone() };
         let gateway = || {
-            let mut knowledge = self.knowledge();
-            knowledge.learn(seconds(now - 1), seconds(now), &table);
-            let since = table.entries.iter().find(|row| row.name == "a").map_or(0, |row| row.phase_version);
+            let mut leased_state = self.new_leased_state();
+            leased_state.learn(seconds(now - 1), seconds(now), &queue);
+            let version =
+                queue.entries.iter().find(|entry| entry.name == "a").map_or(0, |entry| entry.phase_version);
             Gateway {
-                voter: Some(Acceptor::new(vote.clone())),
+                acceptor: Some(Acceptor::new(vote.clone())),
                 disk: vote.clone(),
                 incarnation: 1,
-                round: None,
-                knowledge,
-                watched: (since, now - age),
-                answer: None,
+                proposal: None,
+                leased_state,
+                phase_of_a: KnownPhase { version, since: now - age },
+                read_answer: None,
             }
         };
         let gateways = (0..3).map(|_| gateway()).collect();
-        State { gateways, wire: Vec::new(), now, proposals: 0, reads: 0, repeats: 0, crashes: 0 }
+        State { gateways, in_flight: Vec::new(), now, used: EventCounts::NONE }
     }
 
-    fn changes(&self, state: &State, at: usize, plan: Plan) -> Option<Vec<Change>> {
-        let gateway = &state.gateways[at];
-        gateway.knowledge.valid_as_of(seconds(state.now))?;
-        let table = gateway.knowledge.queue();
-        let holder = Slot(at as u16);
+    /// Returns the changes of a plan, `None` if the gateway may not propose it in this state.
+    fn changes(&self, state: &State, index: usize, plan: Plan) -> Option<Vec<Change>> {
+        let gateway = &state.gateways[index];
+        gateway.leased_state.valid_as_of(seconds(state.now))?;
+        let queue = gateway.leased_state.queue();
+        let holder = Slot(index as u16);
         let grant = |name: &str| Change::Grant { name: name.to_owned(), holder };
-        let row = table.entries.iter().find(|row| row.name == "a");
-        let cooled = || {
-            let row = row.filter(|row| matches!(row.phase, Phase::Released { .. }))?;
-            let acts = |it: &Gateway| {
-                it.knowledge.valid_as_of(seconds(state.now)).is_some()
-                    && it.knowledge.queue().version >= row.phase_version
+        let entry = queue.entries.iter().find(|entry| entry.name == "a");
+        let remove_released = || {
+            let entry = entry.filter(|entry| matches!(entry.phase, Phase::Released { .. }))?;
+            let has_learned = |other: &Gateway| {
+                other.leased_state.valid_as_of(seconds(state.now)).is_some()
+                    && other.leased_state.queue().version >= entry.phase_version
             };
-            let known =
-                gateway.watched.0 == row.phase_version && state.now >= gateway.watched.1 + LEASE + MARGIN;
-            let token = row.phase.token()?;
-            (known || state.gateways.iter().all(acts))
-                .then(|| found_names(|name| Change::Removed { name, token }, "a"))
+            let leases_expired = gateway.phase_of_a.version == entry.phase_version
+                && state.now >= gateway.phase_of_a.since + LEASE_S + MARGIN_S;
+            let token = entry.phase.token()?;
+            (leases_expired || state.gateways.iter().all(has_learned))
+                .then(|| with_name(|name| Change::Removed { name, token }, "a"))
         };
         Some(match plan {
-            Plan::Grant => vec![grant(&table.next_queued(MachineKind::Server)?.name)],
+            Plan::Grant => vec![grant(&queue.next_queued(MachineKind::Server)?.name)],
             Plan::Done => {
-                row.filter(|row| row.phase.holder().is_some())?;
-                vec![found_names(|name| Change::Done { request_id: 9, name }, "a")]
+                entry.filter(|entry| entry.phase.holder().is_some())?;
+                vec![with_name(|name| Change::Done { request_id: 9, name }, "a")]
             }
-            Plan::Next => vec![cooled()?, grant("b")],
-            Plan::Again => vec![cooled()?, request(3, "a"), grant("a")],
+            Plan::GrantNext => vec![remove_released()?, grant("b")],
+            Plan::RequestAgain => vec![remove_released()?, request(3, "a"), grant("a")],
         })
     }
 
     fn persist(&self, gateway: &mut Gateway) {
-        if let (Some(voter), true) = (&gateway.voter, self.broken != Some(Mutation::UnsyncedVote)) {
-            gateway.disk = voter.state().clone();
+        if let (Some(acceptor), true) = (&gateway.acceptor, self.mutation != Some(Mutation::UnsyncedVote)) {
+            gateway.disk = acceptor.state().clone();
         }
     }
 
-    /// A voter's answer to a proposer that is still there.
-    fn answer(&self, state: &mut State, from: usize, to: usize, message: &Message) {
-        let Some(voter) = &mut state.gateways[from].voter else { return };
+    /// Delivers a message to an acceptor, and its answer to the proposer. The proposer ignores the answer if
+    /// its proposal has ended.
+    fn deliver_to_acceptor(&self, state: &mut State, from: usize, to: usize, message: &Message) {
+        let Some(acceptor) = &mut state.gateways[from].acceptor else { return };
         match message {
             Message::Prepare(ballot) => {
-                if voter.prepare(*ballot).is_err() {
+                if acceptor.prepare(*ballot).is_err() {
                     return;
                 }
-                let AcceptorState { accepted, queue: table, .. } = voter.state().clone();
+                let AcceptorState { accepted, queue, .. } = acceptor.state().clone();
                 self.persist(&mut state.gateways[from]);
-                self.promised(state, from, to, *ballot, accepted, table);
+                self.handle_promise(state, from, to, *ballot, accepted, queue);
             }
-            Message::Accept(ballot, table) => {
-                if voter.accept(*ballot, table).is_err() {
+            Message::Accept(ballot, queue) => {
+                if acceptor.accept(*ballot, queue).is_err() {
                     return;
                 }
                 self.persist(&mut state.gateways[from]);
-                self.accepted(state, from, to, *ballot);
+                self.handle_accepted(state, from, to, *ballot);
             }
         }
     }
 
-    fn promised(
+    fn handle_promise(
         &self,
         state: &mut State,
         from: usize,
         to: usize,
         ballot: Ballot,
         accepted: Ballot,
-        table: MaintenanceQueue,
+        queue: MaintenanceQueue,
     ) {
-        let Some((round, changes)) = &mut state.gateways[to].round else { return };
-        let Some(mut table) = round.handle_promise(Slot(from as u16), ballot, accepted, table) else {
+        let Some((proposal, changes)) = &mut state.gateways[to].proposal else { return };
+        let Some(mut queue) = proposal.handle_promise(Slot(from as u16), ballot, accepted, queue) else {
             return;
         };
-        self.apply(&mut table, changes);
-        round.propose(table.clone());
-        let message = Message::Accept(ballot, table);
+        self.apply(&mut queue, changes);
+        proposal.propose(queue.clone());
+        let message = Message::Accept(ballot, queue);
         for other in (0..3).filter(|&other| other != to) {
-            state.wire.push((to, other, message.clone()));
+            state.in_flight.push((to, other, message.clone()));
         }
-        self.answer(state, to, to, &message);
+        self.deliver_to_acceptor(state, to, to, &message);
     }
 
-    fn accepted(&self, state: &mut State, from: usize, to: usize, ballot: Ballot) {
-        let Some((round, _)) = &mut state.gateways[to].round else { return };
-        if round.handle_accepted(Slot(from as u16), ballot) {
-            let began = round.started_at;
-            let table = round.proposed().cloned().unwrap_or_default();
-            state.gateways[to].round = None;
-            Self::learn(state, to, began, &table);
+    fn handle_accepted(&self, state: &mut State, from: usize, to: usize, ballot: Ballot) {
+        let Some((proposal, _)) = &mut state.gateways[to].proposal else { return };
+        if proposal.handle_accepted(Slot(from as u16), ballot) {
+            let started_at = proposal.started_at;
+            let queue = proposal.proposed().cloned().unwrap_or_default();
+            state.gateways[to].proposal = None;
+            Self::learn(state, to, started_at, &queue);
         }
     }
 
-    fn learn(state: &mut State, at: usize, requested_at: Duration, table: &MaintenanceQueue) {
+    /// Updates a gateway's copy of the queue and its lease.
+    fn learn(state: &mut State, index: usize, requested_at: Duration, queue: &MaintenanceQueue) {
         let now = state.now;
-        let gateway = &mut state.gateways[at];
-        gateway.knowledge.learn(requested_at, seconds(now), table);
-        let row = gateway.knowledge.queue().entries.iter().find(|row| row.name == "a");
-        let since = row.map_or(0, |row| row.phase_version);
-        if since != gateway.watched.0 {
-            gateway.watched = (since, now);
+        let gateway = &mut state.gateways[index];
+        gateway.leased_state.learn(requested_at, seconds(now), queue);
+        let entry = gateway.leased_state.queue().entries.iter().find(|entry| entry.name == "a");
+        let version = entry.map_or(0, |entry| entry.phase_version);
+        if version != gateway.phase_of_a.version {
+            gateway.phase_of_a = KnownPhase { version, since: now };
+        }
+    }
+
+    /// Returns the machines that the running gateways cordon.
+    fn machines_out(state: &State) -> Vec<String> {
+        let running = state.gateways.iter().filter(|gateway| gateway.acceptor.is_some());
+        running
+            .flat_map(|gateway| gateway.leased_state.machines_out(seconds(state.now)).into_keys())
+            .collect()
+    }
+
+    /// Starts a proposal with its `Prepare` messages, `None` if the plan is not possible.
+    fn start_proposal(&self, state: &mut State, index: usize, plan: Plan) -> Option<()> {
+        let changes = self.changes(state, index, plan)?;
+        state.used.proposals += 1;
+        let gateway = &mut state.gateways[index];
+        let slot = index as u16;
+        let incarnation = gateway.incarnation;
+        let round = gateway.acceptor.as_ref()?.state().promised.round + 1;
+        let ballot = Ballot { round, slot, incarnation };
+        let acceptors = match self.mutation {
+            Some(Mutation::MajorityOfResponders) => vec![Slot(slot)],
+            _ => (0..3).map(Slot).collect(),
+        };
+        gateway.proposal = Some((Proposal::new(ballot, seconds(state.now), acceptors), changes));
+        for other in (0..3).filter(|&other| other != index) {
+            state.in_flight.push((index, other, Message::Prepare(ballot)));
+        }
+        self.deliver_to_acceptor(state, index, index, &Message::Prepare(ballot));
+        Some(())
+    }
+
+    /// Reads from the acceptors other than `without`, `None` if they do not run or have different values.
+    fn read(state: &mut State, index: usize, without: usize) -> Option<()> {
+        let others = state.gateways.iter().enumerate().filter(|&(other, _)| other != without);
+        let votes: Vec<&AcceptorState> =
+            others.filter_map(|(_, gateway)| Some(gateway.acceptor.as_ref()?.state())).collect();
+        let [one, other] = votes[..] else { return None };
+        if one.accepted != other.accepted {
+            return None;
         }
+        let queue = one.queue.clone();
+        state.used.reads += 1;
+        state.gateways[index].read_answer = Some(ReadAnswer { requested_at: state.now, queue });
+        Some(())
     }
 
-    /// A question to which a test wants to know every state.
-    fn out(state: &State) -> Vec<String> {
-        let running = state.gateways.iter().filter(|it| it.voter.is_some());
-        running.flat_map(|it| it.knowledge.machines_out(seconds(state.now)).into_keys()).collect()
+    fn tick(state: &mut State) {
+        state.now += 1;
+        let now = seconds(state.now);
+        for gateway in &mut state.gateways {
+            let is_expired = gateway
+                .proposal
+                .as_ref()
+                .is_some_and(|(proposal, _)| now >= proposal.started_at + seconds(PROPOSAL_TIMEOUT_S));
+            if is_expired {
+                gateway.proposal = None;
+            }
+            // The mutation `UnsyncedVote` persists votes only here.
+            if let Some(acceptor) = &gateway.acceptor {
+                gateway.disk = acceptor.state().clone();
+            }
+        }
+    }
+
+    fn crash(&self, state: &mut State, index: usize) {
+        state.used.crashes += 1;
+        let gateway = &mut state.gateways[index];
+        gateway.acceptor = None;
+        gateway.proposal = None;
+        gateway.read_answer = None;
+        gateway.leased_state = self.new_leased_state();
+        gateway.phase_of_a = KnownPhase { version: 0, since: 0 };
+        if self.mutation == Some(Mutation::VoteWithoutCatchUp) {
+            gateway.disk = AcceptorState::default();
+        }
+    }
+
+    fn start(&self, state: &mut State, index: usize) {
+        let now = seconds(state.now);
+        let gateway = &mut state.gateways[index];
+        gateway.incarnation += 1;
+        gateway.acceptor = Some(Acceptor::new(gateway.disk.clone()));
+        if self.mutation == Some(Mutation::ActOnPersistedGrant) {
+            gateway.leased_state.learn(now, now, &gateway.disk.queue);
+        }
     }
 }
 
@@ -256,191 +388,138 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let queue = [request(1, "a"), request(2, "b")];
-        let granted = found_names(|name| Change::Grant { name, holder: Slot(0) }, "a");
-        let done = found_names(|name| Change::Done { request_id: 8, name }, "a");
-        let out = [queue.to_vec(), vec![granted.clone()]].concat();
-        let cooling = [queue.to_vec(), vec![granted, done]].concat();
-        // The third has stood still since before the release, and an answer from then waits for it.
-        let mut stalled = self.cluster(&cooling, 4, 3);
-        let mut before = self.cluster(&out, 1, 0).gateways.remove(2);
-        before.answer = Some((1, before.knowledge.queue().clone()));
-        stalled.gateways[2] = before;
-        let all =
-            [self.cluster(&queue, 1, 0), self.cluster(&out, 1, 0), self.cluster(&cooling, 4, 3), stalled];
-        match self.from {
-            Some(at) => vec![all[at].clone()],
-            None => all.to_vec(),
+        let requests = [request(1, "a"), request(2, "b")];
+        let granted = with_name(|name| Change::Grant { name, holder: Slot(0) }, "a");
+        let done = with_name(|name| Change::Done { request_id: 8, name }, "a");
+        let out = [requests.to_vec(), vec![granted.clone()]].concat();
+        let released = [requests.to_vec(), vec![granted, done]].concat();
+        // The third gateway has been stalled since before the release, and has not received the answer to a
+        // read from that time yet.
+        let mut released_during_stall = self.state_after(&released, 4, 3);
+        let mut stalled = self.state_after(&out, 1, 0).gateways.remove(2);
+        stalled.read_answer =
+            Some(ReadAnswer { requested_at: 1, queue: stalled.leased_state.queue().clone() });
+        released_during_stall.gateways[2] = stalled;
+        let states = [
+            self.state_after(&requests, 1, 0),
+            self.state_after(&out, 1, 0),
+            self.state_after(&released, 4, 3),
+            released_during_stall,
+        ];
+        match self.initial_state {
+            Some(index) => vec![states[index].clone()],
+            None => states.to_vec(),
         }
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for (at, gateway) in state.gateways.iter().enumerate() {
-            match gateway.voter {
+        for (index, gateway) in state.gateways.iter().enumerate() {
+            match gateway.acceptor {
                 Some(_) => {
-                    if state.proposals < self.proposals && gateway.round.is_none() {
-                        let plans = [Plan::Grant, Plan::Done, Plan::Next, Plan::Again];
-                        let can = |plan: &Plan| self.changes(state, at, *plan).is_some();
-                        actions.extend(plans.into_iter().filter(can).map(|plan| Action::Propose(at, plan)));
+                    if state.used.proposals < self.limits.proposals && gateway.proposal.is_none() {
+                        let plans = [Plan::Grant, Plan::Done, Plan::GrantNext, Plan::RequestAgain];
+                        let is_possible = |plan: &Plan| self.changes(state, index, *plan).is_some();
+                        actions.extend(
+                            plans.into_iter().filter(is_possible).map(|plan| Action::Propose(index, plan)),
+                        );
                     }
-                    if state.reads < self.reads && gateway.answer.is_none() {
-                        actions.extend((0..3).map(|without| Action::Read(at, without)));
+                    if state.used.reads < self.limits.reads && gateway.read_answer.is_none() {
+                        actions.extend((0..3).map(|without| Action::Read(index, without)));
                     }
-                    if gateway.answer.is_some() {
-                        actions.push(Action::Receive(at));
+                    if gateway.read_answer.is_some() {
+                        actions.push(Action::Receive(index));
                     }
-                    if state.crashes < self.crashes {
-                        actions.push(Action::Crash(at));
+                    if state.used.crashes < self.limits.crashes {
+                        actions.push(Action::Crash(index));
                     }
                 }
-                None => actions.push(Action::Start(at)),
+                None => actions.push(Action::Start(index)),
             }
         }
-        for at in 0..state.wire.len() {
-            actions.push(Action::Deliver(at, true, false));
-            if state.repeats < self.repeats {
-                actions.extend([Action::Deliver(at, true, true), Action::Deliver(at, false, false)]);
+        for index in 0..state.in_flight.len() {
+            actions.push(Action::Deliver(index));
+            if state.used.network_faults < self.limits.network_faults {
+                actions.extend([Action::DeliverDuplicate(index), Action::DeliverLosingAnswer(index)]);
             }
         }
-        if state.now < self.seconds {
-            actions.push(Action::Second);
+        if state.now < self.max_time_s {
+            actions.push(Action::Tick);
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Propose(at, plan) => {
-                let changes = self.changes(&state, at, plan)?;
-                state.proposals += 1;
-                let gateway = &mut state.gateways[at];
-                let slot = at as u16;
-                let incarnation = gateway.incarnation;
-                let round = gateway.voter.as_ref()?.state().promised.round + 1;
-                let ballot = Ballot { round, slot, incarnation };
-                let voters = match self.broken {
-                    Some(Mutation::MajorityOfResponders) => vec![Slot(slot)],
-                    _ => (0..3).map(Slot).collect(),
-                };
-                gateway.round = Some((Proposal::new(ballot, seconds(state.now), voters), changes));
-                for other in (0..3).filter(|&other| other != at) {
-                    state.wire.push((at, other, Message::Prepare(ballot)));
-                }
-                self.answer(&mut state, at, at, &Message::Prepare(ballot));
-            }
-            Action::Deliver(at, answered, again) => {
-                let (from, to, message) = state.wire[at].clone();
-                state.repeats += u8::from(again || !answered);
-                if !again {
-                    state.wire.remove(at);
-                }
-                let round = state.gateways[from].round.clone();
-                if !answered {
-                    state.gateways[from].round = None;
-                }
-                self.answer(&mut state, to, from, &message);
-                if !answered {
-                    state.gateways[from].round = round;
-                }
-            }
-            Action::Read(at, without) => {
-                let requested_at = state.gateways.iter().enumerate().filter(|&(other, _)| other != without);
-                let votes: Vec<&AcceptorState> =
-                    requested_at.filter_map(|(_, it)| Some(it.voter.as_ref()?.state())).collect();
-                let [one, other] = votes[..] else { return None };
-                if one.accepted != other.accepted {
-                    return None;
-                }
-                let table = one.queue.clone();
-                state.reads += 1;
-                state.gateways[at].answer = Some((state.now, table));
-            }
-            Action::Receive(at) => {
-                let (requested_at, table) = state.gateways[at].answer.take()?;
-                Self::learn(&mut state, at, seconds(requested_at), &table);
+            Action::Propose(index, plan) => self.start_proposal(&mut state, index, plan)?,
+            Action::Deliver(index) => {
+                let (from, to, message) = state.in_flight.remove(index);
+                self.deliver_to_acceptor(&mut state, to, from, &message);
             }
-            Action::Second => {
-                state.now += 1;
-                let now = state.now;
-                for gateway in &mut state.gateways {
-                    if gateway
-                        .round
-                        .as_ref()
-                        .is_some_and(|(it, _)| seconds(now) >= it.started_at + seconds(ROUND))
-                    {
-                        gateway.round = None;
-                    }
-                    // The broken variant writes at its leisure.
-                    if let Some(voter) = &gateway.voter {
-                        gateway.disk = voter.state().clone();
-                    }
-                }
+            Action::DeliverDuplicate(index) => {
+                state.used.network_faults += 1;
+                let (from, to, message) = state.in_flight[index].clone();
+                self.deliver_to_acceptor(&mut state, to, from, &message);
             }
-            Action::Crash(at) => {
-                state.crashes += 1;
-                let knowledge = self.knowledge();
-                let gateway = &mut state.gateways[at];
-                gateway.voter = None;
-                gateway.round = None;
-                gateway.answer = None;
-                gateway.knowledge = knowledge;
-                gateway.watched = (0, 0);
-                if self.broken == Some(Mutation::VoteWithoutCatchUp) {
-                    gateway.disk = AcceptorState::default();
-                }
+            Action::DeliverLosingAnswer(index) => {
+                state.used.network_faults += 1;
+                let (from, to, message) = state.in_flight.remove(index);
+                // The proposer ignores an answer while it has no proposal.
+                let proposal = state.gateways[from].proposal.take();
+                self.deliver_to_acceptor(&mut state, to, from, &message);
+                state.gateways[from].proposal = proposal;
             }
-            Action::Start(at) => {
-                let now = seconds(state.now);
-                let gateway = &mut state.gateways[at];
-                gateway.incarnation += 1;
-                gateway.voter = Some(Acceptor::new(gateway.disk.clone()));
-                if self.broken == Some(Mutation::ActOnPersistedGrant) {
-                    gateway.knowledge.learn(now, now, &gateway.disk.queue);
-                }
+            Action::Read(index, without) => Self::read(&mut state, index, without)?,
+            Action::Receive(index) => {
+                let answer = state.gateways[index].read_answer.take()?;
+                Self::learn(&mut state, index, seconds(answer.requested_at), &answer.queue);
             }
+            Action::Tick => Self::tick(&mut state),
+            Action::Crash(index) => self.crash(&mut state, index),
+            Action::Start(index) => self.start(&mut state, index),
         }
-        // What is asked for a round that is over changes nothing but what its voter still takes.
+        // A `Prepare` of an ended proposal is dropped, because its promise would be ignored. An `Accept` is
+        // retained, because an acceptor may still accept its value.
         let gateways = &state.gateways;
-        state.wire.retain(|(from, _, message)| match message {
+        state.in_flight.retain(|(from, _, message)| match message {
             Message::Prepare(ballot) => gateways[*from]
-                .round
+                .proposal
                 .as_ref()
-                .is_some_and(|(it, _)| it.ballot == *ballot && it.proposed().is_none()),
+                .is_some_and(|(proposal, _)| proposal.ballot == *ballot && proposal.proposed().is_none()),
             Message::Accept(..) => true,
         });
-        state.wire.sort();
+        state.in_flight.sort();
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("M1", |_, state: &State| {
-                check_machines_out(RULES.max_servers_out, Cluster::out(state).iter().map(String::as_str))
-                    .is_ok()
+                let out = Cluster::machines_out(state);
+                check_machines_out(LIMITS.max_servers_out, out.iter().map(String::as_str)).is_ok()
             }),
             Property::always("M2 to M5", |_, state: &State| {
-                state.gateways.iter().all(|it| it.knowledge.queue().check(&RULES).is_ok())
+                state.gateways.iter().all(|gateway| gateway.leased_state.queue().check(&LIMITS).is_ok())
             }),
             Property::always("M7", |_, state: &State| {
-                let table = |at: usize| state.gateways[at].knowledge.queue();
-                let same =
-                    |one, other| table(one).version != table(other).version || table(one) == table(other);
-                same(0, 1) && same(1, 2) && same(0, 2)
+                let queue = |index: usize| state.gateways[index].leased_state.queue();
+                let are_consistent =
+                    |one, other| queue(one).version != queue(other).version || queue(one) == queue(other);
+                are_consistent(0, 1) && are_consistent(1, 2) && are_consistent(0, 2)
             }),
             Property::sometimes("b is out after a", |_, state: &State| {
-                let out = Cluster::out(state);
+                let out = Cluster::machines_out(state);
                 out.contains(&"b".to_owned())
-                    && state.gateways.iter().any(|it| it.knowledge.queue().last_token == 2)
+                    && state.gateways.iter().any(|gateway| gateway.leased_state.queue().last_token == 2)
             }),
         ]
     }
 }
 
 #[test]
-fn one_server_is_out_in_every_state_to_the_stated_depth() {
-    // Each with other faults, as deep as a minute's work allows.
-    for (depth, proposals, reads, repeats, crashes) in DEPTHS {
-        let cluster = Cluster { broken: None, proposals, reads, repeats, crashes, seconds: 8, from: None };
+fn at_most_one_server_is_out_in_every_reachable_state() {
+    // Each search includes other faults, to the depth that is reached in about a minute.
+    for (depth, limits) in SEARCHES {
+        let cluster = Cluster { mutation: None, limits, max_time_s: 8, initial_state: None };
         let checker = cluster.checker().threads(3).target_max_depth(depth).spawn_bfs().join();
         let states = checker.state_count();
         let unique = checker.unique_state_count();
@@ -450,29 +529,24 @@
 }
 
 #[test]
-fn the_model_finds_what_is_broken() {
-    // With the faults that each needs.
-    let found = [
-        (Mutation::NoFencing, "M1", 2, (2, 0, 0)),
-        (Mutation::UnsyncedVote, "M7", 0, (2, 0, 1)),
-        (Mutation::LeaseFromAnswerTime, "M1", 3, (1, 0, 0)),
-        (Mutation::MajorityOfResponders, "M7", 0, (2, 0, 0)),
-        (Mutation::NoCooling, "M1", 1, (2, 0, 0)),
-        (Mutation::NoLease, "M1", 1, (2, 0, 0)),
-        (Mutation::ActOnPersistedGrant, "M1", 3, (1, 0, 1)),
-        (Mutation::VoteWithoutCatchUp, "M7", 0, (2, 0, 1)),
+fn the_model_check_detects_each_mutation() {
+    let one_proposal = EventCounts { proposals: 1, ..EventCounts::NONE };
+    let two_proposals = EventCounts { proposals: 2, ..EventCounts::NONE };
+    let with_crash = |limits| EventCounts { crashes: 1, ..limits };
+    // Mutation, violated property, and the initial state and the events that the violation needs.
+    let expected = [
+        (Mutation::NoFencing, "M1", A_RELEASED, two_proposals),
+        (Mutation::UnsyncedVote, "M7", ALL_QUEUED, with_crash(two_proposals)),
+        (Mutation::LeaseFromAnswerTime, "M1", A_RELEASED_DURING_STALL, one_proposal),
+        (Mutation::MajorityOfResponders, "M7", ALL_QUEUED, two_proposals),
+        (Mutation::NoCooling, "M1", A_OUT, two_proposals),
+        (Mutation::NoLease, "M1", A_OUT, two_proposals),
+        (Mutation::ActOnPersistedGrant, "M1", A_RELEASED_DURING_STALL, with_crash(one_proposal)),
+        (Mutation::VoteWithoutCatchUp, "M7", ALL_QUEUED, with_crash(two_proposals)),
     ];
-    for (broken, name, from, (proposals, reads, crashes)) in found {
-        let seconds = 6;
-        let cluster = Cluster {
-            broken: Some(broken),
-            proposals,
-            reads,
-            repeats: 0,
-            crashes,
-            seconds,
-            from: Some(from),
-        };
+    for (mutation, property, initial_state, limits) in expected {
+        let cluster =
+            Cluster { mutation: Some(mutation), limits, max_time_s: 6, initial_state: Some(initial_state) };
         let checker = cluster
             .checker()
             .threads(3)
@@ -480,7 +554,7 @@
             .target_max_depth(14)
             .spawn_bfs()
             .join();
-        println!("{broken:?}: {} states", checker.state_count());
-        assert!(checker.discovery(name).is_some(), "{broken:?} is found as {name}");
+        println!("{mutation:?}: {} states", checker.state_count());
+        assert!(checker.discovery(property).is_some(), "{mutation:?} does not violate {property}");
     }
 }
