--- a/crates/ashtide-fleet/src/frame.rs
+++ b/crates/ashtide-fleet/src/frame.rs
@@ -1,51 +1,52 @@
-//! The frame of each datagram: a version, the tier it is meant for, and the kind of its payload.
+//! The frame of every datagram: protocol version, fleet ID and payload kind.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Longest datagram, the frame included: a longer one voids the platform's run.
+/// The maximum length of a datagram in bytes, including the frame. The platform invalidates a run that sends
+/// a longer datagram.
 pub const MAX_DATAGRAM: usize = 256;
-/// Bytes of the frame: the version, then the tier, the most significant byte first, then the kind.
+/// The length of the frame in bytes: version (1), fleet ID (4, big-endian), payload kind (1).
 pub(crate) const HEADER_LEN: usize = 6;
-/// The version spoken here; messages of servers begin with other bytes.
+/// The protocol version, the first byte of a frame. Messages of servers begin with other bytes.
 const VERSION: u8 = 0x42;
 
-/// The kind of a frame's payload.
+/// The payload kind of a frame. The discriminants are wire values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PayloadKind {
-    /// A message of the protocol.
+    /// A SWIM message, encoded by `foca`.
     Protocol = 0,
-    /// A page of a view.
+    /// A page of a membership view.
     SnapshotPage = 1,
 }
 
-/// Why a datagram is rejected. It has changed nothing.
+/// The reason for rejecting a datagram. A rejected datagram changes no state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DecodeError {
-    /// Over [`MAX_DATAGRAM`] bytes, or too few for a frame.
+    /// The datagram is longer than [`MAX_DATAGRAM`] or shorter than a frame.
     #[error("a length that no datagram has")]
     Length,
-    /// Another version's.
+    /// The datagram has another protocol version.
     #[error("another version")]
     Version,
-    /// Another tier's.
+    /// The datagram belongs to another fleet.
     #[error("another tier")]
     OtherFleet,
-    /// Its payload cannot be read.
+    /// The payload cannot be decoded.
     #[error("malformed")]
     Malformed,
-    /// It claims to be sent by this member itself.
+    /// The datagram names this member as its sender.
     #[error("of this member itself")]
     Own,
-    /// Its sender is not known here, and there is no room for more.
+    /// The sender is unknown and the member table has no capacity for it.
     #[error("no room for another member")]
     Full,
-    /// It comes from another address than that of the gateway that it claims to be sent by.
+    /// The source address differs from the configured address of the gateway named as the sender.
     #[error("of another address than the gateway it speaks for")]
     Foreign,
 }
 
 impl DecodeError {
-    /// What an operator can do.
+    /// Returns advice for the operator on resolving the cause.
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
@@ -61,12 +62,12 @@
     }
 }
 
-/// Counts datagrams and their bytes.
+/// Counters of datagrams and their bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DatagramCount {
-    /// Datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The total length of the datagrams in bytes.
     pub bytes: u64,
 }
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// Puts a frame round a payload.
+/// Encodes a datagram: the frame, followed by the payload.
 pub(crate) fn encode_frame(fleet_id: u32, kind: PayloadKind, payload: &[u8]) -> Bytes {
     let mut datagram = BytesMut::with_capacity(HEADER_LEN + payload.len());
     datagram.put_u8(VERSION);
@@ -88,7 +89,7 @@
     datagram.freeze()
 }
 
-/// The kind and the payload of a datagram.
+/// Checks the frame of a datagram and returns the payload kind and the payload.
 pub(crate) fn decode_frame(fleet_id: u32, datagram: &[u8]) -> Result<(PayloadKind, &[u8]), DecodeError> {
     if datagram.len() > MAX_DATAGRAM {
         return Err(DecodeError::Length);
--- a/crates/ashtide-fleet/src/lib.rs
+++ b/crates/ashtide-fleet/src/lib.rs
@@ -1,14 +1,20 @@
-//! Who of a tier of gateways is there, and what they share ([`state`]).
+//! Membership of a fleet of gateways, and the state that the gateways share ([`state`]).
 //!
-//! Each member keeps a view of its own, from datagrams of at most [`MAX_DATAGRAM`] bytes, which may be late, lost,
-//! repeated or foreign.
+//! Each member maintains its own view of the fleet from datagrams of at most [`MAX_DATAGRAM`] bytes.
+//! Datagrams may be delayed, lost, duplicated or sent by a foreign process.
 //!
-//! The protocol is SWIM with suspicion (Das, Gupta and Motivala 2002), by the crate `foca`: one probe a period
-//! whatever the size, indirect probes through others, updates carried by all that is sent. This crate adds members and
-//! their incarnations, one frame that tells versions and tiers apart, a budget, doubt in the own link after a stall
-//! (after Lifeguard, Dadgar and others 2018), and what an operator is shown.
+//! The protocol is SWIM with suspicion (Das, Gupta and Motivala 2002), implemented by the crate `foca`. Each
+//! member sends one probe per period, whatever the size of the fleet, probes indirectly through other
+//! members, and piggybacks membership updates on all messages. This crate adds:
 //!
-//! [`Membership`] knows no socket and no clock. It is told the time and what came in, and hands out what is to be sent:
+//! - members with incarnations,
+//! - a frame that distinguishes protocol versions and fleets,
+//! - a datagram budget,
+//! - longer suspicion timeouts while the local link is in doubt (after Lifeguard, Dadgar and others 2018),
+//! - the member states and metrics for operators.
+//!
+//! [`Membership`] uses no socket and no clock. The caller passes in the time and received datagrams, and
+//! fetches the datagrams to send:
 //!
 //! ```
 //! use std::time::Duration;
@@ -40,7 +46,7 @@
 
 mod frame;
 mod member;
-#[doc(hidden)] // Public for tests/pages.rs alone.
+#[doc(hidden)] // Public only for tests/pages.rs and tests/compatibility.rs.
 pub mod page;
 pub mod state;
 mod view;
--- a/crates/ashtide-fleet/src/member.rs
+++ b/crates/ashtide-fleet/src/member.rs
@@ -1,26 +1,27 @@
-//! A member and its incarnation.
+//! The identity of a member: its address and incarnation.
 
 use std::net::SocketAddr;
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of a gateway: a restart at the same address is a later one, and what is known of the earlier no
-/// longer counts.
+/// One incarnation of a gateway. A restart at the same address is a later incarnation and supersedes all
+/// information about earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Unix milliseconds of its start, or more where others knew a later incarnation.
+    /// The start time of the process in Unix milliseconds, or a higher value if other members had recorded a
+    /// later incarnation.
     pub incarnation: u64,
-    /// Whether it leaves on purpose, and is not to be missed.
+    /// Whether the member is leaving deliberately, so that its absence is not a failure.
     pub leaving: bool,
 }
 
 impl Identity for Member {
     type Addr = SocketAddr;
 
-    /// Declared dead while alive: it rejoins as the next one.
+    /// Returns the next incarnation, under which a member rejoins after it was declared dead while running.
     fn renew(&self) -> Option<Self> {
         Some(Self { incarnation: self.incarnation.saturating_add(1), leaving: false, ..*self })
     }
--- a/crates/ashtide-fleet/src/page.rs
+++ b/crates/ashtide-fleet/src/page.rs
@@ -1,4 +1,5 @@
-//! Pages: a piece of one member's view, by address, so that two members find and mend what they hold differently.
+//! Pages of a membership view. A page has the entries of one address range, so that two members can find and
+//! reconcile the differences between their views.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -7,19 +8,21 @@
 
 use crate::member::Member;
 
-/// A member as a page has it.
+/// The entry of one member in a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageEntry {
-    /// Which.
+    /// The member that the entry describes.
     pub member: Member,
-    /// How often it has refuted a suspicion.
+    /// The number of suspicions that the member has refuted.
     pub refutations: u16,
-    /// Its state, as the page's sender sees it.
+    /// The state of the member in the view of the page's sender.
     pub state: State,
 }
 
 impl PageEntry {
-    /// Where two differ the higher one wins: the later incarnation, then a death, then the later refutation.
+    /// Returns the sort key that decides between two entries of the same address: the entry with the higher
+    /// key wins. A later incarnation comes first, then a deliberate leave, then a death, then a later
+    /// refutation, then a suspicion.
     pub(crate) fn precedence(&self) -> (u64, bool, bool, u16, bool) {
         let is_down = self.state == State::Down;
         let refutations = if is_down { 0 } else { self.refutations };
@@ -31,37 +34,39 @@
 /// The header of a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageHeader {
-    /// Who sends it.
+    /// The member that sends the page.
     pub sender: Member,
-    /// How often the sender has refuted a suspicion.
+    /// The number of suspicions that the sender has refuted.
     pub refutations: u16,
-    /// The sender's `digest`.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// What is wanted of the receiver.
+    /// The reply that the sender requests from the receiver.
     pub request: PageRequest,
-    /// The page has all that the sender knows after this address; from the first where there is none.
+    /// The exclusive lower bound of the page's address range. `None` if the range begins at the first
+    /// address.
     pub after: Option<SocketAddr>,
 }
 
-/// What a page wants of its receiver.
+/// The reply that a page requests from its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PageRequest {
-    /// A page, if the digests differ. It has no entries.
+    /// Requests a page if the digests differ. The requesting page has no entries.
     CompareDigests,
-    /// The entries that are newer at the receiver in this piece, and its digest.
+    /// Requests the receiver's digest and those of its entries in the page's address range that are newer.
     NewerEntries,
-    /// Nothing: it has the entries that are newer at the sender, and its digest.
+    /// Requests no reply. The page answers [`NewerEntries`](Self::NewerEntries).
     Nothing,
 }
 
-/// A page as it was received.
+/// A decoded page.
 #[derive(Debug, Clone)]
 pub struct Page {
-    /// Its header.
+    /// The header of the page.
     pub header: PageHeader,
-    /// Whether it goes to the last address that the sender knows; else it ends at its last entry.
+    /// Whether the page's range extends to the last address of the sender's view. Otherwise the range ends at
+    /// the last entry.
     pub is_last: bool,
-    /// Its entries, by rising address.
+    /// The entries in ascending order of address.
     pub entries: Vec<PageEntry>,
 }
 
@@ -71,7 +76,8 @@
 const PORT_FLAG: u8 = 1 << 4;
 const IPV6_FLAG: u8 = 1 << 5;
 
-/// What the next entry is encoded against: neighbours share most of their addresses and the day of their starts.
+/// The values that the next entry is delta-encoded against. Neighbouring entries have similar addresses and
+/// start times, so the differences are short.
 struct DeltaBase {
     ip: u32,
     port: u16,
@@ -83,7 +89,7 @@
         Self { ip: 0, port: header.sender.address.port(), incarnation: header.sender.incarnation }
     }
 
-    /// Writes an entry into `bytes`.
+    /// Appends an encoded entry to `bytes`.
     fn encode(&mut self, entry: &PageEntry, bytes: &mut Vec<u8>) {
         let address = entry.member.address;
         let mut flags = state_bits(entry.state);
@@ -108,10 +114,11 @@
         }
     }
 
-    /// Reads an entry from the front of `bytes`.
+    /// Decodes an entry from the front of `bytes` and advances `bytes` past it. Returns `None` if the entry
+    /// is malformed.
     fn decode(&mut self, bytes: &mut &[u8]) -> Option<PageEntry> {
         let flags: u8 = read_value(bytes)?;
-        let state = state_of(flags & STATE_MASK)?;
+        let state = state_from_bits(flags & STATE_MASK)?;
         let ip = if flags & IPV6_FLAG == 0 {
             self.ip = self.ip.wrapping_add(read_value(bytes)?);
             IpAddr::V4(Ipv4Addr::from(self.ip))
@@ -126,8 +133,8 @@
         Some(PageEntry { member, refutations, state })
     }
 
-    /// Encodes what follows against this entry.
-    fn move_to(&mut self, member: &Member) {
+    /// Makes `member` the base of the entry that follows.
+    fn rebase(&mut self, member: &Member) {
         self.port = member.address.port();
         self.incarnation = member.incarnation;
     }
@@ -141,7 +148,7 @@
     }
 }
 
-fn state_of(bits: u8) -> Option<State> {
+fn state_from_bits(bits: u8) -> Option<State> {
     match bits {
         0 => Some(State::Alive),
         1 => Some(State::Suspect),
@@ -151,7 +158,7 @@
 }
 
 fn append_value<T: Serialize>(bytes: &mut Vec<u8>, value: &T) {
-    // A vector grows, so nothing fails here.
+    // Encoding into a vector does not fail, because the vector grows as needed.
     if let Ok(encoded) = postcard::to_allocvec(value) {
         bytes.extend_from_slice(&encoded);
     }
@@ -163,8 +170,9 @@
     Some(value)
 }
 
-/// Writes a page of at most `room` bytes with as many of `entries`, by rising address, as fit; gives how many did.
-pub fn encode(header: &PageHeader, entries: &[PageEntry], is_last: bool, room: usize) -> (Vec<u8>, usize) {
+/// Encodes a page of at most `max_len` bytes with as many of `entries` as fit. `entries` must be in ascending
+/// order of address. Returns the page and the number of entries in it.
+pub fn encode(header: &PageHeader, entries: &[PageEntry], is_last: bool, max_len: usize) -> (Vec<u8>, usize) {
     let mut bytes = vec![0];
     append_value(&mut bytes, header);
     let mut base = DeltaBase::new(header);
@@ -173,18 +181,18 @@
     for entry in entries {
         encoded.clear();
         base.encode(entry, &mut encoded);
-        if bytes.len() + encoded.len() > room {
+        if bytes.len() + encoded.len() > max_len {
             break;
         }
         bytes.extend_from_slice(&encoded);
-        base.move_to(&entry.member);
+        base.rebase(&entry.member);
         count += 1;
     }
     bytes[0] = u8::from(is_last && count == entries.len());
     (bytes, count)
 }
 
-/// Reads a page; none where it is malformed.
+/// Decodes a page. Returns `None` if the page is malformed.
 pub fn decode(mut bytes: &[u8]) -> Option<Page> {
     let is_last: bool = read_value(&mut bytes)?;
     let header: PageHeader = read_value(&mut bytes)?;
@@ -192,30 +200,31 @@
     let mut entries = Vec::new();
     while !bytes.is_empty() {
         let entry = base.decode(&mut bytes)?;
-        base.move_to(&entry.member);
+        base.rebase(&entry.member);
         entries.push(entry);
     }
     Some(Page { header, is_last, entries })
 }
 
-/// A number that is the same where the same members are held to be there, in the same incarnations, with the same
-/// refutations; the order does not matter. No defence against anyone who wants two views to look alike.
+/// Returns a digest of the members that are up, their incarnations and refutations. The digest does not
+/// depend on the order of the entries. It is not cryptographic: an attacker can construct two views with the
+/// same digest.
 pub(crate) fn digest<'a>(entries: impl Iterator<Item = &'a PageEntry>) -> u64 {
     let up = entries.filter(|entry| entry.state != State::Down && !entry.member.leaving);
     up.map(|entry| member_digest(entry.member, u64::from(entry.refutations))).fold(0, u64::wrapping_add)
 }
 
-/// One member's part of a digest, with what else is to count.
-pub(crate) fn member_digest(member: Member, also: u64) -> u64 {
+/// Returns the contribution of one member to a digest. `extra` is a further value to include.
+pub(crate) fn member_digest(member: Member, extra: u64) -> u64 {
     let ip = match member.address.ip() {
         IpAddr::V4(ip) => u128::from(u32::from(ip)),
         IpAddr::V6(ip) => u128::from(ip),
     };
-    let parts = [ip as u64, (ip >> 64) as u64, u64::from(member.address.port()), member.incarnation, also];
+    let parts = [ip as u64, (ip >> 64) as u64, u64::from(member.address.port()), member.incarnation, extra];
     parts.iter().fold(0x9e37_79b9_7f4a_7c15, |sum, &part| finalize_splitmix64(sum ^ part))
 }
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+/// Applies the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
 fn finalize_splitmix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/ashtide-fleet/src/view/compare.rs
+++ b/crates/ashtide-fleet/src/view/compare.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: two members compare digests of their views, and send each other pages of what differs.
+//! Anti-entropy: two members compare the digests of their views and exchange pages while the digests differ.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use crate::frame::{DecodeError, HEADER_LEN, MAX_DATAGRAM, PayloadKind};
 use crate::page::{self, Page, PageEntry, PageHeader, PageRequest};
 
-/// How often views are compared with another member's.
+/// The mean interval between comparisons with another member.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(1000);
-/// How often they are compared while they differ.
+/// The mean interval between comparisons while the views differ.
 const COMPARE_INTERVAL_DIFFERING: Duration = Duration::from_millis(250);
-/// All that is known is sorted for pages so often at most.
+/// The age from which the sorted view is rebuilt before use.
 const SORTED_VIEW_MAX_AGE: Duration = Duration::from_millis(100);
-/// Tokens that pages leave in the budget.
+/// The number of budget tokens that pages leave for other messages.
 const PAGE_RESERVE: f64 = 8.0;
 
-/// All that is known, by address, as it was a moment ago.
+/// A recent copy of the view, sorted by address.
 #[derive(Default)]
 struct SortedView {
     taken_at: Option<Duration>,
@@ -29,38 +29,40 @@
 }
 
 impl SortedView {
-    /// What is known of the member at this address.
+    /// Returns the entry of the member at `address`.
     fn find(&self, address: SocketAddr) -> Option<&PageEntry> {
         let index = self.entries.binary_search_by_key(&address, |entry| entry.member.address).ok()?;
         self.entries.get(index)
     }
 
-    /// All entries after this address; all where there is none.
+    /// Returns the entries after `address`, or all entries if `address` is `None`.
     fn after(&self, address: Option<SocketAddr>) -> &[PageEntry] {
-        let from = address
+        let start = address
             .map_or(0, |address| self.entries.partition_point(|entry| entry.member.address <= address));
-        &self.entries[from..]
+        &self.entries[start..]
     }
 
-    /// The entries here that `page` lacks or has older, within the range that the page covers.
+    /// Returns the local entries in the page's address range that are missing from `page` or newer than its
+    /// entries.
     fn newer_than(&self, page: &Page) -> Vec<PageEntry> {
         let mut newer = Vec::new();
         let end = page.entries.last().map(|entry| entry.member.address).filter(|_| !page.is_last);
-        // Both go by address, so one walk finds them.
-        let mut theirs = page.entries.iter().peekable();
-        for mine in self.after(page.header.after) {
-            let address = mine.member.address;
+        // Both lists are in ascending order of address, so one merge pass suffices.
+        let mut page_entries = page.entries.iter().peekable();
+        for local_entry in self.after(page.header.after) {
+            let address = local_entry.member.address;
             if !page.is_last && end.is_none_or(|end| address > end) {
                 break;
             }
-            while theirs.next_if(|entry| entry.member.address < address).is_some() {}
-            let same = theirs.peek().filter(|entry| entry.member.address == address);
-            let is_known = match same {
-                Some(entry) => entry.precedence() >= mine.precedence(),
-                None => mine.state == foca::State::Down,
+            while page_entries.next_if(|entry| entry.member.address < address).is_some() {}
+            let page_entry = page_entries.peek().filter(|entry| entry.member.address == address);
+            let is_current = match page_entry {
+                Some(entry) => entry.precedence() >= local_entry.precedence(),
+                // The other member would not apply the death of a member that it has not recorded.
+                None => local_entry.state == foca::State::Down,
             };
-            if !is_known && address != page.header.sender.address {
-                newer.push(*mine);
+            if !is_current && address != page.header.sender.address {
+                newer.push(*local_entry);
             }
         }
         newer
@@ -69,10 +71,12 @@
 
 /// The state of the comparisons with other members.
 pub(super) struct Comparison {
+    /// The time of the next comparison.
     pub(super) next_at: Duration,
-    /// Whether the view that was compared with last was another.
+    /// Whether the last comparison found a difference.
     differs: bool,
-    /// The last address that pages have sent.
+    /// The address of the last entry sent, after which the next page begins. `None` if the next page begins
+    /// at the first address.
     last_sent_address: Option<SocketAddr>,
     sorted_view: SortedView,
 }
@@ -82,7 +86,7 @@
         Self { next_at: now, differs: true, last_sent_address: None, sorted_view: SortedView::default() }
     }
 
-    /// Compares soon, after a stall.
+    /// Schedules an early comparison after a stall.
     pub(super) fn restart(&mut self, now: Duration) {
         self.next_at = now + COMPARE_INTERVAL_DIFFERING;
         self.differs = true;
@@ -90,6 +94,7 @@
 }
 
 impl Membership {
+    /// Handles a page: applies its newer entries and sends the requested reply.
     pub(super) fn handle_page(&mut self, page: Page) -> Result<(), DecodeError> {
         self.announce_page_sender(&page.header)?;
         let sender = page.header.sender;
@@ -115,7 +120,8 @@
         Ok(())
     }
 
-    /// The sender of a page is there, or is told that it is held dead: the protocol does either for a gossip message.
+    /// Passes a gossip message from the page's sender to `foca`. As a result, `foca` marks the sender as up,
+    /// or notifies the sender if it is recorded as dead.
     fn announce_page_sender(&mut self, page: &PageHeader) -> Result<(), DecodeError> {
         let header = Header {
             src: page.sender,
@@ -128,7 +134,7 @@
         self.forward_to_foca(&bytes)
     }
 
-    /// Applies those entries of a page that are newer than what is known here.
+    /// Applies the entries of a page that are newer than the local ones.
     fn apply_entries(&mut self, entries: Vec<PageEntry>) {
         let own = self.own();
         let mut newer: Vec<PageEntry> = Vec::new();
@@ -147,22 +153,25 @@
         }
         let updates =
             newer.iter().map(|entry| foca::Member::new(entry.member, entry.refutations, entry.state));
-        // Pages spread by themselves; what is sent with probes is for what has just happened.
+        // These updates are not piggybacked on other messages: pages distribute them, and the piggyback
+        // capacity is reserved for recent events.
         let _ = self.foca.apply_many(updates, false, &mut self.runtime);
         self.comparison.sorted_view.taken_at = None;
         self.refresh_sorted_view();
     }
 
-    /// Whether an entry says more than is known here; `accepted` others of the page do.
+    /// Checks whether an entry is newer than the local one. `accepted` is the number of entries of the page
+    /// that were accepted so far.
     fn is_newer(&self, entry: &PageEntry, accepted: usize) -> bool {
         match self.comparison.sorted_view.find(entry.member.address) {
             Some(known) => entry.precedence() > known.precedence(),
-            // The death of a member that is not known here is not applied, or it would never be forgotten.
+            // The death of an unknown member is not applied. Otherwise it would never be removed, because
+            // members would keep sending it to each other.
             None => entry.state != foca::State::Down && self.runtime.records.len() + accepted < MAX_MEMBERS,
         }
     }
 
-    /// Sorts what is known, unless that was done a moment ago.
+    /// Rebuilds the sorted view, unless it is recent.
     fn refresh_sorted_view(&mut self) {
         let now = self.runtime.now;
         let taken_at = self.comparison.sorted_view.taken_at;
@@ -189,7 +198,7 @@
         view.taken_at = Some(now);
     }
 
-    /// Sends a page with these entries, or as many as there is room for.
+    /// Sends a page with as many of `entries` as fit.
     fn send_page(
         &mut self,
         to: SocketAddr,
@@ -212,17 +221,17 @@
         self.runtime.enqueue(PAGE_RESERVE, to, PayloadKind::SnapshotPage, &bytes);
     }
 
-    /// Sends the next page of the whole view.
+    /// Sends the next page of the complete view, and wraps around after the last page.
     fn send_next_page(&mut self, to: SocketAddr) {
         self.refresh_sorted_view();
-        let view = std::mem::take(&mut self.comparison.sorted_view.entries);
+        let entries = std::mem::take(&mut self.comparison.sorted_view.entries);
         let after = self.comparison.last_sent_address;
-        let from = after.map_or(0, |after| view.partition_point(|entry| entry.member.address <= after));
-        self.send_page(to, PageRequest::NewerEntries, after, &view[from..]);
-        self.comparison.sorted_view.entries = view;
+        let start = after.map_or(0, |after| entries.partition_point(|entry| entry.member.address <= after));
+        self.send_page(to, PageRequest::NewerEntries, after, &entries[start..]);
+        self.comparison.sorted_view.entries = entries;
     }
 
-    /// Compares views with a member that is there.
+    /// Starts a comparison with a random member that is up, if one is due.
     pub(super) fn compare_with_peer(&mut self) {
         let now = self.runtime.now;
         if self.comparison.next_at > now {
--- a/crates/ashtide-fleet/src/view/mod.rs
+++ b/crates/ashtide-fleet/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The view that one member keeps of its tier.
+//! The membership view of one member.
 
 mod compare;
 mod join;
@@ -27,28 +27,29 @@
 use runtime::{MemberRecord, ProtocolRuntime};
 use suspicion::Reminders;
 
-/// Members that a view holds at most, the dead included; datagrams of others are rejected then.
+/// The maximum number of other members in a view, including dead ones. Datagrams of further members are
+/// rejected.
 pub const MAX_MEMBERS: usize = 8192;
-/// One probe is sent in this time.
+/// The interval between two probes.
 const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// How long the direct answer to a probe may take.
+/// The time that a member has for the direct answer to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Through how many others a silent member is probed.
+/// The number of other members through which an unresponsive member is probed indirectly.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
-/// How often gossip is sent beside the probes.
+/// The interval between gossip messages, which are sent in addition to the probes.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
-/// Members that gossip is sent to at a time.
+/// The number of members that receive gossip per [`GOSSIP_INTERVAL`].
 const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(2).expect("not zero");
-/// How long one that does not answer may take to refute: this times the logarithm of the size to base ten.
+/// The time that a suspect has for a refutation, per unit of the base-10 logarithm of the fleet size.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The least time that it may take.
+/// The minimum time that a suspect has for a refutation, whatever the fleet size.
 const MIN_SUSPICION_TIMEOUT: Duration = Duration::from_millis(3500);
-/// The dead are forgotten after this time.
+/// The time after which dead members are removed from the protocol state.
 const FORGET_DEAD_AFTER: Duration = Duration::from_secs(24 * 3600);
-/// A timer that comes so late shows a stall of this process.
+/// The minimum delay of a timeout that counts as a stall of this process.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// One member's view of its tier.
+/// The membership view of one member.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     base_config: Config,
@@ -61,8 +62,8 @@
 }
 
 fn foca_config(expected_members: u32) -> Config {
-    let size = NonZeroU32::new(expected_members.max(2)).expect("at least two");
-    let suspicion = SUSPICION_TIMEOUT.mul_f64(f64::from(size.get()).log10());
+    let fleet_size = NonZeroU32::new(expected_members.max(2)).expect("at least two");
+    let suspicion_timeout = SUSPICION_TIMEOUT.mul_f64(f64::from(fleet_size.get()).log10());
     Config {
         probe_period: PROBE_PERIOD,
         probe_rtt: PROBE_TIMEOUT,
@@ -70,18 +71,20 @@
         remove_down_after: Some(FORGET_DEAD_AFTER),
         max_packet_size: NonZeroUsize::new(MAX_DATAGRAM - HEADER_LEN).expect("a header is short"),
         notify_down_members: true,
-        suspect_to_down_after: suspicion.max(MIN_SUSPICION_TIMEOUT),
-        // Pages send a whole view in a fraction of the datagrams, and the dead are probed by how many there are.
+        suspect_to_down_after: suspicion_timeout.max(MIN_SUSPICION_TIMEOUT),
+        // Announcements are disabled. Pages transfer a complete view in a fraction of the datagrams, and the
+        // rate of probes of dead members depends on the number of dead members.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         periodic_gossip: Some(PeriodicParams { frequency: GOSSIP_INTERVAL, num_members: GOSSIP_FANOUT }),
-        ..Config::new_lan(size)
+        ..Config::new_lan(fleet_size)
     }
 }
 
 impl Membership {
-    /// The view of the member at `own` whose process began at `incarnation` (Unix milliseconds), and which joins by any
-    /// of `seeds`. `seed` feeds its random choices; `now` is any time that goes on steadily.
+    /// Creates the view of the member at the address `own`. `incarnation` is the start time of the process in
+    /// Unix milliseconds. The member joins through any of `seeds`. `seed` initializes the random number
+    /// generator. `now` is monotonic time from an arbitrary origin.
     pub fn new(
         config: ViewConfig,
         own: SocketAddr,
@@ -107,34 +110,36 @@
         }
     }
 
-    /// This member, in its present incarnation.
+    /// Returns this member with its current incarnation.
     pub fn own(&self) -> Member {
         *self.foca.identity()
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called next, at the latest.
+    /// Returns the latest time for the next call of [`handle_timeout`](Self::handle_timeout). `None` if
+    /// nothing is scheduled.
     pub fn next_timeout(&self) -> Option<Duration> {
         let timer = self.runtime.timers.keys().next().map(|&(at, _)| at);
         let join = self.join.next_attempt();
         let is_alone = self.foca.num_members() == 0;
         let compare = (!is_alone).then_some(self.comparison.next_at);
-        // One that holds all others dead has no other timer.
+        // A member without seeds that considers all other members dead has no other timer.
         let probe_dead =
             (is_alone && !self.runtime.records.is_empty()).then_some(self.join.next_dead_probe_at);
         let timeouts = timer.into_iter().chain(join).chain(compare).chain(probe_dead);
         timeouts.min().filter(|_| !self.has_left)
     }
 
-    /// Carries out what is due. Where it comes late, this process has stalled: what others send is read first, and
-    /// nobody is declared dead for what was not read meanwhile.
+    /// Runs all timers that are due. A call that is delayed by at least 400 ms shows that this process has
+    /// stalled. All timers are then postponed, so that pending datagrams are read first and no member is
+    /// declared dead because its answers were not read during the stall.
     pub fn handle_timeout(&mut self, now: Duration) {
         if self.has_left {
             return;
         }
-        let late = self.next_timeout().map_or(Duration::ZERO, |due| now.saturating_sub(due));
+        let delay = self.next_timeout().map_or(Duration::ZERO, |due| now.saturating_sub(due));
         self.runtime.advance_to(now);
-        if late >= STALL_THRESHOLD {
-            self.recover_from_stall(late);
+        if delay >= STALL_THRESHOLD {
+            self.recover_from_stall(delay);
         }
         self.adjust_suspicion_timeout();
         self.remind_suspects();
@@ -143,7 +148,8 @@
                 self.repeat_probe(*probed_id);
             }
             if !self.is_refuted(&pending.timer) && !self.delay_death(&pending) {
-                // It rejects a probe that a stall has left incomplete, and begins the next by itself.
+                // `foca` returns an error for a probe that a stall left incomplete, and starts the next probe
+                // itself.
                 let _ = self.foca.handle_timer(pending.timer, &mut self.runtime);
             }
         }
@@ -152,51 +158,53 @@
         self.announce_to_seed();
     }
 
-    fn recover_from_stall(&mut self, late: Duration) {
-        self.runtime.shift_timers(late + PROBE_PERIOD);
+    /// Postpones all timers after a stall of `duration`.
+    fn recover_from_stall(&mut self, duration: Duration) {
+        self.runtime.shift_timers(duration + PROBE_PERIOD);
         self.join.retry_at(self.runtime.now);
         self.comparison.restart(self.runtime.now);
         self.runtime.outstanding_probe = None;
         self.runtime.metrics.stalls += 1;
-        self.runtime.push_change(ViewChange::Stalled(late));
+        self.runtime.push_change(ViewChange::Stalled(duration));
     }
 
-    /// Tells the others that this member leaves on purpose. Nothing is received or timed out afterwards; what is to be
-    /// sent still is.
+    /// Notifies the other members that this member leaves deliberately. Afterwards the view ignores received
+    /// datagrams and runs no timers; the queued datagrams are still to be sent.
     pub fn leave(&mut self, now: Duration) {
         self.runtime.advance_to(now);
         if std::mem::replace(&mut self.has_left, true) {
             return;
         }
-        // The last message must not fail for what was sent before: one that nobody saw leave is missed.
-        self.runtime.budget.fill_up();
+        // The budget must not suppress the leave message: without it, the other members would declare this
+        // member dead.
+        self.runtime.budget.refill_to_burst();
         let leaving = Member { leaving: true, ..self.own() };
         let _ = self.foca.change_identity(leaving, &mut self.runtime);
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        // Sent twice, as it may be lost.
+        // Gossip repeats the leave message, because a datagram may be lost.
         let _ = self.foca.gossip(&mut self.runtime);
     }
 
-    /// The next datagram to be sent, and where to.
+    /// Returns the next datagram to send and its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Bytes)> {
         self.runtime.outgoing.pop_front()
     }
 
-    /// The next change of the view that has not been fetched.
+    /// Returns the oldest change of the view that has not been fetched.
     pub fn next_change(&mut self) -> Option<ViewChange> {
         self.runtime.changes.pop_front()
     }
 
-    /// All other members that are known, by address.
+    /// Returns the status of all other known members in ascending order of address.
     pub fn members(&self) -> impl Iterator<Item = MemberStatus> {
-        let by_protocol: BTreeMap<SocketAddr, _> = self
+        let protocol_states: BTreeMap<SocketAddr, _> = self
             .foca
             .iter_membership_state()
             .map(|member| (member.id().address, (member.state(), member.incarnation())))
             .collect();
         self.runtime.records.values().map(move |&MemberRecord { member, is_up, since, .. }| {
             let (state, refutations) =
-                by_protocol.get(&member.address).copied().unwrap_or((foca::State::Down, 0));
+                protocol_states.get(&member.address).copied().unwrap_or((foca::State::Down, 0));
             let state = match state {
                 _ if member.leaving => MemberState::Left,
                 foca::State::Alive if is_up => MemberState::Alive,
@@ -207,8 +215,8 @@
         })
     }
 
-    /// A number that is [`digest`] of all that are there, this member included, where none of them is suspected. It
-    /// takes a look at each.
+    /// Returns a digest of the members that are up, including this one. It equals [`digest`] of these members
+    /// if none of them is suspected. The cost is linear in the number of members.
     pub fn digest(&self) -> u64 {
         let own = self.own();
         let others = self.foca.iter_members().filter(|member| member.id().address != own.address);
@@ -218,13 +226,14 @@
             .fold(page::member_digest(own, 0), u64::wrapping_add)
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn metrics(&self) -> &ViewMetrics {
         &self.runtime.metrics
     }
 }
 
-/// What [`Membership::digest`] is where just these members are alive, in these incarnations.
+/// Returns the value of [`Membership::digest`] for a view in which exactly these members are alive, with
+/// these incarnations.
 pub fn digest(alive: impl IntoIterator<Item = Member>) -> u64 {
     alive.into_iter().map(|member| page::member_digest(member, 0)).fold(0, u64::wrapping_add)
 }
--- a/crates/ashtide-fleet/src/view/receive.rs
+++ b/crates/ashtide-fleet/src/view/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in.
+//! Handling of received datagrams.
 
 use bytes::BytesMut;
 use foca::{Codec, Header, Message, PostcardCodec};
@@ -8,7 +8,7 @@
 use crate::member::Member;
 use crate::page::{self, Page};
 
-/// The payload of a frame.
+/// The decoded payload of a frame.
 enum Payload<'a> {
     Page(Page),
     Protocol { bytes: &'a [u8], header: Header<Member>, updates: &'a [u8] },
@@ -35,11 +35,12 @@
 }
 
 impl Membership {
-    /// Handles a datagram.
+    /// Handles a received datagram.
     ///
     /// # Errors
     ///
-    /// Says why it is rejected; it is counted, and has changed nothing.
+    /// Returns the reason if the datagram is rejected. A rejected datagram is counted and changes no other
+    /// state.
     pub fn handle_datagram(&mut self, now: std::time::Duration, datagram: &[u8]) -> Result<(), DecodeError> {
         self.runtime.advance_to(now);
         self.handle_frame(datagram)
@@ -64,6 +65,7 @@
         Ok(())
     }
 
+    /// Checks that the sender is another member, and that the view has capacity for it.
     fn check_sender(&self, sender: Member) -> Result<(), DecodeError> {
         let records = &self.runtime.records;
         if sender.address == self.own().address {
@@ -92,17 +94,17 @@
             }
         }
         let own = self.own();
-        // Its sender knows an earlier incarnation of this member. Left unanswered, it would declare the present one
-        // dead.
-        let is_to_earlier = is_own_address
+        // The sender has recorded an earlier incarnation of this member. Without an answer it would declare
+        // the current incarnation dead.
+        let is_for_earlier_incarnation = is_own_address
             && header.dst.incarnation < own.incarnation
             && !matches!(header.message, Message::TurnUndead | Message::Announce);
         let filtered = self.filter_own_updates(updates)?;
-        if !is_to_earlier && filtered.is_none() {
+        if !is_for_earlier_incarnation && filtered.is_none() {
             return self.forward_to_foca(bytes);
         }
         let mut rewritten = BytesMut::with_capacity(MAX_DATAGRAM);
-        let dst = if is_to_earlier { own } else { header.dst };
+        let dst = if is_for_earlier_incarnation { own } else { header.dst };
         PostcardCodec
             .encode_header(&Header { dst, ..header }, &mut rewritten)
             .map_err(|_| DecodeError::Malformed)?;
@@ -110,8 +112,8 @@
         self.forward_to_foca(&rewritten)
     }
 
-    /// What remains of a message's updates without those of this member that are of no use any more; none where all
-    /// remain. `foca` would answer each of them with three messages, however often it has refuted them.
+    /// Removes obsolete updates about this member from the updates of a message. Returns `None` if there are
+    /// none. `foca` would answer each obsolete update with three messages, even if it was refuted before.
     fn filter_own_updates(&self, updates: &[u8]) -> Result<Option<Vec<u8>>, DecodeError> {
         let Some((count, mut bytes)) = updates.split_first_chunk() else { return Ok(None) };
         let count = u16::from_be_bytes(*count);
@@ -120,7 +122,7 @@
         for _ in 0..count {
             let update: foca::Member<Member> =
                 PostcardCodec.decode_member(&mut bytes).map_err(|_| DecodeError::Malformed)?;
-            if self.is_useless_update(&update) {
+            if self.is_obsolete_own_update(&update) {
                 continue;
             }
             remaining_count += 1;
@@ -130,15 +132,15 @@
         Ok((remaining_count < count).then_some(remaining))
     }
 
-    /// Whether an update is about this member's address, and about another incarnation or a suspicion that it has
-    /// refuted.
-    fn is_useless_update(&self, update: &foca::Member<Member>) -> bool {
+    /// Checks whether an update has this member's address and is obsolete: it describes another incarnation,
+    /// states that this member is alive, or is a suspicion that this member has refuted.
+    fn is_obsolete_own_update(&self, update: &foca::Member<Member>) -> bool {
         let own = self.own();
-        let is_same = *update.id() == own;
-        let is_refuted = is_same
+        let is_current_incarnation = *update.id() == own;
+        let is_refuted = is_current_incarnation
             && update.state() != foca::State::Down
             && (update.state() == foca::State::Alive || update.incarnation() < self.runtime.refutations);
-        update.id().address == own.address && (!is_same || is_refuted)
+        update.id().address == own.address && (!is_current_incarnation || is_refuted)
     }
 
     pub(super) fn forward_to_foca(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
@@ -148,13 +150,13 @@
         })
     }
 
-    /// Rejoins under a later incarnation where others know one of this address: the clock was put back between two
-    /// starts.
+    /// Rejoins with a later incarnation if other members have recorded a later incarnation of this address
+    /// than the current one. That happens when the clock was set back between two starts.
     pub(super) fn adopt_later_incarnation(&mut self, known: Member) {
         let own = self.own();
         if known.incarnation > own.incarnation {
             let later = Member { incarnation: known.incarnation.saturating_add(1), ..own };
-            // The only failure is to be that already.
+            // `change_identity` fails only if the identity is unchanged, and `later` is higher.
             let _ = self.foca.change_identity(later, &mut self.runtime);
             self.runtime.push_change(ViewChange::Rejoined(later));
         }
--- a/crates/ashtide-fleet/src/view/runtime.rs
+++ b/crates/ashtide-fleet/src/view/runtime.rs
@@ -1,4 +1,4 @@
-//! What the protocol's crate asks of its surroundings: timers, datagrams within a budget, and notifications.
+//! The runtime of `foca`: timers, sending within a datagram budget, and notifications.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,36 +11,39 @@
 use crate::frame::{PayloadKind, encode_frame};
 use crate::member::Member;
 
-/// Changes that may wait to be fetched; older ones are dropped. The members' states tell the outcome.
+/// The maximum number of changes that have not been fetched. Beyond it the oldest change is dropped; the
+/// resulting member states remain available.
 const MAX_CHANGES: usize = 1024;
-/// Datagrams that may wait to be sent. Further ones are lost, as on any network.
+/// The maximum number of datagrams in the send queue. Further datagrams are dropped, which the protocol
+/// tolerates like loss on the network.
 const MAX_QUEUED_DATAGRAMS: usize = 256;
-/// Tokens that gossip leaves in the budget: an answer that is not sent makes this member a suspect.
+/// The number of budget tokens that gossip leaves for other messages. An unsent answer to a probe would make
+/// this member a suspect.
 const GOSSIP_RESERVE: f64 = 12.0;
-/// How much the last probe counts in the rates of answers.
+/// The weight of the latest probe in the moving averages of the answer rates.
 const ANSWER_RATE_SMOOTHING: f64 = 0.125;
 
-/// A timer that the protocol has set.
+/// A timer set by the protocol.
 pub(super) struct PendingTimer {
     pub(super) timer: Timer<Member>,
-    /// When it was set.
+    /// The time at which the timer was set.
     pub(super) since: Duration,
-    /// How often the death that it brings was delayed.
+    /// The number of times that the death declared by this timer was delayed.
     pub(super) death_delays: u8,
 }
 
-/// What this member knows of another itself.
+/// The local record of another member.
 #[derive(Clone, Copy)]
 pub(super) struct MemberRecord {
     pub(super) member: Member,
     pub(super) is_up: bool,
-    /// Since when it is up or down.
+    /// The time at which the member last came up or went down.
     pub(super) since: Duration,
-    /// When a datagram of it was received last.
+    /// The time at which the last datagram of the member was received, or the record was created.
     pub(super) received_at: Duration,
 }
 
-/// A probe that has not been answered.
+/// The latest probe, while it is unanswered.
 #[derive(Clone, Copy)]
 pub(super) struct OutstandingProbe {
     pub(super) address: SocketAddr,
@@ -48,47 +51,51 @@
     pub(super) was_repeated: bool,
 }
 
-/// Limits the datagrams that are sent.
+/// A token bucket that limits the rate of sent datagrams. Each datagram takes one token.
 pub(super) struct TokenBucket {
     tokens: f64,
-    filled_at: Duration,
-    per_second: f64,
+    refilled_at: Duration,
+    tokens_per_second: f64,
     burst: f64,
 }
 
 impl TokenBucket {
     fn new(config: &ViewConfig, now: Duration) -> Self {
         let burst = f64::from(config.burst);
-        Self { tokens: burst, filled_at: now, per_second: f64::from(config.datagrams_per_second), burst }
+        let tokens_per_second = f64::from(config.datagrams_per_second);
+        Self { tokens: burst, refilled_at: now, tokens_per_second, burst }
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.filled_at).as_secs_f64();
-        self.tokens = (self.tokens + self.per_second * passed).min(self.burst);
-        self.filled_at = now;
+    /// Adds the tokens for the time since the last refill.
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + self.tokens_per_second * elapsed).min(self.burst);
+        self.refilled_at = now;
     }
 
-    pub(super) fn fill_up(&mut self) {
+    /// Refills the bucket completely.
+    pub(super) fn refill_to_burst(&mut self) {
         self.tokens = self.burst;
     }
 }
 
-/// The surroundings of the protocol.
+/// The runtime that `foca` uses: the current time, timers, the send queue and the member records.
 pub(super) struct ProtocolRuntime {
     pub(super) now: Duration,
     pub(super) fleet_id: u32,
     pub(super) budget: TokenBucket,
-    /// By their time, then in the order in which they were set.
+    /// The pending timers, ordered by due time and then by the order in which they were set.
     pub(super) timers: BTreeMap<(Duration, u64), PendingTimer>,
     last_timer_id: u64,
     pub(super) outgoing: VecDeque<(SocketAddr, Bytes)>,
     pub(super) changes: VecDeque<ViewChange>,
     pub(super) records: BTreeMap<SocketAddr, MemberRecord>,
-    /// How often this member has refuted a suspicion in this incarnation: the protocol sends it in each datagram.
+    /// The number of suspicions that this member has refuted in this incarnation, read from the header of the
+    /// last datagram that `foca` sent.
     pub(super) refutations: u16,
-    /// The part of this member's probes that are answered directly.
+    /// The moving average of the fraction of this member's probes that are answered directly.
     pub(super) answer_rate: f64,
-    /// The part of the answers that come without a repeated probe.
+    /// The moving average of the fraction of answered probes that needed no repetition.
     pub(super) prompt_answer_rate: f64,
     pub(super) outstanding_probe: Option<OutstandingProbe>,
     pub(super) metrics: ViewMetrics,
@@ -113,11 +120,12 @@
         }
     }
 
-    /// Lets time pass; it never goes backwards.
+    /// Advances the current time. An earlier time has no effect.
     pub(super) fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
+    /// Queues a change to be fetched.
     pub(super) fn push_change(&mut self, change: ViewChange) {
         if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
@@ -125,9 +133,10 @@
         self.changes.push_back(change);
     }
 
-    /// Takes a token, unless no more than `reserve` would be left.
+    /// Takes a token and returns `true`, unless fewer than `reserve` tokens would remain or the send queue is
+    /// full.
     fn take_token(&mut self, reserve: f64) -> bool {
-        self.budget.fill(self.now);
+        self.budget.refill(self.now);
         let allowed = self.budget.tokens >= 1.0 + reserve && self.outgoing.len() < MAX_QUEUED_DATAGRAMS;
         if allowed {
             self.budget.tokens -= 1.0;
@@ -137,7 +146,7 @@
         allowed
     }
 
-    /// Queues a datagram, unless the budget has no more than `reserve`.
+    /// Queues a datagram, or drops it if fewer than `reserve` tokens would remain or the send queue is full.
     pub(super) fn enqueue(&mut self, reserve: f64, to: SocketAddr, kind: PayloadKind, payload: &[u8]) {
         if !self.take_token(reserve) {
             return;
@@ -147,44 +156,45 @@
         self.outgoing.push_back((to, datagram));
     }
 
-    /// Sets a timer.
+    /// Sets a timer that is due in `after`.
     pub(super) fn set_timer(&mut self, after: Duration, timer: Timer<Member>, death_delays: u8) {
         self.last_timer_id += 1;
         let pending = PendingTimer { timer, since: self.now, death_delays };
         self.timers.insert((self.now + after, self.last_timer_id), pending);
     }
 
-    /// Moves all timers on by `shift`.
+    /// Postpones all timers by `shift`.
     pub(super) fn shift_timers(&mut self, shift: Duration) {
         let timers = std::mem::take(&mut self.timers);
         self.timers = timers.into_iter().map(|((at, id), pending)| ((at + shift, id), pending)).collect();
     }
 
-    /// Takes a timer that is due.
+    /// Removes and returns the earliest timer that is due.
     pub(super) fn take_due_timer(&mut self) -> Option<PendingTimer> {
         let entry = self.timers.first_entry().filter(|entry| entry.key().0 <= self.now)?;
         Some(entry.remove())
     }
 
-    /// Records that the outstanding probe was answered, or that the next one begins and it was not.
+    /// Records whether the outstanding probe was answered, and clears it. A probe counts as unanswered when
+    /// the next one starts.
     pub(super) fn record_probe(&mut self, is_answered: bool) {
         let Some(probe) = self.outstanding_probe.take() else { return };
-        let smooth = |rate: &mut f64, value: bool| {
-            *rate += ANSWER_RATE_SMOOTHING * (f64::from(u8::from(value)) - *rate);
+        let update_average = |rate: &mut f64, sample: bool| {
+            *rate += ANSWER_RATE_SMOOTHING * (f64::from(u8::from(sample)) - *rate);
         };
-        smooth(&mut self.answer_rate, is_answered);
+        update_average(&mut self.answer_rate, is_answered);
         if is_answered {
-            smooth(&mut self.prompt_answer_rate, !probe.was_repeated);
+            update_average(&mut self.prompt_answer_rate, !probe.was_repeated);
         }
     }
 
-    /// Records that a datagram of a member was received.
-    pub(super) fn record_received(&mut self, member: Member, bytes: usize) {
+    /// Records that a datagram of `length` bytes was received from a member.
+    pub(super) fn record_received(&mut self, member: Member, length: usize) {
         let record = self.records.get_mut(&member.address);
         if let Some(record) = record.filter(|record| record.member == member) {
             record.received_at = self.now;
         }
-        self.metrics.received.record(bytes);
+        self.metrics.received.record(length);
     }
 
     fn new_record(&self, member: Member, is_up: bool) -> MemberRecord {
@@ -193,9 +203,10 @@
 
     fn handle_member_up(&mut self, member: Member) {
         let previous = self.records.insert(member.address, self.new_record(member, true));
-        // Only a member that was there all along refutes its death: a restart takes its incarnation from the clock.
-        let dead = previous.filter(|record| !record.is_up && !record.member.leaving);
-        if dead.is_some_and(|dead| member.incarnation <= dead.member.incarnation.saturating_add(1)) {
+        // A member that refutes its death rejoins with an incarnation higher by one. A restarted process
+        // derives its incarnation from the clock.
+        let dead_record = previous.filter(|record| !record.is_up && !record.member.leaving);
+        if dead_record.is_some_and(|dead| member.incarnation <= dead.member.incarnation.saturating_add(1)) {
             self.metrics.false_deaths += 1;
         }
         self.push_change(ViewChange::Up(member));
@@ -213,7 +224,8 @@
 
     fn handle_rename(&mut self, member: Member) {
         let record = self.records.get_mut(&member.address);
-        // Its state follows, where it changes; a death is kept to be told from a restart.
+        // A separate notification reports a change of state. The record of a dead member is retained, so that
+        // a refuted death can be distinguished from a restart.
         if let Some(record) = record.filter(|record| record.is_up || member.leaving) {
             record.member = member;
         }
--- a/crates/ashtide-fleet/src/view/suspicion.rs
+++ b/crates/ashtide-fleet/src/view/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions: how long they last, how they are refuted, and doubt in the own link (after Lifeguard).
+//! Suspicion timeouts, reminders to suspects, and adaptation to a poor local link (after Lifeguard).
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,32 +11,39 @@
 use crate::frame::{MAX_DATAGRAM, PayloadKind};
 use crate::member::Member;
 
-/// A death is delayed so often, by as long again, where the member itself was heard since it was suspected.
+/// The maximum number of times that a death is delayed by another suspicion timeout because a datagram of the
+/// member was received after the suspicion began.
 const MAX_DEATH_DELAYS: u8 = 2;
-/// How often suspects are reminded that they are.
+/// The interval between reminders to suspects.
 const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
-/// Suspects that are reminded at a time, of those that this member began to suspect.
+/// The maximum number of reminders per [`REMINDER_INTERVAL`] to suspects whose suspicion this member started.
 const OWN_SUSPECT_REMINDERS: usize = 4;
-/// Other suspects that are reminded at a time.
+/// The maximum number of reminders per [`REMINDER_INTERVAL`] to suspects whose suspicion another member
+/// started.
 const OTHER_SUSPECT_REMINDERS: usize = 1;
-/// Tokens that reminders of others' suspects leave in the budget.
+/// The number of budget tokens that reminders to suspects of other members leave for other messages.
 const REMINDER_RESERVE: f64 = 4.0;
-/// Below this rate of answers to its own probes, a member doubts its own link and gives suspects so many times as long.
+/// The thresholds of the rate of answers to this member's probes, in ascending order. A low rate suggests
+/// that the local link is poor, so the suspicion timeout is extended.
 const ANSWER_RATE_THRESHOLDS: [AnswerRateThreshold; 2] = [
     AnswerRateThreshold { below: 0.35, timeout_factor: 3 },
     AnswerRateThreshold { below: 0.6, timeout_factor: 2 },
 ];
-/// The same for answers that come without a repeated probe. The dead give none, so what is missing was lost.
+/// The threshold of the rate of answers received without a repeated probe. Dead members do not affect this
+/// rate, because they send no answers; a low rate therefore indicates datagram loss.
 const PROMPT_RATE_THRESHOLD: AnswerRateThreshold = AnswerRateThreshold { below: 0.85, timeout_factor: 2 };
 
+/// The factor of the suspicion timeout for answer rates below a threshold.
 struct AnswerRateThreshold {
+    /// The exclusive upper bound of the rate, as a fraction.
     below: f64,
     timeout_factor: u32,
 }
 
-/// When suspects were reminded last, and the next one of them.
+/// The schedule of reminders to suspects.
 pub(super) struct Reminders {
     sent_at: Duration,
+    /// The position of the next suspect to remind, modulo the number of suspects.
     next_index: usize,
 }
 
@@ -47,8 +54,9 @@
 }
 
 impl Membership {
-    /// Whether a suspicion was refuted before it was to end in a death. `foca` tells the member that it is dead all
-    /// the same, and the member takes another incarnation for nothing.
+    /// Checks whether `timer` declares the death of a member that has refuted the suspicion in the meantime.
+    /// `foca` would still notify the member that it is dead, and the member would take a new incarnation
+    /// needlessly.
     pub(super) fn is_refuted(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         !self.foca.iter_membership_state().any(|member| {
@@ -58,8 +66,10 @@
         })
     }
 
-    /// Delays the death of a member that was heard itself since it was suspected, a few times: its answer was lost, or
-    /// the news that it is suspected. One that sends and receives nothing is declared dead in the end.
+    /// Delays the death of a member if a datagram of it was received after the suspicion began. Its answer,
+    /// or the update that it is suspected, was probably lost. The number of delays is limited, so that a
+    /// member that sends datagrams but receives none is still declared dead. Returns whether the death was
+    /// delayed.
     pub(super) fn delay_death(&mut self, pending: &PendingTimer) -> bool {
         let Timer::ChangeSuspectToDown { member_id, .. } = &pending.timer else { return false };
         let record = self.runtime.records.get(&member_id.address);
@@ -72,23 +82,24 @@
         is_delayed
     }
 
-    /// Gives suspects more time where few probes are answered: that says something of the prober.
+    /// Extends the suspicion timeout while few of this member's probes are answered, because the cause is
+    /// then probably the local link.
     pub(super) fn adjust_suspicion_timeout(&mut self) {
         let applies = |threshold: &&AnswerRateThreshold| self.runtime.answer_rate < threshold.below;
-        let doubt =
+        let answer_factor =
             ANSWER_RATE_THRESHOLDS.iter().find(applies).map_or(1, |threshold| threshold.timeout_factor);
-        let loss = match self.runtime.prompt_answer_rate < PROMPT_RATE_THRESHOLD.below {
+        let loss_factor = match self.runtime.prompt_answer_rate < PROMPT_RATE_THRESHOLD.below {
             true => PROMPT_RATE_THRESHOLD.timeout_factor,
             false => 1,
         };
-        let suspect_to_down_after = self.base_config.suspect_to_down_after * doubt.max(loss);
-        // It may change at any time, so this is not refused.
+        let suspect_to_down_after = self.base_config.suspect_to_down_after * answer_factor.max(loss_factor);
+        // `foca` accepts a change of this setting at any time, so the call does not fail.
         let _ = self.foca.set_config(Config { suspect_to_down_after, ..self.base_config.clone() });
     }
 
-    /// Reminds members that they are suspected here (Lifeguard's buddies), by a probe whose answer is the refutation.
-    /// Only who began a suspicion ends it; where that one is gone, or its news were lost, a member that is alive would
-    /// be suspected for ever.
+    /// Reminds suspects of the suspicion, like Lifeguard's buddy system, with a probe whose answer has the
+    /// refutation. Only the member that started a suspicion ends it by a timeout. If that member has exited,
+    /// or its updates were lost, a running member would remain a suspect indefinitely without the reminders.
     pub(super) fn remind_suspects(&mut self) {
         let now = self.runtime.now;
         if now.saturating_sub(self.reminders.sent_at) < REMINDER_INTERVAL {
@@ -105,7 +116,7 @@
         self.reminders.next_index = self.reminders.next_index.wrapping_add(OWN_SUSPECT_REMINDERS);
     }
 
-    /// The members that this one began to suspect.
+    /// Returns the members whose suspicion this member started.
     fn own_suspects(&self) -> BTreeSet<Member> {
         let timers = self.runtime.timers.values().map(|pending| &pending.timer);
         let suspects = timers.filter_map(|timer| match timer {
@@ -115,15 +126,16 @@
         suspects.collect()
     }
 
-    fn send_reminders(&mut self, suspects: &[foca::Member<Member>], most: usize, reserve: f64) {
-        for number in 0..most.min(suspects.len()) {
-            let suspect = &suspects[(self.reminders.next_index + number) % suspects.len()];
+    /// Sends reminders to at most `max_count` of `suspects`, in rotation.
+    fn send_reminders(&mut self, suspects: &[foca::Member<Member>], max_count: usize, reserve: f64) {
+        for offset in 0..max_count.min(suspects.len()) {
+            let suspect = &suspects[(self.reminders.next_index + offset) % suspects.len()];
             self.send_probe(reserve, *suspect.id(), 0, Some(suspect));
         }
     }
 
-    /// Repeats the outstanding probe of a member before it is probed through others: the probe or its answer may just
-    /// be lost.
+    /// Repeats the outstanding probe of a member before the member is probed indirectly, because the probe or
+    /// its answer may have been lost.
     pub(super) fn repeat_probe(&mut self, member: Member) {
         let probe = self.runtime.outstanding_probe.as_mut();
         if let Some(probe) = probe.filter(|probe| probe.address == member.address) {
@@ -133,7 +145,7 @@
         }
     }
 
-    /// Sends a probe beside the protocol's own, with at most one update.
+    /// Sends a probe in addition to those of `foca`, with at most one update.
     fn send_probe(
         &mut self,
         reserve: f64,
@@ -153,7 +165,7 @@
         if let Some(update) = update {
             is_complete &= PostcardCodec.encode_member(update, &mut payload).is_ok();
         }
-        // A buffer that grows takes both.
+        // Encoding into a growing buffer does not fail.
         if is_complete {
             self.runtime.enqueue(reserve, to.address, PayloadKind::Protocol, &payload);
         }
--- a/crates/ashtide-fleet/src/view/types.rs
+++ b/crates/ashtide-fleet/src/view/types.rs
@@ -1,4 +1,4 @@
-//! What a view is configured with, and what it shows.
+//! The configuration, member states, changes and metrics of a membership view.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,84 +6,86 @@
 use crate::frame::{DatagramCount, DecodeError};
 use crate::member::Member;
 
-/// The configuration of a view.
+/// The configuration of a membership view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewConfig {
-    /// The tier's key: datagrams of other tiers are rejected.
+    /// The ID of the fleet. Datagrams of other fleets are rejected.
     pub fleet_id: u32,
-    /// About how many members there are; how long a suspicion lasts grows as its logarithm.
+    /// The approximate number of members. The suspicion timeout grows with its logarithm.
     pub expected_members: u32,
-    /// Datagrams a second that this member sends at most, whatever the size of the tier.
+    /// The maximum number of datagrams that this member sends per second, whatever the size of the fleet.
     pub datagrams_per_second: u32,
-    /// Datagrams that it sends at once at most.
+    /// The maximum number of datagrams that this member sends at once.
     pub burst: u32,
 }
 
 impl ViewConfig {
-    /// The default budget: 24 datagrams a second, 48 at once.
+    /// Creates a configuration with the default budget: 24 datagrams per second, 48 at once.
     pub fn new(fleet_id: u32, expected_members: u32) -> Self {
         Self { fleet_id, expected_members, datagrams_per_second: 24, burst: 48 }
     }
 }
 
-/// The state of a member, as another one sees it.
+/// The state of a member in the view of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It has not answered, and has time to refute that it is dead.
+    /// The member has not answered a probe, and the time for a refutation has not expired.
     Suspect,
-    /// It left on purpose.
+    /// The member left deliberately.
     Left,
-    /// It has not refuted in time.
+    /// The member did not refute a suspicion in time.
     Dead,
 }
 
-/// One member as this one sees it.
+/// The status of one member in the local view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Which.
+    /// The member that the status describes.
     pub member: Member,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// How often it has refuted a suspicion in this incarnation.
+    /// The number of suspicions that the member has refuted in this incarnation.
     pub refutations: u16,
-    /// Since when it is up or down, by this member's time.
+    /// The local time at which the member last came up or went down.
     pub since: Duration,
 }
 
-/// A change of the view.
+/// A change of the membership view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ViewChange {
-    /// A member is there.
+    /// A member is up.
     Up(Member),
-    /// A member has left.
+    /// A member left deliberately.
     Left(Member),
-    /// A member is dead.
+    /// A member was declared dead.
     Dead(Member),
-    /// Others had declared this member dead; it has rejoined as this.
+    /// This member rejoined with a new incarnation: other members had declared it dead, or had recorded a
+    /// later incarnation of its address.
     Rejoined(Member),
-    /// This process stalled for so long; it suspects nobody for it.
+    /// This process stalled for the given time. It suspects no member because of the stall.
     Stalled(Duration),
 }
 
-/// Counts since the start.
+/// Counters of a membership view since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ViewMetrics {
-    /// Datagrams sent.
+    /// The datagrams sent.
     pub sent: DatagramCount,
-    /// Datagrams received.
+    /// The datagrams received and accepted.
     pub received: DatagramCount,
-    /// Datagrams that the budget or the queue had no room for.
+    /// The number of datagrams dropped because the budget was exhausted or the send queue was full.
     pub dropped: u64,
-    /// Datagrams rejected, by reason.
+    /// The number of datagrams rejected, by reason.
     pub rejected: BTreeMap<DecodeError, u64>,
-    /// Members that were declared dead here.
+    /// The number of times this member recorded another member as dead.
     pub deaths: u64,
-    /// Of these, members that came back in the same incarnation or the next number: they were alive.
+    /// The number of deaths after which the member returned with the same incarnation or the next one, which
+    /// shows that its process was running all the time.
     pub false_deaths: u64,
-    /// How often others declared this member dead.
+    /// The number of times other members declared this member dead.
     pub own_deaths: u64,
-    /// Stalls of this process.
+    /// The number of stalls of this process.
     pub stalls: u64,
 }
