--- a/crates/ashtide-fleet/tests/chance/mod.rs
+++ b/crates/ashtide-fleet/tests/chance/mod.rs
@@ -1,4 +1,5 @@
-//! Faults by chance, from a seed: a network between numbered gateways, and each one's clock.
+//! A network between numbered gateways with random faults, and the inaccurate clocks of the gateways. All
+//! random choices derive from a seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,19 +7,26 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// The step by which simulations advance the virtual time.
 pub const STEP: Duration = Duration::from_millis(25);
 
+/// A network that delays, loses and duplicates messages, and blocks links. It also has the virtual time and
+/// the random number generator of a simulation.
 pub struct Chance<M> {
     pub now: Duration,
     pub rng: ChaCha8Rng,
+    /// The probability that a message is lost.
     pub loss: f64,
+    /// The probability that a message is duplicated.
     pub repeat: f64,
-    /// Longest delay, in milliseconds, and how often it is drawn up to that and not up to 40.
+    /// The maximum of long delays in milliseconds, and the probability of a long delay. Other delays are at
+    /// most 40 ms.
     pub slow: (u64, f64),
-    /// Directions in which all is lost.
+    /// The directed links, as pairs of sender and receiver, on which all messages are lost.
     pub cut: BTreeSet<(usize, usize)>,
-    wire: BTreeMap<(Duration, u64), (usize, usize, M)>,
-    number: u64,
+    /// The messages in flight with their senders and receivers, by arrival time and sequence number.
+    in_flight: BTreeMap<(Duration, u64), (usize, usize, M)>,
+    last_sequence: u64,
 }
 
 impl<M: Clone> Chance<M> {
@@ -30,51 +38,58 @@
             repeat: 0.0,
             slow: (40, 0.0),
             cut: BTreeSet::new(),
-            wire: BTreeMap::new(),
-            number: 0,
+            in_flight: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 
-    pub fn one_in(&mut self, times: u32) -> bool {
-        self.rng.random_range(0..times) == 0
+    /// Returns `true` with the probability 1 / `count`.
+    pub fn one_in(&mut self, count: u32) -> bool {
+        self.rng.random_range(0..count) == 0
     }
 
+    /// Returns a random number less than `end`.
     pub fn below(&mut self, end: usize) -> usize {
         self.rng.random_range(0..end)
     }
 
+    /// Sends a message, subject to the faults of the network.
     pub fn send(&mut self, from: usize, to: usize, message: M) {
         let copies = 1 + usize::from(self.rng.random_bool(self.repeat));
         for _ in 0..copies {
             if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
                 continue;
             }
-            let longest = if self.rng.random_bool(self.slow.1) { self.slow.0 } else { 40 };
-            let delay = Duration::from_millis(self.rng.random_range(1..=longest));
-            self.number += 1;
-            self.wire.insert((self.now + delay, self.number), (from, to, message.clone()));
+            let max_delay_ms = if self.rng.random_bool(self.slow.1) { self.slow.0 } else { 40 };
+            let delay = Duration::from_millis(self.rng.random_range(1..=max_delay_ms));
+            self.insert(self.now + delay, from, to, message.clone());
         }
     }
 
-    /// A message that waits at its receiver, unread.
+    /// Delivers a message again in the next step, because its receiver is stalled and has not read it.
     pub fn delay(&mut self, from: usize, to: usize, message: M) {
-        self.number += 1;
-        self.wire.insert((self.now + STEP, self.number), (from, to, message));
+        self.insert(self.now + STEP, from, to, message);
     }
 
-    /// The next message that has come by now: from, to, what.
+    fn insert(&mut self, arrival: Duration, from: usize, to: usize, message: M) {
+        self.last_sequence += 1;
+        self.in_flight.insert((arrival, self.last_sequence), (from, to, message));
+    }
+
+    /// Removes and returns the next message that has arrived, with its sender and receiver.
     pub fn next(&mut self) -> Option<(usize, usize, M)> {
-        let entry = self.wire.first_entry().filter(|it| it.key().0 <= self.now)?;
+        let entry = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now)?;
         Some(entry.remove())
     }
 
-    /// Parts the gateways of `size` into two by chance, in one direction or both.
+    /// Divides `size` gateways randomly into two groups, and blocks the links between them in one direction
+    /// or both.
     pub fn part(&mut self, size: usize) {
-        let both = self.one_in(2);
-        let left: Vec<bool> = (0..size).map(|_| self.rng.random_bool(0.5)).collect();
+        let both_directions = self.one_in(2);
+        let is_in_first: Vec<bool> = (0..size).map(|_| self.rng.random_bool(0.5)).collect();
         for from in 0..size {
             for to in 0..size {
-                if left[from] != left[to] && (both || left[from]) {
+                if is_in_first[from] != is_in_first[to] && (both_directions || is_in_first[from]) {
                     self.cut.insert((from, to));
                 }
             }
@@ -82,28 +97,31 @@
     }
 }
 
-/// A clock that starts anywhere, goes up to 2% wrong, and jumps.
+/// A clock of a gateway with a random offset below 5 s, a rate error of at most 2%, and jumps.
 pub struct Clock {
-    offset: i64,
+    offset_us: i64,
     rate: f64,
 }
 
 impl Clock {
     pub fn new<M: Clone>(chance: &mut Chance<M>) -> Self {
-        Self { offset: chance.rng.random_range(0..5_000_000), rate: chance.rng.random_range(0.98..1.02) }
+        Self { offset_us: chance.rng.random_range(0..5_000_000), rate: chance.rng.random_range(0.98..1.02) }
     }
 
+    /// Shifts the clock by `ms` milliseconds, forwards or backwards.
     pub fn jump(&mut self, ms: i64) {
-        self.offset += ms * 1_000;
+        self.offset_us += ms * 1_000;
     }
 
+    /// Returns the time of the clock at the virtual time `now`.
     pub fn read(&self, now: Duration) -> Duration {
-        let micros = (now.as_micros() as f64 * self.rate) as i64 + self.offset;
+        let micros = (now.as_micros() as f64 * self.rate) as i64 + self.offset_us;
         Duration::from_micros(micros.max(0) as u64)
     }
 }
 
-/// The seeds to play: all up to `count`, or the one that the environment names.
+/// Returns the seeds to simulate: the one in the environment variable `ASHTIDE_SEED`, otherwise all below
+/// `count`.
 pub fn seeds(count: u64) -> std::ops::Range<u64> {
     match std::env::var("ASHTIDE_SEED").ok().and_then(|seed| seed.parse::<u64>().ok()) {
         Some(seed) => seed..seed + 1,
