--- a/crates/ashtide-fleet/src/page.rs
+++ b/crates/ashtide-fleet/src/page.rs
@@ -54,7 +54,8 @@
     CompareDigests,
     /// Requests the receiver's digest and those of its entries in the page's address range that are newer.
     NewerEntries,
-    /// Requests no reply. The page answers [`NewerEntries`](Self::NewerEntries).
+    /// Requests no reply. The page answers [`NewerEntries`](Self::NewerEntries) with the sender's newer entries
+    /// and digest.
     Nothing,
 }
 
@@ -206,9 +207,9 @@
     Some(Page { header, is_last, entries })
 }
 
-/// Returns a digest of the members that are up, their incarnations and refutations. The digest does not
-/// depend on the order of the entries. It is not cryptographic: an attacker can construct two views with the
-/// same digest.
+/// Returns a digest of the members that are neither down nor leaving, their incarnations and refutations. The
+/// digest does not depend on the order of the entries. It is not cryptographic: an attacker can construct two
+/// views with the same digest.
 pub(crate) fn digest<'a>(entries: impl Iterator<Item = &'a PageEntry>) -> u64 {
     let up = entries.filter(|entry| entry.state != State::Down && !entry.member.leaving);
     up.map(|entry| member_digest(entry.member, u64::from(entry.refutations))).fold(0, u64::wrapping_add)
