--- a/crates/ashtide-fleet/examples/shared.rs
+++ b/crates/ashtide-fleet/examples/shared.rs
@@ -1,12 +1,12 @@
 //! Measures, in virtual time, the traffic of shared state per gateway and how fast it propagates. The
 //! arguments are fleet sizes: `shared 10 100 1000`.
 
-#[path = "../tests/chance/mod.rs"]
-#[allow(dead_code)]
-mod chance;
 #[path = "../tests/exchanges/mod.rs"]
 #[allow(dead_code)]
 mod exchanges;
+#[path = "../tests/faulty_network/mod.rs"]
+#[allow(dead_code)]
+mod faulty_network;
 
 use std::time::Duration;
 
@@ -31,15 +31,15 @@
         }
         cluster.run(4 * second);
         let without_loss = cluster.traffic_per_gateway(4);
-        cluster.chance.loss = 0.3;
+        cluster.network.loss = 0.3;
         cluster.run(2 * second);
         let with_loss = cluster.traffic_per_gateway(4);
-        cluster.chance.loss = 0.0;
+        cluster.network.loss = 0.0;
         // Nine in ten gateways observe the failures repeatedly.
         let mut ejected_after_s = None;
         for tick in 0..40 {
             for number in (0..size).filter(|number| number % 10 != 0) {
-                let now = cluster.gateways[number].clock.read(cluster.chance.now);
+                let now = cluster.gateways[number].clock.read(cluster.network.now);
                 let exchange = cluster.gateways[number].exchange.as_mut().expect("the gateway runs");
                 exchange.outlier_reports_mut().record_observation(now, 2, EvidenceKind::Failing, 8, 8);
             }
--- a/crates/ashtide-fleet/tests/agreement.rs
+++ b/crates/ashtide-fleet/tests/agreement.rs
@@ -2,7 +2,7 @@
 //! generation gives, also while they have different settings, and all gateways converge to the newest
 //! generation.
 
-mod chance;
+mod faulty_network;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     Allocation, AllocationAgreement, BudgetKind, Exchange, ExchangeConfig, LeaseConfig, Mutation,
     OutlierLimits, PersistedAllocation, Slot, StaleAllocation, Violation, check_total,
 };
-use chance::{Chance, Clock, STEP, seeds};
+use faulty_network::{Clock, FaultyNetwork, LongDelay, STEP, seeds};
 use rand::RngExt;
 
 const GATEWAY_COUNT: usize = 6;
@@ -31,7 +31,7 @@
 }
 
 struct Simulation {
-    network: Chance<Vec<u8>>,
+    network: FaultyNetwork<Vec<u8>>,
     hosts: Vec<Host>,
     /// All published allocations, in order of generation.
     allocations: Vec<Allocation>,
@@ -44,7 +44,7 @@
 
 impl Simulation {
     fn new(seed: u64, mutation: Option<Mutation>) -> Self {
-        let mut network = Chance::new(seed);
+        let mut network = FaultyNetwork::new(seed);
         let clocks: Vec<Clock> = (0..GATEWAY_COUNT).map(|_| Clock::new(&mut network)).collect();
         let host = |clock| Host {
             exchange: None,
@@ -72,7 +72,7 @@
     /// partners.
     fn publish(&mut self) {
         let generation = self.allocations.len() as u32 + 1;
-        let total = |network: &mut Chance<Vec<u8>>| (network.rng.random_range(5_000..60_000), RATE);
+        let total = |network: &mut FaultyNetwork<Vec<u8>>| (network.rng.random_range(5_000..60_000), RATE);
         let mut allocation = self.allocations.last().cloned().unwrap_or(Allocation {
             generation,
             slot_count: GATEWAY_COUNT as u16,
@@ -84,7 +84,7 @@
             allocation.slot_count = self.network.rng.random_range(3..=GATEWAY_COUNT as u16);
         }
         if self.network.one_in(4) {
-            allocation.floor_permille = [50, 100, 400][self.network.below(3)];
+            allocation.floor_permille = [50, 100, 400][self.network.random_below(3)];
         }
         allocation.totals.insert(1, total(&mut self.network));
         if self.network.one_in(2) {
@@ -132,13 +132,16 @@
     }
 
     fn inject_fault(&mut self) {
-        let number = self.network.below(GATEWAY_COUNT);
-        match self.network.below(11) {
+        let number = self.network.random_below(GATEWAY_COUNT);
+        match self.network.random_below(11) {
             0 => self.network.loss = self.network.rng.random_range(0.0..0.5),
-            1 => self.network.repeat = self.network.rng.random_range(0.0..0.5),
-            2 => self.network.slow = (3_000, self.network.rng.random_range(0.0..0.5)),
-            3 => self.network.part(GATEWAY_COUNT),
-            4 | 5 => self.network.cut.clear(),
+            1 => self.network.duplication = self.network.rng.random_range(0.0..0.5),
+            2 => {
+                self.network.long_delay =
+                    LongDelay { max_ms: 3_000, probability: self.network.rng.random_range(0.0..0.5) }
+            }
+            3 => self.network.partition_randomly(GATEWAY_COUNT),
+            4 | 5 => self.network.blocked_links.clear(),
             6 => {
                 let stall_ms = self.network.rng.random_range(100..4_000);
                 self.hosts[number].stalled_until = self.network.now + Duration::from_millis(stall_ms);
@@ -172,10 +175,10 @@
                 self.network.send(number, usize::from(to.0), datagram);
             }
         }
-        while let Some((from, to, datagram)) = self.network.next() {
+        while let Some((from, to, datagram)) = self.network.next_arrival() {
             let host = &mut self.hosts[to];
             if host.stalled_until > self.network.now {
-                self.network.delay(from, to, datagram);
+                self.network.deliver_later(from, to, datagram);
             } else if let Some(exchange) = &mut host.exchange {
                 exchange.handle_datagram(&datagram).expect("the datagram is valid");
             }
@@ -221,7 +224,7 @@
         if simulation.network.one_in(150) && simulation.allocations.len() < 9 {
             simulation.publish();
         }
-        let number = simulation.network.below(GATEWAY_COUNT);
+        let number = simulation.network.random_below(GATEWAY_COUNT);
         if simulation.network.one_in(20) {
             let reload = !simulation.network.one_in(4);
             simulation.deliver_settings(number, reload);
@@ -230,7 +233,7 @@
             simulation.start(number);
         }
         // A high demand lends nearly all units, and its changes move them between holders.
-        let wanted_units = [0, 60_000][simulation.network.below(2)];
+        let wanted_units = [0, 60_000][simulation.network.random_below(2)];
         if let Some(exchange) =
             simulation.hosts[number].exchange.as_mut().filter(|_| simulation.network.one_in(5))
         {
@@ -251,9 +254,9 @@
         let mut simulation = run_simulation(seed, None, 800)
             .unwrap_or_else(|violation| panic!("ASHTIDE_SEED={seed}: {violation}"));
         simulation.network.loss = 0.0;
-        simulation.network.repeat = 0.0;
-        simulation.network.slow = (40, 0.0);
-        simulation.network.cut.clear();
+        simulation.network.duplication = 0.0;
+        simulation.network.long_delay = LongDelay::NONE;
+        simulation.network.blocked_links.clear();
         for number in 0..GATEWAY_COUNT {
             simulation.hosts[number].stalled_until = Duration::ZERO;
             simulation.deliver_settings(number, true);
--- a/crates/ashtide-fleet/tests/budgets.rs
+++ b/crates/ashtide-fleet/tests/budgets.rs
@@ -2,7 +2,7 @@
 //! total (B4), their spends never exceed the rate of the total plus one burst (B5), and each budget satisfies
 //! its own invariants.
 
-mod chance;
+mod faulty_network;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     Budget, BudgetKind, Escrow, InitialShare, LeaseConfig, LeaseGrant, LeaseRequest, Mutation, Slot,
     Violation, check_total, initial_shares, max_min_fair, split_proportionally,
 };
-use chance::{Chance, Clock, STEP, seeds};
+use faulty_network::{Clock, FaultyNetwork, LongDelay, STEP, seeds};
 use rand::RngExt;
 
 const BURST: Duration = Duration::from_millis(800);
@@ -34,7 +34,7 @@
 }
 
 struct Simulation {
-    network: Chance<Message>,
+    network: FaultyNetwork<Message>,
     gateways: Vec<Gateway>,
     shares: Vec<InitialShare>,
     total: u64,
@@ -48,8 +48,8 @@
 
 impl Simulation {
     fn new(seed: u64, mutation: Option<Mutation>, kind: BudgetKind) -> Self {
-        let mut network = Chance::new(seed);
-        let size = 3 + network.below(4);
+        let mut network = FaultyNetwork::new(seed);
+        let size = 3 + network.random_below(4);
         let total = network.rng.random_range(5_000..60_000);
         let weights: Vec<u64> = (0..size).map(|_| network.rng.random_range(0..4)).collect();
         let weights = if weights.iter().sum::<u64>() == 0 { vec![1; size] } else { weights };
@@ -97,17 +97,20 @@
 
     fn inject_fault(&mut self, jumps: bool) {
         let size = self.gateways.len();
-        let number = self.network.below(size);
-        match self.network.below(11) {
+        let number = self.network.random_below(size);
+        match self.network.random_below(11) {
             0 => self.network.loss = self.network.rng.random_range(0.0..0.5),
-            1 => self.network.repeat = self.network.rng.random_range(0.0..0.5),
-            2 => self.network.slow = (3_000, self.network.rng.random_range(0.0..0.6)),
-            3 => self.network.part(size),
+            1 => self.network.duplication = self.network.rng.random_range(0.0..0.5),
+            2 => {
+                self.network.long_delay =
+                    LongDelay { max_ms: 3_000, probability: self.network.rng.random_range(0.0..0.6) }
+            }
+            3 => self.network.partition_randomly(size),
             4 => {
-                let to = self.network.below(size);
-                self.network.cut.insert((number, to));
+                let to = self.network.random_below(size);
+                self.network.blocked_links.insert((number, to));
             }
-            5 | 6 => self.network.cut.clear(),
+            5 | 6 => self.network.blocked_links.clear(),
             7 => {
                 let stall_ms = self.network.rng.random_range(100..4_000);
                 self.gateways[number].stalled_until = self.network.now + Duration::from_millis(stall_ms);
@@ -125,13 +128,13 @@
     }
 
     fn deliver(&mut self) {
-        while let Some((from, to, message)) = self.network.next() {
+        while let Some((from, to, message)) = self.network.next_arrival() {
             let gateway = &mut self.gateways[to];
             // Messages for a stalled process are queued in its socket.
             if gateway.stalled_until > self.network.now {
                 let remaining = gateway.stalled_until - self.network.now;
                 if remaining < Duration::from_millis(1_500) {
-                    self.network.delay(from, to, message);
+                    self.network.deliver_later(from, to, message);
                 }
                 continue;
             }
@@ -176,7 +179,7 @@
             }
         }
         if self.network.one_in(80) {
-            gateway.wanted_units = [0, self.total / 5, self.total][self.network.below(3)];
+            gateway.wanted_units = [0, self.total / 5, self.total][self.network.random_below(3)];
         }
     }
 
--- a/crates/ashtide-fleet/tests/exchange.rs
+++ b/crates/ashtide-fleet/tests/exchange.rs
@@ -1,14 +1,14 @@
 //! Fleets that exchange all kinds of shared state: the invariants are true under any faults, and the state
 //! converges after them.
 
-mod chance;
 mod exchanges;
+mod faulty_network;
 
 use std::time::Duration;
 
 use ashtide_fleet::state::{CounterKey, EvidenceKind};
-use chance::seeds;
 use exchanges::{Cluster, READY};
+use faulty_network::seeds;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
@@ -21,14 +21,14 @@
         let size = 3 + seed as usize % 5;
         let mut cluster = Cluster::new(seed, size, 3, 20_000);
         for step in 0..400 {
-            if cluster.chance.one_in(25) {
+            if cluster.network.one_in(25) {
                 cluster.inject_fault();
             }
-            if cluster.chance.one_in(4) {
-                let number = cluster.chance.below(size);
-                let key = cluster.chance.below(5) as u32;
-                let value = cluster.chance.below(30);
-                let now = cluster.gateways[number].clock.read(cluster.chance.now);
+            if cluster.network.one_in(4) {
+                let number = cluster.network.random_below(size);
+                let key = cluster.network.random_below(5) as u32;
+                let value = cluster.network.random_below(30);
+                let now = cluster.gateways[number].clock.read(cluster.network.now);
                 if let Some(exchange) = &mut cluster.gateways[number].exchange {
                     exchange.set_count(CounterKey::OpenOnServer(key), value as u32);
                     exchange.set_wanted_units(key % 3, value as u64 * 1_000);
@@ -108,7 +108,7 @@
         all.map(|it| usize::from(!it.outlier_reports_mut().outliers(&READY).is_empty())).sum::<usize>()
     };
     for server in 0..10 {
-        let now = cluster.gateways[3].clock.read(cluster.chance.now);
+        let now = cluster.gateways[3].clock.read(cluster.network.now);
         let faulty_exchange = cluster.gateways[3].exchange.as_mut().expect("the gateway runs");
         faulty_exchange.outlier_reports_mut().record_observation(
             now,
@@ -122,7 +122,7 @@
     assert_eq!(ejecting_gateways(&mut cluster), 0);
     for _ in 0..4 {
         for number in 4..30 {
-            let now = cluster.gateways[number].clock.read(cluster.chance.now);
+            let now = cluster.gateways[number].clock.read(cluster.network.now);
             let exchange = cluster.gateways[number].exchange.as_mut().expect("the gateway runs");
             exchange.outlier_reports_mut().record_observation(now, 2, EvidenceKind::Failing, 8, 8);
         }
@@ -162,7 +162,7 @@
     let gateway = &mut cluster.gateways[0];
     let requester = gateway.exchange.as_mut().expect("the gateway runs");
     requester.set_wanted_units(0, 3_000);
-    let later = gateway.clock.read(cluster.chance.now + SECOND);
+    let later = gateway.clock.read(cluster.network.now + SECOND);
     requester.advance_to(later);
     let (_, valid) = requester.next_datagram().expect("the gateway sends a lease request");
     runner
--- a/crates/ashtide-fleet/tests/exchanges/mod.rs
+++ b/crates/ashtide-fleet/tests/exchanges/mod.rs
@@ -9,7 +9,7 @@
 };
 use rand::RngExt;
 
-use super::chance::{Chance, Clock, STEP};
+use super::faulty_network::{Clock, FaultyNetwork, LongDelay, STEP};
 
 /// Ready servers and their capacities.
 pub const READY: [(u32, u64); 10] =
@@ -25,7 +25,7 @@
 }
 
 pub struct Cluster {
-    pub chance: Chance<Vec<u8>>,
+    pub network: FaultyNetwork<Vec<u8>>,
     pub gateways: Vec<Gateway>,
     /// Total of each budget, in units.
     pub totals: Vec<u64>,
@@ -35,13 +35,13 @@
 
 impl Cluster {
     pub fn new(seed: u64, size: usize, budgets: usize, total: u64) -> Self {
-        let chance = Chance::new(seed);
+        let network = FaultyNetwork::new(seed);
         let totals = vec![total; budgets];
         let shares = (0..budgets).map(|id| initial_shares(id as u32, total, size as u16, 100)).collect();
-        let mut cluster = Self { chance, gateways: Vec::new(), totals, shares };
+        let mut cluster = Self { network, gateways: Vec::new(), totals, shares };
         for number in 0..size {
-            let clock = Clock::new(&mut cluster.chance);
-            let stalled_until = cluster.chance.now;
+            let clock = Clock::new(&mut cluster.network);
+            let stalled_until = cluster.network.now;
             cluster.gateways.push(Gateway { exchange: None, clock, incarnation: 50, stalled_until });
             cluster.start(number, true);
         }
@@ -57,10 +57,10 @@
             lease: LeaseConfig::default(),
             outlier_limits: OutlierLimits::default(),
         };
-        let seed = self.chance.rng.random();
+        let seed = self.network.rng.random();
         let gateway = &mut self.gateways[number];
         gateway.incarnation += 1;
-        let now = gateway.clock.read(self.chance.now);
+        let now = gateway.clock.read(self.network.now);
         let mut exchange = Exchange::new(config, Slot(number as u16), gateway.incarnation, seed, now);
         exchange.set_peers((0..size as u16).map(Slot));
         for (id, shares) in self.shares.iter().enumerate() {
@@ -75,23 +75,26 @@
 
     pub fn inject_fault(&mut self) {
         let size = self.gateways.len();
-        let number = self.chance.below(size);
-        match self.chance.below(9) {
-            0 => self.chance.loss = self.chance.rng.random_range(0.0..0.5),
-            1 => self.chance.repeat = self.chance.rng.random_range(0.0..0.5),
-            2 => self.chance.slow = (3_000, self.chance.rng.random_range(0.0..0.5)),
-            3 => self.chance.part(size),
-            4 => self.chance.cut.clear(),
+        let number = self.network.random_below(size);
+        match self.network.random_below(9) {
+            0 => self.network.loss = self.network.rng.random_range(0.0..0.5),
+            1 => self.network.duplication = self.network.rng.random_range(0.0..0.5),
+            2 => {
+                self.network.long_delay =
+                    LongDelay { max_ms: 3_000, probability: self.network.rng.random_range(0.0..0.5) }
+            }
+            3 => self.network.partition_randomly(size),
+            4 => self.network.blocked_links.clear(),
             5 => {
-                let stall_ms = self.chance.rng.random_range(100..4_000);
-                self.gateways[number].stalled_until = self.chance.now + Duration::from_millis(stall_ms);
+                let stall_ms = self.network.rng.random_range(100..4_000);
+                self.gateways[number].stalled_until = self.network.now + Duration::from_millis(stall_ms);
             }
             6 => self.kill(number),
             7 => self.start(number, false),
             _ => {
-                let jump_ms = self.chance.rng.random_range(-2_000..2_000);
+                let jump_ms = self.network.rng.random_range(-2_000..2_000);
                 // A backward clock step during a stall cannot be detected; monotonic clocks have none.
-                if jump_ms > 0 || self.gateways[number].stalled_until <= self.chance.now {
+                if jump_ms > 0 || self.gateways[number].stalled_until <= self.network.now {
                     self.gateways[number].clock.jump(jump_ms);
                 }
             }
@@ -99,12 +102,12 @@
     }
 
     pub fn clear_faults(&mut self) {
-        self.chance.loss = 0.0;
-        self.chance.repeat = 0.0;
-        self.chance.slow = (40, 0.0);
-        self.chance.cut.clear();
+        self.network.loss = 0.0;
+        self.network.duplication = 0.0;
+        self.network.long_delay = LongDelay::NONE;
+        self.network.blocked_links.clear();
         for number in 0..self.gateways.len() {
-            self.gateways[number].stalled_until = self.chance.now;
+            self.gateways[number].stalled_until = self.network.now;
             if self.gateways[number].exchange.is_none() {
                 self.start(number, false);
             }
@@ -112,24 +115,24 @@
     }
 
     pub fn step(&mut self) {
-        self.chance.now += STEP;
+        self.network.now += STEP;
         for number in 0..self.gateways.len() {
             let gateway = &mut self.gateways[number];
             let Some(exchange) =
-                gateway.exchange.as_mut().filter(|_| gateway.stalled_until <= self.chance.now)
+                gateway.exchange.as_mut().filter(|_| gateway.stalled_until <= self.network.now)
             else {
                 continue;
             };
-            exchange.advance_to(gateway.clock.read(self.chance.now));
+            exchange.advance_to(gateway.clock.read(self.network.now));
             while let Some((to, datagram)) = exchange.next_datagram() {
                 assert!(datagram.len() <= 256, "{} bytes", datagram.len());
-                self.chance.send(number, usize::from(to.0), datagram);
+                self.network.send(number, usize::from(to.0), datagram);
             }
         }
-        while let Some((from, to, datagram)) = self.chance.next() {
+        while let Some((from, to, datagram)) = self.network.next_arrival() {
             let gateway = &mut self.gateways[to];
-            if gateway.stalled_until > self.chance.now {
-                self.chance.delay(from, to, datagram);
+            if gateway.stalled_until > self.network.now {
+                self.network.deliver_later(from, to, datagram);
             } else if let Some(exchange) = &mut gateway.exchange {
                 exchange.handle_datagram(&datagram).expect("the datagram is valid");
             }
@@ -137,16 +140,16 @@
     }
 
     pub fn run(&mut self, duration: Duration) {
-        let end = self.chance.now + duration;
-        while self.chance.now < end {
+        let end = self.network.now + duration;
+        while self.network.now < end {
             self.step();
         }
     }
 
     pub fn check(&mut self) -> Result<(), Violation> {
         let mut usable = vec![0; self.totals.len()];
-        for gateway in self.gateways.iter_mut().filter(|it| it.stalled_until <= self.chance.now) {
-            let now = gateway.clock.read(self.chance.now);
+        for gateway in self.gateways.iter_mut().filter(|it| it.stalled_until <= self.network.now) {
+            let now = gateway.clock.read(self.network.now);
             let Some(exchange) = &mut gateway.exchange else { continue };
             exchange.check(&READY)?;
             for (id, sum) in usable.iter_mut().enumerate() {
--- a/crates/ashtide-quota/examples/compare.rs
+++ b/crates/ashtide-quota/examples/compare.rs
@@ -1,11 +1,11 @@
 //! Compares, in virtual time, ways to keep a quota over nine gateways in three zones.
 
-#[path = "../../ashtide-fleet/tests/chance/mod.rs"]
-#[allow(dead_code)]
-mod chance;
 #[path = "../../ashtide-fleet/tests/exchanges/mod.rs"]
 #[allow(dead_code)]
 mod exchanges;
+#[path = "../../ashtide-fleet/tests/faulty_network/mod.rs"]
+#[allow(dead_code)]
+mod faulty_network;
 #[path = "../tests/load/mod.rs"]
 mod load;
 
--- a/crates/ashtide-quota/tests/load/mod.rs
+++ b/crates/ashtide-quota/tests/load/mod.rs
@@ -5,8 +5,8 @@
 use ashtide_quota::{ConnectionKind, DEFAULT_MAX_WAIT, Decision, PartnerBudgets, Quota};
 use rand::RngExt;
 
-use super::chance::STEP;
 use super::exchanges::Cluster;
+use super::faulty_network::STEP;
 
 /// Partners, each with this quota: connections a second over all gateways.
 const PARTNERS: usize = 4;
@@ -65,11 +65,11 @@
     let partner = |id| PartnerBudgets { rate_budget: id as u32, burst: BURST, connections_budget: None };
     let mut quotas: Vec<Quota> = (0..9)
         .map(|number| {
-            let now = cluster.gateways[number].clock.read(cluster.chance.now);
+            let now = cluster.gateways[number].clock.read(cluster.network.now);
             Quota::new((0..PARTNERS).map(partner), DEFAULT_MAX_WAIT, now)
         })
         .collect();
-    let begin = cluster.chance.now;
+    let begin = cluster.network.now;
     let mut buckets = vec![vec![(0.0, begin); PARTNERS]; 9];
     let mut spent: Vec<Vec<Duration>> = vec![Vec::new(); PARTNERS];
     let mut offered = [0usize; PARTNERS];
@@ -78,13 +78,13 @@
     for step in 0..(12_000 / STEP.as_millis()) {
         let time = STEP * step as u32;
         let parted = load == Load::Parted && time >= Duration::from_secs(4);
-        if parted && cluster.chance.cut.is_empty() {
+        if parted && cluster.network.blocked_links.is_empty() {
             for (one, other) in (0..6).flat_map(|one| (6..9).map(move |other| (one, other))) {
-                cluster.chance.cut.extend([(one, other), (other, one)]);
+                cluster.network.blocked_links.extend([(one, other), (other, one)]);
             }
         }
         cluster.step();
-        let now = cluster.chance.now;
+        let now = cluster.network.now;
         for number in 0..9 {
             let own = cluster.gateways[number].clock.read(now);
             let exchange = cluster.gateways[number].exchange.as_mut().expect("there");
@@ -111,7 +111,7 @@
                 let mean = times * PACE as f64 / 9.0 * STEP.as_secs_f64();
                 let mut asking = Vec::new();
                 for _ in 0..4 {
-                    if cluster.chance.rng.random_bool((mean / 4.0).min(1.0)) {
+                    if cluster.network.rng.random_bool((mean / 4.0).min(1.0)) {
                         offered[partner] += usize::from(time >= Duration::from_secs(4));
                         asking.push(0);
                     }
@@ -120,7 +120,7 @@
                     |it: &(Duration, usize, usize, u8)| it.0 <= now && (it.1, it.2) == (number, partner);
                 asking.extend(again.extract_if(.., |it| due(it)).map(|it| it.3));
                 for tries in asking {
-                    let mut wait = Duration::from_millis(cluster.chance.rng.random_range(500..1_500));
+                    let mut wait = Duration::from_millis(cluster.network.rng.random_range(500..1_500));
                     let may = match way {
                         Way::Split => take(&mut buckets[number][partner], now, PACE as f64 / 9.0),
                         Way::Own => take(&mut buckets[number][partner], now, PACE as f64),
--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas over whole tiers: bounds under load, and single decisions of one gateway.
 
-#[path = "../../ashtide-fleet/tests/chance/mod.rs"]
-#[allow(dead_code)]
-mod chance;
 #[path = "../../ashtide-fleet/tests/exchanges/mod.rs"]
 #[allow(dead_code)]
 mod exchanges;
+#[path = "../../ashtide-fleet/tests/faulty_network/mod.rs"]
+#[allow(dead_code)]
+mod faulty_network;
 mod load;
 
 use std::collections::BTreeMap;
