--- a/crates/ashtide-client/src/budget.rs
+++ b/crates/ashtide-client/src/budget.rs
@@ -1,11 +1,12 @@
-//! The retry budget of a process: a token bucket that first tries fill.
+//! Retry budget of a process (a token bucket that first attempts fill) and the counter of recent disconnects.
 
 use std::time::Duration;
 
 use crate::{Instant, Settings};
 
-/// Tokens, one a retry. First tries add a share of one each, so that a site that answers nobody sees first
-/// tries and little else; time adds a trickle, so that a device with one session is not cut off for ever.
+/// Token bucket that limits retries; one retry costs one token. Each first attempt adds a fraction of a token, so
+/// that a site that answers no request receives first attempts and few retries. Tokens also accrue slowly with
+/// time, so that a device with a single session is never blocked permanently.
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -27,7 +28,7 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        // At the very first call the clock's origin is not a time that has passed.
+        // Before the first call, `refilled_at` is the clock's origin: the time since then earns no tokens.
         if self.refilled_at > Instant::default() {
             let minutes = now.duration_since(self.refilled_at).as_secs_f64() / 60.0;
             self.tokens = (self.tokens + minutes * self.tokens_per_minute).min(self.capacity);
@@ -35,13 +36,13 @@
         self.refilled_at = now;
     }
 
-    /// A first try is made.
+    /// Adds the tokens that a first attempt earns.
     pub(crate) fn deposit(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = (self.tokens + self.tokens_per_attempt).min(self.capacity);
     }
 
-    /// Takes a token for a retry, if there is one.
+    /// Takes one token for a retry. Returns whether one was available.
     pub(crate) fn withdraw(&mut self, now: Instant) -> bool {
         self.refill(now);
         let enough = self.tokens >= 1.0;
@@ -53,7 +54,7 @@
         self.tokens
     }
 
-    /// What an earlier process had left: never more than one that has just begun.
+    /// Restores the tokens that an earlier process had left, limited to the tokens that a new process starts with.
     pub(crate) fn restore(&mut self, tokens: f64) {
         if tokens.is_finite() {
             self.tokens = tokens.clamp(0.0, self.tokens);
@@ -61,9 +62,10 @@
     }
 }
 
-/// Counts drops over about a second, to tell a mass drop from one of its own.
+/// Counts disconnects over one to two seconds, to distinguish a mass disconnect from a single one.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DisconnectCounter {
+    /// Number of the current window, counted from the clock's origin.
     window: u64,
     in_window: u32,
     in_previous_window: u32,
@@ -73,10 +75,10 @@
     const WINDOW: Duration = Duration::from_secs(1);
 
     fn advance_to(&mut self, now: Instant) {
-        let second = now.as_micros() / Self::WINDOW.as_micros() as u64;
-        if second != self.window {
-            self.in_previous_window = if second == self.window + 1 { self.in_window } else { 0 };
-            self.window = second;
+        let window = now.as_micros() / Self::WINDOW.as_micros() as u64;
+        if window != self.window {
+            self.in_previous_window = if window == self.window + 1 { self.in_window } else { 0 };
+            self.window = window;
             self.in_window = 0;
         }
     }
@@ -86,7 +88,7 @@
         self.in_window = self.in_window.saturating_add(1);
     }
 
-    /// Drops in this second and the one before.
+    /// Returns the number of disconnects in the current window and the previous one.
     pub(crate) fn recent(&mut self, now: Instant) -> u32 {
         self.advance_to(now);
         self.in_window.saturating_add(self.in_previous_window)
--- a/crates/ashtide-client/src/event.rs
+++ b/crates/ashtide-client/src/event.rs
@@ -7,57 +7,57 @@
 
 use crate::{AttemptFailure, ConnectionLoss, GiveUpReason, SessionNotification};
 
-/// An event of a session, in the order in which it happened.
+/// Event of a session. Events are delivered in the order in which they occurred.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionEvent {
-    /// A line of the server's, without its CRLF.
+    /// Line from the server, without its CRLF.
     Line(Bytes),
-    /// The connection stands, or stands again.
+    /// The connection is established, for the first time or again.
     Connected {
-        /// By which balancer.
+        /// Address of the gateway that accepted the connection.
         gateway: SocketAddr,
-        /// The server's receipt.
+        /// Receipt from the server.
         receipt: Bytes,
-        /// Attempts that it took.
+        /// Number of attempts that were made for this connection.
         attempts: u32,
-        /// Whether the session had stood before.
+        /// Whether the session had an established connection before.
         reconnected: bool,
     },
-    /// The balancer sent the client away; the session returns.
+    /// The gateway asked the client to reconnect (`MOVE`); the session reconnects.
     Migrated,
-    /// The connection broke, or the network went; the session returns.
+    /// The connection broke or the network was lost; the session reconnects.
     Disconnected {
-        /// What happened.
+        /// Reason for the loss of the connection.
         reason: ConnectionLoss,
-        /// A line that was being written; the server may have it or not.
+        /// Line that was not written completely; the server may or may not have received it.
         interrupted_line: Option<Bytes>,
     },
-    /// It tries to come back after this time.
+    /// The session makes its next connection attempt after this delay.
     Reconnecting(Duration),
-    /// An attempt came to nothing, and another follows.
+    /// An attempt failed and is retried.
     Retrying {
-        /// What became of it.
+        /// Failure of the attempt.
         last: AttemptFailure,
-        /// The wait until the next.
+        /// Delay before the next attempt.
         delay: Duration,
     },
-    /// The application did not read for so long that so many notices were left out here.
+    /// Number of notifications that were dropped at this point because the application did not read its events.
     MissedNotifications(u64),
-    /// The session is over. Nothing follows.
+    /// The session ended; no event follows.
     Ended(GiveUpReason),
 }
 
-/// The application's form of a notification of the core.
-pub(crate) fn session_event(notice: SessionNotification) -> SessionEvent {
-    match notice {
-        SessionNotification::Connected { gateway: at, receipt, attempts: tries, reconnected: again } => {
-            SessionEvent::Connected { gateway: at, receipt, attempts: tries, reconnected: again }
+/// Converts a notification of the pool into the event that the application receives.
+pub(crate) fn session_event(notification: SessionNotification) -> SessionEvent {
+    match notification {
+        SessionNotification::Connected { gateway, receipt, attempts, reconnected } => {
+            SessionEvent::Connected { gateway, receipt, attempts, reconnected }
         }
         SessionNotification::Disconnected(ConnectionLoss::Migrated) => SessionEvent::Migrated,
-        SessionNotification::Disconnected(why) => {
-            SessionEvent::Disconnected { reason: why, interrupted_line: None }
+        SessionNotification::Disconnected(reason) => {
+            SessionEvent::Disconnected { reason, interrupted_line: None }
         }
-        SessionNotification::Reconnecting { delay: after } => SessionEvent::Reconnecting(after),
-        SessionNotification::Retrying { last, delay: after } => SessionEvent::Retrying { last, delay: after },
+        SessionNotification::Reconnecting { delay } => SessionEvent::Reconnecting(delay),
+        SessionNotification::Retrying { last, delay } => SessionEvent::Retrying { last, delay },
     }
 }
--- a/crates/ashtide-client/src/instant.rs
+++ b/crates/ashtide-client/src/instant.rs
@@ -1,45 +1,45 @@
-//! Time as the core is told it.
+//! Time values that the driver passes to the session pool.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// Timers fire on multiples of this, rounded up: nothing is early, and nothing later than one tick after
-/// its time, provided that the driver wakes the core when it asks.
+/// Resolution of the pool's timers (10 ms). Due times are rounded up to the next tick: no timer fires early, and
+/// none fires more than one tick late, provided that the driver wakes the pool at the requested time.
 pub const TICK: Duration = Duration::from_millis(10);
 const TICK_MICROS: u64 = 10_000;
 
-/// A point in time, in microseconds of a clock of the driver's choice. It has to be monotonic and should
-/// go on while the device sleeps (`CLOCK_BOOTTIME`), or deadlines outlive the sleep.
+/// Point in time, in microseconds of a clock that the driver chooses. The clock must be monotonic. It should also
+/// run while the device is suspended (`CLOCK_BOOTTIME`); otherwise suspension extends deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The point so many microseconds after the clock's origin.
+    /// Returns the point in time that is `micros` microseconds after the clock's origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the clock's origin.
+    /// Returns the number of microseconds since the clock's origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time from `earlier` to here; none where `earlier` lies ahead.
+    /// Returns the time from `earlier` to this point, or zero if `earlier` is later than this point.
     pub const fn duration_since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The first tick at or after this point.
+    /// Returns the number of the first tick at or after this point.
     pub(crate) const fn tick_at_or_after(self) -> u64 {
         self.0.div_ceil(TICK_MICROS)
     }
 
-    /// The last tick at or before this point.
+    /// Returns the number of the last tick at or before this point.
     pub(crate) const fn elapsed_ticks(self) -> u64 {
         self.0 / TICK_MICROS
     }
 
-    /// When a tick is.
+    /// Returns the point in time of a tick.
     pub(crate) const fn from_tick(tick: u64) -> Self {
         Self(tick.saturating_mul(TICK_MICROS))
     }
--- a/crates/ashtide-client/src/lib.rs
+++ b/crates/ashtide-client/src/lib.rs
@@ -1,5 +1,5 @@
-//! The client library: sessions that keep their deadlines, bound their retries, honour refusals and spread
-//! their returns, so that a site which is overloaded sees the load that is asked for and not a multiple.
+//! Client library of ashtide. Its sessions enforce deadlines, limit their retries, honour rejections and spread
+//! their reconnects over time, so that an overloaded site receives the requested load and not a multiple of it.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -13,7 +13,7 @@
 //! while let Some(event) = session.next_event().await {
 //!     match event {
 //!         SessionEvent::Line(line) => println!("{}", String::from_utf8_lossy(&line)),
-//!         SessionEvent::Migrated | SessionEvent::Disconnected { .. } => println!("one moment, please"),
+//!         SessionEvent::Migrated | SessionEvent::Disconnected { .. } => println!("reconnecting"),
 //!         SessionEvent::Ended(why) => println!("over: {why}"),
 //!         _ => {}
 //!     }
@@ -22,20 +22,22 @@
 //! # }
 //! ```
 //!
-//! Two layers. [`SessionPool`] is the core: all sessions of a process as one state machine that is handed events
-//! and the time and returns effects; it knows no socket and reads no clock, so that a hundred thousand
-//! sessions run in virtual time as they would in theirs. [`Client`] and [`Session`] are the thin tokio
-//! driver round it.
+//! The library has two layers. [`SessionPool`] is the core: a state machine for all sessions of a process. It
+//! receives events and the current time and returns commands. It uses no socket and reads no clock, so that a
+//! hundred thousand sessions run in virtual time as they do in real time. [`Client`] and [`Session`] are a thin
+//! tokio driver for the pool.
 //!
-//! What holds, whatever happens:
+//! The pool guarantees the following:
 //!
-//! - A session has one attempt out at most. An attempt's socket is closed before the next one is dialled.
-//! - A session ends exactly once, with a [`GiveUpReason`] that says why.
-//! - `d` never tells more than is left of the deadline; nothing comes up after it. It may be overrun by one
-//!   [`TICK`] where nothing happens, and by as long as the driver is late.
-//! - After `BUSY MS` neither this session nor another of the pool and class comes back to the site before
-//!   MS is over, unless that is more than [`Settings::busy_most`].
-//! - Retries are no more than the budget has been paid for ([`Settings::budget_ratio`] of first tries).
+//! - A session has at most one attempt in progress. The socket of an attempt is closed before the next attempt
+//!   connects.
+//! - A session ends exactly once, with a [`GiveUpReason`].
+//! - The `d` parameter of a request never exceeds the time that remains until the deadline, and no connection is
+//!   established after the deadline. A session may end up to one [`TICK`] after its deadline if no event occurs,
+//!   plus the delay with which the driver wakes the pool.
+//! - After `BUSY MS`, no session of the same pool and class makes an attempt at the site for MS milliseconds, or for
+//!   [`Settings::busy_most`] if that is shorter.
+//! - The number of retries is limited by the retry budget ([`Settings::budget_ratio`] retries per first attempt).
 
 mod budget;
 mod clock;
@@ -60,7 +62,7 @@
 };
 pub use settings::{Settings, SettingsError};
 
-/// The page for the app's developers; its quick start is compiled with the tests.
+/// Page for application developers; its quick start is compiled as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../docs/client.md")]
 pub struct Page;
--- a/crates/ashtide-client/src/settings.rs
+++ b/crates/ashtide-client/src/settings.rs
@@ -1,56 +1,57 @@
-//! Every knob of the library, its default, and what it may be.
+//! Settings of the library with their defaults and permitted values.
 
 use std::time::Duration;
 
-/// What a pool is allowed. The defaults suit an app with one session as well as a relay with thousands.
+/// Settings of a session pool. The defaults suit an app with one session as well as a relay with thousands.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The zone of this device, as the address list names zones: its addresses go first.
+    /// Zone of this device, as named in the address list. Addresses in this zone are preferred.
     pub zone: Option<String>,
-    /// Most sessions at a time.
+    /// Maximum number of concurrent sessions.
     pub sessions: usize,
-    /// A connection that does not stand by then is given up.
+    /// Time-out for establishing the transport connection of an attempt.
     pub connect_within: Duration,
-    /// A peer that takes no byte of a line for so long does not read, and its connection is closed.
+    /// Write time-out: a connection is closed if the peer accepts no byte of a pending line for this duration.
     pub stall_within: Duration,
-    /// Attempts of a first placing, the first among them.
+    /// Maximum number of attempts for a session's first connection, including the first attempt.
     pub tries: u32,
-    /// Attempts of a return after a move or a break, the first among them.
+    /// Maximum number of attempts to reconnect after a `MOVE` or a broken connection, including the first attempt.
     pub return_tries: u32,
-    /// After the wait that a drop begins with, a session is to stand again within this time.
+    /// Deadline for reconnecting, measured from the end of the initial reconnect delay.
     pub return_within: Duration,
-    /// A session that the network has left returns if it comes back within this time.
+    /// Maximum duration of a network loss after which an established session still reconnects.
     pub offline_within: Duration,
-    /// The window of the first retry's wait; it doubles with each.
+    /// Jitter window for the delay before the first retry; the window doubles with each further retry.
     pub retry_from: Duration,
-    /// The widest window of a retry's wait.
+    /// Maximum jitter window for the delay before a retry.
     pub retry_to: Duration,
-    /// What a first try adds to the retry budget, in retries.
+    /// Number of retries that each first attempt adds to the retry budget.
     pub budget_ratio: f64,
-    /// Most retries that the budget holds.
+    /// Capacity of the retry budget, in retries.
     pub budget_most: f64,
-    /// Retries that the budget holds at the start.
+    /// Number of retries in the budget when the process starts.
     pub budget_first: f64,
-    /// Retries that time alone adds, a minute.
+    /// Number of retries that are added to the budget per minute, independent of attempts.
     pub budget_minute: f64,
-    /// Longest wait that a refusal can ask for; longer ones count as this.
+    /// Upper limit for the delay that a rejection (`BUSY MS`) may request; longer delays are reduced to this limit.
     pub busy_most: Duration,
-    /// The window over which returns after a break, or the network's absence, are spread.
+    /// Window over which reconnects after a broken connection or a network loss are spread.
     pub break_window: Duration,
-    /// The same after a `MOVE`.
+    /// Window over which reconnects after a `MOVE` are spread.
     pub move_window: Duration,
-    /// The widest such window.
+    /// Maximum window over which reconnects are spread.
     pub window_most: Duration,
-    /// Returns a second that one pool makes at most, on average, while its window is under the widest.
+    /// Maximum average number of reconnects per second of one pool, as long as the window that results from it is
+    /// below `window_most`.
     pub return_rate: f64,
-    /// How long an address is left after its first failure; it doubles with each in a row, and half of it
-    /// more or less is drawn.
+    /// Ejection time of an address after its first failure. It doubles with each consecutive failure and is
+    /// multiplied by a random factor from 0.5 to 1.5.
     pub aside_from: Duration,
-    /// Longest time for which an address is left.
+    /// Maximum ejection time of an address, before the random factor is applied.
     pub aside_to: Duration,
-    /// A connection that stood for less counts as a quick break.
+    /// Duration below which an established connection that ends counts as an early loss.
     pub quick: Duration,
-    /// Quick breaks in a row after which a session ends.
+    /// Number of consecutive early losses after which a session ends.
     pub quick_most: u32,
 }
 
@@ -84,28 +85,28 @@
     }
 }
 
-/// A knob that cannot be as it is.
+/// Error for a setting that is out of its permitted range.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{key}: {found}, must be {expected}")]
 pub struct SettingsError {
-    /// Which knob.
+    /// Name of the setting.
     pub key: &'static str,
-    /// What it is.
+    /// Value of the setting.
     pub found: String,
-    /// What it may be.
+    /// Description of the permitted values.
     pub expected: &'static str,
 }
 
 impl Settings {
-    /// Whether a pool can run by these; the error names the first knob that cannot be so.
+    /// Checks whether all settings are within their permitted ranges. The error names the first one that is not.
     ///
     /// # Errors
     ///
-    /// Fails where a time is zero or over a day, a figure is negative or no number, or a lower bound lies
-    /// over its upper one.
+    /// Fails if a duration is zero or more than a day, a number is out of range or not a number, or a lower bound
+    /// is greater than its upper bound.
     pub fn check(&self) -> Result<(), SettingsError> {
         const DAY: Duration = Duration::from_secs(86_400);
-        for (key, time) in [
+        for (key, duration) in [
             ("connect_within", self.connect_within),
             ("stall_within", self.stall_within),
             ("return_within", self.return_within),
@@ -120,31 +121,31 @@
             ("aside_to", self.aside_to),
             ("quick", self.quick),
         ] {
-            if time.is_zero() || time > DAY {
+            if duration.is_zero() || duration > DAY {
                 return Err(SettingsError {
                     key,
-                    found: format!("{time:?}"),
-                    expected: "over 0 s, at most a day",
+                    found: format!("{duration:?}"),
+                    expected: "more than 0 s and at most 1 day",
                 });
             }
         }
-        for (key, figure, least) in [
+        for (key, value, minimum) in [
             ("budget_ratio", self.budget_ratio, 0.0),
             ("budget_most", self.budget_most, 0.0),
             ("budget_first", self.budget_first, 0.0),
             ("budget_minute", self.budget_minute, 0.0),
             ("return_rate", self.return_rate, 0.1),
         ] {
-            if !(least..=1e6).contains(&figure) {
+            if !(minimum..=1e6).contains(&value) {
                 let expected = "a number from 0 (return_rate: 0.1) to 1000000";
-                return Err(SettingsError { key, found: figure.to_string(), expected });
+                return Err(SettingsError { key, found: value.to_string(), expected });
             }
         }
-        for (key, figure) in
+        for (key, value) in
             [("tries", self.tries), ("return_tries", self.return_tries), ("quick_most", self.quick_most)]
         {
-            if !(1..=100).contains(&figure) {
-                return Err(SettingsError { key, found: figure.to_string(), expected: "1 to 100" });
+            if !(1..=100).contains(&value) {
+                return Err(SettingsError { key, found: value.to_string(), expected: "1 to 100" });
             }
         }
         if !(1..=1_000_000).contains(&self.sessions) {
