--- a/crates/ashtide-client/src/budget.rs
+++ b/crates/ashtide-client/src/budget.rs
@@ -4,9 +4,9 @@
 
 use crate::{Instant, Settings};
 
-/// Token bucket that limits retries; one retry costs one token. Each first attempt adds a fraction of a token, so
-/// that a site that answers no request receives first attempts and few retries. Tokens also accrue slowly with
-/// time, so that a device with a single session is never blocked permanently.
+/// Token bucket that limits retries; one retry costs one token. Each first attempt adds a fraction of a
+/// token, so that a site that answers no request receives first attempts and few retries. Tokens also accrue
+/// slowly with time, so that a device with a single session is never blocked permanently.
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -54,7 +54,8 @@
         self.tokens
     }
 
-    /// Restores the tokens that an earlier process had left, limited to the tokens that a new process starts with.
+    /// Restores the tokens that an earlier process had left, limited to the tokens that a new process starts
+    /// with.
     pub(crate) fn restore(&mut self, tokens: f64) {
         if tokens.is_finite() {
             self.tokens = tokens.clamp(0.0, self.tokens);
--- a/crates/ashtide-client/src/clock.rs
+++ b/crates/ashtide-client/src/clock.rs
@@ -6,8 +6,9 @@
 
 use crate::Instant;
 
-/// Returns the current time of `CLOCK_BOOTTIME`, which includes the time that the device is suspended. The clock
-/// of the tokio runtime stops during suspension, so a deadline measured with it would expire hours late.
+/// Returns the current time of `CLOCK_BOOTTIME`, which includes the time that the device is suspended. The
+/// clock of the tokio runtime stops during suspension, so a deadline measured with it would expire hours
+/// late.
 pub(crate) fn now() -> Instant {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/ashtide-client/src/event.rs
+++ b/crates/ashtide-client/src/event.rs
@@ -41,7 +41,8 @@
         /// Delay before the next attempt.
         delay: Duration,
     },
-    /// Number of notifications that were dropped at this point because the application did not read its events.
+    /// Number of notifications that were dropped at this point because the application did not read its
+    /// events.
     MissedNotifications(u64),
     /// The session ended; no event follows.
     Ended(GiveUpReason),
--- a/crates/ashtide-client/src/instant.rs
+++ b/crates/ashtide-client/src/instant.rs
@@ -3,13 +3,13 @@
 use std::ops::Add;
 use std::time::Duration;
 
-/// Resolution of the pool's timers (10 ms). Due times are rounded up to the next tick: no timer fires early, and
-/// none fires more than one tick late, provided that the driver wakes the pool at the requested time.
+/// Resolution of the pool's timers (10 ms). Due times are rounded up to the next tick: no timer fires early,
+/// and none fires more than one tick late, provided that the driver wakes the pool at the requested time.
 pub const TICK: Duration = Duration::from_millis(10);
 const TICK_MICROS: u64 = 10_000;
 
-/// Point in time, in microseconds of a clock that the driver chooses. The clock must be monotonic. It should also
-/// run while the device is suspended (`CLOCK_BOOTTIME`); otherwise suspension extends deadlines.
+/// Point in time, in microseconds of a clock that the driver chooses. The clock must be monotonic. It should
+/// also run while the device is suspended (`CLOCK_BOOTTIME`); otherwise suspension extends deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(u64);
 
--- a/crates/ashtide-client/src/lib.rs
+++ b/crates/ashtide-client/src/lib.rs
@@ -1,5 +1,6 @@
-//! Client library of ashtide. Its sessions enforce deadlines, limit their retries, honour rejections and spread
-//! their reconnects over time, so that an overloaded site receives the requested load and not a multiple of it.
+//! Client library of ashtide. Its sessions enforce deadlines, limit their retries, honour rejections and
+//! spread their reconnects over time, so that an overloaded site receives the requested load and not a
+//! multiple of it.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -24,20 +25,21 @@
 //!
 //! The library has two layers. [`SessionPool`] is the core: a state machine for all sessions of a process. It
 //! receives events and the current time and returns commands. It uses no socket and reads no clock, so that a
-//! hundred thousand sessions run in virtual time as they do in real time. [`Client`] and [`Session`] are a thin
-//! tokio driver for the pool.
+//! hundred thousand sessions run in virtual time as they do in real time. [`Client`] and [`Session`] are a
+//! thin tokio driver for the pool.
 //!
 //! The pool guarantees the following:
 //!
-//! - A session has at most one attempt in progress. The socket of an attempt is closed before the next attempt
-//!   connects.
+//! - A session has at most one attempt in progress. The socket of an attempt is closed before the next
+//!   attempt connects.
 //! - A session ends exactly once, with a [`GiveUpReason`].
-//! - The `d` parameter of a request never exceeds the time that remains until the deadline, and no connection is
-//!   established after the deadline. A session may end up to one [`TICK`] after its deadline if no event occurs,
-//!   plus the delay with which the driver wakes the pool.
-//! - After `BUSY MS`, no session of the same pool and class makes an attempt at the site for MS milliseconds, or for
-//!   [`Settings::busy_most`] if that is shorter.
-//! - The number of retries is limited by the retry budget ([`Settings::budget_ratio`] retries per first attempt).
+//! - The `d` parameter of a request never exceeds the time that remains until the deadline, and no connection
+//!   is established after the deadline. A session may end up to one [`TICK`] after its deadline if no event
+//!   occurs, plus the delay with which the driver wakes the pool.
+//! - After `BUSY MS`, no session of the same pool and class makes an attempt at the site for MS milliseconds,
+//!   or for [`Settings::busy_most`] if that is shorter.
+//! - The number of retries is limited by the retry budget ([`Settings::budget_ratio`] retries per first
+//!   attempt).
 
 mod budget;
 mod clock;
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -1,4 +1,4 @@
-//! All sessions of a process as one state machine: events go in, commands for the driver come out.
+//! State machine for all sessions of a process. It receives events and returns commands for the driver.
 
 mod backoff;
 mod messages;
@@ -24,12 +24,13 @@
 pub use messages::{PoolCommand, PoolEvent};
 pub use metrics::Metrics;
 
-/// A session that was dropped sees for so long how many drop with it, before it draws its wait.
+/// Duration for which a disconnected session counts concurrent disconnects before it chooses its reconnect
+/// delay.
 pub const DISCONNECT_COLLECTION_WINDOW: Duration = Duration::from_millis(200);
-/// Sessions without any address that wait for a list start within this time of its coming.
+/// Window over which sessions that had no address spread their attempts after a new address list arrives.
 const NEW_LIST_WINDOW: Duration = Duration::from_millis(500);
 
-/// Whether a session goes on.
+/// Whether a session continues or has ended.
 enum Outcome {
     Continue,
     Ended,
@@ -42,7 +43,7 @@
     shared: PoolState,
 }
 
-/// What the sessions share.
+/// State that all sessions share.
 #[derive(Debug)]
 struct PoolState {
     settings: Settings,
@@ -50,21 +51,23 @@
     address_book: AddressBook,
     retry_budget: RetryBudget,
     disconnects: DisconnectCounter,
+    /// Scheduled sessions, ordered by tick number.
     timers: BTreeSet<(u64, SessionId)>,
     metrics: Metrics,
     offline: bool,
+    /// Latest time that the driver has passed in; it never decreases.
     now: Instant,
     last_session_id: u64,
     open_sessions: usize,
 }
 
 impl SessionPool {
-    /// A pool without sessions and addresses. Pools whose seeds are equal still differ once they have
-    /// sessions under different keys.
+    /// Creates a pool without sessions and addresses. Pools with equal seeds draw different random numbers as
+    /// soon as they have sessions with different keys.
     ///
     /// # Errors
     ///
-    /// Fails where a setting cannot be so.
+    /// Fails if a setting is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let shared = PoolState {
@@ -83,8 +86,7 @@
         Ok(Self { sessions: HashMap::new(), shared })
     }
 
-    /// Asks for a connection. The session's id is its own for as long as the pool lives, also where the
-    /// session ends at once.
+    /// Opens a session. Its id is unique within the pool, even if the session ends immediately.
     pub fn open(
         &mut self,
         now: Instant,
@@ -96,35 +98,36 @@
         self.shared.last_session_id += 1;
         let id = SessionId(self.shared.last_session_id);
         self.shared.metrics.opened += 1;
-        let most = self.shared.settings.sessions;
-        let error = match request.parameters.check() {
+        let limit = self.shared.settings.sessions;
+        let give_up_reason = match request.parameters.check() {
             Err(error) => Some(GiveUpReason::InvalidRequest(error)),
-            Ok(()) if self.sessions.len() >= most => Some(GiveUpReason::TooManySessions { limit: most }),
+            Ok(()) if self.sessions.len() >= limit => Some(GiveUpReason::TooManySessions { limit }),
             Ok(()) => None,
         };
-        if let Some(error) = error {
+        if let Some(reason) = give_up_reason {
             self.shared.metrics.ended += 1;
-            commands.push(PoolCommand::EndSession(id, error));
+            commands.push(PoolCommand::EndSession(id, reason));
             return id;
         }
         self.shared.mix_into_seed(&request);
         self.shared.open_sessions = self.sessions.len() + 1;
         let mut session = Session::new(request, now);
-        let fate = if self.shared.offline {
+        let outcome = if self.shared.offline {
             session.state = SessionState::Offline;
             Outcome::Continue
         } else {
             self.shared.retry_budget.deposit(now);
             self.shared.start_attempt(now, id, &mut session, commands)
         };
-        if let Outcome::Continue = fate {
+        if let Outcome::Continue = outcome {
             self.shared.schedule(id, &mut session);
             self.sessions.insert(id, session);
         }
         id
     }
 
-    /// Takes one event in. What is due goes first, so that nothing comes in time after its deadline.
+    /// Processes one event. Due timers run first, so that an event after a deadline does not count as in
+    /// time.
     pub fn handle(&mut self, now: Instant, event: PoolEvent, commands: &mut Vec<PoolCommand>) {
         self.run_due_timers(now, commands);
         match event {
@@ -137,19 +140,20 @@
                     shared.handle_peer_close(now, id, session, AttemptFailure::ConnectFailed, None, commands)
                 });
             }
-            PoolEvent::Received(id, attempt, heard) => {
+            PoolEvent::Received(id, attempt, received) => {
                 self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
-                    shared.handle_gateway_event(now, id, session, heard, commands)
+                    shared.handle_gateway_event(now, id, session, received, commands)
                 });
             }
             PoolEvent::ConnectionEnded(id, attempt, fault) => {
                 self.with_session(id, Some(attempt), commands, |shared, now, id, session, commands| {
-                    let setback =
+                    let failure =
                         fault.map_or(AttemptFailure::ConnectionLost, AttemptFailure::ProtocolViolation);
-                    shared.handle_peer_close(now, id, session, setback, fault, commands)
+                    shared.handle_peer_close(now, id, session, failure, fault, commands)
                 });
             }
-            // Of a session that is over, or an attempt that ended by itself: the usual order of things.
+            // The session or the attempt has already ended. This order of events is normal and not counted as
+            // late.
             PoolEvent::SocketClosed(id, attempt)
                 if self.sessions.get(&id).is_none_or(|s| s.attempt != attempt) => {}
             PoolEvent::SocketClosed(id, attempt) => {
@@ -179,8 +183,8 @@
                     PoolState::handle_network_restored,
                 );
             }
-            PoolEvent::AddressesChanged(list) => {
-                self.shared.metrics.skipped_addresses += self.shared.address_book.replace(list) as u64;
+            PoolEvent::AddressesChanged(addresses) => {
+                self.shared.metrics.skipped_addresses += self.shared.address_book.replace(addresses) as u64;
                 self.for_each_session(
                     |session| session.state == SessionState::NoAddresses,
                     commands,
@@ -194,112 +198,115 @@
         }
     }
 
-    /// When the pool wants [`PoolEvent::TimerFired`] next.
+    /// Returns the time at which the driver has to send the next [`PoolEvent::TimerFired`], if any.
     pub fn next_wake(&self) -> Option<Instant> {
         self.shared.timers.first().map(|&(tick, _)| Instant::from_tick(tick))
     }
 
-    /// Sessions that are not over.
+    /// Returns the number of sessions that have not ended.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the pool has no session.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// Whether this session's connection stands.
+    /// Returns whether the connection of this session is established.
     pub fn is_established(&self, id: SessionId) -> bool {
         self.sessions.get(&id).is_some_and(|session| session.state == SessionState::Established)
     }
 
-    /// The number of this session's latest attempt, if there is such a session.
+    /// Returns the number of the session's latest attempt, or `None` if the session does not exist.
     pub fn current_attempt(&self, id: SessionId) -> Option<Attempt> {
         self.sessions.get(&id).map(|session| session.attempt)
     }
 
-    /// Counts since the pool began.
+    /// Returns the counters since the pool was created.
     pub fn metrics(&self) -> &Metrics {
         &self.shared.metrics
     }
 
-    /// Retries that the budget holds now.
+    /// Returns the number of retries in the retry budget, as of the last change.
     pub fn retry_budget(&self) -> f64 {
         self.shared.retry_budget.tokens()
     }
 
-    /// Addresses that it knows.
+    /// Returns the number of addresses in the address list.
     pub fn address_count(&self) -> usize {
         self.shared.address_book.len()
     }
 
-    /// What is worth keeping for the next process.
+    /// Returns the state that the next process can restore.
     pub fn server_cache(&self, now: Instant) -> ServerCache {
-        let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-        let book = &self.shared.address_book;
-        let holds = book.active_rejections(now).map(|(site, class, left)| CachedRejection {
-            site: site.into(),
-            class: class.into(),
-            remaining_ms: millis(left),
-        });
-        let failing = book.failing_addresses(now).map(|(at, streak, left)| CachedFailure {
-            gateway: at,
-            consecutive_failures: streak,
-            remaining_ms: millis(left),
+        let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
+        let address_book = &self.shared.address_book;
+        let rejections = address_book.active_rejections(now).map(|(site, class, remaining)| {
+            CachedRejection { site: site.into(), class: class.into(), remaining_ms: millis(remaining) }
         });
+        let failures =
+            address_book.failing_addresses(now).map(|(gateway, consecutive_failures, remaining)| {
+                CachedFailure { gateway, consecutive_failures, remaining_ms: millis(remaining) }
+            });
         ServerCache {
             tokens: self.shared.retry_budget.tokens(),
-            rejections: holds.collect(),
-            failures: failing.collect(),
+            rejections: rejections.collect(),
+            failures: failures.collect(),
         }
     }
 
-    /// Takes up what an earlier process had learnt, so long ago. To be called once the addresses are known.
-    /// Nothing in it can hold this process longer than its own settings would.
-    pub fn restore_cache(&mut self, now: Instant, learnt: &ServerCache, ago: Duration) {
-        let left = |ms: u64, most: Duration| Duration::from_millis(ms).min(most).saturating_sub(ago);
-        let (busy, aside) = (self.shared.settings.busy_most, self.shared.settings.aside_to);
-        for held in &learnt.rejections {
-            let left = left(held.remaining_ms, busy);
-            if !left.is_zero() {
-                self.shared.address_book.restore_rejection(&held.site, &held.class, now + left);
+    /// Restores the state of an earlier process, saved `age` ago. It has to be called after the addresses are
+    /// set. Restored rejections and ejections last no longer than this process's settings permit.
+    pub fn restore_cache(&mut self, now: Instant, cache: &ServerCache, age: Duration) {
+        let remaining = |ms: u64, limit: Duration| Duration::from_millis(ms).min(limit).saturating_sub(age);
+        let max_rejection = self.shared.settings.busy_most;
+        let max_ejection = self.shared.settings.aside_to;
+        for rejection in &cache.rejections {
+            let remaining = remaining(rejection.remaining_ms, max_rejection);
+            if !remaining.is_zero() {
+                self.shared.address_book.restore_rejection(
+                    &rejection.site,
+                    &rejection.class,
+                    now + remaining,
+                );
             }
         }
-        for failing in &learnt.failures {
-            let left = left(failing.remaining_ms, aside);
-            if failing.consecutive_failures > 0 && !left.is_zero() {
+        for failure in &cache.failures {
+            let remaining = remaining(failure.remaining_ms, max_ejection);
+            if failure.consecutive_failures > 0 && !remaining.is_zero() {
                 self.shared.address_book.restore_failure(
-                    failing.gateway,
-                    failing.consecutive_failures.min(16),
-                    now + left,
+                    failure.gateway,
+                    failure.consecutive_failures.min(16),
+                    now + remaining,
                 );
             }
         }
-        self.shared.retry_budget.restore(learnt.tokens);
+        self.shared.retry_budget.restore(cache.tokens);
     }
 
-    /// Has a session do something, if it is there and the event is of its present attempt.
+    /// Calls `handler` for a session if the session exists and `attempt`, if given, is its current attempt.
+    /// If the session's deadline or lifetime has passed, its timer is processed instead.
     fn with_session(
         &mut self,
         id: SessionId,
         attempt: Option<Attempt>,
         commands: &mut Vec<PoolCommand>,
-        act: impl FnOnce(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
+        handler: impl FnOnce(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
     ) {
         let shared = &mut self.shared;
         let now = shared.now;
         match self.sessions.get_mut(&id) {
             Some(session) if attempt.is_none_or(|attempt| attempt == session.attempt) => {
-                // Ticks are coarse; a deadline is not.
-                let fate = if session.deadline.is_some_and(|by| by <= now)
+                // Timers have the resolution of a tick; deadlines are exact.
+                let outcome = if session.deadline.is_some_and(|by| by <= now)
                     || session.expires_at.is_some_and(|by| by <= now)
                 {
                     shared.run_timer(now, id, session, commands)
                 } else {
-                    act(shared, now, id, session, commands)
+                    handler(shared, now, id, session, commands)
                 };
-                match fate {
+                match outcome {
                     Outcome::Continue => shared.schedule(id, session),
                     Outcome::Ended => _ = self.sessions.remove(&id),
                 }
@@ -308,27 +315,27 @@
         }
     }
 
-    /// Has all sessions of a kind do something, in the order in which they were opened.
+    /// Calls `handler` for all sessions that `filter` selects, in the order in which they were opened.
     fn for_each_session(
         &mut self,
-        which: impl Fn(&Session) -> bool,
+        filter: impl Fn(&Session) -> bool,
         commands: &mut Vec<PoolCommand>,
-        act: impl Fn(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
+        handler: impl Fn(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
     ) {
         let mut ids: Vec<SessionId> =
-            self.sessions.iter().filter(|(_, session)| which(session)).map(|(&id, _)| id).collect();
+            self.sessions.iter().filter(|(_, session)| filter(session)).map(|(&id, _)| id).collect();
         ids.sort_unstable();
         for id in ids {
-            self.with_session(id, None, commands, &act);
+            self.with_session(id, None, commands, &handler);
         }
     }
 
     fn run_due_timers(&mut self, now: Instant, commands: &mut Vec<PoolCommand>) {
         self.shared.now = self.shared.now.max(now);
         let now = self.shared.now;
-        let passed = now.elapsed_ticks();
+        let current_tick = now.elapsed_ticks();
         while let Some(&(tick, id)) = self.shared.timers.first() {
-            if tick > passed {
+            if tick > current_tick {
                 return;
             }
             self.with_session(id, None, commands, PoolState::run_timer);
@@ -337,7 +344,8 @@
 }
 
 impl PoolState {
-    /// Mixes the key in, so that processes that began with the same seed part ways.
+    /// Mixes the key and class into the random state, so that processes with the same seed draw different
+    /// numbers.
     fn mix_into_seed(&mut self, request: &SessionRequest) {
         let mut hash = self.rng.random::<u64>();
         for byte in request.parameters.key.bytes().chain(request.parameters.class.bytes()) {
@@ -351,43 +359,43 @@
     }
 
     fn schedule(&mut self, id: SessionId, session: &mut Session) {
-        let due = session.next_timer().map(Instant::tick_at_or_after);
-        if due != session.scheduled_tick {
+        let due_tick = session.next_timer().map(Instant::tick_at_or_after);
+        if due_tick != session.scheduled_tick {
             if let Some(tick) = session.scheduled_tick {
                 self.timers.remove(&(tick, id));
             }
-            if let Some(tick) = due {
+            if let Some(tick) = due_tick {
                 self.timers.insert((tick, id));
             }
-            session.scheduled_tick = due;
+            session.scheduled_tick = due_tick;
         }
     }
 
-    /// Ends a session. This is the only place where one ends.
+    /// Ends a session. Every session that was opened successfully ends here.
     fn end_session(
         &mut self,
         id: SessionId,
         session: &mut Session,
-        why: GiveUpReason,
+        reason: GiveUpReason,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
         if session.state.has_socket() && !matches!(session.state, SessionState::Closing(_)) {
             commands.push(PoolCommand::Close { session: id, attempt: session.attempt });
         }
-        if let (SessionState::Connecting | SessionState::AwaitingAnswer, Some(at)) =
+        if let (SessionState::Connecting | SessionState::AwaitingAnswer, Some(gateway)) =
             (session.state, session.address)
         {
-            self.address_book.cancel_trial(at);
+            self.address_book.cancel_trial(gateway);
         }
         if let Some(tick) = session.scheduled_tick.take() {
             self.timers.remove(&(tick, id));
         }
         self.metrics.ended += 1;
-        commands.push(PoolCommand::EndSession(id, why));
+        commands.push(PoolCommand::EndSession(id, reason));
         Outcome::Ended
     }
 
-    /// Tries the next address, or waits until one may be tried.
+    /// Starts an attempt at the next address, or waits until an address is available.
     fn start_attempt(
         &mut self,
         now: Instant,
@@ -395,13 +403,13 @@
         session: &mut Session,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
-        let avoid = session.address;
-        let (until, held) =
-            match self.address_book.select(now, &session.request.parameters.class, avoid, &mut self.rng) {
-                Selection::Selected(at) => {
+        let previous = session.address;
+        let (until, rejected) =
+            match self.address_book.select(now, &session.request.parameters.class, previous, &mut self.rng) {
+                Selection::Selected(gateway) => {
                     session.attempt.0 += 1;
                     session.attempts += 1;
-                    session.address = Some(at);
+                    session.address = Some(gateway);
                     session.state = SessionState::Connecting;
                     session.timer = Some(now + self.settings.connect_within);
                     match (session.attempts, session.established_before) {
@@ -409,11 +417,7 @@
                         (1, true) => self.metrics.reconnects += 1,
                         _ => self.metrics.retries += 1,
                     }
-                    commands.push(PoolCommand::Connect {
-                        session: id,
-                        attempt: session.attempt,
-                        gateway: at,
-                    });
+                    commands.push(PoolCommand::Connect { session: id, attempt: session.attempt, gateway });
                     return Outcome::Continue;
                 }
                 Selection::NoAddresses => {
@@ -424,25 +428,27 @@
                 Selection::Rejected(until) => (until, true),
                 Selection::Ejected(until) => (until, false),
             };
-        let left = session.deadline.map_or(Duration::MAX, |by| by.duration_since(until));
-        if left.is_zero() {
-            let wait = until.duration_since(now);
-            let why = if held {
-                GiveUpReason::Rejected { retry_after: wait }
+        let remaining = session.deadline.map_or(Duration::MAX, |deadline| deadline.duration_since(until));
+        if remaining.is_zero() {
+            let retry_after = until.duration_since(now);
+            let reason = if rejected {
+                GiveUpReason::Rejected { retry_after }
             } else {
-                GiveUpReason::NoAvailableAddress { retry_after: wait }
+                GiveUpReason::NoAvailableAddress { retry_after }
             };
-            return self.end_session(id, session, why, commands);
+            return self.end_session(id, session, reason, commands);
         }
-        // All who wait for this moment would come at once: the more there are, the wider they spread.
-        let crowd = Duration::from_secs_f64(self.open_sessions as f64 / self.settings.return_rate);
-        let window = self.settings.retry_from.max(crowd).min(self.settings.window_most).min(left / 2);
+        // All waiting sessions would otherwise start at the same moment. The window grows with the number of
+        // sessions.
+        let rate_window = Duration::from_secs_f64(self.open_sessions as f64 / self.settings.return_rate);
+        let window =
+            self.settings.retry_from.max(rate_window).min(self.settings.window_most).min(remaining / 2);
         session.state = SessionState::Waiting;
         session.timer = Some(until + self.jitter(window));
         Outcome::Continue
     }
 
-    /// The connection is up: the request's line goes out, with what is left of the time now.
+    /// Handles a completed transport connection: sends the request line with the time that remains.
     fn handle_connected(
         &mut self,
         now: Instant,
@@ -454,13 +460,14 @@
             self.metrics.late_events += 1;
             return Outcome::Continue;
         }
-        let left = session.deadline.map_or(Duration::MAX, |by| by.duration_since(now));
-        let wait = session.request.attempt_timeout.map_or(left, |wait| wait.min(left));
-        let name = format!("{:016x}", self.rng.random::<u64>());
+        let remaining = session.deadline.map_or(Duration::MAX, |deadline| deadline.duration_since(now));
+        let answer_timeout =
+            session.request.attempt_timeout.map_or(remaining, |timeout| timeout.min(remaining));
+        let request_id = format!("{:016x}", self.rng.random::<u64>());
         session.request.parameters.retry = session.attempts > 1;
         session.request.parameters.again = session.established_before;
-        // A line tells whole milliseconds and one at least.
-        if wait < Duration::from_millis(1) {
+        // The request line states the time-out in whole milliseconds, at least one.
+        if answer_timeout < Duration::from_millis(1) {
             session.last_failure = AttemptFailure::NotAttempted;
             return self.end_session(
                 id,
@@ -469,14 +476,15 @@
                 commands,
             );
         }
-        match session.request.parameters.line(&name, wait) {
+        match session.request.parameters.line(&request_id, answer_timeout) {
             Ok(line) => {
                 session.state = SessionState::AwaitingAnswer;
-                session.timer = Some(now + wait);
+                session.timer = Some(now + answer_timeout);
                 commands.push(PoolCommand::SendRequest { session: id, attempt: session.attempt, line });
                 Outcome::Continue
             }
-            // It was checked when the session was opened; only the length of the whole is left.
+            // The parameters were checked when the session was opened; only the total length can be invalid
+            // here.
             Err(error) => self.end_session(id, session, GiveUpReason::InvalidRequest(error), commands),
         }
     }
@@ -486,19 +494,19 @@
         now: Instant,
         id: SessionId,
         session: &mut Session,
-        heard: Result<GatewayEvent, PeerFault>,
+        received: Result<GatewayEvent, PeerFault>,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
-        if heard.is_err() {
+        if received.is_err() {
             self.metrics.protocol_violations += 1;
         }
-        match (session.state, heard) {
+        match (session.state, received) {
             (SessionState::AwaitingAnswer, Ok(GatewayEvent::Up(receipt))) => {
-                let Some(at) = session.address else { return Outcome::Continue };
-                self.address_book.record_answer(at);
+                let Some(gateway) = session.address else { return Outcome::Continue };
+                self.address_book.record_answer(gateway);
                 self.metrics.established += 1;
-                let up = SessionNotification::Connected {
-                    gateway: at,
+                let connected = SessionNotification::Connected {
+                    gateway,
                     receipt,
                     attempts: session.attempts,
                     reconnected: session.established_before,
@@ -509,11 +517,11 @@
                 (session.attempts, session.rejections, session.last_failure) =
                     (0, 0, AttemptFailure::NotAttempted);
                 session.established_at = now;
-                commands.push(PoolCommand::Notify(id, up));
+                commands.push(PoolCommand::Notify(id, connected));
                 Outcome::Continue
             }
-            (SessionState::AwaitingAnswer, Ok(GatewayEvent::Busy(wait))) => {
-                self.handle_failure(now, id, session, AttemptFailure::Rejected(wait), commands)
+            (SessionState::AwaitingAnswer, Ok(GatewayEvent::Busy(retry_after))) => {
+                self.handle_failure(now, id, session, AttemptFailure::Rejected(retry_after), commands)
             }
             (SessionState::AwaitingAnswer, Ok(_)) => {
                 self.handle_failure(now, id, session, AttemptFailure::Failed, commands)
@@ -538,19 +546,20 @@
         }
     }
 
-    /// The attempt's socket is closed without the pool's doing.
+    /// Handles a socket of the current attempt that was closed without a command of the pool.
     fn handle_peer_close(
         &mut self,
         now: Instant,
         id: SessionId,
         session: &mut Session,
-        setback: AttemptFailure,
+        failure: AttemptFailure,
         fault: Option<PeerFault>,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
         self.metrics.protocol_violations += u64::from(fault.is_some());
         match session.state {
-            // Both ends closed at once; the word that it is closed will be of an attempt that is over.
+            // Both ends closed at the same time. The following `SocketClosed` event refers to an ended
+            // attempt.
             SessionState::Closing(after) => self.continue_after_close(now, id, session, after, commands),
             SessionState::Connecting => {
                 session.state = SessionState::Waiting;
@@ -558,7 +567,7 @@
             }
             SessionState::AwaitingAnswer => {
                 session.state = SessionState::Waiting;
-                self.handle_failure(now, id, session, setback, commands)
+                self.handle_failure(now, id, session, failure, commands)
             }
             SessionState::Established => {
                 session.state = SessionState::CollectingDisconnects;
@@ -571,7 +580,7 @@
         }
     }
 
-    /// Closes the socket that there is, and goes on once it is closed.
+    /// Closes the session's socket, if any, and continues with `after` when it is closed.
     fn close_socket_then(
         &mut self,
         now: Instant,
@@ -590,7 +599,7 @@
         }
     }
 
-    /// The socket is closed: what was to follow does.
+    /// Continues with `after` now that the socket is closed.
     fn continue_after_close(
         &mut self,
         now: Instant,
@@ -619,25 +628,25 @@
         }
     }
 
-    /// A standing connection is no more.
+    /// Handles the loss of an established connection.
     fn handle_disconnect(
         &mut self,
         now: Instant,
         id: SessionId,
         session: &mut Session,
-        drop: ConnectionLoss,
+        loss: ConnectionLoss,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
-        match drop {
+        match loss {
             ConnectionLoss::Migrated => self.metrics.moved += 1,
             ConnectionLoss::Broken(_) | ConnectionLoss::Offline => self.metrics.broken += 1,
         }
         if !session.request.reconnects {
             return self.end_session(id, session, GiveUpReason::ConnectionEnded, commands);
         }
-        let quick = now.duration_since(session.established_at) < self.settings.quick
-            && drop != ConnectionLoss::Offline;
-        session.consecutive_early_losses = if quick { session.consecutive_early_losses + 1 } else { 0 };
+        let early = now.duration_since(session.established_at) < self.settings.quick
+            && loss != ConnectionLoss::Offline;
+        session.consecutive_early_losses = if early { session.consecutive_early_losses + 1 } else { 0 };
         if session.consecutive_early_losses >= self.settings.quick_most {
             return self.end_session(
                 id,
@@ -647,26 +656,27 @@
             );
         }
         (session.established_before, session.last_loss, session.last_failure) =
-            (true, drop, AttemptFailure::NotAttempted);
-        if let (ConnectionLoss::Broken(_), Some(at)) = (drop, session.address) {
-            self.address_book.record_connection_loss(now, at);
+            (true, loss, AttemptFailure::NotAttempted);
+        if let (ConnectionLoss::Broken(_), Some(gateway)) = (loss, session.address) {
+            self.address_book.record_connection_loss(now, gateway);
         }
         session.attempts = 0;
         session.rejections = 0;
         session.timer = None;
         self.disconnects.record(now);
         self.retry_budget.deposit(now);
-        // Until its wait is drawn; a driver that never closes the socket must not hold it for ever.
+        // Provisional deadline until the reconnect delay is chosen. It ends the session if the driver never
+        // reports the socket as closed.
         session.deadline = Some(now + self.settings.window_most + self.settings.return_within);
-        commands.push(PoolCommand::Notify(id, SessionNotification::Disconnected(drop)));
-        if drop == ConnectionLoss::Offline {
+        commands.push(PoolCommand::Notify(id, SessionNotification::Disconnected(loss)));
+        if loss == ConnectionLoss::Offline {
             session.deadline = Some(now + self.settings.offline_within);
             return self.close_socket_then(now, id, session, AfterClose::Offline, commands);
         }
         self.close_socket_then(now, id, session, AfterClose::CollectDisconnects, commands)
     }
 
-    /// It has seen how many dropped with it, and draws its wait from a window that fits them all.
+    /// Chooses the reconnect delay at random from a window that grows with the number of recent disconnects.
     fn schedule_reconnect(
         &mut self,
         now: Instant,
@@ -674,20 +684,20 @@
         session: &mut Session,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
-        let lately = self.disconnects.recent(now);
-        let crowd = Duration::from_secs_f64(f64::from(lately) / self.settings.return_rate);
-        let own = self
+        let disconnects = self.disconnects.recent(now);
+        let rate_window = Duration::from_secs_f64(f64::from(disconnects) / self.settings.return_rate);
+        let session_window = self
             .reconnect_window(session.last_loss)
             .saturating_mul(1 << session.consecutive_early_losses.min(8));
-        let after = self.jitter(own.max(crowd).min(self.settings.window_most));
+        let delay = self.jitter(session_window.max(rate_window).min(self.settings.window_most));
         session.state = SessionState::Waiting;
-        session.timer = Some(now + after);
-        session.deadline = Some(now + after + self.settings.return_within);
-        commands.push(PoolCommand::Notify(id, SessionNotification::Reconnecting { delay: after }));
+        session.timer = Some(now + delay);
+        session.deadline = Some(now + delay + self.settings.return_within);
+        commands.push(PoolCommand::Notify(id, SessionNotification::Reconnecting { delay }));
         Outcome::Continue
     }
 
-    /// A time is over: the life, the deadline, or the state's own.
+    /// Processes the expired timer of a session: its lifetime, its deadline, or the time-out of its state.
     fn run_timer(
         &mut self,
         now: Instant,
@@ -695,11 +705,11 @@
         session: &mut Session,
         commands: &mut Vec<PoolCommand>,
     ) -> Outcome {
-        let over = |by: Option<Instant>| by.is_some_and(|by| by <= now);
-        if over(session.expires_at) {
+        let passed = |time: Option<Instant>| time.is_some_and(|time| time <= now);
+        if passed(session.expires_at) {
             return self.end_session(id, session, GiveUpReason::Expired, commands);
         }
-        if over(session.deadline) {
+        if passed(session.deadline) {
             session.last_failure = match session.state {
                 SessionState::AwaitingAnswer => AttemptFailure::TimedOut,
                 SessionState::Connecting => AttemptFailure::ConnectFailed,
@@ -716,7 +726,7 @@
                 commands,
             );
         }
-        if !over(session.timer) {
+        if !passed(session.timer) {
             return Outcome::Continue;
         }
         match session.state {
@@ -728,7 +738,7 @@
             SessionState::AwaitingAnswer => {
                 self.handle_failure(now, id, session, AttemptFailure::TimedOut, commands)
             }
-            // None of these has a time of its own.
+            // These states have no time-out.
             SessionState::NoAddresses
             | SessionState::Offline
             | SessionState::Established
--- a/crates/ashtide-client/src/pool/messages.rs
+++ b/crates/ashtide-client/src/pool/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a session pool and what comes out of it.
+//! Events that a session pool receives and commands that it returns.
 
 use std::net::SocketAddr;
 
@@ -7,62 +7,62 @@
 
 use crate::{Address, Attempt, GiveUpReason, SessionId, SessionNotification};
 
-/// What happens to a pool. Events of an attempt that is over are counted and change nothing.
+/// Event that a session pool processes. Events of an ended attempt are counted and otherwise ignored.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoolEvent {
-    /// The connection of an attempt has come up.
+    /// The transport connection of an attempt is established.
     Connected(SessionId, Attempt),
-    /// It has not; there is no socket any more.
+    /// The transport connection of an attempt could not be established; its socket is closed.
     ConnectFailed(SessionId, Attempt),
-    /// What the balancer said, as [`GatewaySide`](ashtide_protocol::GatewaySide) reads it. Lines of a
-    /// standing connection need not be reported. The socket is still open.
+    /// A line was received from the gateway and parsed by [`GatewaySide`](ashtide_protocol::GatewaySide).
+    /// Lines of an established connection need not be reported. The socket is still open.
     Received(SessionId, Attempt, Result<GatewayEvent, PeerFault>),
-    /// The connection has ended and its socket is closed; the peer's fault where there was one.
+    /// The connection ended and its socket is closed. Contains the protocol violation of the peer, if any.
     ConnectionEnded(SessionId, Attempt, Option<PeerFault>),
-    /// A socket that was to be closed is closed, or there was none any more.
+    /// The socket of a [`PoolCommand::Close`] is closed, or was closed before.
     SocketClosed(SessionId, Attempt),
-    /// The application wants no more of this session.
+    /// The application closes the session.
     CloseSession(SessionId),
-    /// The device has no network.
+    /// The device lost its network.
     NetworkLost,
-    /// It has one, perhaps another.
+    /// The device has a network again, possibly a different one.
     NetworkRestored,
-    /// The balancers' addresses are these from now on. Standing connections stay.
+    /// The address list of the gateways is replaced. Established connections are not affected.
     AddressesChanged(Vec<Address>),
-    /// Time has passed.
+    /// The time of [`SessionPool::next_wake`](crate::SessionPool::next_wake) was reached.
     TimerFired,
 }
 
-/// What a driver is to do, in this order.
+/// Command for the driver. Commands have to be executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PoolCommand {
-    /// Connect there and report [`PoolEvent::Connected`] or [`PoolEvent::ConnectFailed`].
+    /// Connect to a gateway and report [`PoolEvent::Connected`] or [`PoolEvent::ConnectFailed`].
     Connect {
-        /// For which session.
+        /// Session of the attempt.
         session: SessionId,
-        /// For which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Where.
+        /// Address of the gateway.
         gateway: SocketAddr,
     },
-    /// Write the request's line on that connection, now: its `d` counts from here.
+    /// Write the request line on the connection immediately; its time-out `d` is measured from this moment.
     SendRequest {
-        /// For which session.
+        /// Session of the attempt.
         session: SessionId,
-        /// For which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// The line with its CRLF.
+        /// Request line with its CRLF.
         line: Bytes,
     },
-    /// Close the attempt's socket, or give its dialling up, and report [`PoolEvent::SocketClosed`].
+    /// Close the attempt's socket or abort its connecting, and report [`PoolEvent::SocketClosed`].
     Close {
-        /// Of which session.
+        /// Session of the attempt.
         session: SessionId,
-        /// Of which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
     },
-    /// Tell the application.
+    /// Notify the application.
     Notify(SessionId, SessionNotification),
-    /// The session is over: tell the application, and forget it.
+    /// Notify the application that the session ended, and release the session's resources.
     EndSession(SessionId, GiveUpReason),
 }
--- a/crates/ashtide-client/src/pool/metrics.rs
+++ b/crates/ashtide-client/src/pool/metrics.rs
@@ -1,40 +1,40 @@
 //! Counters of a session pool.
 
-/// Counts since the pool began.
+/// Counters since the pool was created.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Sessions asked for.
+    /// Number of sessions that were requested.
     pub opened: u64,
-    /// First tries of sessions.
+    /// Number of first attempts for the first connection of a session.
     pub first_attempts: u64,
-    /// First tries of returns after a move or a break.
+    /// Number of first attempts to reconnect after a `MOVE`, a broken connection or a network loss.
     pub reconnects: u64,
-    /// Tries that repeat one.
+    /// Number of attempts that repeat a failed attempt.
     pub retries: u64,
-    /// Connections that came up.
+    /// Number of connections that were established.
     pub established: u64,
-    /// Tries refused.
+    /// Number of attempts that the gateway rejected.
     pub rejected: u64,
-    /// Tries failed by an answer.
+    /// Number of attempts that were answered with an error.
     pub failed: u64,
-    /// Tries that reached nobody.
+    /// Number of attempts whose transport connection could not be established.
     pub connect_failures: u64,
-    /// Tries not answered in time.
+    /// Number of attempts that were not answered in time.
     pub timeouts: u64,
-    /// Tries cut off before the answer.
+    /// Number of attempts whose connection ended before the answer.
     pub lost_before_answer: u64,
-    /// Breaches of the protocol by peers.
+    /// Number of protocol violations by peers.
     pub protocol_violations: u64,
-    /// Standing connections moved.
+    /// Number of established connections that ended with a `MOVE`.
     pub moved: u64,
-    /// Standing connections broken.
+    /// Number of established connections that broke or ended with a network loss.
     pub broken: u64,
-    /// Sessions that ended for want of a retry in the budget.
+    /// Number of sessions that ended because the retry budget was exhausted.
     pub retry_budget_exhausted: u64,
-    /// Events of attempts that were over.
+    /// Number of events for sessions or attempts that had already ended.
     pub late_events: u64,
-    /// Addresses passed over, as there were too many or one stood twice.
+    /// Number of addresses that were skipped as duplicates or beyond the maximum number of addresses.
     pub skipped_addresses: u64,
-    /// Sessions that have ended.
+    /// Number of sessions that ended.
     pub ended: u64,
 }
--- a/crates/ashtide-client/src/pool/network_change.rs
+++ b/crates/ashtide-client/src/pool/network_change.rs
@@ -1,4 +1,4 @@
-//! What a session does when the device loses its network or gets one again.
+//! Handling of the loss and the recovery of the device's network.
 
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
             ),
             SessionState::Connecting | SessionState::AwaitingAnswer => {
                 session.last_failure = AttemptFailure::Offline;
-                if let Some(at) = session.address {
-                    self.address_book.cancel_trial(at);
+                if let Some(gateway) = session.address {
+                    self.address_book.cancel_trial(gateway);
                 }
                 self.close_socket_then(now, id, session, AfterClose::Offline, commands)
             }
@@ -51,8 +51,8 @@
         }
     }
 
-    /// There is a network again. Who had a connection comes back with the others; who had not goes on
-    /// with its first placing, within what is left of its time.
+    /// Handles the recovery of the network. A session that had an established connection reconnects within
+    /// the reconnect window. Any other session continues its first connection within the time that remains.
     pub(super) fn handle_network_restored(
         &mut self,
         now: Instant,
@@ -63,7 +63,8 @@
         if session.established_before {
             session.last_loss = ConnectionLoss::Offline;
             session.deadline = None;
-            // A return that had begun begins anew: the network's going was no fault of the site.
+            // A reconnect that was in progress restarts with all its attempts, since the site did not cause
+            // the network loss.
             session.attempts = 0;
             session.rejections = 0;
             self.disconnects.record(now);
@@ -90,10 +91,10 @@
                 commands,
             );
         }
-        let left = session.deadline.map_or(Duration::ZERO, |by| by.duration_since(now));
-        let after = self.jitter(self.settings.break_window.min(left / 2));
+        let remaining = session.deadline.map_or(Duration::ZERO, |deadline| deadline.duration_since(now));
+        let delay = self.jitter(self.settings.break_window.min(remaining / 2));
         session.state = SessionState::Waiting;
-        session.timer = Some(now + after);
+        session.timer = Some(now + delay);
         Outcome::Continue
     }
 }
--- a/crates/ashtide-client/src/selection.rs
+++ b/crates/ashtide-client/src/selection.rs
@@ -1,4 +1,4 @@
-//! The addresses of the balancers: which to try, which to leave and for how long.
+//! Address book of the gateways: address selection, ejection of failing addresses, and active rejections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,93 +10,104 @@
 
 use crate::{Instant, Settings};
 
-/// Most addresses of a pool; further ones are passed over.
+/// Maximum number of addresses in a pool; further addresses are skipped.
 pub const MAX_ADDRESSES: usize = 256;
-/// Most refusals that are remembered, by site and class.
+/// Maximum number of active rejections that are stored, by site and class.
 pub const MAX_REJECTIONS: usize = 1024;
-/// Errors in a row after which an address counts as failing.
+/// Number of consecutive `ERR` answers that count as a failure of the address.
 const ERRORS_BEFORE_FAILURE: u32 = 3;
-/// While another session tries an address that had failed, those that have no other look again after this.
+/// Interval after which sessions without another address retry the selection while a trial is in progress.
 const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Part of the placings that try an address which had failed, where another is well.
+/// Probability with which a selection makes a trial of a failed address although a healthy one is available.
 const TRIAL_PROBABILITY: f64 = 0.1;
-/// After a break, other addresses go first for so long: a balancer that dies breaks all it has.
+/// Duration for which other addresses are preferred after a connection broke. When a gateway fails, all of
+/// its connections break.
 const SUSPECT_DURATION: Duration = Duration::from_secs(10);
-/// A trial that has not ended by then is over: its session may have gone another way.
+/// Time after which a trial without a result no longer counts as in progress; its session may have ended
+/// otherwise.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One balancer.
+/// Address of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Address {
-    /// Where it listens.
+    /// Address on which the gateway listens.
     pub socket_addr: SocketAddr,
-    /// Its zone; an empty one is nobody's own.
+    /// Zone of the gateway; empty if it belongs to no zone.
     pub zone: String,
-    /// The site that it serves: who is refused by one of a site's balancers is not to try another.
+    /// Site that the gateway serves. A rejection by one gateway of a site applies to all gateways of the
+    /// site.
     pub site: String,
 }
 
 impl Address {
-    /// An address of the only site and zone there is.
-    pub fn new(at: SocketAddr) -> Self {
-        Self { socket_addr: at, zone: String::new(), site: String::new() }
+    /// Creates an address with an empty zone and an empty site name, for deployments with a single site.
+    pub fn new(socket_addr: SocketAddr) -> Self {
+        Self { socket_addr, zone: String::new(), site: String::new() }
     }
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
     address: Address,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     consecutive_failures: u32,
-    /// Answers of `ERR` in a row.
+    /// Number of consecutive `ERR` answers.
     consecutive_errors: u32,
-    /// Not before then.
+    /// End of the ejection, if the address has failed.
     ejected_until: Instant,
-    /// A session tries it since then, after it had failed.
+    /// Start of the trial that is in progress after a failure, if any.
     trial_started_at: Option<Instant>,
-    /// A connection by it broke: until then others go first.
+    /// Time until which other addresses are preferred because a connection through this gateway broke.
     suspect_until: Instant,
 }
 
-/// What the book says.
+/// Result of an address selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Selection {
-    /// Try this one.
+    /// Address for the next attempt.
     Selected(SocketAddr),
-    /// All refuse: not before then.
+    /// No address is available, and the first one becomes available at this time, when its site's rejection
+    /// ends.
     Rejected(Instant),
-    /// All are set aside: not before then.
+    /// No address is available, and the first one becomes available at this time, when its ejection ends.
     Ejected(Instant),
-    /// There are none.
+    /// The address list is empty.
     NoAddresses,
 }
 
-/// All addresses, and what is known of them.
+/// Addresses of all gateways with their health, and the active rejections.
 #[derive(Debug)]
 pub(crate) struct AddressBook {
     zone: Option<String>,
-    aside: (Duration, Duration),
+    min_ejection: Duration,
+    max_ejection: Duration,
     entries: BTreeMap<SocketAddr, Entry>,
-    /// Until when a site refuses a class.
+    /// End of each active rejection, by site and class.
     rejections: BTreeMap<(String, String), Instant>,
 }
 
 impl AddressBook {
     pub(crate) fn new(settings: &Settings) -> Self {
-        let aside = (settings.aside_from, settings.aside_to);
-        Self { zone: settings.zone.clone(), aside, entries: BTreeMap::new(), rejections: BTreeMap::new() }
+        Self {
+            zone: settings.zone.clone(),
+            min_ejection: settings.aside_from,
+            max_ejection: settings.aside_to,
+            entries: BTreeMap::new(),
+            rejections: BTreeMap::new(),
+        }
     }
 
-    /// Takes a new list. What is known of an address that stays on it is kept; how many were passed over.
-    pub(crate) fn replace(&mut self, list: Vec<Address>) -> usize {
-        let mut old = std::mem::take(&mut self.entries);
-        let mut over = 0;
-        for address in list {
+    /// Replaces the address list. The health of addresses that remain in the list is retained. Returns the
+    /// number of addresses that were skipped.
+    pub(crate) fn replace(&mut self, addresses: Vec<Address>) -> usize {
+        let mut old_entries = std::mem::take(&mut self.entries);
+        let mut skipped = 0;
+        for address in addresses {
             if self.entries.len() >= MAX_ADDRESSES || self.entries.contains_key(&address.socket_addr) {
-                over += 1;
+                skipped += 1;
                 continue;
             }
-            let entry = match old.remove(&address.socket_addr) {
+            let entry = match old_entries.remove(&address.socket_addr) {
                 Some(entry) => Entry { address, ..entry },
                 None => Entry {
                     address,
@@ -109,7 +120,7 @@
             };
             self.entries.insert(entry.address.socket_addr, entry);
         }
-        over
+        skipped
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -123,7 +134,8 @@
         self.rejections.get(&(site.to_owned(), class.to_owned())).copied()
     }
 
-    /// Which address a session of this class is to try now; another than `avoid` if that can be.
+    /// Selects the address for the next attempt of a session of this class; `previous` is avoided if
+    /// possible.
     pub(crate) fn select(
         &mut self,
         now: Instant,
@@ -131,59 +143,61 @@
         previous: Option<SocketAddr>,
         rng: &mut Xoshiro256PlusPlus,
     ) -> Selection {
-        let mut fit = Vec::new();
-        let mut later: Option<(Instant, bool)> = None;
+        let mut candidates = Vec::new();
+        // Earliest time at which an address becomes available, and whether a rejection causes the delay.
+        let mut next_available: Option<(Instant, bool)> = None;
         for entry in self.entries.values() {
-            let held = self.rejected_until(&entry.address.site, class).filter(|&until| until > now);
-            let trying = entry
+            let rejected_until = self.rejected_until(&entry.address.site, class).filter(|&until| until > now);
+            let trial_poll_at = entry
                 .trial_started_at
                 .filter(|&since| since + TRIAL_TIMEOUT > now)
                 .map(|_| now + TRIAL_POLL_INTERVAL);
-            let aside = (entry.consecutive_failures > 0)
+            let ejected_until = (entry.consecutive_failures > 0)
                 .then_some(entry.ejected_until)
                 .filter(|&until| until > now)
-                .or(trying);
-            match held.max(aside) {
-                None => fit.push(entry),
-                Some(until) if later.is_none_or(|(first, _)| until < first) => {
-                    later = Some((until, held.is_some()));
+                .or(trial_poll_at);
+            match rejected_until.max(ejected_until) {
+                None => candidates.push(entry),
+                Some(until) if next_available.is_none_or(|(earliest, _)| until < earliest) => {
+                    next_available = Some((until, rejected_until.is_some()));
                 }
                 Some(_) => {}
             }
         }
-        if fit.is_empty() {
-            return match later {
+        if candidates.is_empty() {
+            return match next_available {
                 Some((until, true)) => Selection::Rejected(until),
                 Some((until, false)) => Selection::Ejected(until),
                 None => Selection::NoAddresses,
             };
         }
-        // Those that are well go first, wherever they are; now and then one session finds out whether an
-        // address that had failed is well again. For a device with one session that is a try at stake.
-        let well = |entry: &&Entry| entry.consecutive_failures == 0 && entry.suspect_until <= now;
-        if fit.iter().any(well) {
+        // Healthy addresses are preferred in any zone. Occasionally one session makes a trial of a failed
+        // address, to detect its recovery. A device with a single session risks one of its attempts on the
+        // trial.
+        let is_healthy = |entry: &&Entry| entry.consecutive_failures == 0 && entry.suspect_until <= now;
+        if candidates.iter().any(is_healthy) {
             let trial = rng.random::<f64>() < TRIAL_PROBABILITY
-                && fit.iter().any(|entry| entry.consecutive_failures > 0);
-            fit.retain(|entry| if trial { entry.consecutive_failures > 0 } else { well(entry) });
+                && candidates.iter().any(|entry| entry.consecutive_failures > 0);
+            candidates.retain(|entry| if trial { entry.consecutive_failures > 0 } else { is_healthy(entry) });
         }
-        let near = |entry: &&Entry| self.zone.as_ref().is_some_and(|zone| *zone == entry.address.zone);
-        if fit.iter().any(near) {
-            fit.retain(near);
+        let is_local = |entry: &&Entry| self.zone.as_ref().is_some_and(|zone| *zone == entry.address.zone);
+        if candidates.iter().any(is_local) {
+            candidates.retain(is_local);
         }
-        if fit.len() > 1 {
-            fit.retain(|entry| Some(entry.address.socket_addr) != previous);
+        if candidates.len() > 1 {
+            candidates.retain(|entry| Some(entry.address.socket_addr) != previous);
         }
-        let Some(chosen) = fit.choose(rng) else { return Selection::NoAddresses };
-        let at = chosen.address.socket_addr;
-        if let Some(entry) = self.entries.get_mut(&at).filter(|entry| entry.consecutive_failures > 0) {
+        let Some(chosen) = candidates.choose(rng) else { return Selection::NoAddresses };
+        let gateway = chosen.address.socket_addr;
+        if let Some(entry) = self.entries.get_mut(&gateway).filter(|entry| entry.consecutive_failures > 0) {
             entry.trial_started_at = Some(now);
         }
-        Selection::Selected(at)
+        Selection::Selected(gateway)
     }
 
-    /// It answered as it should, be it with a refusal.
-    pub(crate) fn record_answer(&mut self, at: SocketAddr) {
-        if let Some(entry) = self.entries.get_mut(&at) {
+    /// Records a valid answer of a gateway, which may be a rejection. The address is then healthy.
+    pub(crate) fn record_answer(&mut self, gateway: SocketAddr) {
+        if let Some(entry) = self.entries.get_mut(&gateway) {
             (
                 entry.consecutive_failures,
                 entry.consecutive_errors,
@@ -193,62 +207,72 @@
         }
     }
 
-    /// A connection by it broke. That may be the server's end, or its own.
-    pub(crate) fn record_connection_loss(&mut self, now: Instant, at: SocketAddr) {
-        if let Some(entry) = self.entries.get_mut(&at) {
+    /// Records that an established connection broke. The server or the gateway may have failed.
+    pub(crate) fn record_connection_loss(&mut self, now: Instant, gateway: SocketAddr) {
+        if let Some(entry) = self.entries.get_mut(&gateway) {
             entry.suspect_until = now + SUSPECT_DURATION;
         }
     }
 
-    /// It could not be reached, said nothing, or broke the protocol.
-    pub(crate) fn record_failure(&mut self, now: Instant, at: SocketAddr, rng: &mut Xoshiro256PlusPlus) {
-        let (from, to) = self.aside;
-        if let Some(entry) = self.entries.get_mut(&at) {
-            // Those that were on their way when it failed are one failure together.
+    /// Records that a gateway was unreachable, did not answer in time, or violated the protocol.
+    pub(crate) fn record_failure(&mut self, now: Instant, gateway: SocketAddr, rng: &mut Xoshiro256PlusPlus) {
+        if let Some(entry) = self.entries.get_mut(&gateway) {
+            // Attempts that were in progress when the address was ejected count as one failure.
             if entry.consecutive_failures > 0 && entry.trial_started_at.is_none() && entry.ejected_until > now
             {
                 return;
             }
             entry.consecutive_failures = entry.consecutive_failures.saturating_add(1);
-            let time = from.saturating_mul(1 << (entry.consecutive_failures - 1).min(16)).min(to);
-            entry.ejected_until = now + time.mul_f64(rng.random_range(0.5..1.5));
+            let ejection = self
+                .min_ejection
+                .saturating_mul(1 << (entry.consecutive_failures - 1).min(16))
+                .min(self.max_ejection);
+            entry.ejected_until = now + ejection.mul_f64(rng.random_range(0.5..1.5));
             entry.consecutive_errors = 0;
             entry.trial_started_at = None;
         }
     }
 
-    /// It answered `ERR`: that may be the request's fault, but not time after time.
-    pub(crate) fn record_error(&mut self, now: Instant, at: SocketAddr, rng: &mut Xoshiro256PlusPlus) {
-        let Some(entry) = self.entries.get_mut(&at) else { return };
+    /// Records an `ERR` answer. A single one may be caused by the request; several in a row count as a
+    /// failure of the address.
+    pub(crate) fn record_error(&mut self, now: Instant, gateway: SocketAddr, rng: &mut Xoshiro256PlusPlus) {
+        let Some(entry) = self.entries.get_mut(&gateway) else { return };
         entry.consecutive_errors += 1;
         if entry.consecutive_errors >= ERRORS_BEFORE_FAILURE {
-            self.record_failure(now, at, rng);
+            self.record_failure(now, gateway, rng);
         }
     }
 
-    /// A trial that came to nothing either way: the next one may try.
-    pub(crate) fn cancel_trial(&mut self, at: SocketAddr) {
-        if let Some(entry) = self.entries.get_mut(&at) {
+    /// Ends a trial that had no result, so that another session may start one.
+    pub(crate) fn cancel_trial(&mut self, gateway: SocketAddr) {
+        if let Some(entry) = self.entries.get_mut(&gateway) {
             entry.trial_started_at = None;
         }
     }
 
-    /// The site of this address refuses the class until then.
-    pub(crate) fn record_rejection(&mut self, now: Instant, at: SocketAddr, class: &str, until: Instant) {
-        let Some(entry) = self.entries.get(&at) else { return };
+    /// Records that the site of this gateway rejects the class until `until`.
+    pub(crate) fn record_rejection(
+        &mut self,
+        now: Instant,
+        gateway: SocketAddr,
+        class: &str,
+        until: Instant,
+    ) {
+        let Some(entry) = self.entries.get(&gateway) else { return };
         let site = entry.address.site.clone();
         if self.rejections.len() >= MAX_REJECTIONS {
             self.rejections.retain(|_, until| *until > now);
         }
         if self.rejections.len() >= MAX_REJECTIONS {
-            let first = self.rejections.iter().min_by_key(|(_, until)| **until).map(|(of, _)| of.clone());
-            first.map(|first| self.rejections.remove(&first));
+            let earliest =
+                self.rejections.iter().min_by_key(|(_, until)| **until).map(|(key, _)| key.clone());
+            earliest.map(|key| self.rejections.remove(&key));
         }
-        let hold = self.rejections.entry((site, class.to_owned())).or_default();
-        *hold = (*hold).max(until);
+        let rejected_until = self.rejections.entry((site, class.to_owned())).or_default();
+        *rejected_until = (*rejected_until).max(until);
     }
 
-    /// Refusals that still hold: site, class, and for how long.
+    /// Returns the active rejections: site, class, and remaining duration.
     pub(crate) fn active_rejections(&self, now: Instant) -> impl Iterator<Item = (&str, &str, Duration)> {
         self.rejections
             .iter()
@@ -256,7 +280,7 @@
             .map(move |((site, class), until)| (site.as_str(), class.as_str(), until.duration_since(now)))
     }
 
-    /// Addresses that have failed: which, how often in a row, and for how long they are left.
+    /// Returns the failing addresses: address, number of consecutive failures, and remaining ejection time.
     pub(crate) fn failing_addresses(
         &self,
         now: Instant,
@@ -272,9 +296,9 @@
         }
     }
 
-    pub(crate) fn restore_failure(&mut self, at: SocketAddr, streak: u32, until: Instant) {
-        if let Some(entry) = self.entries.get_mut(&at) {
-            entry.consecutive_failures = streak;
+    pub(crate) fn restore_failure(&mut self, gateway: SocketAddr, consecutive_failures: u32, until: Instant) {
+        if let Some(entry) = self.entries.get_mut(&gateway) {
+            entry.consecutive_failures = consecutive_failures;
             entry.ejected_until = until;
         }
     }
--- a/crates/ashtide-client/src/server_cache.rs
+++ b/crates/ashtide-client/src/server_cache.rs
@@ -1,5 +1,5 @@
-//! What a process has learnt and the next one should know: refusals that still hold, addresses that fail,
-//! and how many retries are left. An app that its user starts again and again is no retry storm then.
+//! Cache file that passes state from one process to the next: active rejections, failing addresses and the
+//! remaining retry budget. It prevents an app that its user restarts repeatedly from causing a retry storm.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -11,51 +11,51 @@
 use crate::MAX_ADDRESSES;
 use crate::selection::MAX_REJECTIONS;
 
-/// A larger file is not read.
+/// Maximum size of a cache file in bytes; a larger file is rejected.
 const MAX_FILE_BYTES: u64 = 256 << 10;
-/// The form of the file; others are not read.
+/// Version of the file format; files of other versions are rejected.
 const VERSION: u32 = 1;
-/// What was learnt longer ago says nothing any more.
+/// Maximum age of a cache file; the state in an older one is out of date and ignored.
 const MAX_AGE: Duration = Duration::from_secs(600);
 
-/// A refusal that holds.
+/// Active rejection of a class by a site.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Held")]
 pub struct CachedRejection {
-    /// Which site.
+    /// Name of the site.
     pub site: String,
-    /// Which class it refuses.
+    /// Name of the rejected class.
     pub class: String,
-    /// For how many milliseconds more.
+    /// Remaining duration of the rejection in milliseconds.
     #[serde(rename = "ms")]
     pub remaining_ms: u64,
 }
 
-/// An address that fails.
+/// Gateway address whose last attempts failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Failing")]
 pub struct CachedFailure {
-    /// Which.
+    /// Address of the gateway.
     #[serde(rename = "at")]
     pub gateway: SocketAddr,
-    /// How often in a row.
+    /// Number of consecutive failures.
     #[serde(rename = "streak")]
     pub consecutive_failures: u32,
-    /// For how many milliseconds more it is left.
+    /// Remaining duration of the ejection in milliseconds.
     #[serde(rename = "ms")]
     pub remaining_ms: u64,
 }
 
-/// What a pool has learnt, as of one moment.
+/// Snapshot of the state that a pool passes to the next process.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(rename = "Learnt")]
 pub struct ServerCache {
-    /// Retries that the budget held.
+    /// Number of retries in the retry budget.
     pub tokens: f64,
-    /// Refusals that held.
+    /// Active rejections.
     #[serde(rename = "holds")]
     pub rejections: Vec<CachedRejection>,
-    /// Addresses that failed.
+    /// Failing addresses.
     #[serde(rename = "failing")]
     pub failures: Vec<CachedFailure>,
 }
@@ -64,71 +64,73 @@
 #[serde(rename = "File")]
 struct CacheFile {
     version: u32,
-    /// Unix time in milliseconds.
+    /// Unix time at which the file was written, in milliseconds.
     saved_ms: u64,
     #[serde(rename = "learnt")]
     cache: ServerCache,
 }
 
-/// Why a file was not used.
+/// Error of reading or writing a cache file.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerCacheError {
     /// The file could not be read or written.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Larger than any such file is.
+    /// The file is larger than the maximum size.
     #[error("over {MAX_FILE_BYTES} bytes")]
     TooLong,
-    /// Not what this library writes.
-    #[error("not a file of this form: {0}")]
+    /// The file is not valid JSON or lacks required fields.
+    #[error("invalid cache file: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// Another form.
+    /// The file has an unsupported format version.
     #[error("form {0}, this library reads {VERSION}")]
     UnsupportedVersion(u32),
-    /// A figure that cannot be.
+    /// A value is out of range. Contains the field, the value found and the permitted values.
     #[error("{0}: {1}, must be {2}")]
     InvalidValue(&'static str, String, &'static str),
 }
 
 impl ServerCache {
-    /// Reads what [`encode`](Self::encode) wrote, and how long ago that was; nothing where it was too long
-    /// ago to mean anything. `unix_ms` is the time now; a clock that went back counts as no time.
+    /// Parses the output of [`encode`](Self::encode) and returns it with its age, or `None` if it is too old.
+    /// `unix_ms` is the current Unix time in milliseconds; if it is earlier than the time of writing, the age
+    /// is zero.
     ///
     /// # Errors
     ///
-    /// Fails where the text is of another form or has a figure that cannot be.
+    /// Fails if the text has another format or version, or a value is out of range.
     pub fn decode(text: &[u8], unix_ms: u64) -> Result<Option<(Self, Duration)>, ServerCacheError> {
-        let CacheFile { version, saved_ms, cache: learnt } = serde_json::from_slice(text)?;
+        let CacheFile { version, saved_ms, cache } = serde_json::from_slice(text)?;
         if version != VERSION {
             return Err(ServerCacheError::UnsupportedVersion(version));
         }
-        let most = |key, found: usize, most: usize| match found > most {
+        let check_count = |key, found: usize, limit: usize| match found > limit {
             true => Err(ServerCacheError::InvalidValue(key, found.to_string(), "fewer entries")),
             false => Ok(()),
         };
-        most("holds", learnt.rejections.len(), MAX_REJECTIONS)?;
-        most("failing", learnt.failures.len(), MAX_ADDRESSES)?;
-        if !(0.0..=1e6).contains(&learnt.tokens) {
-            return Err(ServerCacheError::InvalidValue("tokens", learnt.tokens.to_string(), "0 to 1000000"));
+        check_count("holds", cache.rejections.len(), MAX_REJECTIONS)?;
+        check_count("failing", cache.failures.len(), MAX_ADDRESSES)?;
+        if !(0.0..=1e6).contains(&cache.tokens) {
+            return Err(ServerCacheError::InvalidValue("tokens", cache.tokens.to_string(), "0 to 1000000"));
         }
-        let ago = Duration::from_millis(unix_ms.saturating_sub(saved_ms));
-        Ok((ago <= MAX_AGE).then_some((learnt, ago)))
+        let age = Duration::from_millis(unix_ms.saturating_sub(saved_ms));
+        Ok((age <= MAX_AGE).then_some((cache, age)))
     }
 
-    /// The text of a file that says this, as of `unix_ms`.
+    /// Encodes the cache as the text of a cache file that is written at `unix_ms` (Unix time in
+    /// milliseconds).
     ///
     /// # Errors
     ///
-    /// Fails where a figure has no form in JSON.
+    /// Fails if a number cannot be represented in JSON.
     pub fn encode(&self, unix_ms: u64) -> Result<Vec<u8>, ServerCacheError> {
         Ok(serde_json::to_vec(&CacheFile { version: VERSION, saved_ms: unix_ms, cache: self.clone() })?)
     }
 
-    /// Reads a file; nothing where there is none or it is too old.
+    /// Reads a cache file. Returns `None` if the file does not exist or is too old.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be read or used; the caller goes on without.
+    /// Fails if the file cannot be read or is invalid; the caller continues without a cache.
     pub fn read(path: &Path, unix_ms: u64) -> Result<Option<(Self, Duration)>, ServerCacheError> {
         let file = match std::fs::File::open(path) {
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -142,16 +144,16 @@
         Self::decode(&text, unix_ms)
     }
 
-    /// Replaces a file, whole or not at all.
+    /// Replaces a cache file atomically.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be written.
+    /// Fails if the folder is not writable.
     pub fn write(&self, path: &Path, unix_ms: u64) -> Result<(), ServerCacheError> {
-        let next = path.with_extension(format!("{}.next", std::process::id()));
-        let mut file = std::fs::File::create(&next)?;
+        let staged_path = path.with_extension(format!("{}.next", std::process::id()));
+        let mut file = std::fs::File::create(&staged_path)?;
         file.write_all(&self.encode(unix_ms)?)?;
         file.sync_all()?;
-        Ok(std::fs::rename(&next, path)?)
+        Ok(std::fs::rename(&staged_path, path)?)
     }
 }
--- a/crates/ashtide-client/src/session.rs
+++ b/crates/ashtide-client/src/session.rs
@@ -1,4 +1,4 @@
-//! What an application asks for, and what it is told.
+//! Session requests, attempt failures, session notifications and the state of a session within the pool.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,38 +8,40 @@
 
 use crate::Instant;
 
-/// A session of a pool.
+/// Identifier of a session within its pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// The number of an attempt within its session, from 1 on.
+/// Number of an attempt within its session, starting at 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Attempt(pub u32);
 
-/// What an application wants: a connection of a class for a key, up by a certain time.
+/// Request of an application for a connection of a class for a key, to be established within a time-out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SessionRequest {
-    /// Class, key, tenant and group. The pool marks retries and returns itself.
+    /// Class, key, tenant and group. The pool sets the retry and reconnect flags itself.
     pub parameters: Asking,
-    /// The connection is to stand within this time of being asked for.
+    /// Time within which the first connection must be established, counted from the request.
     pub timeout: Duration,
-    /// An attempt without an answer is given up after this time, and another may follow. Without it an
-    /// attempt has all that is left of the deadline, as on sites whose servers are rarely silent.
+    /// Optional time-out of a single attempt, after which another attempt may follow. If `None`, an attempt
+    /// may use all the time that remains until the deadline; this suits sites whose servers rarely fail to
+    /// answer.
     pub attempt_timeout: Option<Duration>,
-    /// The session ends after this time, whatever it is doing.
+    /// Optional maximum lifetime of the session; it ends after this duration in any state.
     pub max_lifetime: Option<Duration>,
-    /// Whether an attempt may be repeated that may have had an effect: after `ERR`, silence or a break.
+    /// Whether an attempt that may have had an effect may be repeated: after `ERR`, a time-out or a lost
+    /// connection.
     pub idempotent: bool,
-    /// Whether the session comes back after a move or a break.
+    /// Whether the session reconnects after a `MOVE` or a lost connection.
     pub reconnects: bool,
 }
 
 impl SessionRequest {
-    /// A connection of this class for this key within `timeout`, with retries and reconnects.
+    /// Creates a request for a connection of `class` for `key` within `timeout`, with retries and reconnects.
     pub fn new(class: impl Into<String>, key: impl Into<String>, timeout: Duration) -> Self {
-        let asking = Asking { class: class.into(), key: key.into(), ..Asking::default() };
+        let parameters = Asking { class: class.into(), key: key.into(), ..Asking::default() };
         Self {
-            parameters: asking,
+            parameters,
             timeout,
             attempt_timeout: None,
             max_lifetime: None,
@@ -49,37 +51,37 @@
     }
 }
 
-/// Why an attempt came to nothing.
+/// Reason for which an attempt did not succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptFailure {
-    /// Nothing has been tried yet.
-    #[error("nothing could be tried")]
+    /// No attempt was made.
+    #[error("no attempt could be made")]
     NotAttempted,
-    /// No connection came up: it never ran.
+    /// The connection could not be established; the request was not executed.
     #[error("no balancer could be reached")]
     ConnectFailed,
-    /// Refused: it never ran. The advised wait, where there was one.
+    /// The gateway rejected the request, which was not executed. Contains the advised retry delay, if any.
     #[error("refused")]
     Rejected(Option<Duration>),
-    /// A failed answer: it may have run.
+    /// The gateway answered `ERR`; the request may have been executed.
     #[error("failed")]
     Failed,
-    /// No answer in time: it may have run.
+    /// No answer was received in time; the request may have been executed.
     #[error("not answered")]
     TimedOut,
-    /// The connection ended before the answer: it may have run.
+    /// The connection ended before the answer was received; the request may have been executed.
     #[error("cut off before the answer")]
     ConnectionLost,
-    /// The peer broke the protocol: it may have run.
+    /// The peer violated the protocol; the request may have been executed.
     #[error("the balancer {0}")]
     ProtocolViolation(PeerFault),
-    /// The network went away in mid-attempt: it may have run.
-    #[error("the network went away")]
+    /// The device lost its network during the attempt; the request may have been executed.
+    #[error("the network was lost during the attempt")]
     Offline,
 }
 
 impl AttemptFailure {
-    /// Whether it proves that the attempt had no effect.
+    /// Returns whether this failure proves that the request of the attempt was not executed.
     pub const fn never_executed(self) -> bool {
         matches!(
             self,
@@ -88,131 +90,135 @@
     }
 }
 
-/// Why a session is over. Every session ends once, with one of these.
+/// Reason for which a session ended. Every session ends exactly once.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum GiveUpReason {
-    /// The application closed it.
+    /// The application closed the session.
     #[error("closed by the application")]
     Closed,
-    /// The server served it to its end.
+    /// The server completed the session (`BYE`).
     #[error("served to its end")]
     Completed,
-    /// It was not up in time.
+    /// The connection was not established before the deadline.
     #[error("not up in time: {last}")]
     DeadlineExceeded {
-        /// What became of the last attempt.
+        /// Failure of the last attempt.
         last: AttemptFailure,
     },
-    /// Refused, and there is no time or try left to come again: the application may, after this time.
+    /// The request was rejected and no time or attempt remains for a retry. The application may open a new
+    /// session after `retry_after`.
     #[error("refused, come again after {retry_after:?}")]
     Rejected {
-        /// The wait that is left of what the refusal asked for.
+        /// Remaining delay that the rejection requested.
         retry_after: Duration,
     },
-    /// No balancer answers; the first to be tried again is so after this time.
-    #[error("no balancer answers, the next is tried after {retry_after:?}")]
+    /// All addresses are ejected until after the deadline.
+    #[error("no gateway available: all addresses ejected, the first one for another {retry_after:?}")]
     NoAvailableAddress {
-        /// Until then all addresses are set aside.
+        /// Time until the first ejection ends.
         retry_after: Duration,
     },
-    /// All tries are used up.
+    /// The maximum number of attempts was made without success.
     #[error("{attempts} tries came to nothing: {last}")]
     AttemptsExhausted {
-        /// How many there were.
+        /// Number of attempts.
         attempts: u32,
-        /// What became of the last one.
+        /// Failure of the last attempt.
         last: AttemptFailure,
     },
-    /// The process has no retry left to spend.
+    /// The retry budget of the process has no token left for a retry.
     #[error("the retry budget of this process is spent: {last}")]
     RetryBudgetExhausted {
-        /// What became of the attempt.
+        /// Failure of the last attempt.
         last: AttemptFailure,
     },
-    /// The attempt may have had an effect and must not be repeated.
+    /// The request may have been executed and must not be repeated.
     #[error("not to be repeated: {last}")]
     NotIdempotent {
-        /// What became of the attempt.
+        /// Failure of the last attempt.
         last: AttemptFailure,
     },
-    /// Its connections broke soon after they stood, again and again.
-    #[error("{consecutive_losses} connections in a row broke at once")]
+    /// Several consecutive connections broke soon after they were established.
+    #[error("{consecutive_losses} consecutive connections broke soon after they were established")]
     Unstable {
-        /// How many.
+        /// Number of consecutive early losses.
         consecutive_losses: u32,
     },
-    /// Its connection ended, and it was not to return.
+    /// The connection ended and the session does not reconnect.
     #[error("the connection ended")]
     ConnectionEnded,
-    /// Its time is up.
-    #[error("its time is up")]
+    /// The maximum lifetime of the session elapsed.
+    #[error("the maximum lifetime of the session elapsed")]
     Expired,
-    /// The pool holds as many as it may.
-    #[error("over {limit} sessions")]
+    /// The pool already has its maximum number of sessions.
+    #[error("too many sessions: the limit is {limit}")]
     TooManySessions {
-        /// How many it may hold.
+        /// Maximum number of sessions of the pool.
         limit: usize,
     },
-    /// No line can be written for it.
+    /// The request cannot be encoded as a protocol line.
     #[error("{0}")]
     InvalidRequest(AskingError),
 }
 
-/// Why a standing connection is no more.
+/// Reason for which an established connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionLoss {
-    /// The balancer sent the client away.
+    /// The gateway asked the client to reconnect (`MOVE`).
     Migrated,
-    /// It broke; the peer's fault where there was one.
+    /// The connection broke. Contains the protocol violation of the peer, if any.
     Broken(Option<PeerFault>),
-    /// The network went away.
+    /// The device lost its network.
     Offline,
 }
 
-/// What a session is told, beside its lines and its end.
+/// Notification for the application of a session, apart from lines and the end of the session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionNotification {
-    /// The connection stands.
+    /// The connection is established.
     Connected {
-        /// By which balancer.
+        /// Address of the gateway that accepted the connection.
         gateway: SocketAddr,
-        /// The server's receipt.
+        /// Receipt from the server.
         receipt: Bytes,
-        /// Attempts that it took.
+        /// Number of attempts that were made for this connection.
         attempts: u32,
-        /// Whether it stood before.
+        /// Whether the session had an established connection before.
         reconnected: bool,
     },
-    /// The connection is no more; the session will return.
+    /// The connection ended; the session will reconnect.
     Disconnected(ConnectionLoss),
-    /// It tries to come back after this time.
+    /// The session makes its next connection attempt after a delay.
     Reconnecting {
-        /// The wait that was drawn.
+        /// Delay before the attempt, drawn from the reconnect window.
         delay: Duration,
     },
-    /// An attempt came to nothing; another follows after this time.
+    /// An attempt failed and is retried after a delay.
     Retrying {
-        /// What became of it.
+        /// Failure of the attempt.
         last: AttemptFailure,
-        /// The wait.
+        /// Delay before the next attempt.
         delay: Duration,
     },
 }
 
-/// What follows once the driver says that the socket is closed.
+/// Next step of a session after the driver reports that its socket is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AfterClose {
+    /// Wait until this time, then make the next attempt.
     Wait(Instant),
+    /// Count concurrent disconnects, then choose a reconnect delay.
     CollectDisconnects,
+    /// Wait for the network.
     Offline,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// Dropped; sees how many dropped with it before it draws its wait.
+    /// The connection was lost; other disconnects are counted before the reconnect delay is chosen.
     CollectingDisconnects,
     Waiting,
-    /// There is no address at all.
+    /// The address list is empty.
     NoAddresses,
     Offline,
     Connecting,
@@ -222,7 +228,7 @@
 }
 
 impl SessionState {
-    /// Whether a socket of the session is, or may be, open.
+    /// Returns whether the session's socket is or may be open.
     pub(crate) const fn has_socket(self) -> bool {
         matches!(
             self,
@@ -240,22 +246,25 @@
     pub(crate) state: SessionState,
     pub(crate) attempt: Attempt,
     pub(crate) address: Option<SocketAddr>,
-    /// When the state's own time is over.
+    /// Time at which the current state times out, if it does.
     pub(crate) timer: Option<Instant>,
-    /// When it must stand; none while it stands, or before its wait after a drop is drawn.
+    /// Time by which the connection must be established. `None` while it is established and, after a network
+    /// loss, until the reconnect delay is chosen.
     pub(crate) deadline: Option<Instant>,
-    /// When it ends whatever it does.
+    /// Time at which the session ends in any state.
     pub(crate) expires_at: Option<Instant>,
-    /// The tick at which the pool looks after it.
+    /// Tick for which the session is entered in the pool's timers.
     pub(crate) scheduled_tick: Option<u64>,
+    /// Number of attempts for the current connection.
     pub(crate) attempts: u32,
+    /// Number of rejections for the current connection.
     pub(crate) rejections: u32,
-    /// It has stood before.
+    /// Whether the session had an established connection before.
     pub(crate) established_before: bool,
     pub(crate) last_loss: ConnectionLoss,
     pub(crate) last_failure: AttemptFailure,
     pub(crate) established_at: Instant,
-    /// Quick breaks in a row.
+    /// Number of consecutive connections that broke early.
     pub(crate) consecutive_early_losses: u32,
 }
 
@@ -267,7 +276,7 @@
             address: None,
             timer: None,
             deadline: Some(now + request.timeout),
-            expires_at: request.max_lifetime.map(|life| now + life),
+            expires_at: request.max_lifetime.map(|lifetime| now + lifetime),
             scheduled_tick: None,
             attempts: 0,
             rejections: 0,
@@ -280,7 +289,7 @@
         }
     }
 
-    /// When the pool has to look after it next.
+    /// Returns the time at which the pool has to process the session next, if any.
     pub(crate) fn next_timer(&self) -> Option<Instant> {
         [self.timer, self.deadline, self.expires_at].into_iter().flatten().min()
     }
--- a/crates/ashtide-client/src/settings.rs
+++ b/crates/ashtide-client/src/settings.rs
@@ -11,11 +11,13 @@
     pub sessions: usize,
     /// Time-out for establishing the transport connection of an attempt.
     pub connect_within: Duration,
-    /// Write time-out: a connection is closed if the peer accepts no byte of a pending line for this duration.
+    /// Write time-out: a connection is closed if the peer accepts no byte of a pending line for this
+    /// duration.
     pub stall_within: Duration,
     /// Maximum number of attempts for a session's first connection, including the first attempt.
     pub tries: u32,
-    /// Maximum number of attempts to reconnect after a `MOVE` or a broken connection, including the first attempt.
+    /// Maximum number of attempts to reconnect after a `MOVE` or a broken connection, including the first
+    /// attempt.
     pub return_tries: u32,
     /// Deadline for reconnecting, measured from the end of the initial reconnect delay.
     pub return_within: Duration,
@@ -33,7 +35,8 @@
     pub budget_first: f64,
     /// Number of retries that are added to the budget per minute, independent of attempts.
     pub budget_minute: f64,
-    /// Upper limit for the delay that a rejection (`BUSY MS`) may request; longer delays are reduced to this limit.
+    /// Upper limit for the delay that a rejection (`BUSY MS`) may request; longer delays are reduced to this
+    /// limit.
     pub busy_most: Duration,
     /// Window over which reconnects after a broken connection or a network loss are spread.
     pub break_window: Duration,
@@ -41,8 +44,8 @@
     pub move_window: Duration,
     /// Maximum window over which reconnects are spread.
     pub window_most: Duration,
-    /// Maximum average number of reconnects per second of one pool, as long as the window that results from it is
-    /// below `window_most`.
+    /// Maximum average number of reconnects per second of one pool, as long as the window that results from
+    /// it is below `window_most`.
     pub return_rate: f64,
     /// Ejection time of an address after its first failure. It doubles with each consecutive failure and is
     /// multiplied by a random factor from 0.5 to 1.5.
@@ -98,12 +101,13 @@
 }
 
 impl Settings {
-    /// Checks whether all settings are within their permitted ranges. The error names the first one that is not.
+    /// Checks whether all settings are within their permitted ranges. The error names the first one that is
+    /// not.
     ///
     /// # Errors
     ///
-    /// Fails if a duration is zero or more than a day, a number is out of range or not a number, or a lower bound
-    /// is greater than its upper bound.
+    /// Fails if a duration is zero or more than a day, a number is out of range or not a number, or a lower
+    /// bound is greater than its upper bound.
     pub fn check(&self) -> Result<(), SettingsError> {
         const DAY: Duration = Duration::from_secs(86_400);
         for (key, duration) in [
