--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! One session's task: its socket, of which there is never more than one, and its lines.
+//! Session task: owns the socket of a session, of which there is at most one, and transfers its lines.
 
 use std::collections::VecDeque;
 use std::future::pending;
@@ -21,46 +21,50 @@
 use crate::pool::PoolEvent;
 use crate::{Attempt, GiveUpReason, SessionId};
 
-/// Notices that wait for an application that does not read; then the oldest go, and are counted.
-const MAX_WAITING_EVENTS: usize = 16;
-/// Room for a line to begin with; lines are short, and a longer one makes more.
+/// Number of undelivered events above which the oldest notification is dropped and counted.
+const MAX_UNDELIVERED_EVENTS: usize = 16;
+/// Initial capacity of the read buffer in bytes. Lines are short; the buffer grows for a longer one.
 const INITIAL_LINE_CAPACITY: usize = 512;
 
-/// What the pool's task asks of a session's.
+/// Command of the pool task for a session task.
 #[derive(Debug)]
 pub(crate) enum Command {
-    Dial(Attempt, SocketAddr),
+    Connect(Attempt, SocketAddr),
     Write(Attempt, Bytes),
     Close(Attempt),
     Notify(SessionEvent),
     End(GiveUpReason),
 }
 
-/// What a session's task has to do with others.
-pub(crate) struct Link {
+/// Channels of a session task to the pool task and the application.
+pub(crate) struct SessionLink {
     id: SessionId,
-    reports: mpsc::Sender<PoolEvent>,
+    pool_events: mpsc::Sender<PoolEvent>,
     commands: mpsc::Receiver<Command>,
     to_app: mpsc::Sender<SessionEvent>,
     from_app: mpsc::Receiver<Bytes>,
-    gone: CancellationToken,
-    stall: Duration,
-    waiting: Waiting,
+    /// Cancelled when the application drops its handle.
+    handle_dropped: CancellationToken,
+    /// Duration without write progress after which the connection is closed.
+    stall_timeout: Duration,
+    undelivered: UndeliveredEvents,
 }
 
-/// Events that the application has not taken yet.
+/// Events that the application has not received yet.
 #[derive(Default)]
-struct Waiting {
+struct UndeliveredEvents {
     events: VecDeque<SessionEvent>,
     missed: u64,
 }
 
-impl Waiting {
+impl UndeliveredEvents {
     fn push(&mut self, event: SessionEvent) {
-        if self.events.len() >= MAX_WAITING_EVENTS {
-            // Lines are the server's word and stay; what happened to the connection is told in short.
-            if let Some(at) = self.events.iter().position(|event| !matches!(event, SessionEvent::Line(_))) {
-                self.events.remove(at);
+        if self.events.len() >= MAX_UNDELIVERED_EVENTS {
+            // Lines are data from the server and are never dropped. Notifications are replaced by their
+            // number.
+            if let Some(index) = self.events.iter().position(|event| !matches!(event, SessionEvent::Line(_)))
+            {
+                self.events.remove(index);
                 self.missed += 1;
             }
         }
@@ -79,11 +83,11 @@
     }
 }
 
-type Dial = Pin<Box<dyn Future<Output = std::io::Result<TcpStream>> + Send>>;
+type ConnectFuture = Pin<Box<dyn Future<Output = std::io::Result<TcpStream>> + Send>>;
 
 enum Socket {
     None,
-    Dialling(Attempt, Dial),
+    Connecting(Attempt, ConnectFuture),
     Open(Box<Connection>),
 }
 
@@ -92,24 +96,26 @@
     read: FramedRead<TcpReader, LineCodec>,
     write: TcpWriter,
     side: GatewaySide,
-    /// What is left of the line that is being written, and all of it.
-    writing: Bytes,
-    whole: Bytes,
-    /// When the peer last took something, while something is being written.
+    /// Unwritten remainder of the current line.
+    unwritten: Bytes,
+    /// The complete current line.
+    current_line: Bytes,
+    /// Time of the last write progress on the current line.
     last_progress_at: Instant,
-    /// The pool has to say something before more is read.
-    paused: bool,
-    /// The pool has taken the connection for established: the application's lines may go.
+    /// Whether reading is suspended until the pool has processed the last received line.
+    read_paused: bool,
+    /// Whether the pool regards the connection as established, so that lines of the application may be
+    /// written.
     established: bool,
-    /// Writing failed; what the peer said before is still to be read.
+    /// Whether a write failed. Data that the peer sent before is still read.
     write_failed: bool,
 }
 
-/// What a session's task woke up for.
+/// Reason for which a session task woke up.
 enum Wakeup {
     HandleDropped,
     Command(Option<Command>),
-    Dialled(std::io::Result<TcpStream>),
+    Connected(std::io::Result<TcpStream>),
     Read(Option<Result<Bytes, LineError>>),
     Wrote(std::io::Result<usize>),
     Stalled,
@@ -117,123 +123,134 @@
     Deliver(bool),
 }
 
-impl Link {
+impl SessionLink {
     pub(crate) fn new(
         id: SessionId,
-        reports: mpsc::Sender<PoolEvent>,
+        pool_events: mpsc::Sender<PoolEvent>,
         commands: mpsc::Receiver<Command>,
         to_app: mpsc::Sender<SessionEvent>,
         from_app: mpsc::Receiver<Bytes>,
-        gone: CancellationToken,
-        stall: Duration,
+        handle_dropped: CancellationToken,
+        stall_timeout: Duration,
     ) -> Self {
-        Self { id, reports, commands, to_app, from_app, gone, stall, waiting: Waiting::default() }
+        let undelivered = UndeliveredEvents::default();
+        Self { id, pool_events, commands, to_app, from_app, handle_dropped, stall_timeout, undelivered }
     }
 
     async fn report(&self, event: PoolEvent) {
-        // The pool's task outlives its sessions, unless the runtime is torn down with both.
-        let _ = self.reports.send(event).await;
+        // The pool task outlives its sessions unless the runtime shuts down, which ends both.
+        let _ = self.pool_events.send(event).await;
     }
 
-    /// Hands what is left to the application, unless it goes first.
+    /// Delivers the remaining events to the application, until it drops its handle.
     async fn deliver_remaining(mut self) {
-        while let Some(event) = self.waiting.pop() {
+        while let Some(event) = self.undelivered.pop() {
             tokio::select! {
                 sent = self.to_app.send(event) => if sent.is_err() {
                     return;
                 },
-                () = self.gone.cancelled() => return,
+                () = self.handle_dropped.cancelled() => return,
             }
         }
     }
 }
 
-/// Runs a session's task until the session is over and the application knows.
-pub(crate) async fn run(mut link: Link) {
-    let (mut socket, mut left, mut lines) = (Socket::None, false, true);
-    let mut cut = None;
+/// Runs a session task until the session has ended and the application has received all events.
+pub(crate) async fn run(mut link: SessionLink) {
+    let (mut socket, mut close_requested, mut app_lines_open) = (Socket::None, false, true);
+    // Line of the application that was being written when the last socket was closed.
+    let mut interrupted = None;
     loop {
-        let woken = {
-            let Link { commands, to_app, from_app, gone, stall, waiting, .. } = &mut link;
-            let room = waiting.is_empty();
+        let wakeup = {
+            let SessionLink {
+                commands, to_app, from_app, handle_dropped, stall_timeout, undelivered, ..
+            } = &mut link;
+            let all_delivered = undelivered.is_empty();
             match &mut socket {
                 Socket::Open(connection) => {
                     let connection = &mut **connection;
-                    let stalled = connection.last_progress_at + *stall;
-                    let writes = !connection.writing.is_empty();
-                    let takes = connection.established && !writes && !connection.write_failed && lines;
-                    let Connection { read: reader, write, writing, paused, established, .. } = connection;
-                    // Lines wait in the socket until the application has taken the last one; answers do not.
-                    let reads = !*paused && (room || !*established);
+                    let stalls_at = connection.last_progress_at + *stall_timeout;
+                    let writing = !connection.unwritten.is_empty();
+                    let accept_line =
+                        connection.established && !writing && !connection.write_failed && app_lines_open;
+                    let Connection { read: reader, write, unwritten, read_paused, established, .. } =
+                        connection;
+                    // While events are undelivered, lines of an established connection stay in the socket,
+                    // which slows the server down. Answers to the request are always read.
+                    let reading = !*read_paused && (all_delivered || !*established);
                     tokio::select! {
                         biased;
                         command = commands.recv() => Wakeup::Command(command),
-                        () = gone.cancelled(), if !left => Wakeup::HandleDropped,
-                        read = reader.next(), if reads => Wakeup::Read(read),
-                        wrote = write.write_buf(writing), if writes => Wakeup::Wrote(wrote),
-                        line = from_app.recv(), if takes => Wakeup::Line(line),
-                        permit = to_app.reserve(), if !room => Wakeup::Deliver(deliver(permit, waiting)),
-                        () = sleep_until(stalled), if writes => Wakeup::Stalled,
+                        () = handle_dropped.cancelled(), if !close_requested => Wakeup::HandleDropped,
+                        read = reader.next(), if reading => Wakeup::Read(read),
+                        wrote = write.write_buf(unwritten), if writing => Wakeup::Wrote(wrote),
+                        line = from_app.recv(), if accept_line => Wakeup::Line(line),
+                        permit = to_app.reserve(), if !all_delivered => {
+                            Wakeup::Deliver(deliver(permit, undelivered))
+                        }
+                        () = sleep_until(stalls_at), if writing => Wakeup::Stalled,
                     }
                 }
                 other => {
-                    let dialling = async {
+                    let connecting = async {
                         match other {
-                            Socket::Dialling(_, dial) => dial.await,
+                            Socket::Connecting(_, connect) => connect.await,
                             _ => pending().await,
                         }
                     };
                     tokio::select! {
                         biased;
                         command = commands.recv() => Wakeup::Command(command),
-                        () = gone.cancelled(), if !left => Wakeup::HandleDropped,
-                        dialled = dialling => Wakeup::Dialled(dialled),
-                        permit = to_app.reserve(), if !room => Wakeup::Deliver(deliver(permit, waiting)),
+                        () = handle_dropped.cancelled(), if !close_requested => Wakeup::HandleDropped,
+                        connected = connecting => Wakeup::Connected(connected),
+                        permit = to_app.reserve(), if !all_delivered => {
+                            Wakeup::Deliver(deliver(permit, undelivered))
+                        }
                     }
                 }
             }
         };
-        match woken {
+        match wakeup {
             Wakeup::HandleDropped => {
-                left = true;
+                close_requested = true;
                 link.report(PoolEvent::CloseSession(link.id)).await;
             }
             Wakeup::Deliver(delivered) => {
-                if !delivered && !left {
-                    left = true;
+                if !delivered && !close_requested {
+                    close_requested = true;
                     link.report(PoolEvent::CloseSession(link.id)).await;
                 }
             }
             Wakeup::Command(None) => {
-                link.waiting.push(SessionEvent::Ended(GiveUpReason::Closed));
+                link.undelivered.push(SessionEvent::Ended(GiveUpReason::Closed));
                 drop(socket);
                 return link.deliver_remaining().await;
             }
-            Wakeup::Command(Some(Command::End(why))) => {
-                link.waiting.push(SessionEvent::Ended(why));
+            Wakeup::Command(Some(Command::End(reason))) => {
+                link.undelivered.push(SessionEvent::Ended(reason));
                 drop(socket);
                 return link.deliver_remaining().await;
             }
-            Wakeup::Command(Some(Command::Dial(attempt, at))) => {
-                socket = Socket::Dialling(attempt, Box::pin(TcpStream::connect(at)));
+            Wakeup::Command(Some(Command::Connect(attempt, gateway))) => {
+                socket = Socket::Connecting(attempt, Box::pin(TcpStream::connect(gateway)));
             }
             Wakeup::Command(Some(Command::Write(attempt, line))) => {
                 if let Socket::Open(connection) = &mut socket {
                     if connection.attempt == attempt {
                         connection.side.asked();
-                        connection.begin(line);
+                        connection.start_writing(line);
                     }
                 }
             }
             Wakeup::Command(Some(Command::Close(attempt))) => {
-                let ours = match &socket {
+                let matches_socket = match &socket {
                     Socket::None => false,
-                    Socket::Dialling(which, _) => *which == attempt,
+                    Socket::Connecting(current, _) => *current == attempt,
                     Socket::Open(connection) => connection.attempt == attempt,
                 };
-                if ours {
-                    cut = cut_of(&socket).or(cut);
-                    // Dropped, and so closed, before anyone is told that it is.
+                if matches_socket {
+                    interrupted = interrupted_line(&socket).or(interrupted);
+                    // Dropping the socket closes it before `SocketClosed` is reported.
                     socket = Socket::None;
                 }
                 link.report(PoolEvent::SocketClosed(link.id, attempt)).await;
@@ -243,31 +260,32 @@
                     SessionEvent::Connected { .. } => {
                         if let Socket::Open(connection) = &mut socket {
                             connection.established = true;
-                            connection.paused = false;
+                            connection.read_paused = false;
                         }
                         event
                     }
-                    SessionEvent::Disconnected { reason: why, .. } => {
-                        // Told before the close is, where the pool closes it.
+                    SessionEvent::Disconnected { reason, .. } => {
+                        // If the pool closes the connection, this notification precedes the `Close` command
+                        // and the socket is still open.
                         SessionEvent::Disconnected {
-                            reason: why,
-                            interrupted_line: cut_of(&socket).or(cut.take()),
+                            reason,
+                            interrupted_line: interrupted_line(&socket).or(interrupted.take()),
                         }
                     }
                     other => other,
                 };
-                link.waiting.push(event);
+                link.undelivered.push(event);
             }
-            Wakeup::Dialled(dialled) => {
-                let Socket::Dialling(attempt, _) = &socket else { continue };
+            Wakeup::Connected(connected) => {
+                let Socket::Connecting(attempt, _) = &socket else { continue };
                 let attempt = *attempt;
-                match dialled {
+                match connected {
                     Ok(stream) => {
                         socket = Socket::Open(Box::new(Connection::new(attempt, stream)));
                         link.report(PoolEvent::Connected(link.id, attempt)).await;
                     }
                     Err(error) => {
-                        tracing::debug!(session = link.id.0, %error, "connection: not reached");
+                        tracing::debug!(session = link.id.0, %error, "connection: gateway unreachable");
                         socket = Socket::None;
                         link.report(PoolEvent::ConnectFailed(link.id, attempt)).await;
                     }
@@ -278,13 +296,14 @@
                 match connection.side.line(line) {
                     Ok(GatewayEvent::Line(line)) => {
                         let text = line.slice(..line.len().saturating_sub(2));
-                        link.waiting.push(SessionEvent::Line(text));
+                        link.undelivered.push(SessionEvent::Line(text));
                     }
-                    heard => {
-                        // Its answer decides what becomes of the connection: nothing more is read before.
-                        connection.paused = true;
+                    received => {
+                        // The pool's reaction decides whether the connection continues; reading stops until
+                        // then.
+                        connection.read_paused = true;
                         let attempt = connection.attempt;
-                        link.report(PoolEvent::Received(link.id, attempt, heard)).await;
+                        link.report(PoolEvent::Received(link.id, attempt, received)).await;
                     }
                 }
             }
@@ -296,7 +315,7 @@
                     None if !connection.read.read_buffer().is_empty() => Some(PeerFault::Torn),
                     _ => None,
                 };
-                cut = cut_of(&socket).or(cut);
+                interrupted = interrupted_line(&socket).or(interrupted);
                 socket = Socket::None;
                 link.report(PoolEvent::ConnectionEnded(link.id, attempt, fault)).await;
             }
@@ -306,33 +325,33 @@
                     Ok(_) => connection.last_progress_at = Instant::now(),
                     Err(_) => {
                         connection.write_failed = true;
-                        connection.writing.clear();
+                        connection.unwritten.clear();
                     }
                 }
             }
             Wakeup::Stalled => {
                 let Socket::Open(connection) = &socket else { continue };
                 let attempt = connection.attempt;
-                cut = cut_of(&socket).or(cut);
+                interrupted = interrupted_line(&socket).or(interrupted);
                 socket = Socket::None;
                 link.report(PoolEvent::ConnectionEnded(link.id, attempt, Some(PeerFault::Stalled))).await;
             }
             Wakeup::Line(Some(line)) => {
                 if let Socket::Open(connection) = &mut socket {
-                    connection.begin(line);
+                    connection.start_writing(line);
                 }
             }
-            Wakeup::Line(None) => lines = false,
+            Wakeup::Line(None) => app_lines_open = false,
         }
     }
 }
 
-/// Hands the next event over; whether there was somebody to take it.
+/// Sends the next event to the application. Returns whether the application still receives events.
 fn deliver(
     permit: Result<mpsc::Permit<'_, SessionEvent>, mpsc::error::SendError<()>>,
-    waiting: &mut Waiting,
+    undelivered: &mut UndeliveredEvents,
 ) -> bool {
-    match (permit, waiting.pop()) {
+    match (permit, undelivered.pop()) {
         (Ok(permit), Some(event)) => {
             permit.send(event);
             true
@@ -342,13 +361,13 @@
     }
 }
 
-/// A line of the application's that has been begun and not written whole.
-fn cut_of(socket: &Socket) -> Option<Bytes> {
+/// Returns the line of the application that is not written completely, without its CRLF, if any.
+fn interrupted_line(socket: &Socket) -> Option<Bytes> {
     match socket {
         Socket::Open(connection)
-            if connection.established && (!connection.writing.is_empty() || connection.write_failed) =>
+            if connection.established && (!connection.unwritten.is_empty() || connection.write_failed) =>
         {
-            Some(connection.whole.slice(..connection.whole.len().saturating_sub(2)))
+            Some(connection.current_line.slice(..connection.current_line.len().saturating_sub(2)))
         }
         _ => None,
     }
@@ -356,7 +375,7 @@
 
 impl Connection {
     fn new(attempt: Attempt, stream: TcpStream) -> Self {
-        // Lines are short and somebody waits for each.
+        // Lines are short and their latency matters, so Nagle's algorithm is turned off.
         let _ = stream.set_nodelay(true);
         let (read, write) = split_tcp(stream);
         Self {
@@ -364,18 +383,18 @@
             read: FramedRead::with_capacity(read, LineCodec::default(), INITIAL_LINE_CAPACITY),
             write,
             side: GatewaySide::default(),
-            writing: Bytes::new(),
-            whole: Bytes::new(),
+            unwritten: Bytes::new(),
+            current_line: Bytes::new(),
             last_progress_at: Instant::now(),
-            paused: false,
+            read_paused: false,
             established: false,
             write_failed: false,
         }
     }
 
-    fn begin(&mut self, line: Bytes) {
-        self.whole = line.clone();
-        self.writing = line;
+    fn start_writing(&mut self, line: Bytes) {
+        self.current_line = line.clone();
+        self.unwritten = line;
         self.last_progress_at = Instant::now();
     }
 }
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -287,13 +287,15 @@
 
     /// Calls `handler` for a session if the session exists and `attempt`, if given, is its current attempt.
     /// If the session's deadline or lifetime has passed, its timer is processed instead.
-    fn with_session(
+    fn with_session<H>(
         &mut self,
         id: SessionId,
         attempt: Option<Attempt>,
         commands: &mut Vec<PoolCommand>,
-        handler: impl FnOnce(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
-    ) {
+        handler: H,
+    ) where
+        H: FnOnce(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
+    {
         let shared = &mut self.shared;
         let now = shared.now;
         match self.sessions.get_mut(&id) {
@@ -316,12 +318,14 @@
     }
 
     /// Calls `handler` for all sessions that `filter` selects, in the order in which they were opened.
-    fn for_each_session(
+    fn for_each_session<H>(
         &mut self,
         filter: impl Fn(&Session) -> bool,
         commands: &mut Vec<PoolCommand>,
-        handler: impl Fn(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
-    ) {
+        handler: H,
+    ) where
+        H: Fn(&mut PoolState, Instant, SessionId, &mut Session, &mut Vec<PoolCommand>) -> Outcome,
+    {
         let mut ids: Vec<SessionId> =
             self.sessions.iter().filter(|(_, session)| filter(session)).map(|(&id, _)| id).collect();
         ids.sort_unstable();
