--- a/crates/ashtide-client/src/selection.rs
+++ b/crates/ashtide-client/src/selection.rs
@@ -69,8 +69,8 @@
     /// No address is available, and the first one becomes available at this time, when its site's rejection
     /// ends.
     Rejected(Instant),
-    /// No address is available, and the first one becomes available at this time, when its ejection ends or the
-    /// result of its trial is checked again.
+    /// No address is available, and the first one becomes available at this time, when its ejection ends or
+    /// the result of its trial is checked again.
     Ejected(Instant),
     /// The address list is empty.
     NoAddresses,
