--- a/crates/ashtide-quota/examples/compare.rs
+++ b/crates/ashtide-quota/examples/compare.rs
@@ -1,12 +1,12 @@
 //! Compares quota policies on nine gateways in three zones, in virtual time, and prints the results as a
 //! table.
 
-#[path = "../../ashtide-fleet/tests/chance/mod.rs"]
-#[allow(dead_code)]
-mod chance;
 #[path = "../../ashtide-fleet/tests/exchanges/mod.rs"]
 #[allow(dead_code)]
 mod exchanges;
+#[path = "../../ashtide-fleet/tests/faulty_network/mod.rs"]
+#[allow(dead_code)]
+mod faulty_network;
 #[path = "../tests/partner_load/mod.rs"]
 mod partner_load;
 
