--- a/src/cli.rs
+++ b/src/cli.rs
@@ -25,20 +25,21 @@
 
 /// A balancer for long-lived connections.
 ///
-/// Without a subcommand it serves, configured by the JSON file that ROUTER_CONFIG names.
+/// Without a subcommand it runs `serve`. The environment variable ROUTER_CONFIG contains the path of its JSON
+/// configuration file.
 #[derive(Debug, Parser)]
 #[command(name = "ashtide", version, args_conflicts_with_subcommands = true)]
 pub struct Arguments {
-    /// The deploy file of the QUIC front and VRRP
+    /// Deploy file of the QUIC front end and VRRP
     #[arg(long = "fronts", value_name = "FILE")]
     frontends: Option<PathBuf>,
-    /// The file of the fleet view, which is off without it
+    /// Settings file of the fleet view, which is disabled without it
     #[arg(long, value_name = "FILE")]
     view: Option<PathBuf>,
-    /// The file of taking machines out for work, which is off without it
+    /// Settings file of maintenance, which is disabled without it
     #[arg(long, value_name = "FILE")]
     maintenance: Option<PathBuf>,
-    /// The file of partners' quotas, which are off without it; needs --view
+    /// Settings file of partners' quotas, which are disabled without it; requires --view
     #[arg(long, value_name = "FILE")]
     quota: Option<PathBuf>,
     #[command(subcommand)]
@@ -47,30 +48,30 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve, as without a subcommand
+    /// Run the gateway (default without a subcommand)
     Serve {
-        /// The deploy file of the QUIC front and VRRP
+        /// Deploy file of the QUIC front end and VRRP
         #[arg(long = "fronts", value_name = "FILE")]
         frontends: Option<PathBuf>,
-        /// The file of the fleet view, which is off without it
+        /// Settings file of the fleet view, which is disabled without it
         #[arg(long, value_name = "FILE")]
         view: Option<PathBuf>,
-        /// The file of taking machines out for work, which is off without it
+        /// Settings file of maintenance, which is disabled without it
         #[arg(long, value_name = "FILE")]
         maintenance: Option<PathBuf>,
-        /// The file of partners' quotas, which are off without it; needs --view
+        /// Settings file of partners' quotas, which are disabled without it; requires --view
         #[arg(long, value_name = "FILE")]
         quota: Option<PathBuf>,
     },
-    /// Check server lists, each by itself and then all together as one list
+    /// Check server lists separately, and then merged into one list
     ///
-    /// Exit code 0: they can be used; 1: they cannot, and all that is wrong is printed; 2: a file cannot be
-    /// read.
+    /// Exit code 0: the lists are valid; 1: a list or the merged list is invalid, and its problems are
+    /// printed; 2: a file cannot be read.
     Check {
-        /// Files in TOML or JSON
+        /// Server lists in TOML or JSON
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Networks outside of which no server may be
+        /// Network in which servers are permitted; may be repeated
         #[arg(long, value_name = "NETWORK")]
         allow: Vec<IpNet>,
         /// Print one JSON object instead of text
@@ -79,11 +80,12 @@
     },
     /// Print the JSON Schema of server lists
     Schema,
-    /// Take machines out for work, in the order that the gateways settle
+    /// Request, list and end the maintenance of machines, which the gateways schedule
     ///
-    /// Exit code 0: settled; 1: not, and why is printed; 2: no gateway answers at that address.
+    /// Exit code 0: a gateway answered and did not reject the command; 1: it rejected the command, and the
+    /// reason is printed; 2: no address is specified, or no gateway answers.
     Maintenance {
-        /// The operators' door of any gateway; ROUTER_OPERATOR where it is left out
+        /// Address of any gateway's admin endpoint; the default is the value of ROUTER_OPERATOR
         #[arg(long = "door", value_name = "ADDRESS")]
         admin_address: Option<SocketAddr>,
         #[command(subcommand)]
@@ -93,24 +95,24 @@
 
 #[derive(Debug, Subcommand)]
 enum MaintenanceCommand {
-    /// Ask for a machine: a server's name, or a gateway's address as in the file
+    /// Request maintenance of a machine
     Request {
-        /// Which
+        /// Name of the server, or address of the gateway as in the maintenance settings
         name: String,
-        /// Why, in at most 48 bytes
+        /// Reason for the maintenance, at most 48 bytes
         #[arg(long, default_value = "")]
         reason: String,
     },
-    /// Show the queue, and who has which grant
+    /// List the queued requests and the granted ones
     List,
-    /// The work on a machine is done
+    /// Report that the maintenance of a machine is done
     Done {
-        /// Which
+        /// Name of the server, or address of the gateway as in the maintenance settings
         name: String,
     },
-    /// A machine is no longer to be taken out
+    /// Cancel the maintenance request for a machine
     Cancel {
-        /// Which
+        /// Name of the server, or address of the gateway as in the maintenance settings
         name: String,
     },
 }
@@ -165,7 +167,10 @@
     let address_from_environment =
         || std::env::var(ADMIN_ADDRESS_VARIABLE).ok().and_then(|address| address.parse().ok());
     let Some(address) = admin_address.or_else(address_from_environment) else {
-        eprintln!("ashtide: --door: found nothing; expected the address of a gateway's operators' door");
+        eprintln!(
+            "ashtide: no valid address in --door or ROUTER_OPERATOR; \
+             expected the address of a gateway's admin endpoint"
+        );
         return ExitCode::from(2);
     };
     let request = match command {
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -54,7 +54,9 @@
 fn deserialize_seed<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     match Value::deserialize(deserializer)? {
         Value::String(digits) => u64::from_str_radix(&digits, 16).map_err(D::Error::custom),
-        other => other.as_u64().ok_or_else(|| D::Error::custom("not a whole number")),
+        other => other
+            .as_u64()
+            .ok_or_else(|| D::Error::custom("expected a string of hex digits or a non-negative integer")),
     }
 }
 
@@ -70,7 +72,7 @@
     variable: &impl Fn(&str) -> Option<String>,
 ) -> Result<Value, ConfigError> {
     let Value::Object(keys) = &mut json else {
-        return Err(invalid_value("ROUTER_CONFIG", "no object in the file"));
+        return Err(invalid_value("ROUTER_CONFIG", "file does not contain a JSON object"));
     };
     keys.retain(|_, value| !value.is_null());
     for Override { key, variable: name } in ENVIRONMENT_OVERRIDES {
--- a/src/config/frontends.rs
+++ b/src/config/frontends.rs
@@ -138,7 +138,11 @@
             quic.validate()?;
         }
         if let Some(vrrp) = &config.vrrp {
-            require(config.quic.is_some(), "vrrp", "there is no [quic] that it could gate")?;
+            require(
+                config.quic.is_some(),
+                "vrrp",
+                || "section [quic] is missing; [vrrp] requires it, as it gates the QUIC front end",
+            )?;
             vrrp.validate()?;
         }
         Ok(config)
@@ -153,12 +157,22 @@
 
     fn validate(&self) -> Result<(), ConfigError> {
         let id_lengths = MIN_ROUTABLE_ID_LENGTH..=MAX_CONNECTION_ID_LENGTH;
-        require(self.deadline_ms > 0, "quic.deadline_ms", "must be over 0")?;
-        require(id_lengths.contains(&self.id_length), "quic.id_length", "must be 9 to 20")?;
-        require(self.rotation < CONFIG_ROTATION_LIMIT, "quic.rotation", "must be 0 to 6")?;
-        require(self.paths > 0, "quic.paths", "must be over 0")?;
-        require(self.idle_ms >= MIN_IDLE_MS, "quic.idle_ms", "must be 1000 or more")?;
-        require(self.has_valid_reset_key(), "quic.reset_key", "must be 32 or more hex digits")
+        require(self.deadline_ms > 0, "quic.deadline_ms", || "found 0, expected at least 1")?;
+        require(id_lengths.contains(&self.id_length), "quic.id_length", || {
+            format!("found {}, expected 9 to 20", self.id_length)
+        })?;
+        require(self.rotation < CONFIG_ROTATION_LIMIT, "quic.rotation", || {
+            format!("found {}, expected 0 to 6", self.rotation)
+        })?;
+        require(self.paths > 0, "quic.paths", || "found 0, expected at least 1")?;
+        require(self.idle_ms >= MIN_IDLE_MS, "quic.idle_ms", || {
+            format!("found {}, expected at least 1000", self.idle_ms)
+        })?;
+        require(
+            self.has_valid_reset_key(),
+            "quic.reset_key",
+            || "expected an even number of hex digits, at least 32",
+        )
     }
 
     fn has_valid_reset_key(&self) -> bool {
@@ -182,16 +196,20 @@
     fn validate(&self) -> Result<(), ConfigError> {
         let is_valid_interval =
             self.interval_ms.is_multiple_of(10) && (10..=MAX_INTERVAL_MS).contains(&self.interval_ms);
-        require(self.virtual_router_id > 0, "vrrp.router", "must be 1 to 255")?;
-        require(self.priority > 0, "vrrp.priority", "must be 1 to 255")?;
-        require(is_valid_interval, "vrrp.interval_ms", "must be a multiple of 10 up to 40950")?;
-        require(self.addresses.len() <= MAX_ADDRESSES, "vrrp.addresses", "must be 16 at most")
+        require(self.virtual_router_id > 0, "vrrp.router", || "found 0, expected 1 to 255")?;
+        require(self.priority > 0, "vrrp.priority", || "found 0, expected 1 to 255")?;
+        require(is_valid_interval, "vrrp.interval_ms", || {
+            format!("found {}, expected a multiple of 10 from 10 to 40950", self.interval_ms)
+        })?;
+        require(self.addresses.len() <= MAX_ADDRESSES, "vrrp.addresses", || {
+            format!("found {} addresses, expected at most {MAX_ADDRESSES}", self.addresses.len())
+        })
     }
 }
 
 /// Returns the error of an invalid value for `key` unless `condition` holds.
-fn require(condition: bool, key: &str, problem: &str) -> Result<(), ConfigError> {
-    if condition { Ok(()) } else { Err(invalid_value(key, problem)) }
+fn require<P: ToString>(condition: bool, key: &str, problem: impl FnOnce() -> P) -> Result<(), ConfigError> {
+    if condition { Ok(()) } else { Err(invalid_value(key, problem())) }
 }
 
 /// Decodes hex digits; returns `None` if the text contains other characters or its length is odd.
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -14,19 +14,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The head is not valid HTTP.
-    #[error("not a chunked HTTP answer: no HTTP")]
+    #[error("response head cannot be parsed as HTTP/1")]
     NotHttp,
     /// The body is not chunked.
-    #[error("not a chunked HTTP answer: no chunks")]
+    #[error("response body is not chunked; expected 'Transfer-Encoding: chunked'")]
     NotChunked,
     /// Discovery rejected the request with this HTTP status.
-    #[error("status {0}")]
+    #[error("response has HTTP status {0}, expected 200")]
     Status(u16),
     /// The chunked encoding is invalid.
-    #[error("bad chunk")]
+    #[error("response body has an invalid chunk")]
     InvalidChunk,
     /// The head exceeds the largest accepted size.
-    #[error("over-long head")]
+    #[error("response head exceeds {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
 }
 
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -32,15 +32,17 @@
     #[error(transparent)]
     Http(#[from] HttpError),
     /// An object is not a valid endpoint list.
-    #[error("bad list: {0}")]
+    #[error("endpoint list is invalid: {0}")]
     InvalidList(#[from] serde_json::Error),
     /// No complete object or heartbeat was received for this time, although a heartbeat is due every
     /// [`HEARTBEAT_INTERVAL`](super::HEARTBEAT_INTERVAL).
-    #[error("silent for {0:?}")]
+    #[error("no endpoint list or heartbeat received for {0:?}")]
     Silent(Duration),
     /// Changes have an older version than the list, which shows that discovery has restarted its version
     /// numbers.
-    #[error("changes of version {changes_version} to a list of version {list_version}")]
+    #[error(
+        "list update has version {changes_version}, older than the endpoint list of version {list_version}"
+    )]
     StaleChanges {
         /// Version of the list.
         list_version: u64,
@@ -48,7 +50,7 @@
         changes_version: u64,
     },
     /// An object exceeds the largest accepted size.
-    #[error("over-long object")]
+    #[error("object exceeds {MAX_OBJECT_BYTES} bytes")]
     ObjectTooLong,
     /// The socket failed.
     #[error(transparent)]
--- a/src/fleet/permits/datagram.rs
+++ b/src/fleet/permits/datagram.rs
@@ -29,16 +29,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The datagram, of this length in bytes, is neither a request nor a reply.
-    #[error("{0} bytes that are neither an ask nor an answer")]
+    #[error("datagram of {0} bytes is neither a permit request nor a permit reply")]
     Malformed(usize),
     /// The sender is not a gateway of this fleet, or is this gateway itself.
-    #[error("of no other gateway of this tier")]
+    #[error("sender is not another gateway of this fleet")]
     UnknownSender,
     /// The request is for a permit that other gateways grant.
-    #[error("an ask for what is kept elsewhere")]
+    #[error("permit request is for a server whose permits another gateway grants")]
     NotGrantor,
     /// The reply matches no pending request: it arrived after the time-out, or was for another gateway.
-    #[error("an answer to nothing asked")]
+    #[error("permit reply matches no pending request")]
     UnexpectedReply,
 }
 
@@ -54,7 +54,7 @@
             }
             Self::NotGrantor => "check that `peers` and `balancers` are the same at all gateways",
             Self::UnexpectedReply => {
-                "none if rare, as after a network delay; if frequent, look for a gateway that stalls"
+                "no action if rare, such as after a network delay; if frequent, find the gateway that stalls"
             }
         }
     }
--- a/src/handover/established_connection.rs
+++ b/src/handover/established_connection.rs
@@ -12,13 +12,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HandoffDecodeError {
     /// The datagram contains no end of the header line.
-    #[error("no head")]
+    #[error("handoff datagram has no complete header line")]
     MissingHeader,
     /// The header line is not a JSON header of this version.
-    #[error("{0}")]
+    #[error("handoff header is invalid: {0}")]
     MalformedHeader(#[from] serde_json::Error),
     /// The total length of the sections differs from the length that the header declares.
-    #[error("{declared} bytes told, {found} found")]
+    #[error("handoff header declares {declared} bytes, but {found} bytes follow it")]
     LengthMismatch {
         /// Length of all sections in bytes as the header declares it.
         declared: usize,
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -15,10 +15,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SiblingMessageError {
     /// The message has more than [`MAX_MESSAGE_LENGTH`] bytes, its end of line included.
-    #[error("over {MAX_MESSAGE_LENGTH} bytes")]
+    #[error("sibling message exceeds {MAX_MESSAGE_LENGTH} bytes")]
     TooLong,
     /// The line is not a JSON message of this version.
-    #[error("{0}")]
+    #[error("sibling message is invalid: {0}")]
     Malformed(#[from] serde_json::Error),
     /// Reading from the socket failed.
     #[error(transparent)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -496,7 +496,7 @@
         let stop = self.stop.clone();
         tokio::spawn(async move {
             if let Ok(Some(terminated_at)) = terminated_at.await {
-                info!("ashtide: asked to stop, leaving within {} ms", grace.as_millis());
+                info!("ashtide: stop requested; exiting within {} ms", grace.as_millis());
                 stop.send_replace(true);
                 let grace = grace.saturating_sub(terminated_at.elapsed());
                 handle.send(DriverEvent::ShutdownRequested { grace }).await;
--- a/src/net/connection_handoff.rs
+++ b/src/net/connection_handoff.rs
@@ -31,7 +31,7 @@
 enum ReceiveError {
     #[error(transparent)]
     Decode(#[from] HandoffDecodeError),
-    #[error("{0} descriptors")]
+    #[error("handoff datagram has {0} descriptors, expected {DESCRIPTORS_PER_CONNECTION}")]
     DescriptorCount(usize),
 }
 
--- a/src/quic/header.rs
+++ b/src/quic/header.rs
@@ -94,13 +94,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
     /// The datagram ends within the header.
-    #[error("the datagram ends within its header")]
+    #[error("datagram ends within the packet header")]
     Truncated,
     /// A connection id is longer than 20 bytes.
-    #[error("a connection id of over {MAX_CONNECTION_ID_LENGTH} bytes")]
+    #[error("connection id exceeds {MAX_CONNECTION_ID_LENGTH} bytes")]
     ConnectionIdTooLong,
     /// The Fixed Bit is not set in a short header or in a long header of version 1.
-    #[error("the fixed bit is not set")]
+    #[error("Fixed Bit is 0, expected 1")]
     FixedBitUnset,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -244,7 +244,8 @@
     for (index, name) in names.enumerate() {
         if !seen.insert(name) {
             let key = format!("{list}[{index}].name");
-            let problem = format!("'{name}' stands twice; requests ask by name, so name each once");
+            let problem =
+                format!("'{name}' occurs twice; expected unique names, as requests refer to entries by name");
             return Err(DuplicateNameError { key, problem });
         }
     }
@@ -255,6 +256,9 @@
 /// of the list to whose entries it applies.
 fn length_warning(key: &str, length: usize, list: &str, expected_length: usize) -> Option<String> {
     (length > 0 && length != expected_length).then(|| {
-        format!("settings.familyInfo.{key}: {length} figures for {expected_length} {list}, taken by place")
+        format!(
+            "settings.familyInfo.{key}: found {length} values for {expected_length} {list}; \
+             values are assigned by position"
+        )
     })
 }
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -42,16 +42,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
     /// The packet is too short, or its length does not match its number of addresses.
-    #[error("wrong length")]
+    #[error(
+        "packet length is invalid; expected {HEADER_LENGTH} bytes and {ADDRESS_LENGTH} for each of the \
+         declared 0 to {MAX_ADDRESSES} addresses"
+    )]
     Length,
     /// The packet has another version or type.
-    #[error("not an advertisement of version 3")]
+    #[error("packet is not an advertisement of VRRP version 3")]
     Version,
     /// The checksum is wrong.
-    #[error("wrong checksum")]
+    #[error("packet checksum is incorrect")]
     Checksum,
     /// The virtual router id or the interval is 0.
-    #[error("a field is out of its range")]
+    #[error("virtual router id or advertisement interval is 0, expected at least 1")]
     Range,
 }
 
--- a/tests/compatibility_cli.rs
+++ b/tests/compatibility_cli.rs
@@ -1,5 +1,6 @@
 //! Compatibility of the daemon's command line: standard output, standard error and exit code of each
-//! invocation are compared with fixtures that were recorded once and never change.
+//! invocation are compared with recorded fixtures. A recorded line changes only together with the wording of
+//! the text that it contains.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
--- a/tests/compatibility_handover.rs
+++ b/tests/compatibility_handover.rs
@@ -294,12 +294,12 @@
 
 #[test]
 fn a_message_that_is_too_long_is_an_error() {
-    assert_eq!(decode_messages(&vec![b'x'; 1 << 20]), "error over 1048576 bytes");
+    assert_eq!(decode_messages(&vec![b'x'; 1 << 20]), "error sibling message exceeds 1048576 bytes");
     let longest_allowed = [vec![b'7'; (1 << 20) - 1], b"\n".to_vec()].concat();
     let outcome = decode_messages(&longest_allowed);
-    assert!(outcome.starts_with("error expected value at "), "{outcome}");
+    assert!(outcome.starts_with("error sibling message is invalid: expected value at "), "{outcome}");
     let too_long = [vec![b'7'; 1 << 20], b"\n".to_vec()].concat();
-    assert_eq!(decode_messages(&too_long), "error over 1048576 bytes");
+    assert_eq!(decode_messages(&too_long), "error sibling message exceeds 1048576 bytes");
 }
 
 fn established_connection() -> EstablishedConnection {
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -87,8 +87,10 @@
         (
             json!({"messageAim": [0.1], "tenantQuotaConnections": [7.0, 7.0, 7.0]}),
             vec![
-                "settings.familyInfo.messageAim: 1 figures for 4 classes, taken by place",
-                "settings.familyInfo.tenantQuotaConnections: 3 figures for 2 customers, taken by place",
+                "settings.familyInfo.messageAim: found 1 values for 4 classes; \
+                 values are assigned by position",
+                "settings.familyInfo.tenantQuotaConnections: found 3 values for 2 customers; \
+                 values are assigned by position",
             ],
         ),
     ] {
@@ -96,10 +98,10 @@
         all["familyInfo"] = info;
         assert_eq!(PlatformSettings::parse(&all.to_string()).expect("legal").warnings(), remarks);
     }
-    // Both ways in refuse a name that stands twice.
+    // Both parsers reject a name that occurs twice.
     let twice = json!({"classes": [class("a", "pure", 0.0, 1.0), class("a", "side_effect", 0.0, 1.0)]});
     let error = PlatformSettings::parse(&twice.to_string()).err().expect("refused").to_string();
-    assert!(error.starts_with("classes[1].name: 'a' stands twice"), "{error}");
+    assert!(error.starts_with("classes[1].name: 'a' occurs twice"), "{error}");
 }
 
 #[test]
@@ -120,7 +122,7 @@
     let mut twice = settings();
     twice["customers"][1]["name"] = json!("acme");
     let refused = config(twice, None).expect_err("a name twice");
-    assert!(refused.starts_with("settings.customers[1].name: 'acme' stands twice"), "{refused}");
+    assert!(refused.starts_with("settings.customers[1].name: 'acme' occurs twice"), "{refused}");
     assert!(refused.ends_with(&format!(", in {}", path.display())), "{refused}");
     let variable = config(settings(), Some("the door")).expect_err("no address");
     assert!(variable.starts_with("ROUTER_OPERATOR: ") && !variable.contains(".json"), "{variable}");
@@ -178,7 +180,7 @@
     assert!(!text.contains("\"new\"") && !text.contains("\"late\""), "{text}");
     // The time to leave is that of the deadlines it was started with.
     daemon.terminate().expect("it runs");
-    daemon.says("ashtide: asked to stop, leaving within 3700 ms").await.expect("leaves");
+    daemon.says("ashtide: stop requested; exiting within 3700 ms").await.expect("leaves");
 }
 
 #[tokio::test]
@@ -194,7 +196,7 @@
     for (text, why) in [
         (good[..good.len() / 2].to_owned(), "EOF"),
         (lacks.to_string(), "settings is missing"),
-        (twice.to_string(), "settings.classes[3].name: 'pay' stands twice"),
+        (twice.to_string(), "settings.classes[3].name: 'pay' occurs twice"),
     ] {
         rewrite(&daemon, &text);
         let named = |line: &String| {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -196,13 +196,13 @@
         ),
         (
             format!(r#"{{{required},"settings":{{"classes":[{{"name":"x"}},{{"name":"x"}}]}}}}"#),
-            "settings.classes[1].name: 'x' stands twice",
+            "settings.classes[1].name: 'x' occurs twice",
         ),
         (
             format!(
                 r#"{{{required},"settings":{{"customers":[{{"name":"t"}},{{"name":""}},{{"name":"t"}}]}}}}"#
             ),
-            "settings.customers[2].name: 't' stands twice",
+            "settings.customers[2].name: 't' occurs twice",
         ),
         // An error of a key that the environment overrides names the variable, whatever the file contains.
         (format!(r#"{{{required},"operator":"the door"}}"#), "ROUTER_OPERATOR: 'door'"),
