--- a/crates/ashtide-quota/tests/quota.rs
+++ b/crates/ashtide-quota/tests/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas in complete fleets under load, and individual decisions of one gateway.
 
-#[path = "../../ashtide-fleet/tests/chance/mod.rs"]
-#[allow(dead_code)]
-mod chance;
 #[path = "../../ashtide-fleet/tests/exchanges/mod.rs"]
 #[allow(dead_code)]
 mod exchanges;
+#[path = "../../ashtide-fleet/tests/faulty_network/mod.rs"]
+#[allow(dead_code)]
+mod faulty_network;
 mod partner_load;
 
 use std::collections::BTreeMap;
