--- a/crates/ashtide-client/src/connection.rs
+++ b/crates/ashtide-client/src/connection.rs
@@ -220,7 +220,7 @@
             Wakeup::Command(Some(Command::Write(attempt, line))) => {
                 if let Socket::Open(connection) = &mut socket {
                     if connection.attempt == attempt {
-                        connection.side.asked();
+                        connection.side.set_request_started();
                         connection.begin(line);
                     }
                 }
--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-use ashtide_protocol::AskingError;
+use ashtide_protocol::OpenParametersError;
 use bytes::Bytes;
 use futures_util::{Sink, Stream};
 use rand::TryRngCore;
@@ -68,8 +68,8 @@
 #[error(transparent)]
 pub struct ConnectError(#[from] pub GiveUpReason);
 
-impl From<AskingError> for ConnectError {
-    fn from(error: AskingError) -> Self {
+impl From<OpenParametersError> for ConnectError {
+    fn from(error: OpenParametersError) -> Self {
         Self(GiveUpReason::InvalidRequest(error))
     }
 }
--- a/crates/ashtide-client/src/session.rs
+++ b/crates/ashtide-client/src/session.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_protocol::{Asking, AskingError, PeerFault};
+use ashtide_protocol::{OpenParameters, OpenParametersError, PeerFault};
 use bytes::Bytes;
 
 use crate::Instant;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SessionRequest {
     /// Class, key, tenant and group. The pool marks retries and returns itself.
-    pub parameters: Asking,
+    pub parameters: OpenParameters,
     /// The connection is to stand within this time of being asked for.
     pub timeout: Duration,
     /// An attempt without an answer is given up after this time, and another may follow. Without it an
@@ -37,7 +37,7 @@
 impl SessionRequest {
     /// A connection of this class for this key within `timeout`, with retries and reconnects.
     pub fn new(class: impl Into<String>, key: impl Into<String>, timeout: Duration) -> Self {
-        let asking = Asking { class: class.into(), key: key.into(), ..Asking::default() };
+        let asking = OpenParameters { class: class.into(), key: key.into(), ..OpenParameters::default() };
         Self {
             parameters: asking,
             timeout,
@@ -155,7 +155,7 @@
     },
     /// No line can be written for it.
     #[error("{0}")]
-    InvalidRequest(AskingError),
+    InvalidRequest(OpenParametersError),
 }
 
 /// Why a standing connection is no more.
--- a/crates/ashtide-client/tests/compatibility.rs
+++ b/crates/ashtide-client/tests/compatibility.rs
@@ -12,7 +12,7 @@
     PoolCommand, PoolEvent, ServerCache, ServerCacheError, SessionId, SessionNotification, SessionPool,
     SessionRequest, Settings,
 };
-use ashtide_protocol::{AskingError, GatewayEvent, PeerFault};
+use ashtide_protocol::{GatewayEvent, OpenParametersError, PeerFault};
 use bytes::Bytes;
 
 /// Unix time of the recorded files, in milliseconds.
@@ -262,7 +262,7 @@
         GiveUpReason::ConnectionEnded => "ended".to_owned(),
         GiveUpReason::Expired => "expired".to_owned(),
         GiveUpReason::TooManySessions { limit: most } => format!("more than {most}"),
-        GiveUpReason::InvalidRequest(AskingError::Empty(field)) => format!("empty {field}"),
+        GiveUpReason::InvalidRequest(OpenParametersError::Empty(field)) => format!("empty {field}"),
         GiveUpReason::InvalidRequest(_) => "another wish".to_owned(),
     };
     format!("{kind} ('{why}')")
--- a/crates/ashtide-protocol/src/client.rs
+++ b/crates/ashtide-protocol/src/client.rs
@@ -31,7 +31,7 @@
 
 impl ClientSide {
     /// The connection stands: what the client says is the server's from now on.
-    pub fn up(&mut self) {
+    pub fn set_established(&mut self) {
         self.up = true;
     }
 
--- a/crates/ashtide-protocol/src/gateway.rs
+++ b/crates/ashtide-protocol/src/gateway.rs
@@ -61,14 +61,14 @@
 
 impl GatewaySide {
     /// The request's line is being written: answers may come from now on.
-    pub fn asked(&mut self) {
+    pub fn set_request_started(&mut self) {
         if self.0 == Stage::Unasked {
             self.0 = Stage::Asked;
         }
     }
 
     /// Whether the connection stands.
-    pub fn is_up(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.0 == Stage::Up
     }
 
--- a/crates/ashtide-protocol/src/lib.rs
+++ b/crates/ashtide-protocol/src/lib.rs
@@ -2,18 +2,18 @@
 //!
 //! All of it is fed bytes or lines and knows no socket and no clock. [`LineCodec`] cuts a stream. The
 //! gateway reads clients with [`ClientSide`] and servers with [`ServerSide`]; a client asks with
-//! [`Asking`] and reads what comes back with [`GatewaySide`].
+//! [`OpenParameters`] and reads what comes back with [`GatewaySide`].
 //!
 //! ```
 //! use std::time::Duration;
-//! use ashtide_protocol::{Asking, GatewayEvent, GatewaySide};
+//! use ashtide_protocol::{OpenParameters, GatewayEvent, GatewaySide};
 //!
-//! let asking = Asking { class: "resident-reading".into(), key: "meter-77".into(), ..Asking::default() };
+//! let asking = OpenParameters { class: "resident-reading".into(), key: "meter-77".into(), ..OpenParameters::default() };
 //! let line = asking.line("9b1f03aa5c7e2d41", Duration::from_millis(2000)).unwrap();
 //! assert_eq!(&line[..], b"OPEN 9b1f03aa5c7e2d41 meter-77 c=resident-reading,d=2000\r\n");
 //!
 //! let mut gateway = GatewaySide::default();
-//! gateway.asked();
+//! gateway.set_request_started();
 //! let refused = gateway.line("BUSY 400\r\n".into()).unwrap();
 //! assert_eq!(refused, GatewayEvent::Busy(Some(Duration::from_millis(400))));
 //! ```
@@ -27,7 +27,7 @@
 pub use client::{ClientEvent, ClientSide};
 pub use codec::{LineCodec, LineError, MAX_LINE};
 pub use gateway::{GatewayEvent, GatewaySide, PeerFault};
-pub use open::{Asking, AskingError, MAX_FIELD, Open, OpenError};
+pub use open::{MAX_FIELD, Open, OpenError, OpenParameters, OpenParametersError};
 pub use server::{Ending, ServerEvent, ServerSide};
 
 use std::time::Duration;
--- a/crates/ashtide-protocol/src/open.rs
+++ b/crates/ashtide-protocol/src/open.rs
@@ -144,7 +144,7 @@
 
 /// Why an `OPEN` line cannot be written.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum AskingError {
+pub enum OpenParametersError {
     /// A field that must have something in it.
     #[error("{0}: is empty")]
     Empty(&'static str),
@@ -171,7 +171,7 @@
 
 /// What a client asks for; one `OPEN` line an attempt follows from it.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Asking {
+pub struct OpenParameters {
     /// The flow's key, the same for all attempts of a session.
     pub key: String,
     /// `c`: the class.
@@ -188,21 +188,22 @@
     pub again: bool,
 }
 
-impl Asking {
+impl OpenParameters {
     /// Whether a line can be written of this; the error names the first field that stands against it.
     ///
     /// # Errors
     ///
     /// Fails where a field is empty, too long, or has a character that an `OPEN` line cannot carry.
-    pub fn check(&self) -> Result<(), AskingError> {
+    pub fn check(&self) -> Result<(), OpenParametersError> {
         field("key", &self.key, false)?;
         field("class", &self.class, true)?;
         self.tenant.iter().try_for_each(|tenant| field("tenant", tenant, true))?;
         self.group.iter().try_for_each(|group| field("group", group, true))?;
         match self.load {
-            Some(load) if !(0.0..=1e12).contains(&load) => {
-                Err(AskingError::Character { field: "load", found: if load < 0.0 { '-' } else { '?' } })
-            }
+            Some(load) if !(0.0..=1e12).contains(&load) => Err(OpenParametersError::Character {
+                field: "load",
+                found: if load < 0.0 { '-' } else { '?' },
+            }),
             _ => Ok(()),
         }
     }
@@ -213,7 +214,7 @@
     /// # Errors
     ///
     /// As [`check`](Self::check), and where the id cannot stand in a line.
-    pub fn line(&self, id: &str, wait: Duration) -> Result<Bytes, AskingError> {
+    pub fn line(&self, id: &str, wait: Duration) -> Result<Bytes, OpenParametersError> {
         use std::fmt::Write;
 
         self.check()?;
@@ -236,23 +237,23 @@
             }
         }
         line.push_str("\r\n");
-        if line.len() > MAX_LINE { Err(AskingError::Line(line.len())) } else { Ok(line.into()) }
+        if line.len() > MAX_LINE { Err(OpenParametersError::Line(line.len())) } else { Ok(line.into()) }
     }
 }
 
 /// Checks one field; those in the list may not hold what separates its pairs.
-fn field(name: &'static str, value: &str, listed: bool) -> Result<(), AskingError> {
+fn field(name: &'static str, value: &str, listed: bool) -> Result<(), OpenParametersError> {
     if value.is_empty() {
-        return Err(AskingError::Empty(name));
+        return Err(OpenParametersError::Empty(name));
     }
     // The name and its `=` count with the value in the list.
     let length = value.len() + if listed { 2 } else { 0 };
     if length > MAX_FIELD {
-        return Err(AskingError::TooLong { field: name, length });
+        return Err(OpenParametersError::TooLong { field: name, length });
     }
     let bad = |c: char| !c.is_ascii_graphic() || (listed && c == ',');
     match value.chars().find(|&c| bad(c)) {
-        Some(found) => Err(AskingError::Character { field: name, found }),
+        Some(found) => Err(OpenParametersError::Character { field: name, found }),
         None => Ok(()),
     }
 }
--- a/crates/ashtide-protocol/src/server.rs
+++ b/crates/ashtide-protocol/src/server.rs
@@ -47,12 +47,12 @@
 
 impl ServerSide {
     /// The side of a connection that stood before, as one taken over from another process.
-    pub fn standing() -> Self {
+    pub fn established() -> Self {
         Self { written: true, up: true, last: None }
     }
 
     /// The first line's last byte has been written: from here on it may have run.
-    pub fn written(&mut self) {
+    pub fn set_request_written(&mut self) {
         self.written = true;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// What it means that the connection ends or breaks here.
-    pub fn end(&self) -> Ending {
+    pub fn ending(&self) -> Ending {
         match self.last {
             Some(outcome) => outcome,
             None if self.written => Ending::Reset,
--- a/crates/ashtide-protocol/tests/common/mod.rs
+++ b/crates/ashtide-protocol/tests/common/mod.rs
@@ -27,10 +27,10 @@
     Ok(items)
 }
 
-pub fn cuts() -> impl Strategy<Value = Vec<usize>> {
+pub fn piece_sizes() -> impl Strategy<Value = Vec<usize>> {
     vec(1_usize..40, 0..60)
 }
 
-pub fn garbage() -> impl Strategy<Value = Vec<u8>> {
+pub fn random_bytes() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![vec(any::<u8>(), 0..2000), vec(prop::sample::select(b"\r\n 0af=,{}[]\":c".to_vec()), 0..6000)]
 }
--- a/crates/ashtide-protocol/tests/compatibility.rs
+++ b/crates/ashtide-protocol/tests/compatibility.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ashtide_protocol::{
-    Asking, ClientEvent, ClientSide, Ending, FAILED, GatewayEvent, GatewaySide, LineCodec, MAX_FIELD,
-    MAX_LINE, MOVE, Open, OpenError, PONG, PeerFault, ServerEvent, ServerSide, busy,
+    ClientEvent, ClientSide, Ending, FAILED, GatewayEvent, GatewaySide, LineCodec, MAX_FIELD, MAX_LINE, MOVE,
+    Open, OpenError, OpenParameters, PONG, PeerFault, ServerEvent, ServerSide, busy,
 };
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
@@ -273,7 +273,7 @@
         found += "client\n";
         for &line in sequence {
             if line == "^" {
-                side.up();
+                side.set_established();
                 found += "  is up\n";
                 continue;
             }
@@ -355,16 +355,16 @@
         for answer in ANSWERS {
             let mut side = ServerSide::default();
             if written {
-                side.written();
+                side.set_request_written();
             }
             if up {
                 side.line(Bytes::from_static(b"UP receipt\r\n"));
             }
-            let before = ending(side.end());
+            let before = ending(side.ending());
             let event = server_event(&side.line(Bytes::from_static(answer)));
-            let after = ending(side.end());
+            let after = ending(side.ending());
             let second = server_event(&side.line(Bytes::from_static(b"BYE\r\n")));
-            let third = ending(side.end());
+            let third = ending(side.ending());
             let answer = shown(answer);
             let _ = writeln!(
                 found,
@@ -373,9 +373,9 @@
         }
     }
     for answer in ANSWERS {
-        let mut side = ServerSide::standing();
+        let mut side = ServerSide::established();
         let event = server_event(&side.line(Bytes::from_static(answer)));
-        let _ = writeln!(found, "stood before: '{}' => {event}, {}", shown(answer), ending(side.end()));
+        let _ = writeln!(found, "stood before: '{}' => {event}, {}", shown(answer), ending(side.ending()));
     }
     assert_fixture("servers.txt", &found);
 }
@@ -412,14 +412,14 @@
         for answer in ANSWERS {
             let mut side = GatewaySide::default();
             if asked {
-                side.asked();
+                side.set_request_started();
             }
             if up {
                 let _ = side.line(Bytes::from_static(b"UP receipt\r\n"));
             }
             let first = gateway_event(&side.line(Bytes::from_static(answer)));
-            let is_up = side.is_up();
-            side.asked();
+            let is_up = side.is_established();
+            side.set_request_started();
             let second = gateway_event(&side.line(Bytes::from_static(b"more\r\n")));
             let _ = writeln!(found, "{what}: '{}' => {first}, is up: {is_up}; then {second}", shown(answer));
         }
@@ -492,8 +492,9 @@
 
 #[test]
 fn requests_are_written_as_recorded() {
-    let plain = || Asking { class: "meter".into(), key: "meter-77".into(), ..Asking::default() };
-    let full = || Asking {
+    let plain =
+        || OpenParameters { class: "meter".into(), key: "meter-77".into(), ..OpenParameters::default() };
+    let full = || OpenParameters {
         tenant: Some("north".into()),
         group: Some("meter-77".into()),
         load: Some(12.5),
@@ -503,25 +504,25 @@
     };
     let mut all = vec![plain(), full()];
     for load in [0.0, 1e12, 1e13, -1.0, f64::NAN, f64::INFINITY, 0.1, 1e-7] {
-        all.push(Asking { load: Some(load), ..plain() });
+        all.push(OpenParameters { load: Some(load), ..plain() });
     }
     for text in ["", " ", "a b", "a,b", "a=b", "\u{e9}", "\r\n", "~"] {
-        all.push(Asking { key: text.into(), ..plain() });
-        all.push(Asking { class: text.into(), ..plain() });
-        all.push(Asking { tenant: Some(text.into()), ..plain() });
-        all.push(Asking { group: Some(text.into()), ..plain() });
+        all.push(OpenParameters { key: text.into(), ..plain() });
+        all.push(OpenParameters { class: text.into(), ..plain() });
+        all.push(OpenParameters { tenant: Some(text.into()), ..plain() });
+        all.push(OpenParameters { group: Some(text.into()), ..plain() });
     }
     for length in [MAX_FIELD - 2, MAX_FIELD - 1, MAX_FIELD, MAX_FIELD + 1] {
         let long = "k".repeat(length);
-        all.push(Asking { key: long.clone(), ..plain() });
-        all.push(Asking { class: long.clone(), ..full() });
-        all.push(Asking { tenant: Some(long.clone()), ..full() });
-        all.push(Asking { group: Some(long), ..full() });
+        all.push(OpenParameters { key: long.clone(), ..plain() });
+        all.push(OpenParameters { class: long.clone(), ..full() });
+        all.push(OpenParameters { tenant: Some(long.clone()), ..full() });
+        all.push(OpenParameters { group: Some(long), ..full() });
     }
     let waits =
         [0, 1, 999, 1000, 1999, 3_200_000, 600_000_000, 90_000_000_000_000].map(Duration::from_micros);
     let mut found = String::new();
-    let mut record = |asking: &Asking, id: &str, wait: Duration| {
+    let mut record = |asking: &OpenParameters, id: &str, wait: Duration| {
         let line = match asking.line(id, wait) {
             Ok(line) => shown(&line),
             Err(error) => format!("error: {error}"),
--- a/crates/ashtide-protocol/tests/lines.rs
+++ b/crates/ashtide-protocol/tests/lines.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 use ashtide_protocol::{
-    Asking, AskingError, ClientEvent, ClientSide, GatewayEvent, GatewaySide, LineCodec, MAX_LINE, Open,
-    OpenError, PeerFault, ServerSide, busy,
+    ClientEvent, ClientSide, GatewayEvent, GatewaySide, LineCodec, MAX_LINE, Open, OpenError, OpenParameters,
+    OpenParametersError, PeerFault, ServerSide, busy,
 };
 use bytes::Bytes;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use common::{check, cuts, feed, garbage};
+use common::{check, feed, piece_sizes, random_bytes};
 
 #[test]
 fn lines_are_the_same_however_they_are_cut() {
-    check((vec("[ -~]{0,200}", 1..20), cuts()), |(lines, cuts)| {
+    check((vec("[ -~]{0,200}", 1..20), piece_sizes()), |(lines, cuts)| {
         let lines: Vec<String> = lines.into_iter().map(|line| line + "\r\n").collect();
         let items = feed(LineCodec::default(), lines.concat().as_bytes(), &cuts).unwrap();
         prop_assert_eq!(items, lines.into_iter().map(Bytes::from).collect::<Vec<_>>());
@@ -34,13 +34,13 @@
 
 #[test]
 fn garbage_breaks_no_line_parser() {
-    check((garbage(), cuts()), |(bytes, cuts)| {
+    check((random_bytes(), piece_sizes()), |(bytes, cuts)| {
         for line in feed(LineCodec::default(), &bytes, &cuts).unwrap_or_default() {
             prop_assert!(line.len() <= MAX_LINE && line.ends_with(b"\r\n"));
             ClientSide::default().line(line.clone());
             ServerSide::default().line(line.clone());
             let mut gateway = GatewaySide::default();
-            gateway.asked();
+            gateway.set_request_started();
             let _ = gateway.line(line);
         }
         let _ = Open::parse(Bytes::from([b"OPEN 1 2 ", &bytes[..], b"\r\n"].concat()));
@@ -106,7 +106,7 @@
         if again {
             prop_assert_eq!(side.line(line), ClientEvent::Bad(OpenError::Early));
         } else {
-            side.up();
+            side.set_established();
             prop_assert_eq!(side.line(line.clone()), ClientEvent::Pass(line));
         }
         Ok(())
@@ -119,7 +119,7 @@
     let maybe = || prop::option::of(name);
     check((name, name, maybe(), maybe(), 1_u64..600_000, any::<(bool, bool)>()), |all| {
         let (key, class, tenant, group, ms, (retry, again)) = all;
-        let asking = Asking { key, class, tenant, group, load: Some(0.25), retry, again };
+        let asking = OpenParameters { key, class, tenant, group, load: Some(0.25), retry, again };
         let line = asking.line("77", Duration::from_millis(ms)).unwrap();
         let open = Open::parse(line.clone()).unwrap();
         prop_assert_eq!(
@@ -135,18 +135,21 @@
 
 #[test]
 fn what_cannot_stand_in_a_line_is_named() {
-    let good = || Asking { key: "k".into(), class: "c".into(), ..Asking::default() };
-    let error = |asking: Asking| asking.line("1", Duration::from_secs(1)).unwrap_err();
-    assert_eq!(error(Asking { key: String::new(), ..good() }), AskingError::Empty("key"));
-    let spaced = error(Asking { key: "a b".into(), ..good() });
-    assert_eq!(spaced, AskingError::Character { field: "key", found: ' ' });
-    let injected = error(Asking { tenant: Some("t,d=1".into()), ..good() });
-    assert_eq!(injected, AskingError::Character { field: "tenant", found: ',' });
-    let broken = error(Asking { group: Some("g\r\nOPEN".into()), ..good() });
-    assert_eq!(broken, AskingError::Character { field: "group", found: '\r' });
-    let long = error(Asking { class: "c".repeat(127), ..good() });
-    assert_eq!(long, AskingError::TooLong { field: "class", length: 129 });
-    assert!(matches!(error(Asking { load: Some(f64::NAN), ..good() }), AskingError::Character { .. }));
+    let good = || OpenParameters { key: "k".into(), class: "c".into(), ..OpenParameters::default() };
+    let error = |asking: OpenParameters| asking.line("1", Duration::from_secs(1)).unwrap_err();
+    assert_eq!(error(OpenParameters { key: String::new(), ..good() }), OpenParametersError::Empty("key"));
+    let spaced = error(OpenParameters { key: "a b".into(), ..good() });
+    assert_eq!(spaced, OpenParametersError::Character { field: "key", found: ' ' });
+    let injected = error(OpenParameters { tenant: Some("t,d=1".into()), ..good() });
+    assert_eq!(injected, OpenParametersError::Character { field: "tenant", found: ',' });
+    let broken = error(OpenParameters { group: Some("g\r\nOPEN".into()), ..good() });
+    assert_eq!(broken, OpenParametersError::Character { field: "group", found: '\r' });
+    let long = error(OpenParameters { class: "c".repeat(127), ..good() });
+    assert_eq!(long, OpenParametersError::TooLong { field: "class", length: 129 });
+    assert!(matches!(
+        error(OpenParameters { load: Some(f64::NAN), ..good() }),
+        OpenParametersError::Character { .. }
+    ));
 }
 
 #[test]
@@ -155,7 +158,7 @@
     let mut early = GatewaySide::default();
     assert_eq!(early.line(line("UP x\r\n")), Err(PeerFault::Unasked));
     let mut twice = GatewaySide::default();
-    twice.asked();
+    twice.set_request_started();
     assert_eq!(twice.line(line("UP x\r\n")), Ok(GatewayEvent::Up(line("x"))));
     assert_eq!(twice.line(line("LOAD 3\r\n")), Ok(GatewayEvent::Line(line("LOAD 3\r\n"))));
     assert_eq!(twice.line(line("UP x\r\n")), Err(PeerFault::UpTwice));
@@ -173,7 +176,7 @@
         ("HTTP/1.1 400 Bad Request\r\n", GatewayEvent::Failed(line("HTTP/1.1 400 Bad Request\r\n"))),
     ] {
         let mut side = GatewaySide::default();
-        side.asked();
+        side.set_request_started();
         assert_eq!(side.line(line(said)), Ok(heard), "{said}");
         assert_eq!(side.line(line("UP late\r\n")), Err(PeerFault::AfterEnd), "{said}");
     }
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -346,9 +346,9 @@
 ) -> Result<EstablishedServer, AttemptEnd> {
     let mut side = ServerSide::default();
     if server.writer.write_all(line).await.is_err() {
-        return Err(AttemptEnd::Failed(side.end().into()));
+        return Err(AttemptEnd::Failed(side.ending().into()));
     }
-    side.written();
+    side.set_request_written();
     on_written();
     let outcome = match server.lines.next().await {
         Some(Ok(line)) => match side.line(line) {
@@ -358,7 +358,7 @@
             ServerEvent::Over(ending) => ending.into(),
             ServerEvent::Pass(_) | ServerEvent::Load(..) | ServerEvent::Last(_) => Outcome::Failed,
         },
-        Some(Err(_)) | None => side.end().into(),
+        Some(Err(_)) | None => side.ending().into(),
     };
     Err(AttemptEnd::Failed(outcome))
 }
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -59,7 +59,7 @@
         };
         let server = EstablishedServer {
             connection: server,
-            side: ServerSide::standing(),
+            side: ServerSide::established(),
             accept_line: established.to_client.line_remainder,
         };
         session.relay(ADOPTED_ATTEMPT, server, true).await;
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -53,7 +53,7 @@
 
 impl RelayState {
     fn server_ended(&self) -> RelayStop {
-        RelayStop::Ended(RelayEnd::ServerEnded(self.server_side.end().into()))
+        RelayStop::Ended(RelayEnd::ServerEnded(self.server_side.ending().into()))
     }
 
     fn handle_client_line(&mut self, line: Option<Result<Bytes, LineError>>) -> Option<RelayStop> {
@@ -89,7 +89,7 @@
     /// client has received the `UP` line already.
     pub(super) async fn relay(mut self, attempt: u32, server: EstablishedServer, client_informed: bool) {
         let EstablishedServer { connection: mut server, side, accept_line } = server;
-        self.side.up();
+        self.side.set_established();
         let mut state = RelayState {
             server_side: side,
             to_client: accept_line,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -17,7 +17,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use common::{check, cuts, feed, garbage};
+use common::{check, feed, piece_sizes, random_bytes};
 
 /// Encodes an HTTP response with a chunked body. `chunk_sizes` are the lengths of the first chunks in bytes.
 fn chunked_response(lines: &[String], chunk_sizes: &[usize]) -> Vec<u8> {
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_watch_decodes_the_same_however_it_is_chunked_and_split() {
-    check((vec(0_u64..3, 1..12), cuts(), cuts()), |(indices, chunk_sizes, split_sizes)| {
+    check((vec(0_u64..3, 1..12), piece_sizes(), piece_sizes()), |(indices, chunk_sizes, split_sizes)| {
         let entry = concat!(
             r#"{"name":"s-1","address":"127.0.0.1:9","zone":"a","type":"m","group":1,"#,
             r#""status":"DRAINING","weight":1.5,"since_ms":7}"#
@@ -59,7 +59,7 @@
 
 #[test]
 fn heartbeats_are_distinguished_from_line_breaks_of_an_indented_list() {
-    check((vec(0_u64..4, 1..10), cuts(), cuts()), |(indices, chunk_sizes, split_sizes)| {
+    check((vec(0_u64..4, 1..10), piece_sizes(), piece_sizes()), |(indices, chunk_sizes, split_sizes)| {
         let list = |index: &u64| {
             let entry = |name: &str| {
                 serde_json::json!({"name": name, "address": "127.0.0.1:9",
@@ -92,7 +92,7 @@
 
 #[test]
 fn random_bytes_do_not_panic_the_watch_decoder() {
-    check((garbage(), cuts()), |(bytes, sizes)| {
+    check((random_bytes(), piece_sizes()), |(bytes, sizes)| {
         let _ = feed(WatchCodec::default(), &bytes, &sizes);
         let response = chunked_response(&[String::from_utf8_lossy(&bytes).into_owned()], &sizes);
         let _ = feed(WatchCodec::default(), &response, &sizes);
@@ -102,7 +102,7 @@
 
 #[test]
 fn random_bytes_do_not_panic_the_datagram_parsers() {
-    let inputs = (any::<bool>(), garbage(), 0_usize..=MAX_CONNECTION_ID_LENGTH);
+    let inputs = (any::<bool>(), random_bytes(), 0_usize..=MAX_CONNECTION_ID_LENGTH);
     check(inputs, |(is_version_1, mut bytes, id_length)| {
         if is_version_1 {
             bytes.splice(0..bytes.len().min(5), [0xc3, 0, 0, 0, 1]);
--- a/tests/random_interleavings/frontend.rs
+++ b/tests/random_interleavings/frontend.rs
@@ -140,12 +140,12 @@
     /// Returns the front end of a connection that the predecessor process has handed off.
     pub fn established(open: Open, server: ServerId, fault: Option<Fault>) -> Self {
         let mut side = ClientSide::default();
-        side.up();
+        side.set_established();
         let connection = ServerConnection {
             attempt: 0,
             server,
             stage: ConnectionStage::Established,
-            side: ServerSide::standing(),
+            side: ServerSide::established(),
             reset_pending: false,
         };
         Self { open, side, connection: Some(connection), finished: false, fault }
@@ -249,7 +249,7 @@
                 let connection = self.connection.as_mut().expect("an accepted connection");
                 connection.stage = ConnectionStage::Established;
                 let is_reset = connection.reset_pending;
-                self.side.up();
+                self.side.set_established();
                 actions.push(FrontendAction::FinalAnswer(ClientAnswer::Served));
                 if self.has_fault(Fault::AnswersServedClient) {
                     actions.push(FrontendAction::FinalAnswer(ClientAnswer::Failed));
@@ -279,7 +279,7 @@
     fn send_first_byte(&mut self, actions: &mut Vec<FrontendAction>) {
         let connection = self.connection.as_mut().expect("an open connection");
         if connection.reset_pending {
-            let outcome = connection.side.end().into();
+            let outcome = connection.side.ending().into();
             return self.handle_connection_end(outcome, actions);
         }
         connection.stage = ConnectionStage::Writing;
@@ -310,7 +310,7 @@
             }
             (ConnectionEvent::Written, ConnectionStage::Writing) => {
                 connection.stage = ConnectionStage::Written;
-                connection.side.written();
+                connection.side.set_request_written();
                 actions.push(FrontendAction::LastByte(attempt));
                 if self.has_fault(Fault::ContinuesEndedAttempt) {
                     self.connection = None;
@@ -323,7 +323,7 @@
                 ConnectionStage::Connecting | ConnectionStage::AwaitingPermission | ConnectionStage::Accepted,
             ) => connection.reset_pending = true,
             (ConnectionEvent::Reset, _) => {
-                let outcome = connection.side.end().into();
+                let outcome = connection.side.ending().into();
                 self.handle_connection_end(outcome, actions);
             }
             (ConnectionEvent::Line(line), ConnectionStage::Written) => match connection.side.line(line) {
@@ -337,7 +337,7 @@
             (ConnectionEvent::Line(line), ConnectionStage::Established) => match connection.side.line(line) {
                 ServerEvent::Load(_, load) => actions.push(FrontendAction::Report(FrontendEvent::Load(load))),
                 ServerEvent::Last(_) => {
-                    let outcome = connection.side.end().into();
+                    let outcome = connection.side.ending().into();
                     self.handle_connection_end(outcome, actions);
                 }
                 _ => actions.push(FrontendAction::Report(FrontendEvent::ServerMessage)),
