--- a/crates/ashtide-bench/src/world.rs
+++ b/crates/ashtide-bench/src/world.rs
@@ -419,7 +419,8 @@
                     self.at(when, Happens::Connected(at, attempt));
                 }
                 PoolCommand::SendRequest { attempt, line, .. } => {
-                    let wait = Open::parse(line).ok().and_then(|open| open.wait).unwrap_or_default();
+                    let wait =
+                        Open::parse(line).ok().and_then(|open| open.client_timeout).unwrap_or_default();
                     self.at(self.now + micros(self.site.way), Happens::Arrives(at, attempt, wait));
                 }
                 PoolCommand::Close { session, attempt } => {
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -457,8 +457,8 @@
         let left = session.deadline.map_or(Duration::MAX, |by| by.duration_since(now));
         let wait = session.request.attempt_timeout.map_or(left, |wait| wait.min(left));
         let name = format!("{:016x}", self.rng.random::<u64>());
-        session.request.parameters.retry = session.attempts > 1;
-        session.request.parameters.again = session.established_before;
+        session.request.parameters.is_retry = session.attempts > 1;
+        session.request.parameters.is_reconnect = session.established_before;
         // A line tells whole milliseconds and one at least.
         if wait < Duration::from_millis(1) {
             session.last_failure = AttemptFailure::NotAttempted;
--- a/crates/ashtide-client/tests/core.rs
+++ b/crates/ashtide-client/tests/core.rs
@@ -134,7 +134,7 @@
                     assert_eq!(text.split(' ').nth(2), Some(&*seen.key), "the same key");
                     assert_eq!(text.contains(",r=1"), seen.tries > 1, "marked as a retry: {text}");
                     assert_eq!(text.contains(",again=1"), seen.stood, "marked as a return: {text}");
-                    let wait = open.wait.unwrap();
+                    let wait = open.client_timeout.unwrap();
                     match seen.by {
                         Some(by) => {
                             assert!(
@@ -380,7 +380,7 @@
     let id = pool.open(at(0), SessionRequest::new("meter", "k", 3200 * MS), &mut out);
     pool.handle(at(900), PoolEvent::Connected(id, Attempt(1)), &mut out);
     let Some(PoolCommand::SendRequest { line, .. }) = out.last() else { panic!("{out:?}") };
-    assert_eq!(Open::parse(line.clone()).unwrap().wait, Some(2300 * MS));
+    assert_eq!(Open::parse(line.clone()).unwrap().client_timeout, Some(2300 * MS));
 }
 
 #[test]
--- a/crates/ashtide-protocol/src/client.rs
+++ b/crates/ashtide-protocol/src/client.rs
@@ -15,9 +15,9 @@
     /// A connection is asked for.
     Open(Box<Open>),
     /// A line for the server.
-    Pass(Bytes),
+    Forward(Bytes),
     /// Not understood: answer [`FAILED`](crate::FAILED) and end.
-    Bad(OpenError),
+    Invalid(OpenError),
 }
 
 /// The client's side of one connection.
@@ -38,17 +38,17 @@
     /// Takes one line in.
     pub fn line(&mut self, line: Bytes) -> ClientEvent {
         if self.up {
-            return ClientEvent::Pass(line);
+            return ClientEvent::Forward(line);
         }
         if self.opened {
             // The client should wait; a few lines are kept for the server, but never a second
             // `OPEN`, and no more than a bounded buffer.
             let (lines, bytes) = (self.early.0 + 1, self.early.1 + line.len());
             if lines > MAX_EARLY.0 || bytes > MAX_EARLY.1 || line.starts_with(b"OPEN") {
-                return ClientEvent::Bad(OpenError::Early);
+                return ClientEvent::Invalid(OpenError::Early);
             }
             self.early = (lines, bytes);
-            return ClientEvent::Pass(line);
+            return ClientEvent::Forward(line);
         }
         if &line[..] == b"PING\r\n" {
             return ClientEvent::Ping;
@@ -58,7 +58,7 @@
                 self.opened = true;
                 ClientEvent::Open(Box::new(open))
             }
-            Err(error) => ClientEvent::Bad(error),
+            Err(error) => ClientEvent::Invalid(error),
         }
     }
 }
--- a/crates/ashtide-protocol/src/open.rs
+++ b/crates/ashtide-protocol/src/open.rs
@@ -50,15 +50,15 @@
     /// `g`: the client, or its group.
     pub group: Option<String>,
     /// `d`: how long the client waits.
-    pub wait: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// `h`: a guess at the load.
-    pub load: Option<f64>,
+    pub expected_load: Option<f64>,
     /// `at`: the server that held the connection before the run.
-    pub at: Option<String>,
+    pub restored_server: Option<String>,
     /// `r=1`: this attempt repeats one that did not come to anything.
-    pub retry: bool,
+    pub is_retry: bool,
     /// `again=1`: the client's connection was moved or broke.
-    pub again: bool,
+    pub is_reconnect: bool,
     /// Where the value of `d` stands in `raw`.
     wait_at: Option<(usize, usize)>,
 }
@@ -125,7 +125,19 @@
             }
             _ => {}
         }
-        Ok(Self { id, class, tenant, group, wait, load, at, retry, again, wait_at, raw })
+        Ok(Self {
+            id,
+            class,
+            tenant,
+            group,
+            client_timeout: wait,
+            expected_load: load,
+            restored_server: at,
+            is_retry: retry,
+            is_reconnect: again,
+            wait_at,
+            raw,
+        })
     }
 
     /// The line as a server gets it: unchanged but for `d`, which tells how long the gateway waits.
@@ -181,11 +193,11 @@
     /// `g`: the client, or its group.
     pub group: Option<String>,
     /// `h`: a guess at the load, as the settings count it.
-    pub load: Option<f64>,
+    pub expected_load: Option<f64>,
     /// `r=1`: this attempt repeats one that did not come to anything.
-    pub retry: bool,
+    pub is_retry: bool,
     /// `again=1`: the client's connection was moved or broke.
-    pub again: bool,
+    pub is_reconnect: bool,
 }
 
 impl OpenParameters {
@@ -199,7 +211,7 @@
         field("class", &self.class, true)?;
         self.tenant.iter().try_for_each(|tenant| field("tenant", tenant, true))?;
         self.group.iter().try_for_each(|group| field("group", group, true))?;
-        match self.load {
+        match self.expected_load {
             Some(load) if !(0.0..=1e12).contains(&load) => Err(OpenParametersError::Character {
                 field: "load",
                 found: if load < 0.0 { '-' } else { '?' },
@@ -228,10 +240,10 @@
         if let Some(group) = &self.group {
             let _ = write!(line, ",g={group}");
         }
-        if let Some(load) = self.load {
+        if let Some(load) = self.expected_load {
             let _ = write!(line, ",h={load}");
         }
-        for (name, on) in [("r", self.retry), ("again", self.again)] {
+        for (name, on) in [("r", self.is_retry), ("again", self.is_reconnect)] {
             if on {
                 let _ = write!(line, ",{name}=1");
             }
--- a/crates/ashtide-protocol/src/server.rs
+++ b/crates/ashtide-protocol/src/server.rs
@@ -27,14 +27,14 @@
     /// The connection stands; the line goes to the client.
     Up(Bytes),
     /// The attempt is over before anything stood.
-    Over(Ending),
+    AttemptEnded(Ending),
     /// A line for the client.
-    Pass(Bytes),
+    Forward(Bytes),
     /// A line for the client that tells the connection's load, in microseconds of work a second, or where
     /// the settings say so the milliseconds that messages take at the server.
     Load(Bytes, f64),
     /// A line for the client after which the server ends the connection.
-    Last(Bytes),
+    FinalLine(Bytes),
 }
 
 /// The server's side of one attempt and of the connection that may come of it.
@@ -66,9 +66,9 @@
                 "MOVE" => self.ends(Ending::Moved, line),
                 "LOAD" => match rest.trim().parse::<f64>() {
                     Ok(load) if load.is_finite() => ServerEvent::Load(line, load),
-                    _ => ServerEvent::Pass(line),
+                    _ => ServerEvent::Forward(line),
                 },
-                _ => ServerEvent::Pass(line),
+                _ => ServerEvent::Forward(line),
             };
         }
         match (word, rest) {
@@ -77,17 +77,17 @@
                 ServerEvent::Up(line)
             }
             ("BUSY", wait) if wait.bytes().all(|byte| byte.is_ascii_digit()) => {
-                ServerEvent::Over(Ending::Busy)
+                ServerEvent::AttemptEnded(Ending::Busy)
             }
-            ("MOVE", "") => ServerEvent::Over(Ending::Moved),
+            ("MOVE", "") => ServerEvent::AttemptEnded(Ending::Moved),
             // A spoilt answer says nothing of what has run, whatever it begins with.
-            _ => ServerEvent::Over(Ending::Failed),
+            _ => ServerEvent::AttemptEnded(Ending::Failed),
         }
     }
 
     fn ends(&mut self, outcome: Ending, line: Bytes) -> ServerEvent {
         self.last = Some(outcome);
-        ServerEvent::Last(line)
+        ServerEvent::FinalLine(line)
     }
 
     /// What it means that the connection ends or breaks here.
--- a/crates/ashtide-protocol/tests/compatibility.rs
+++ b/crates/ashtide-protocol/tests/compatibility.rs
@@ -66,8 +66,8 @@
 }
 
 fn opened(open: &Open) -> String {
-    let wait = open.wait.map_or_else(|| "-".to_owned(), |wait| format!("{} us", wait.as_micros()));
-    let load = open.load.map_or_else(|| "-".to_owned(), |load| format!("{:016x}", load.to_bits()));
+    let wait = open.client_timeout.map_or_else(|| "-".to_owned(), |wait| format!("{} us", wait.as_micros()));
+    let load = open.expected_load.map_or_else(|| "-".to_owned(), |load| format!("{:016x}", load.to_bits()));
     let mut text = format!(
         "raw '{}' id '{}' class '{}' tenant {} group {} wait {wait} load {load} at {} retry {} again {}",
         shown(&open.raw),
@@ -75,9 +75,9 @@
         shown(open.class.as_bytes()),
         optional(open.tenant.as_deref()),
         optional(open.group.as_deref()),
-        optional(open.at.as_deref()),
-        open.retry,
-        open.again
+        optional(open.restored_server.as_deref()),
+        open.is_retry,
+        open.is_reconnect
     );
     for wait in [Duration::ZERO, Duration::from_micros(1_999_999), Duration::from_secs(86_400)] {
         let _ = write!(text, "\n    forwarded '{}'", shown(&open.forward(wait)));
@@ -243,8 +243,8 @@
     match event {
         ClientEvent::Ping => "ping".to_owned(),
         ClientEvent::Open(open) => format!("open '{}' of class '{}'", shown(&open.raw), open.class),
-        ClientEvent::Pass(line) => format!("pass '{}'", shown(line)),
-        ClientEvent::Bad(error) => format!("bad, {}", open_error(*error)),
+        ClientEvent::Forward(line) => format!("pass '{}'", shown(line)),
+        ClientEvent::Invalid(error) => format!("bad, {}", open_error(*error)),
     }
 }
 
@@ -298,10 +298,10 @@
 fn server_event(event: &ServerEvent) -> String {
     match event {
         ServerEvent::Up(line) => format!("up '{}'", shown(line)),
-        ServerEvent::Over(outcome) => format!("over, {}", ending(*outcome)),
-        ServerEvent::Pass(line) => format!("pass '{}'", shown(line)),
+        ServerEvent::AttemptEnded(outcome) => format!("over, {}", ending(*outcome)),
+        ServerEvent::Forward(line) => format!("pass '{}'", shown(line)),
         ServerEvent::Load(line, load) => format!("load {:016x} '{}'", load.to_bits(), shown(line)),
-        ServerEvent::Last(line) => format!("last '{}'", shown(line)),
+        ServerEvent::FinalLine(line) => format!("last '{}'", shown(line)),
     }
 }
 
@@ -497,14 +497,14 @@
     let full = || OpenParameters {
         tenant: Some("north".into()),
         group: Some("meter-77".into()),
-        load: Some(12.5),
-        retry: true,
-        again: true,
+        expected_load: Some(12.5),
+        is_retry: true,
+        is_reconnect: true,
         ..plain()
     };
     let mut all = vec![plain(), full()];
     for load in [0.0, 1e12, 1e13, -1.0, f64::NAN, f64::INFINITY, 0.1, 1e-7] {
-        all.push(OpenParameters { load: Some(load), ..plain() });
+        all.push(OpenParameters { expected_load: Some(load), ..plain() });
     }
     for text in ["", " ", "a b", "a,b", "a=b", "\u{e9}", "\r\n", "~"] {
         all.push(OpenParameters { key: text.into(), ..plain() });
--- a/crates/ashtide-protocol/tests/lines.rs
+++ b/crates/ashtide-protocol/tests/lines.rs
@@ -57,7 +57,7 @@
             format!("OPEN 9b1f {name} {pairs}\r\n")
         };
         let open = Open::parse(Bytes::from(line(d.to_string()))).unwrap();
-        prop_assert_eq!(open.wait, Some(Duration::from_millis(u64::from(d))));
+        prop_assert_eq!(open.client_timeout, Some(Duration::from_millis(u64::from(d))));
         prop_assert_eq!(
             open.forward(Duration::from_millis(u64::from(wait))),
             Bytes::from(line(wait.to_string()))
@@ -94,9 +94,9 @@
         let mut kept = (0, 0);
         for size in sizes {
             match side.line(Bytes::from(vec![b'x'; size])) {
-                ClientEvent::Pass(line) => kept = (kept.0 + 1, kept.1 + line.len()),
+                ClientEvent::Forward(line) => kept = (kept.0 + 1, kept.1 + line.len()),
                 other => {
-                    prop_assert_eq!(other, ClientEvent::Bad(OpenError::Early));
+                    prop_assert_eq!(other, ClientEvent::Invalid(OpenError::Early));
                     prop_assert!(kept.0 == 8 || kept.1 + size > MAX_LINE);
                 }
             }
@@ -104,10 +104,10 @@
         prop_assert!(kept.0 <= 8 && kept.1 <= MAX_LINE);
         let line = Bytes::from("OPEN 2 2 c=a,d=9\r\n");
         if again {
-            prop_assert_eq!(side.line(line), ClientEvent::Bad(OpenError::Early));
+            prop_assert_eq!(side.line(line), ClientEvent::Invalid(OpenError::Early));
         } else {
             side.set_established();
-            prop_assert_eq!(side.line(line.clone()), ClientEvent::Pass(line));
+            prop_assert_eq!(side.line(line.clone()), ClientEvent::Forward(line));
         }
         Ok(())
     });
@@ -119,14 +119,25 @@
     let maybe = || prop::option::of(name);
     check((name, name, maybe(), maybe(), 1_u64..600_000, any::<(bool, bool)>()), |all| {
         let (key, class, tenant, group, ms, (retry, again)) = all;
-        let asking = OpenParameters { key, class, tenant, group, load: Some(0.25), retry, again };
+        let asking = OpenParameters {
+            key,
+            class,
+            tenant,
+            group,
+            expected_load: Some(0.25),
+            is_retry: retry,
+            is_reconnect: again,
+        };
         let line = asking.line("77", Duration::from_millis(ms)).unwrap();
         let open = Open::parse(line.clone()).unwrap();
         prop_assert_eq!(
             (&open.class, &open.tenant, &open.group),
             (&asking.class, &asking.tenant, &asking.group)
         );
-        prop_assert_eq!((open.wait, open.load), (Some(Duration::from_millis(ms)), Some(0.25)));
+        prop_assert_eq!(
+            (open.client_timeout, open.expected_load),
+            (Some(Duration::from_millis(ms)), Some(0.25))
+        );
         let said = String::from_utf8(line.to_vec()).unwrap();
         prop_assert_eq!((said.contains(",r=1"), said.contains(",again=1")), (retry, again));
         Ok(())
@@ -147,7 +158,7 @@
     let long = error(OpenParameters { class: "c".repeat(127), ..good() });
     assert_eq!(long, OpenParametersError::TooLong { field: "class", length: 129 });
     assert!(matches!(
-        error(OpenParameters { load: Some(f64::NAN), ..good() }),
+        error(OpenParameters { expected_load: Some(f64::NAN), ..good() }),
         OpenParametersError::Character { .. }
     ));
 }
--- a/src/net/session/admission.rs
+++ b/src/net/session/admission.rs
@@ -99,7 +99,7 @@
     fn check_admission(&self, open: Box<Open>) -> Result<Admission, Rejection> {
         let invalid =
             |error| Rejection { counter: Counter::Failed, answer: self.answer_client_error(&error) };
-        if open.at.is_some() && self.pending_clients.restore_phase_is_over() {
+        if open.restored_server.is_some() && self.pending_clients.restore_phase_is_over() {
             return Err(invalid(ClientError::RestoreAfterStart));
         }
         let Some(id_claim) = self.open_ids.claim(&open.id) else {
@@ -117,9 +117,9 @@
         let Admission { open, permit, id_claim } = admission;
         let id = self.event_loop.next_request_id();
         let (sender, commands) = mpsc::channel(SESSION_COMMAND_QUEUE);
-        let client_timeout = to_span(open.wait.unwrap_or(RESTORE_TIMEOUT));
+        let client_timeout = to_span(open.client_timeout.unwrap_or(RESTORE_TIMEOUT));
         let request = ConnectionRequest { client_timeout, ..connection_request(&open) };
-        let event = match &open.at {
+        let event = match &open.restored_server {
             Some(server) => {
                 SessionEvent::RestoreRequested { id, request, server: server.clone(), commands: sender }
             }
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -92,7 +92,7 @@
                         Err(AttemptEnd::Cancelled) => continue,
                         Err(AttemptEnd::Failed(outcome)) => {
                             self.send(SessionEvent::AttemptEnded { id: self.id, attempt, outcome }).await;
-                            if self.open.at.is_some() {
+                            if self.open.restored_server.is_some() {
                                 return self.answer(FinalAnswer::Failed).await;
                             }
                             continue;
@@ -177,7 +177,7 @@
         timeout: Duration,
     ) -> Result<EstablishedServer, AttemptEnd> {
         // If the attempt is cancelled, its socket is dropped on return, and so closed before any later step.
-        let server = match self.open.at {
+        let server = match self.open.restored_server {
             Some(_) => self.restore(attempt, address, timeout).await?,
             None => self.attempt(attempt, address, timeout).await?,
         };
@@ -296,7 +296,7 @@
 
     /// Relays an established connection. A new connection, unlike a restored one, ends the restore phase.
     async fn establish(self, attempt: u32, server: EstablishedServer) {
-        if self.open.at.is_none() {
+        if self.open.restored_server.is_none() {
             self.frontend.pending_clients.end_restore_phase();
         }
         self.relay(attempt, server, false).await;
@@ -311,8 +311,8 @@
 async fn watch_client(lines: &mut Lines, side: &mut ClientSide) -> ClientActivity {
     match lines.next().await {
         Some(Ok(line)) => match side.line(line) {
-            ClientEvent::Pass(line) => ClientActivity::Line(line),
-            ClientEvent::Bad(error) => ClientActivity::Ended(ClientEnd::Invalid(error.into())),
+            ClientEvent::Forward(line) => ClientActivity::Line(line),
+            ClientEvent::Invalid(error) => ClientActivity::Ended(ClientEnd::Invalid(error.into())),
             // The protocol state machine reports neither after an `OPEN`.
             ClientEvent::Ping | ClientEvent::Open(_) => ClientActivity::Ended(ClientEnd::Left),
         },
@@ -355,8 +355,8 @@
             ServerEvent::Up(accept_line) => {
                 return Ok(EstablishedServer { connection: server, side, accept_line });
             }
-            ServerEvent::Over(ending) => ending.into(),
-            ServerEvent::Pass(_) | ServerEvent::Load(..) | ServerEvent::Last(_) => Outcome::Failed,
+            ServerEvent::AttemptEnded(ending) => ending.into(),
+            ServerEvent::Forward(_) | ServerEvent::Load(..) | ServerEvent::FinalLine(_) => Outcome::Failed,
         },
         Some(Err(_)) | None => side.ending().into(),
     };
--- a/src/net/session/first_line.rs
+++ b/src/net/session/first_line.rs
@@ -81,8 +81,8 @@
                 }
             }
             ClientEvent::Open(open) => return FirstLine::Open(open),
-            ClientEvent::Pass(_) => return FirstLine::Closed,
-            ClientEvent::Bad(error) => return FirstLine::Invalid(error.into()),
+            ClientEvent::Forward(_) => return FirstLine::Closed,
+            ClientEvent::Invalid(error) => return FirstLine::Invalid(error.into()),
         }
     }
 }
--- a/src/net/session/frontend.rs
+++ b/src/net/session/frontend.rs
@@ -71,9 +71,9 @@
         class: open.class.clone(),
         tenant: open.tenant.clone(),
         group: open.group.clone(),
-        expected_load: open.load,
-        is_retry: open.retry,
-        is_reconnect: open.again,
+        expected_load: open.expected_load,
+        is_retry: open.is_retry,
+        is_reconnect: open.is_reconnect,
         ..ConnectionRequest::default()
     }
 }
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -158,15 +158,15 @@
                 state.to_client = line;
                 self.send(SessionEvent::LoadReported { id: self.id, load }).await;
             }
-            ServerEvent::Last(line) => {
+            ServerEvent::FinalLine(line) => {
                 state.to_client = line;
                 state.server_finished = true;
             }
-            ServerEvent::Pass(line) | ServerEvent::Up(line) => {
+            ServerEvent::Forward(line) | ServerEvent::Up(line) => {
                 state.to_client = line;
                 self.send(SessionEvent::ServerResponded { id: self.id }).await;
             }
-            ServerEvent::Over(_) => {}
+            ServerEvent::AttemptEnded(_) => {}
         }
         None
     }
--- a/tests/random_interleavings/frontend.rs
+++ b/tests/random_interleavings/frontend.rs
@@ -153,7 +153,7 @@
 
     /// Returns the time that the client waits for its answer, or zero if its line gives none.
     pub fn client_timeout(&self) -> Duration {
-        self.open.wait.unwrap_or_default()
+        self.open.client_timeout.unwrap_or_default()
     }
 
     pub fn is_finished(&self) -> bool {
@@ -331,12 +331,12 @@
                     connection.stage = ConnectionStage::Accepted;
                     actions.push(FrontendAction::Report(FrontendEvent::Accepted(attempt)));
                 }
-                ServerEvent::Over(ending) => self.handle_connection_end(ending.into(), actions),
+                ServerEvent::AttemptEnded(ending) => self.handle_connection_end(ending.into(), actions),
                 _ => self.handle_connection_end(Outcome::Failed, actions),
             },
             (ConnectionEvent::Line(line), ConnectionStage::Established) => match connection.side.line(line) {
                 ServerEvent::Load(_, load) => actions.push(FrontendAction::Report(FrontendEvent::Load(load))),
-                ServerEvent::Last(_) => {
+                ServerEvent::FinalLine(_) => {
                     let outcome = connection.side.ending().into();
                     self.handle_connection_end(outcome, actions);
                 }
@@ -352,13 +352,13 @@
             return;
         }
         match self.side.line(line) {
-            ClientEvent::Pass(_) if self.is_established() => {
+            ClientEvent::Forward(_) if self.is_established() => {
                 actions.push(FrontendAction::Report(FrontendEvent::ClientMessage))
             }
-            ClientEvent::Pass(_) => {}
+            ClientEvent::Forward(_) => {}
             // A further `OPEN`, a ping or a malformed line before the answer ends the session: the request
             // fails.
-            ClientEvent::Bad(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
+            ClientEvent::Invalid(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
                 self.close_connection(None, actions);
                 actions.extend([
                     FrontendAction::Report(FrontendEvent::ClientLeft),
--- a/tests/random_interleavings/simulation/processes.rs
+++ b/tests/random_interleavings/simulation/processes.rs
@@ -254,7 +254,7 @@
         let group = open.group.as_ref().map(|name| GroupId(name.len() as u32));
         let tenant = open.tenant.as_ref().map(|_| TenantId(0));
         let time_left = Span::from_micros(client.frontend.client_timeout().as_micros() as i64);
-        Some(Request { id, class: ClassId(class as u32), tenant, group, time_left, load: open.load })
+        Some(Request { id, class: ClassId(class as u32), tenant, group, time_left, load: open.expected_load })
     }
 
     /// Records the number of connections at which a server is full, when the process first uses its decision
