--- a/crates/ashtide-protocol/src/client.rs
+++ b/crates/ashtide-protocol/src/client.rs
@@ -1,54 +1,53 @@
-//! What a client says, as a gateway reads it.
+//! Lines of a client, as a gateway reads them.
 
 use bytes::Bytes;
 
 use crate::{MAX_LINE, Open, OpenError};
 
-/// Most lines, and bytes of them, that a client may send before its connection stands.
-const MAX_EARLY: (usize, usize) = (8, MAX_LINE);
+/// Maximum number of lines that a client may send between its `OPEN` line and the answer.
+const MAX_EARLY_LINES: usize = 8;
+/// Maximum number of bytes in these lines.
+const MAX_EARLY_BYTES: usize = MAX_LINE;
 
-/// What a client's line asks of the gateway.
+/// The meaning of a client's line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientEvent {
-    /// The front asks whether this gateway is there: answer [`PONG`](crate::PONG).
+    /// A health check; the gateway answers [`PONG`](crate::PONG).
     Ping,
-    /// A connection is asked for.
+    /// A request for a connection.
     Open(Box<Open>),
-    /// A line for the server.
+    /// A line to be forwarded to the server.
     Forward(Bytes),
-    /// Not understood: answer [`FAILED`](crate::FAILED) and end.
+    /// An invalid line; the gateway answers [`FAILED`](crate::FAILED) and closes the connection.
     Invalid(OpenError),
 }
 
-/// The client's side of one connection.
+/// Protocol state of a client's connection to the gateway.
 #[derive(Debug, Default)]
 pub struct ClientSide {
+    /// Whether a valid `OPEN` line has been received.
     opened: bool,
-    up: bool,
-    /// Lines, and their bytes, that came between `OPEN` and the answer.
-    early: (usize, usize),
+    /// Whether the connection to a server is established.
+    established: bool,
+    /// Number of lines received between the `OPEN` line and the answer.
+    early_lines: usize,
+    /// Number of bytes in these lines.
+    early_bytes: usize,
 }
 
 impl ClientSide {
-    /// The connection stands: what the client says is the server's from now on.
+    /// Marks the connection as established: all further lines are forwarded to the server.
     pub fn set_established(&mut self) {
-        self.up = true;
+        self.established = true;
     }
 
-    /// Takes one line in.
+    /// Processes one line that the client has sent.
     pub fn line(&mut self, line: Bytes) -> ClientEvent {
-        if self.up {
+        if self.established {
             return ClientEvent::Forward(line);
         }
         if self.opened {
-            // The client should wait; a few lines are kept for the server, but never a second
-            // `OPEN`, and no more than a bounded buffer.
-            let (lines, bytes) = (self.early.0 + 1, self.early.1 + line.len());
-            if lines > MAX_EARLY.0 || bytes > MAX_EARLY.1 || line.starts_with(b"OPEN") {
-                return ClientEvent::Invalid(OpenError::Early);
-            }
-            self.early = (lines, bytes);
-            return ClientEvent::Forward(line);
+            return self.early_line(line);
         }
         if &line[..] == b"PING\r\n" {
             return ClientEvent::Ping;
@@ -61,4 +60,16 @@
             Err(error) => ClientEvent::Invalid(error),
         }
     }
+
+    /// Processes a line between `OPEN` and the answer. A client should wait for the answer, but a few lines
+    /// are buffered for the server. A second `OPEN` is invalid, and so are lines that exceed the bounds of
+    /// the buffer.
+    fn early_line(&mut self, line: Bytes) -> ClientEvent {
+        let (lines, bytes) = (self.early_lines + 1, self.early_bytes + line.len());
+        if lines > MAX_EARLY_LINES || bytes > MAX_EARLY_BYTES || line.starts_with(b"OPEN") {
+            return ClientEvent::Invalid(OpenError::Early);
+        }
+        (self.early_lines, self.early_bytes) = (lines, bytes);
+        ClientEvent::Forward(line)
+    }
 }
--- a/crates/ashtide-protocol/src/codec.rs
+++ b/crates/ashtide-protocol/src/codec.rs
@@ -1,29 +1,29 @@
-//! Cuts a stream of bytes into lines.
+//! Codec that splits a byte stream into lines.
 
 use std::io;
 
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// Longest line, its CRLF included.
+/// Maximum length of a line in bytes, including its CRLF.
 pub const MAX_LINE: usize = 4096;
 
-/// Why a stream cannot be read on.
+/// An error after which no further line can be read from a stream.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// More than [`MAX_LINE`] bytes without an end of line.
+    /// A line that does not end within [`MAX_LINE`] bytes.
     #[error("line of over {MAX_LINE} bytes")]
     TooLong,
-    /// The socket failed.
+    /// An error of the socket.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Cuts a stream into lines. Items are whole lines with their CRLF, so that they pass on unchanged.
+/// Decoder that yields complete lines. Each line includes its CRLF, so that it can be forwarded unchanged.
 #[derive(Debug, Default)]
 pub struct LineCodec {
-    /// How much of the buffer has been searched.
-    seen: usize,
+    /// Number of bytes at the start of the buffer that have been searched for a CRLF.
+    searched: usize,
 }
 
 impl Decoder for LineCodec {
@@ -31,9 +31,11 @@
     type Error = LineError;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, LineError> {
-        let from = self.seen.min(buffer.len()).saturating_sub(1);
-        let end = buffer[from..].windows(2).position(|pair| pair == b"\r\n").map(|at| from + at + 2);
-        self.seen = if end.is_some() { 0 } else { buffer.len() };
+        // The last byte that was searched may be the CR of a CRLF.
+        let start = self.searched.min(buffer.len()).saturating_sub(1);
+        let end =
+            buffer[start..].windows(2).position(|pair| pair == b"\r\n").map(|offset| start + offset + 2);
+        self.searched = if end.is_some() { 0 } else { buffer.len() };
         match end {
             Some(end) if end <= MAX_LINE => Ok(Some(buffer.split_to(end).freeze())),
             None if buffer.len() < MAX_LINE => Ok(None),
@@ -41,7 +43,7 @@
         }
     }
 
-    /// What is left without an end of line is no line: it goes nowhere.
+    /// Decodes the remaining lines. Bytes after the last CRLF are not a line, and are left in the buffer.
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, LineError> {
         self.decode(buffer)
     }
--- a/crates/ashtide-protocol/src/lib.rs
+++ b/crates/ashtide-protocol/src/lib.rs
@@ -1,21 +1,26 @@
-//! The platform's protocol: lines of text over TCP between clients, gateways and reading servers.
+//! The platform's line protocol: lines of text over TCP between clients, gateways and servers.
 //!
-//! All of it is fed bytes or lines and knows no socket and no clock. [`LineCodec`] cuts a stream. The
-//! gateway reads clients with [`ClientSide`] and servers with [`ServerSide`]; a client asks with
-//! [`OpenParameters`] and reads what comes back with [`GatewaySide`].
+//! The parsers and state machines of this crate take bytes or lines and use neither sockets nor clocks.
+//! [`LineCodec`] splits a byte stream into lines. A gateway reads the lines of clients with [`ClientSide`]
+//! and those of servers with [`ServerSide`]. A client writes its request with [`OpenParameters`] and reads
+//! the gateway's lines with [`GatewaySide`].
 //!
 //! ```
 //! use std::time::Duration;
-//! use ashtide_protocol::{OpenParameters, GatewayEvent, GatewaySide};
+//! use ashtide_protocol::{GatewayEvent, GatewaySide, OpenParameters};
 //!
-//! let asking = OpenParameters { class: "resident-reading".into(), key: "meter-77".into(), ..OpenParameters::default() };
-//! let line = asking.line("9b1f03aa5c7e2d41", Duration::from_millis(2000)).unwrap();
+//! let parameters = OpenParameters {
+//!     class: "resident-reading".into(),
+//!     key: "meter-77".into(),
+//!     ..OpenParameters::default()
+//! };
+//! let line = parameters.line("9b1f03aa5c7e2d41", Duration::from_millis(2000)).unwrap();
 //! assert_eq!(&line[..], b"OPEN 9b1f03aa5c7e2d41 meter-77 c=resident-reading,d=2000\r\n");
 //!
 //! let mut gateway = GatewaySide::default();
 //! gateway.set_request_started();
-//! let refused = gateway.line("BUSY 400\r\n".into()).unwrap();
-//! assert_eq!(refused, GatewayEvent::Busy(Some(Duration::from_millis(400))));
+//! let rejection = gateway.line("BUSY 400\r\n".into()).unwrap();
+//! assert_eq!(rejection, GatewayEvent::Busy(Some(Duration::from_millis(400))));
 //! ```
 
 mod client;
@@ -34,22 +39,23 @@
 
 use bytes::Bytes;
 
-/// What a gateway answers to `PING`.
+/// A gateway's answer to `PING`.
 pub const PONG: &[u8] = b"PONG\r\n";
-/// A failed final answer.
+/// A gateway's final answer to a request that failed.
 pub const FAILED: &[u8] = b"ERR\r\n";
-/// Sends a client away politely.
+/// A gateway's request to a client to reconnect elsewhere, after which the connection is closed.
 pub const MOVE: &[u8] = b"MOVE\r\n";
 
-/// A refusal, with the wait in whole milliseconds where one is advised.
-pub fn busy(wait: Duration) -> Bytes {
-    match wait.as_millis() {
+/// Returns the line that rejects a request. `retry_after` is rounded down to whole milliseconds; if that is
+/// zero, the line advises no wait.
+pub fn busy(retry_after: Duration) -> Bytes {
+    match retry_after.as_millis() {
         0 => Bytes::from_static(b"BUSY\r\n"),
         ms => format!("BUSY {ms}\r\n").into(),
     }
 }
 
-/// The text of a line without its CRLF, where it is UTF-8.
+/// Returns the text of a line without its CRLF, or `None` if it is not UTF-8.
 pub(crate) fn text(line: &[u8]) -> Option<&str> {
     std::str::from_utf8(line.strip_suffix(b"\r\n").unwrap_or(line)).ok()
 }
--- a/crates/ashtide-protocol/src/server.rs
+++ b/crates/ashtide-protocol/src/server.rs
@@ -1,69 +1,75 @@
-//! What a reading server says, as a gateway reads it, and what an ending means.
+//! Lines of a server, as a gateway reads them, and the outcome that an end of the connection indicates.
 
 use bytes::Bytes;
 
 use crate::text;
 
-/// How an attempt, or the connection that came of it, ended.
+/// How an attempt, or the connection that it established, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Served to its end.
+    /// The server has served the connection to its end.
     Served,
-    /// The server sent the client away.
+    /// The server sent `MOVE`: the client is to reconnect.
     Moved,
-    /// Turned away unseen.
+    /// The server rejected the request without executing it.
     Busy,
-    /// An error; it may have run.
+    /// The server returned an error; the request may have been executed.
     Failed,
-    /// The request never reached the server whole.
+    /// The request was not written completely, so the server cannot have executed it.
     Unreached,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
 }
 
-/// What a server's line means.
+/// The meaning of a server's line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServerEvent {
-    /// The connection stands; the line goes to the client.
+    /// The connection is established; the line is forwarded to the client.
     Up(Bytes),
-    /// The attempt is over before anything stood.
+    /// The attempt ended without an established connection.
     AttemptEnded(Ending),
-    /// A line for the client.
+    /// A line to be forwarded to the client.
     Forward(Bytes),
-    /// A line for the client that tells the connection's load, in microseconds of work a second, or where
-    /// the settings say so the milliseconds that messages take at the server.
+    /// A load report, whose line is forwarded to the client. The number is the connection's load in
+    /// microseconds of work a second or, if the settings say so, the time in milliseconds that messages take
+    /// at the server.
     Load(Bytes, f64),
-    /// A line for the client after which the server ends the connection.
+    /// A line to be forwarded to the client, after which the server closes the connection.
     FinalLine(Bytes),
 }
 
-/// The server's side of one attempt and of the connection that may come of it.
+/// Protocol state of an attempt at a server, and of the connection that it establishes.
 #[derive(Debug, Default)]
 pub struct ServerSide {
-    written: bool,
-    up: bool,
-    last: Option<Ending>,
+    /// Whether the first line has been written completely.
+    request_written: bool,
+    /// Whether the connection is established.
+    established: bool,
+    /// The ending that the server's last line has announced, if any.
+    announced_ending: Option<Ending>,
 }
 
 impl ServerSide {
-    /// The side of a connection that stood before, as one taken over from another process.
+    /// Returns the state of a connection that is established already, such as one adopted from another
+    /// process.
     pub fn established() -> Self {
-        Self { written: true, up: true, last: None }
+        Self { request_written: true, established: true, announced_ending: None }
     }
 
-    /// The first line's last byte has been written: from here on it may have run.
+    /// Marks the first line as written to its last byte: from now on, the server may have executed the
+    /// request.
     pub fn set_request_written(&mut self) {
-        self.written = true;
+        self.request_written = true;
     }
 
-    /// Takes one line in.
+    /// Processes one line that the server has sent.
     pub fn line(&mut self, line: Bytes) -> ServerEvent {
-        let words = text(&line).unwrap_or("");
-        let (word, rest) = words.split_once(' ').unwrap_or((words, ""));
-        if self.up {
-            return match word {
-                "BYE" => self.ends(Ending::Served, line),
-                "MOVE" => self.ends(Ending::Moved, line),
+        let line_text = text(&line).unwrap_or("");
+        let (keyword, rest) = line_text.split_once(' ').unwrap_or((line_text, ""));
+        if self.established {
+            return match keyword {
+                "BYE" => self.final_line(Ending::Served, line),
+                "MOVE" => self.final_line(Ending::Moved, line),
                 "LOAD" => match rest.trim().parse::<f64>() {
                     Ok(load) if load.is_finite() => ServerEvent::Load(line, load),
                     _ => ServerEvent::Forward(line),
@@ -71,36 +77,38 @@
                 _ => ServerEvent::Forward(line),
             };
         }
-        match (word, rest) {
+        match (keyword, rest) {
             ("UP", receipt) if is_receipt(receipt) => {
-                self.up = true;
+                self.established = true;
                 ServerEvent::Up(line)
             }
             ("BUSY", wait) if wait.bytes().all(|byte| byte.is_ascii_digit()) => {
                 ServerEvent::AttemptEnded(Ending::Busy)
             }
             ("MOVE", "") => ServerEvent::AttemptEnded(Ending::Moved),
-            // A spoilt answer says nothing of what has run, whatever it begins with.
+            // A malformed answer does not show whether the request was executed, even if its keyword is
+            // known.
             _ => ServerEvent::AttemptEnded(Ending::Failed),
         }
     }
 
-    fn ends(&mut self, outcome: Ending, line: Bytes) -> ServerEvent {
-        self.last = Some(outcome);
+    fn final_line(&mut self, ending: Ending, line: Bytes) -> ServerEvent {
+        self.announced_ending = Some(ending);
         ServerEvent::FinalLine(line)
     }
 
-    /// What it means that the connection ends or breaks here.
+    /// Returns the ending that results if the connection is closed or breaks in the current state.
     pub fn ending(&self) -> Ending {
-        match self.last {
-            Some(outcome) => outcome,
-            None if self.written => Ending::Reset,
+        match self.announced_ending {
+            Some(ending) => ending,
+            None if self.request_written => Ending::Reset,
             None => Ending::Unreached,
         }
     }
 }
 
-/// Whether this can be what a server gives with `UP`: printable, and not two lines in one.
+/// Checks whether a text is a valid receipt of an `UP` line: not blank, and printable ASCII only. A receipt
+/// with a line break would be two lines to some readers.
 fn is_receipt(text: &str) -> bool {
     !text.trim().is_empty() && text.bytes().all(|byte| (b' '..=b'~').contains(&byte))
 }
--- a/crates/ashtide-protocol/tests/compatibility.rs
+++ b/crates/ashtide-protocol/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Guards the line protocol byte for byte: what is parsed from each line, what is written, and the texts of all
-//! errors, against fixtures that were recorded once and never change.
+//! Compatibility of the line protocol, byte for byte: the values parsed from each line, the lines written,
+//! and the texts of all errors are compared with recorded fixtures, which never change.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -12,48 +12,50 @@
 use bytes::{Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// Compares with a fixture. What was found instead is left beside the build's temporary files.
+/// Compares a text with a fixture. If they differ, writes the text to the build's folder for temporary files
+/// and panics with the first line that differs.
 fn assert_fixture(name: &str, found: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility").join(name);
     let expected = std::fs::read_to_string(&path).unwrap_or_default();
     if expected == found {
         return;
     }
-    let kept = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&kept, found).expect("the build's folder");
-    let line = expected.lines().zip(found.lines()).position(|(expected, found)| expected != found);
-    let line = line.unwrap_or_else(|| expected.lines().count().min(found.lines().count()));
+    let found_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&found_file, found).expect("write to the build's temporary folder");
+    let difference = expected.lines().zip(found.lines()).position(|(expected, found)| expected != found);
+    let difference = difference.unwrap_or_else(|| expected.lines().count().min(found.lines().count()));
     panic!(
-        "{name}, line {}:\nexpected: {:?}\nfound:    {:?}\nall that was found: {}",
-        line + 1,
-        expected.lines().nth(line),
-        found.lines().nth(line),
-        kept.display()
+        "{name}, line {}:\nexpected: {:?}\nfound:    {:?}\nentire text found: {}",
+        difference + 1,
+        expected.lines().nth(difference),
+        found.lines().nth(difference),
+        found_file.display()
     );
 }
 
-/// Bytes as printable text; long runs of one byte are shortened without loss.
-fn shown(bytes: &[u8]) -> String {
+/// Returns bytes as printable text. Runs of more than 16 equal bytes are written as the byte and their
+/// number.
+fn printable(bytes: &[u8]) -> String {
     let mut text = String::new();
     let mut rest = bytes;
     while let Some(&first) = rest.first() {
         let run = rest.iter().take_while(|&&byte| byte == first).count();
-        let shown = [first].escape_ascii().to_string();
+        let escaped = [first].escape_ascii().to_string();
         if run > 16 {
-            let _ = write!(text, "<{shown} {run} times>");
+            let _ = write!(text, "<{escaped} {run} times>");
         } else {
-            text += &shown.repeat(run);
+            text += &escaped.repeat(run);
         }
         rest = &rest[run..];
     }
     text
 }
 
-fn optional(text: Option<&str>) -> String {
-    text.map_or_else(|| "-".to_owned(), |text| format!("'{}'", shown(text.as_bytes())))
+fn format_optional(text: Option<&str>) -> String {
+    text.map_or_else(|| "-".to_owned(), |text| format!("'{}'", printable(text.as_bytes())))
 }
 
-fn open_error(error: OpenError) -> String {
+fn format_open_error(error: OpenError) -> String {
     let kind = match error {
         OpenError::Form => "form",
         OpenError::Value(_) => "value",
@@ -65,27 +67,28 @@
     format!("{kind}: {error}")
 }
 
-fn opened(open: &Open) -> String {
-    let wait = open.client_timeout.map_or_else(|| "-".to_owned(), |wait| format!("{} us", wait.as_micros()));
+fn format_open(open: &Open) -> String {
+    let timeout =
+        open.client_timeout.map_or_else(|| "-".to_owned(), |timeout| format!("{} us", timeout.as_micros()));
     let load = open.expected_load.map_or_else(|| "-".to_owned(), |load| format!("{:016x}", load.to_bits()));
     let mut text = format!(
-        "raw '{}' id '{}' class '{}' tenant {} group {} wait {wait} load {load} at {} retry {} again {}",
-        shown(&open.raw),
-        shown(&open.id),
-        shown(open.class.as_bytes()),
-        optional(open.tenant.as_deref()),
-        optional(open.group.as_deref()),
-        optional(open.restored_server.as_deref()),
+        "raw '{}' id '{}' class '{}' tenant {} group {} wait {timeout} load {load} at {} retry {} again {}",
+        printable(&open.raw),
+        printable(&open.id),
+        printable(open.class.as_bytes()),
+        format_optional(open.tenant.as_deref()),
+        format_optional(open.group.as_deref()),
+        format_optional(open.restored_server.as_deref()),
         open.is_retry,
         open.is_reconnect
     );
-    for wait in [Duration::ZERO, Duration::from_micros(1_999_999), Duration::from_secs(86_400)] {
-        let _ = write!(text, "\n    forwarded '{}'", shown(&open.forward(wait)));
+    for timeout in [Duration::ZERO, Duration::from_micros(1_999_999), Duration::from_secs(86_400)] {
+        let _ = write!(text, "\n    forwarded '{}'", printable(&open.forward(timeout)));
     }
     text
 }
 
-/// First lines, good and bad.
+/// Returns valid and invalid first lines of a client, without their CRLF.
 fn first_lines() -> Vec<Vec<u8>> {
     let mut lines: Vec<Vec<u8>> = [
         "OPEN 1 2 c=meter,d=3000",
@@ -184,10 +187,12 @@
     lines
 }
 
-/// A small generator of its own, so that no release of another crate changes the cases.
-struct Cases(u64);
+/// Generator of pseudo-random cases (xorshift), independent of other crates so that none of their releases
+/// changes the cases.
+struct CaseGenerator(u64);
 
-impl Cases {
+impl CaseGenerator {
+    /// Returns a number below `limit`.
     fn next(&mut self, limit: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -195,8 +200,8 @@
         (self.0 % limit as u64) as usize
     }
 
-    fn pick<'a>(&mut self, all: &[&'a str]) -> &'a str {
-        all[self.next(all.len())]
+    fn pick<'a>(&mut self, choices: &[&'a str]) -> &'a str {
+        choices[self.next(choices.len())]
     }
 
     fn open_line(&mut self) -> Vec<u8> {
@@ -220,8 +225,8 @@
 
 #[test]
 fn first_lines_are_parsed_as_recorded() {
-    let mut cases = Cases(0x5eed);
-    let generated = (0..600).map(|_| cases.open_line());
+    let mut generator = CaseGenerator(0x5eed);
+    let generated = (0..600).map(|_| generator.open_line());
     let mut found = String::new();
     for mut line in first_lines().into_iter().chain(generated) {
         for end in ["\r\n", ""] {
@@ -229,30 +234,32 @@
             line.extend_from_slice(end.as_bytes());
             let parsed = Open::parse(Bytes::copy_from_slice(&line));
             let outcome = match &parsed {
-                Ok(open) => opened(open),
-                Err(error) => open_error(*error),
+                Ok(open) => format_open(open),
+                Err(error) => format_open_error(*error),
             };
-            let _ = writeln!(found, "'{}' => {outcome}", shown(&line));
+            let _ = writeln!(found, "'{}' => {outcome}", printable(&line));
             line.truncate(length);
         }
     }
     assert_fixture("first_lines.txt", &found);
 }
 
-fn client_event(event: &ClientEvent) -> String {
+fn format_client_event(event: &ClientEvent) -> String {
     match event {
         ClientEvent::Ping => "ping".to_owned(),
-        ClientEvent::Open(open) => format!("open '{}' of class '{}'", shown(&open.raw), open.class),
-        ClientEvent::Forward(line) => format!("pass '{}'", shown(line)),
-        ClientEvent::Invalid(error) => format!("bad, {}", open_error(*error)),
+        ClientEvent::Open(open) => format!("open '{}' of class '{}'", printable(&open.raw), open.class),
+        ClientEvent::Forward(line) => format!("pass '{}'", printable(line)),
+        ClientEvent::Invalid(error) => format!("bad, {}", format_open_error(*error)),
     }
 }
 
 #[test]
-fn clients_are_read_as_recorded() {
+fn client_lines_are_interpreted_as_recorded() {
     const OPEN: &str = "OPEN 1 2 c=meter,d=3000\r\n";
-    let long = format!("{}\r\n", "x".repeat(2046));
-    let rest = format!("{}\r\n", "x".repeat(2047));
+    // Two lines of half the maximum length fill the buffer for early lines exactly; one byte more exceeds it.
+    let half = format!("{}\r\n", "x".repeat(2046));
+    let over_half = format!("{}\r\n", "x".repeat(2047));
+    // `^` is no line: it marks the connection as established.
     let sequences: [&[&str]; 12] = [
         &["PING\r\n", "PING\r\n", OPEN, "PING\r\n", "a\r\n"],
         &["PING \r\n", OPEN],
@@ -261,8 +268,8 @@
         &[OPEN, "OPENING\r\n"],
         &[OPEN, "OPE\r\n", "\r\n"],
         &[OPEN, "1\r\n", "2\r\n", "3\r\n", "4\r\n", "5\r\n", "6\r\n", "7\r\n", "8\r\n", "9\r\n"],
-        &[OPEN, &long, &long, "\r\n"],
-        &[OPEN, &long, &rest],
+        &[OPEN, &half, &half, "\r\n"],
+        &[OPEN, &half, &over_half],
         &[OPEN, "a\r\n", "^", OPEN, "PING\r\n", "^", "b\r\n"],
         &["^", "PING\r\n", OPEN],
         &["a\r\n", OPEN, "b\r\n"],
@@ -278,13 +285,13 @@
                 continue;
             }
             let event = side.line(Bytes::copy_from_slice(line.as_bytes()));
-            let _ = writeln!(found, "  '{}' => {}", shown(line.as_bytes()), client_event(&event));
+            let _ = writeln!(found, "  '{}' => {}", printable(line.as_bytes()), format_client_event(&event));
         }
     }
     assert_fixture("clients.txt", &found);
 }
 
-fn ending(ending: Ending) -> &'static str {
+fn format_ending(ending: Ending) -> &'static str {
     match ending {
         Ending::Served => "served",
         Ending::Moved => "moved",
@@ -295,17 +302,17 @@
     }
 }
 
-fn server_event(event: &ServerEvent) -> String {
+fn format_server_event(event: &ServerEvent) -> String {
     match event {
-        ServerEvent::Up(line) => format!("up '{}'", shown(line)),
-        ServerEvent::AttemptEnded(outcome) => format!("over, {}", ending(*outcome)),
-        ServerEvent::Forward(line) => format!("pass '{}'", shown(line)),
-        ServerEvent::Load(line, load) => format!("load {:016x} '{}'", load.to_bits(), shown(line)),
-        ServerEvent::FinalLine(line) => format!("last '{}'", shown(line)),
+        ServerEvent::Up(line) => format!("up '{}'", printable(line)),
+        ServerEvent::AttemptEnded(ending) => format!("over, {}", format_ending(*ending)),
+        ServerEvent::Forward(line) => format!("pass '{}'", printable(line)),
+        ServerEvent::Load(line, load) => format!("load {:016x} '{}'", load.to_bits(), printable(line)),
+        ServerEvent::FinalLine(line) => format!("last '{}'", printable(line)),
     }
 }
 
-/// What a server, or a gateway, may say.
+/// Lines that a server or a gateway may send, valid and invalid.
 const ANSWERS: [&[u8]; 38] = [
     b"UP receipt\r\n",
     b"UP a b c\r\n",
@@ -348,39 +355,45 @@
 ];
 
 #[test]
-fn servers_are_read_as_recorded() {
+fn server_lines_are_interpreted_as_recorded() {
     let mut found = String::new();
-    for (what, written, up) in [("before the line", false, false), ("asked", true, false), ("up", true, true)]
+    for (state, written, established) in
+        [("before the line", false, false), ("asked", true, false), ("up", true, true)]
     {
         for answer in ANSWERS {
             let mut side = ServerSide::default();
             if written {
                 side.set_request_written();
             }
-            if up {
+            if established {
                 side.line(Bytes::from_static(b"UP receipt\r\n"));
             }
-            let before = ending(side.ending());
-            let event = server_event(&side.line(Bytes::from_static(answer)));
-            let after = ending(side.ending());
-            let second = server_event(&side.line(Bytes::from_static(b"BYE\r\n")));
-            let third = ending(side.ending());
-            let answer = shown(answer);
+            let before = format_ending(side.ending());
+            let event = format_server_event(&side.line(Bytes::from_static(answer)));
+            let after = format_ending(side.ending());
+            let second = format_server_event(&side.line(Bytes::from_static(b"BYE\r\n")));
+            let third = format_ending(side.ending());
+            let answer = printable(answer);
             let _ = writeln!(
                 found,
-                "{what}: {before}, '{answer}' => {event}, {after}; 'BYE\\r\\n' => {second}, {third}"
+                "{state}: {before}, '{answer}' => {event}, {after}; 'BYE\\r\\n' => {second}, {third}"
             );
         }
     }
     for answer in ANSWERS {
         let mut side = ServerSide::established();
-        let event = server_event(&side.line(Bytes::from_static(answer)));
-        let _ = writeln!(found, "stood before: '{}' => {event}, {}", shown(answer), ending(side.ending()));
+        let event = format_server_event(&side.line(Bytes::from_static(answer)));
+        let _ = writeln!(
+            found,
+            "stood before: '{}' => {event}, {}",
+            printable(answer),
+            format_ending(side.ending())
+        );
     }
     assert_fixture("servers.txt", &found);
 }
 
-fn peer_fault(fault: PeerFault) -> String {
+fn format_peer_fault(fault: PeerFault) -> String {
     let kind = match fault {
         PeerFault::Unasked => "unasked",
         PeerFault::TooLong => "too long",
@@ -392,36 +405,42 @@
     format!("{kind}: {fault}")
 }
 
-fn gateway_event(event: &Result<GatewayEvent, PeerFault>) -> String {
+fn format_gateway_event(event: &Result<GatewayEvent, PeerFault>) -> String {
     match event {
-        Ok(GatewayEvent::Up(receipt)) => format!("up '{}'", shown(receipt)),
+        Ok(GatewayEvent::Up(receipt)) => format!("up '{}'", printable(receipt)),
         Ok(GatewayEvent::Busy(None)) => "busy".to_owned(),
         Ok(GatewayEvent::Busy(Some(wait))) => format!("busy for {} us", wait.as_micros()),
-        Ok(GatewayEvent::Failed(line)) => format!("failed '{}'", shown(line)),
-        Ok(GatewayEvent::Line(line)) => format!("line '{}'", shown(line)),
+        Ok(GatewayEvent::Failed(line)) => format!("failed '{}'", printable(line)),
+        Ok(GatewayEvent::Line(line)) => format!("line '{}'", printable(line)),
         Ok(GatewayEvent::Move) => "move".to_owned(),
         Ok(GatewayEvent::Bye) => "bye".to_owned(),
-        Err(fault) => format!("fault, {}", peer_fault(*fault)),
+        Err(fault) => format!("fault, {}", format_peer_fault(*fault)),
     }
 }
 
 #[test]
-fn gateways_are_read_as_recorded() {
+fn gateway_lines_are_interpreted_as_recorded() {
     let mut found = String::new();
-    for (what, asked, up) in [("unasked", false, false), ("asked", true, false), ("up", true, true)] {
+    for (state, request_started, established) in
+        [("unasked", false, false), ("asked", true, false), ("up", true, true)]
+    {
         for answer in ANSWERS {
             let mut side = GatewaySide::default();
-            if asked {
+            if request_started {
                 side.set_request_started();
             }
-            if up {
+            if established {
                 let _ = side.line(Bytes::from_static(b"UP receipt\r\n"));
             }
-            let first = gateway_event(&side.line(Bytes::from_static(answer)));
-            let is_up = side.is_established();
+            let first = format_gateway_event(&side.line(Bytes::from_static(answer)));
+            let is_established = side.is_established();
             side.set_request_started();
-            let second = gateway_event(&side.line(Bytes::from_static(b"more\r\n")));
-            let _ = writeln!(found, "{what}: '{}' => {first}, is up: {is_up}; then {second}", shown(answer));
+            let second = format_gateway_event(&side.line(Bytes::from_static(b"more\r\n")));
+            let _ = writeln!(
+                found,
+                "{state}: '{}' => {first}, is up: {is_established}; then {second}",
+                printable(answer)
+            );
         }
     }
     for fault in [
@@ -432,13 +451,13 @@
         PeerFault::Torn,
         PeerFault::Stalled,
     ] {
-        let _ = writeln!(found, "fault {}", peer_fault(fault));
+        let _ = writeln!(found, "fault {}", format_peer_fault(fault));
     }
     assert_fixture("gateways.txt", &found);
 }
 
 #[test]
-fn streams_are_cut_as_recorded() {
+fn streams_are_split_into_lines_as_recorded() {
     let line = |length: usize| [vec![b'x'; length - 2], b"\r\n".to_vec()].concat();
     let streams: Vec<Vec<u8>> = vec![
         b"".to_vec(),
@@ -457,15 +476,15 @@
     ];
     let mut found = String::new();
     for stream in streams {
-        for chunk in [1, 7, 4095, usize::MAX] {
-            let _ = writeln!(found, "'{}' by {chunk}", shown(&stream));
+        for chunk_size in [1, 7, 4095, usize::MAX] {
+            let _ = writeln!(found, "'{}' by {chunk_size}", printable(&stream));
             let (mut codec, mut buffer) = (LineCodec::default(), BytesMut::new());
             let mut failed = false;
-            for part in stream.chunks(chunk) {
-                buffer.extend_from_slice(part);
+            for chunk in stream.chunks(chunk_size) {
+                buffer.extend_from_slice(chunk);
                 loop {
                     match codec.decode(&mut buffer) {
-                        Ok(Some(line)) => _ = writeln!(found, "  '{}'", shown(&line)),
+                        Ok(Some(line)) => _ = writeln!(found, "  '{}'", printable(&line)),
                         Ok(None) => break,
                         Err(error) => {
                             let _ = writeln!(found, "  {error}");
@@ -480,8 +499,8 @@
             }
             if !failed {
                 match codec.decode_eof(&mut buffer) {
-                    Ok(Some(line)) => _ = writeln!(found, "  at the end '{}'", shown(&line)),
-                    Ok(None) => _ = writeln!(found, "  left '{}'", shown(&buffer)),
+                    Ok(Some(line)) => _ = writeln!(found, "  at the end '{}'", printable(&line)),
+                    Ok(None) => _ = writeln!(found, "  left '{}'", printable(&buffer)),
                     Err(error) => _ = writeln!(found, "  at the end {error}"),
                 }
             }
@@ -492,7 +511,7 @@
 
 #[test]
 fn requests_are_written_as_recorded() {
-    let plain =
+    let minimal =
         || OpenParameters { class: "meter".into(), key: "meter-77".into(), ..OpenParameters::default() };
     let full = || OpenParameters {
         tenant: Some("north".into()),
@@ -500,45 +519,47 @@
         expected_load: Some(12.5),
         is_retry: true,
         is_reconnect: true,
-        ..plain()
+        ..minimal()
     };
-    let mut all = vec![plain(), full()];
+    let mut cases = vec![minimal(), full()];
     for load in [0.0, 1e12, 1e13, -1.0, f64::NAN, f64::INFINITY, 0.1, 1e-7] {
-        all.push(OpenParameters { expected_load: Some(load), ..plain() });
+        cases.push(OpenParameters { expected_load: Some(load), ..minimal() });
     }
     for text in ["", " ", "a b", "a,b", "a=b", "\u{e9}", "\r\n", "~"] {
-        all.push(OpenParameters { key: text.into(), ..plain() });
-        all.push(OpenParameters { class: text.into(), ..plain() });
-        all.push(OpenParameters { tenant: Some(text.into()), ..plain() });
-        all.push(OpenParameters { group: Some(text.into()), ..plain() });
+        cases.push(OpenParameters { key: text.into(), ..minimal() });
+        cases.push(OpenParameters { class: text.into(), ..minimal() });
+        cases.push(OpenParameters { tenant: Some(text.into()), ..minimal() });
+        cases.push(OpenParameters { group: Some(text.into()), ..minimal() });
     }
     for length in [MAX_FIELD - 2, MAX_FIELD - 1, MAX_FIELD, MAX_FIELD + 1] {
         let long = "k".repeat(length);
-        all.push(OpenParameters { key: long.clone(), ..plain() });
-        all.push(OpenParameters { class: long.clone(), ..full() });
-        all.push(OpenParameters { tenant: Some(long.clone()), ..full() });
-        all.push(OpenParameters { group: Some(long), ..full() });
+        cases.push(OpenParameters { key: long.clone(), ..minimal() });
+        cases.push(OpenParameters { class: long.clone(), ..full() });
+        cases.push(OpenParameters { tenant: Some(long.clone()), ..full() });
+        cases.push(OpenParameters { group: Some(long), ..full() });
     }
-    let waits =
+    let timeouts =
         [0, 1, 999, 1000, 1999, 3_200_000, 600_000_000, 90_000_000_000_000].map(Duration::from_micros);
     let mut found = String::new();
-    let mut record = |asking: &OpenParameters, id: &str, wait: Duration| {
-        let line = match asking.line(id, wait) {
-            Ok(line) => shown(&line),
+    let mut record = |parameters: &OpenParameters, id: &str, timeout: Duration| {
+        let line = match parameters.line(id, timeout) {
+            Ok(line) => printable(&line),
             Err(error) => format!("error: {error}"),
         };
-        let check = asking.check().map_or_else(|error| error.to_string(), |()| "may be written".to_owned());
-        let _ = writeln!(found, "id '{}', {} us: {line}; {check}", shown(id.as_bytes()), wait.as_micros());
+        let check =
+            parameters.check().map_or_else(|error| error.to_string(), |()| "may be written".to_owned());
+        let _ =
+            writeln!(found, "id '{}', {} us: {line}; {check}", printable(id.as_bytes()), timeout.as_micros());
     };
-    for asking in &all {
-        record(asking, "9b1f03aa5c7e2d41", waits[5]);
+    for parameters in &cases {
+        record(parameters, "9b1f03aa5c7e2d41", timeouts[5]);
     }
-    for wait in waits {
-        record(&full(), "9b1f03aa5c7e2d41", wait);
+    for timeout in timeouts {
+        record(&full(), "9b1f03aa5c7e2d41", timeout);
     }
     let long = "i".repeat(MAX_FIELD);
     for id in ["", "a b", "a,b", "\u{e9}", &long, &format!("{long}i")] {
-        record(&plain(), id, waits[5]);
+        record(&minimal(), id, timeouts[5]);
     }
     assert_fixture("requests.txt", &found);
 }
@@ -546,11 +567,11 @@
 #[test]
 fn final_answers_are_written_as_recorded() {
     let mut found = String::new();
-    for (what, line) in [("ping", PONG), ("failed", FAILED), ("moved", MOVE)] {
-        let _ = writeln!(found, "{what}: '{}'", shown(line));
+    for (name, line) in [("ping", PONG), ("failed", FAILED), ("moved", MOVE)] {
+        let _ = writeln!(found, "{name}: '{}'", printable(line));
     }
     for micros in [0, 1, 999, 1000, 1999, 40_000, 1_000_000, 86_400_000_000] {
-        let _ = writeln!(found, "busy {micros} us: '{}'", shown(&busy(Duration::from_micros(micros))));
+        let _ = writeln!(found, "busy {micros} us: '{}'", printable(&busy(Duration::from_micros(micros))));
     }
     let _ = writeln!(found, "longest line {MAX_LINE}, longest field {MAX_FIELD}");
     assert_fixture("answers.txt", &found);
--- a/crates/ashtide-stream/src/lib.rs
+++ b/crates/ashtide-stream/src/lib.rs
@@ -1,8 +1,10 @@
-//! Streams whose reads and writes go on until the system says that the socket is drained or full.
+//! Halves of TCP and Unix streams that handle short reads and writes.
 //!
-//! The runtime's own halves take a read or write that moves less than it might as the sign that nothing more can be
-//! moved, and wait for the next event. Linux allows a short count at any time, and reports readiness once: the rest of
-//! the bytes would then wait for an event that never comes. Only `EWOULDBLOCK` says that there is none (epoll(7)).
+//! Tokio's own halves interpret a short read or write as a sign that the socket is drained or full, and wait
+//! for the next readiness event. But Linux may return a short count at any time, and reports readiness only
+//! once, so that the remaining bytes would wait for an event that is never reported. Only `EWOULDBLOCK` shows
+//! that a socket is drained or full (epoll(7)). The halves of this crate therefore remain ready until a call
+//! returns `EWOULDBLOCK`.
 
 #![deny(
     clippy::enum_glob_use,
@@ -19,43 +21,46 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream, tcp, unix};
 
-/// Whether the call is made again: after an interruption at once, and after `EWOULDBLOCK` when the socket is ready.
-fn again<T>(result: &io::Result<T>) -> bool {
+/// Returns whether the call is to be repeated: immediately after an interruption, and once the socket is
+/// ready after
+/// `EWOULDBLOCK`.
+fn should_repeat<T>(result: &io::Result<T>) -> bool {
     let kind = result.as_ref().err().map(io::Error::kind);
     matches!(kind, Some(ErrorKind::WouldBlock | ErrorKind::Interrupted))
 }
 
-macro_rules! halves {
+/// Defines the halves of a stream type and the function that splits a stream into them.
+macro_rules! define_halves {
     ($stream:ident, $module:ident, $reader:ident, $writer:ident, $split:ident) => {
         /// The reading half of a stream.
         #[derive(Debug)]
         pub struct $reader($module::OwnedReadHalf);
 
-        /// The writing half of a stream. The sending is shut down when it is dropped.
+        /// The writing half of a stream. Dropping it shuts down the sending direction.
         #[derive(Debug)]
         pub struct $writer($module::OwnedWriteHalf);
 
-        /// Splits a stream into halves that know short reads and writes.
+        /// Splits a stream into halves that handle short reads and writes.
         pub fn $split(stream: $stream) -> ($reader, $writer) {
             let (read, write) = stream.into_split();
             ($reader(read), $writer(write))
         }
 
         impl $reader {
-            /// Waits until there is something to read, or the end.
+            /// Waits until bytes or the end of the stream can be read.
             ///
             /// # Errors
             ///
-            /// Fails where the runtime ends.
+            /// Fails if the runtime is shut down.
             pub async fn readable(&self) -> io::Result<()> {
                 self.0.readable().await
             }
 
-            /// Puts the stream together again.
+            /// Reunites the halves into the original stream.
             ///
             /// # Errors
             ///
-            /// Fails where the halves are of two streams.
+            /// Fails if the halves belong to different streams.
             pub fn reunite(self, writer: $writer) -> io::Result<$stream> {
                 self.0.reunite(writer.0).map_err(io::Error::other)
             }
@@ -71,7 +76,7 @@
                 loop {
                     ready!(stream.poll_read_ready(context))?;
                     let read = stream.try_read_buf(buffer);
-                    if !again(&read) {
+                    if !should_repeat(&read) {
                         return Poll::Ready(read.map(|_| ()));
                     }
                 }
@@ -90,16 +95,16 @@
             fn poll_write_vectored(
                 self: Pin<&mut Self>,
                 context: &mut Context<'_>,
-                parts: &[IoSlice<'_>],
+                buffers: &[IoSlice<'_>],
             ) -> Poll<io::Result<usize>> {
                 let stream: &$stream = self.0.as_ref();
                 loop {
                     ready!(stream.poll_write_ready(context))?;
-                    let written = match parts {
-                        [part] => stream.try_write(part),
-                        parts => stream.try_write_vectored(parts),
+                    let written = match buffers {
+                        [buffer] => stream.try_write(buffer),
+                        buffers => stream.try_write_vectored(buffers),
                     };
-                    if !again(&written) {
+                    if !should_repeat(&written) {
                         return Poll::Ready(written);
                     }
                 }
@@ -120,5 +125,5 @@
     };
 }
 
-halves!(TcpStream, tcp, TcpReader, TcpWriter, split_tcp);
-halves!(UnixStream, unix, UnixReader, UnixWriter, split_unix);
+define_halves!(TcpStream, tcp, TcpReader, TcpWriter, split_tcp);
+define_halves!(UnixStream, unix, UnixReader, UnixWriter, split_unix);
