--- a/crates/ashtide-client-cli/src/main.rs
+++ b/crates/ashtide-client-cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `ashtide-client`: opens one or many sessions, sends lines, prints what happens and how long it took.
+//! `ashtide-client`: opens one or many sessions, sends lines, and prints events with their times and a
+//! summary.
 
 mod report;
 
@@ -9,106 +10,107 @@
 
 use ashtide_client::{Address, Client, Session, SessionEvent, SessionRequest, Settings};
 use clap::Parser;
-use report::{Report, Seen};
+use report::{Report, ReportEvent};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Lines of standard input that a session may be behind.
-const INPUT: usize = 256;
-/// Events that may wait to be printed before sessions have to.
-const EVENTS: usize = 1024;
+/// Number of lines of standard input that are buffered for a session that reads them late.
+const INPUT_CAPACITY: usize = 256;
+/// Number of events that are buffered for the report. When the buffer is full, sessions wait.
+const EVENT_CAPACITY: usize = 1024;
 
-/// Opens sessions through the balancers at ADDRESS, sends lines, and prints events and a summary.
+/// Opens sessions through the gateways at ADDRESSES, sends lines, and prints events and a summary.
 ///
-/// Lines of standard input go to every session, unless --line or --rate is given. Exit code 0: every
-/// session came up; 1: some did not; 2: the arguments cannot be used.
+/// Lines of standard input are sent by every session, unless --rate is given. Exit code 0: every session was
+/// established; 1: at least one was not; 2: the arguments are invalid.
 #[derive(Debug, Parser)]
 #[command(name = "ashtide-client", version)]
 struct Arguments {
-    /// A balancer: IP:PORT, IP:PORT@ZONE or IP:PORT@ZONE/SITE
-    #[arg(required = true, value_parser = address)]
+    /// Address of a gateway: IP:PORT, IP:PORT@ZONE or IP:PORT@ZONE/SITE
+    #[arg(required = true, value_parser = parse_address)]
     addresses: Vec<Address>,
-    /// Class of the sessions, as the site's settings name it
+    /// Class of the sessions, as named in the settings of the deployment
     #[arg(short, long, default_value = "resident-reading")]
     class: String,
-    /// Key of the session; with several, each has this and a number
+    /// Key of the session; with several sessions, their keys are this one and a number
     #[arg(short, long, default_value = "trial")]
     key: String,
-    /// Tenant, as the site's settings name it
+    /// Tenant, as named in the settings of the deployment
     #[arg(short, long)]
     tenant: Option<String>,
     /// Group of the sessions
     #[arg(short, long)]
     group: Option<String>,
-    /// How many sessions
+    /// Number of sessions
     #[arg(short = 'n', long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=60_000))]
     sessions: u32,
-    /// New sessions a second; all at once without it
-    #[arg(long, value_parser = positive)]
+    /// Number of sessions to open per second; without it, all are opened at once
+    #[arg(long, value_parser = parse_rate)]
     open_rate: Option<f64>,
-    /// A session is to stand within this time
-    #[arg(short, long, default_value = "3200ms", value_parser = humantime::parse_duration)]
-    wait: Duration,
-    /// An attempt without an answer is given up after this time, and another may follow
-    #[arg(long, value_parser = humantime::parse_duration)]
-    try_wait: Option<Duration>,
-    /// Leave after this time, whatever the sessions do
+    /// Time within which a session must be established
+    #[arg(short = 'w', long = "wait", value_name = "WAIT", default_value = "3200ms",
+          value_parser = humantime::parse_duration)]
+    connect_timeout: Duration,
+    /// Time-out of an attempt without an answer, after which another attempt may follow
+    #[arg(long = "try-wait", value_name = "TRY_WAIT", value_parser = humantime::parse_duration)]
+    attempt_timeout: Option<Duration>,
+    /// Time after which the command closes all sessions, in any state
     #[arg(short = 'f', long = "for", value_parser = humantime::parse_duration)]
     run_for: Option<Duration>,
-    /// Lines a second that each session sends
-    #[arg(short, long, value_parser = positive)]
+    /// Number of lines that each session sends per second
+    #[arg(short, long, value_parser = parse_rate)]
     rate: Option<f64>,
-    /// What is sent at that rate
+    /// Line that is sent at that rate
     #[arg(short, long, default_value = "READ")]
     line: String,
-    /// Own zone: balancers of it are tried first
+    /// Zone of the client; gateways in this zone are tried first
     #[arg(short, long)]
     zone: Option<String>,
-    /// Attempts of a first placing, the first among them
-    #[arg(long, default_value_t = Settings::default().tries)]
-    tries: u32,
-    /// Return window after a break
+    /// Maximum number of attempts for the first connection of a session
+    #[arg(long = "tries", value_name = "TRIES", default_value_t = Settings::default().tries)]
+    max_attempts: u32,
+    /// Time over which reconnections are spread after a connection broke
     #[arg(long, default_value = "4s", value_parser = humantime::parse_duration)]
     break_window: Duration,
-    /// Keep what was learnt in this file, for the next start
-    #[arg(long)]
-    state: Option<PathBuf>,
-    /// Do not come back after a move or a break
-    #[arg(long)]
-    once: bool,
+    /// File in which the client's observations of the gateways are stored for the next run
+    #[arg(long = "state", value_name = "STATE")]
+    state_file: Option<PathBuf>,
+    /// Do not reconnect after a connection was moved or broke
+    #[arg(long = "once")]
+    without_reconnects: bool,
     /// Print events and summary as JSON lines
     #[arg(long)]
     json: bool,
     /// Print the summary only
     #[arg(short, long)]
     quiet: bool,
-    /// Log to standard error by this filter, such as `debug` or `ashtide_client=debug`
-    #[arg(long, default_value = "warn")]
-    log: String,
+    /// Filter of the log on standard error, such as `debug` or `ashtide_client=debug`
+    #[arg(long = "log", value_name = "LOG", default_value = "warn")]
+    log_filter: String,
 }
 
-fn address(text: &str) -> Result<Address, String> {
-    let (at, place) = text.split_once('@').unwrap_or((text, ""));
+fn parse_address(text: &str) -> Result<Address, String> {
+    let (socket_addr, place) = text.split_once('@').unwrap_or((text, ""));
     let (zone, site) = place.split_once('/').unwrap_or((place, ""));
-    let at: SocketAddr = at
-        .parse()
-        .map_err(|_| format!("'{at}' is no IP:PORT (names are not looked up), such as 127.0.0.1:8443"))?;
-    Ok(Address { socket_addr: at, zone: zone.to_owned(), site: site.to_owned() })
+    let socket_addr: SocketAddr = socket_addr.parse().map_err(|_| {
+        format!("'{socket_addr}' is not IP:PORT, such as 127.0.0.1:8443 (host names are not looked up)")
+    })?;
+    Ok(Address { socket_addr, zone: zone.to_owned(), site: site.to_owned() })
 }
 
-fn positive(text: &str) -> Result<f64, String> {
+fn parse_rate(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
-        Ok(figure) if figure > 0.0 && figure <= 1e5 => Ok(figure),
+        Ok(rate) if rate > 0.0 && rate <= 1e5 => Ok(rate),
         _ => Err("must be a number over 0, at most 100000".to_owned()),
     }
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let filter = match tracing_subscriber::EnvFilter::try_new(&arguments.log) {
+    let filter = match tracing_subscriber::EnvFilter::try_new(&arguments.log_filter) {
         Ok(filter) => filter,
-        Err(error) => return unusable(format_args!("--log: {error}")),
+        Err(error) => return startup_failure(format_args!("--log: {error}")),
     };
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     if arguments.json {
@@ -118,106 +120,109 @@
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return unusable(format_args!("no runtime: {error}")),
+        Err(error) => return startup_failure(format_args!("no runtime: {error}")),
     };
     let code = runtime.block_on(run(arguments));
-    // Reading standard input cannot be called off.
+    // A blocking read of standard input cannot be cancelled, so the runtime must not wait for it.
     runtime.shutdown_background();
     code
 }
 
-fn unusable(why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("ashtide-client: {why}");
+/// Prints an error to standard error, and returns the exit code of a command that could not be started.
+fn startup_failure(error: impl std::fmt::Display) -> ExitCode {
+    eprintln!("ashtide-client: {error}");
     ExitCode::from(2)
 }
 
 async fn run(arguments: Arguments) -> ExitCode {
     let settings = Settings {
         zone: arguments.zone.clone(),
-        tries: arguments.tries,
+        tries: arguments.max_attempts,
         break_window: arguments.break_window,
         window_most: Settings::default().window_most.max(arguments.break_window),
         ..Settings::default()
     };
     let mut builder = Client::builder().addresses(arguments.addresses.clone()).settings(settings);
-    if let Some(file) = &arguments.state {
+    if let Some(file) = &arguments.state_file {
         builder = builder.cache_file(file);
     }
     let client = match builder.build() {
         Ok(client) => client,
-        Err(error) => return unusable(error),
+        Err(error) => return startup_failure(error),
     };
-    let (stop, stopping) = watch::channel(false);
-    let (input, _) = broadcast::channel(INPUT);
+    let (stop_sender, stop) = watch::channel(false);
+    let (input, _) = broadcast::channel(INPUT_CAPACITY);
     if arguments.rate.is_none() {
-        tokio::spawn(read(input.clone()));
+        tokio::spawn(read_input(input.clone()));
     }
-    let (to_report, mut seen) = mpsc::channel(EVENTS);
-    let begun = Instant::now();
+    let (event_sender, mut events) = mpsc::channel(EVENT_CAPACITY);
+    let start = Instant::now();
     let mut report = Report::new(arguments.json, arguments.quiet, arguments.sessions);
-    let opening = open_all(&arguments, &client, &input, &stopping, to_report);
+    let opening = open_sessions(&arguments, &client, &input, &stop, event_sender);
     tokio::pin!(opening);
-    let (mut opened, mut left) = (false, false);
-    let until = begun + arguments.run_for.unwrap_or(Duration::from_secs(365 * 86_400));
+    let (mut all_opened, mut stopping) = (false, false);
+    // Without --for, the command runs until all sessions have ended; a year stands for no limit.
+    let deadline = start + arguments.run_for.unwrap_or(Duration::from_secs(365 * 86_400));
     loop {
         tokio::select! {
-            () = &mut opening, if !opened => opened = true,
-            event = seen.recv() => match event {
-                Some(event) => report.take(begun.elapsed(), event),
+            () = &mut opening, if !all_opened => all_opened = true,
+            event = events.recv() => match event {
+                Some((session, event)) => report.record(start.elapsed(), session, &event),
                 None => break,
             },
-            () = sleep_until(until), if !left => {
-                left = true;
-                stop.send_replace(true);
+            () = sleep_until(deadline), if !stopping => {
+                stopping = true;
+                stop_sender.send_replace(true);
             }
-            _ = tokio::signal::ctrl_c(), if !left => {
-                left = true;
-                stop.send_replace(true);
+            _ = tokio::signal::ctrl_c(), if !stopping => {
+                stopping = true;
+                stop_sender.send_replace(true);
             }
         }
     }
-    report.summary(begun.elapsed(), &client.metrics().await.0);
-    if report.all_up() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    report.print_summary(start.elapsed(), &client.metrics().await.0);
+    if report.all_established() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Hands lines of standard input to all sessions, until its end.
-async fn read(input: broadcast::Sender<String>) {
+/// Forwards lines of standard input to all sessions, until the end of the input.
+async fn read_input(input: broadcast::Sender<String>) {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        // Nobody may be there to take it.
+        // Sending fails if there is no session at present; the line is then dropped.
         let _ = input.send(line);
     }
 }
 
-async fn open_all(
+/// Opens the sessions at the configured rate, each in a task of its own.
+async fn open_sessions(
     arguments: &Arguments,
     client: &Client,
     input: &broadcast::Sender<String>,
-    stopping: &watch::Receiver<bool>,
-    report: mpsc::Sender<(u32, Seen)>,
+    stop: &watch::Receiver<bool>,
+    events: mpsc::Sender<(u32, ReportEvent)>,
 ) {
     for number in 0..arguments.sessions {
-        if *stopping.borrow() {
+        if *stop.borrow() {
             return;
         }
         let key = match arguments.sessions {
             1 => arguments.key.clone(),
             _ => format!("{}-{number}", arguments.key),
         };
-        let mut wish = SessionRequest::new(&arguments.class, key, arguments.wait);
-        wish.parameters.tenant.clone_from(&arguments.tenant);
-        wish.parameters.group.clone_from(&arguments.group);
-        wish.attempt_timeout = arguments.try_wait;
-        wish.reconnects = !arguments.once;
-        let lines = Lines {
-            every: arguments.rate.map(|rate| Duration::from_secs_f64(1.0 / rate)),
+        let mut request = SessionRequest::new(&arguments.class, key, arguments.connect_timeout);
+        request.parameters.tenant.clone_from(&arguments.tenant);
+        request.parameters.group.clone_from(&arguments.group);
+        request.attempt_timeout = arguments.attempt_timeout;
+        request.reconnects = !arguments.without_reconnects;
+        let lines = LineSource {
+            interval: arguments.rate.map(|rate| Duration::from_secs_f64(1.0 / rate)),
             line: arguments.line.clone(),
             input: input.subscribe(),
         };
-        let (client, report, stopping) = (client.clone(), report.clone(), stopping.clone());
+        let (client, events, stop) = (client.clone(), events.clone(), stop.clone());
         tokio::spawn(async move {
-            let session = client.open(wish).await;
-            play(number, session, lines, stopping, report).await;
+            let session = client.open(request).await;
+            run_session(number, session, lines, stop, events).await;
         });
         if let Some(rate) = arguments.open_rate {
             sleep(Duration::from_secs_f64(1.0 / rate)).await;
@@ -225,69 +230,78 @@
     }
 }
 
-struct Lines {
-    every: Option<Duration>,
+/// The lines that a session sends.
+struct LineSource {
+    /// Interval between two lines, or `None` if the lines are those of standard input.
+    interval: Option<Duration>,
+    /// The line that is sent at this interval.
     line: String,
+    /// Lines of standard input.
     input: broadcast::Receiver<String>,
 }
 
-/// Waits until all are to leave.
-async fn stopped(stopping: &mut watch::Receiver<bool>) {
-    // Its sender lives as long as the program; without it, leaving is right too.
-    let _ = stopping.wait_for(|&stop| stop).await;
+/// Waits until all sessions are to be closed.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    // An error means that the sender has been dropped, as the program ends: a reason to stop as well.
+    let _ = stop.wait_for(|&stop| stop).await;
 }
 
-async fn play(
+/// Sends the lines of a session and reports its events, until the session ends or all are to be closed.
+async fn run_session(
     number: u32,
     mut session: Session,
-    mut lines: Lines,
-    mut stopping: watch::Receiver<bool>,
-    report: mpsc::Sender<(u32, Seen)>,
+    mut lines: LineSource,
+    mut stop: watch::Receiver<bool>,
+    events: mpsc::Sender<(u32, ReportEvent)>,
 ) {
-    let (mut up, mut next) = (false, Instant::now());
+    let (mut established, mut next_line) = (false, Instant::now());
     loop {
         let to_send = tokio::select! {
             event = session.next_event() => {
                 let Some(event) = event else { return };
-                up = match event {
+                established = match event {
                     SessionEvent::Connected { .. } => {
-                        next = Instant::now();
+                        next_line = Instant::now();
                         true
                     }
                     SessionEvent::Migrated | SessionEvent::Disconnected { .. } => false,
-                    _ => up,
+                    _ => established,
                 };
-                if report.send((number, Seen::Event(event))).await.is_err() {
+                if events.send((number, ReportEvent::Session(event))).await.is_err() {
                     return;
                 }
                 continue;
             }
-            () = stopped(&mut stopping) => {
-                let _ = report.send((number, Seen::Left)).await;
+            () = wait_for_stop(&mut stop) => {
+                let _ = events.send((number, ReportEvent::Closed)).await;
                 return;
             }
-            () = sleep_until(next), if up && lines.every.is_some() => {
-                next += lines.every.unwrap_or_default();
+            () = sleep_until(next_line), if established && lines.interval.is_some() => {
+                next_line += lines.interval.unwrap_or_default();
                 lines.line.clone()
             }
-            line = lines.input.recv(), if lines.every.is_none() => match line {
+            line = lines.input.recv(), if lines.interval.is_none() => match line {
                 Ok(line) => line,
                 Err(broadcast::error::RecvError::Lagged(missed)) => {
-                    tracing::warn!(session = number, missed, "input: the session does not keep up");
+                    tracing::warn!(
+                        session = number,
+                        missed,
+                        "session is too slow for standard input; dropped its oldest lines"
+                    );
                     continue;
                 }
-                // The end of standard input: what comes is still printed.
+                // The command retains a sender of the channel, which is therefore not closed before it exits.
                 Err(broadcast::error::RecvError::Closed) => {
                     lines.input = broadcast::channel(1).1;
                     std::future::pending().await
                 }
             },
         };
-        let seen = match session.send(to_send.as_bytes()).await {
-            Ok(()) => Seen::Sent(to_send),
-            Err(error) => Seen::Unsent(error.to_string()),
+        let event = match session.send(to_send.as_bytes()).await {
+            Ok(()) => ReportEvent::Sent(to_send),
+            Err(error) => ReportEvent::SendFailed(error.to_string()),
         };
-        if report.send((number, seen)).await.is_err() {
+        if events.send((number, event)).await.is_err() {
             return;
         }
     }
--- a/crates/ashtide-client-cli/tests/command.rs
+++ b/crates/ashtide-client-cli/tests/command.rs
@@ -1,27 +1,29 @@
-//! The command as a developer of the app would call it.
+//! The command `ashtide-client` against mock gateways: its output, its exit codes, and its errors for invalid
+//! arguments.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output, Stdio};
 
-/// A balancer that takes everyone and says everything again; or refuses everyone.
-fn balancer(refuses: bool) -> SocketAddr {
+/// Starts a mock gateway, and returns its address. It rejects every request if `rejects` is set. Otherwise it
+/// accepts every request, and returns every further line to the client.
+fn start_mock_gateway(rejects: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for client in listener.incoming().flatten() {
-            std::thread::spawn(move || talk(client, refuses));
+            std::thread::spawn(move || serve(client, rejects));
         }
     });
-    at
+    address
 }
 
-fn talk(mut client: TcpStream, refuses: bool) {
+fn serve(mut client: TcpStream, rejects: bool) {
     let mut lines = BufReader::new(client.try_clone().unwrap());
     let mut line = String::new();
-    let mut first = true;
-    while lines.read_line(&mut line).is_ok_and(|read| read > 0) {
-        let answer = match (std::mem::replace(&mut first, false), refuses) {
+    let mut is_request = true;
+    while lines.read_line(&mut line).is_ok_and(|length| length > 0) {
+        let answer = match (std::mem::replace(&mut is_request, false), rejects) {
             (true, true) => "BUSY 60000\r\n",
             (true, false) => "UP receipt\r\n",
             (false, _) => &line,
@@ -33,7 +35,8 @@
     }
 }
 
-fn run(arguments: &[&str], input: &str) -> Output {
+/// Runs the command with this standard input until it exits.
+fn run_command(arguments: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ashtide-client"))
         .args(arguments)
         .stdin(Stdio::piped())
@@ -46,9 +49,10 @@
 }
 
 #[test]
-fn sessions_come_up_send_lines_and_are_summed_up() {
-    let at = balancer(false).to_string();
-    let output = run(&[&at, "--class", "meter", "-n", "5", "--rate", "20", "--for", "2s", "--json"], "");
+fn the_json_output_reports_each_session_and_a_summary() {
+    let address = start_mock_gateway(false).to_string();
+    let output =
+        run_command(&[&address, "--class", "meter", "-n", "5", "--rate", "20", "--for", "2s", "--json"], "");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     let lines: Vec<serde_json::Value> =
         output.stdout.lines().map(|line| serde_json::from_str(&line.unwrap()).unwrap()).collect();
@@ -61,34 +65,34 @@
 }
 
 #[test]
-fn lines_of_standard_input_go_out_and_come_back() {
-    let at = balancer(false).to_string();
-    let output = run(&[&at, "--for", "2s"], "READING 1\nREADING 2\n");
+fn lines_of_standard_input_are_sent_and_answers_are_printed() {
+    let address = start_mock_gateway(false).to_string();
+    let output = run_command(&[&address, "--for", "2s"], "READING 1\nREADING 2\n");
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("line text=\"READING 1\"") && text.contains("line text=\"READING 2\""), "{text}");
     assert!(text.contains("1 of 1 sessions came up"), "{text}");
 }
 
 #[test]
-fn a_refusal_ends_the_command_with_its_reason() {
-    let at = balancer(true).to_string();
-    let output = run(&[&at, "--quiet"], "");
+fn a_rejected_session_fails_the_command_with_the_reason() {
+    let address = start_mock_gateway(true).to_string();
+    let output = run_command(&[&address, "--quiet"], "");
     let text = String::from_utf8(output.stdout).unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(text.contains("ended 1 times: refused, come again after 30s"), "{text}");
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
-    for (arguments, word) in [
+fn errors_for_invalid_arguments_name_the_argument() {
+    for (arguments, expected) in [
         (&["localhost:80"][..], "names are not looked up"),
         (&["127.0.0.1:80", "--rate", "0"], "must be a number over 0"),
         (&["127.0.0.1:80", "--wait", "soon"], "--wait"),
         (&["127.0.0.1:80", "--tries", "0"], "tries: 0, must be 1 to 100"),
         (&[], "ADDRESSES"),
     ] {
-        let output = run(arguments, "");
+        let output = run_command(arguments, "");
         let text = String::from_utf8(output.stderr).unwrap();
-        assert!(output.status.code() == Some(2) && text.contains(word), "{arguments:?}: {text}");
+        assert!(output.status.code() == Some(2) && text.contains(expected), "{arguments:?}: {text}");
     }
 }
