--- a/tests/compatibility_client_lines.rs
+++ b/tests/compatibility_client_lines.rs
@@ -1,5 +1,5 @@
-//! Guards what clients of the lines front read, byte for byte, from the real daemon on loopback sockets, and what
-//! it writes to servers, against fixtures that were recorded once and never change.
+//! Compatibility of the line front end, byte for byte: what clients receive from the daemon over loopback
+//! sockets, and what it writes to servers, is compared with recorded fixtures, which never change.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -14,14 +14,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Whatever takes longer has failed.
-const STEP: Duration = Duration::from_secs(10);
-/// What has been sent has been read by then.
-const MOMENT: Duration = Duration::from_millis(300);
-/// Longer than a client may take to ask.
-const FIRST_LINE: Duration = Duration::from_millis(3200);
+/// Time-out of each step of a test.
+const STEP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Duration after which the other side is expected to have processed what was sent.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Duration that exceeds the daemon's time-out for a client's first line.
+const AFTER_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// Compares with a fixture. What was found instead is left beside the build's temporary files.
+/// Compares a text with a fixture. If they differ, writes the text to the build's folder for temporary files
+/// and panics with the first line that differs.
 fn assert_fixture(name: &str, found: &str) {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility/client_lines").join(name);
@@ -29,95 +30,103 @@
     if expected == found {
         return;
     }
-    let kept = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&kept, found).expect("the build's folder");
-    let line = expected.lines().zip(found.lines()).position(|(expected, found)| expected != found);
-    let line = line.unwrap_or_else(|| expected.lines().count().min(found.lines().count()));
+    let found_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&found_file, found).expect("write to the build's temporary folder");
+    let difference = expected.lines().zip(found.lines()).position(|(expected, found)| expected != found);
+    let difference = difference.unwrap_or_else(|| expected.lines().count().min(found.lines().count()));
     panic!(
-        "{name}, line {}:\nexpected: {:?}\nfound:    {:?}\nall that was found: {}",
-        line + 1,
-        expected.lines().nth(line),
-        found.lines().nth(line),
-        kept.display()
+        "{name}, line {}:\nexpected: {:?}\nfound:    {:?}\nentire text found: {}",
+        difference + 1,
+        expected.lines().nth(difference),
+        found.lines().nth(difference),
+        found_file.display()
     );
 }
 
-async fn start(fleet: &Fleet, options: Options) -> Daemon {
+/// Starts a daemon, and waits until it watches discovery.
+async fn start_daemon(fleet: &Fleet, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, fleet, &options).await.expect("a daemon");
-    daemon.says("discovery: ").await.expect("it watches");
+    let daemon = Daemon::start(program, fleet, &options).await.expect("start of the daemon");
+    daemon.says("discovery: ").await.expect("start of the discovery watch");
     daemon
 }
 
-/// Bytes as printable text; long runs of one byte are shortened without loss.
-fn shown(bytes: &[u8]) -> String {
+/// Returns bytes as printable text. Runs of more than 16 equal bytes are written as the byte and their
+/// number.
+fn printable(bytes: &[u8]) -> String {
     let mut text = String::new();
     let mut rest = bytes;
     while let Some(&first) = rest.first() {
         let run = rest.iter().take_while(|&&byte| byte == first).count();
-        let shown = [first].escape_ascii().to_string();
+        let escaped = [first].escape_ascii().to_string();
         if run > 16 {
-            let _ = write!(text, "<{shown} {run} times>");
+            let _ = write!(text, "<{escaped} {run} times>");
         } else {
-            text += &shown.repeat(run);
+            text += &escaped.repeat(run);
         }
         rest = &rest[run..];
     }
     text
 }
 
-/// One client, and all that it has read.
+/// A mock client.
 struct Client {
     stream: TcpStream,
-    said: Vec<u8>,
+    /// All bytes received since the connection was opened.
+    received: Vec<u8>,
 }
 
 impl Client {
     async fn connect(address: SocketAddr) -> Self {
-        let stream = timeout(STEP, TcpStream::connect(address)).await.expect("in time").expect("taken");
-        Self { stream, said: Vec::new() }
+        let stream = timeout(STEP_TIMEOUT, TcpStream::connect(address))
+            .await
+            .expect("connection in time")
+            .expect("connection");
+        Self { stream, received: Vec::new() }
     }
 
-    /// Sends until all is sent or the other side has had enough.
+    /// Sends bytes. An error is ignored: the daemon may close the connection before it has read them all.
     async fn send(&mut self, bytes: &[u8]) {
-        let _ = timeout(STEP, self.stream.write_all(bytes)).await.expect("in time");
+        let _ = timeout(STEP_TIMEOUT, self.stream.write_all(bytes)).await.expect("write in time");
     }
 
     async fn half_close(&mut self) {
         let _ = self.stream.shutdown().await;
     }
 
-    /// Reads until so many lines have come.
-    async fn lines(&mut self, lines: usize) {
-        let come = |said: &[u8]| said.windows(2).filter(|pair| pair == b"\r\n").count();
-        while come(&self.said) < lines {
-            let read = timeout(STEP, self.stream.read_buf(&mut self.said)).await.expect("a line in time");
+    /// Reads until this number of lines has been received in total, or the connection ends.
+    async fn read_lines(&mut self, lines: usize) {
+        let count_lines = |bytes: &[u8]| bytes.windows(2).filter(|pair| pair == b"\r\n").count();
+        while count_lines(&self.received) < lines {
+            let read =
+                timeout(STEP_TIMEOUT, self.stream.read_buf(&mut self.received)).await.expect("line in time");
             if !matches!(read, Ok(1..)) {
                 return;
             }
         }
     }
 
-    /// Reads to the end; all that has come since the beginning, and how it ended.
-    async fn end(mut self) -> String {
-        let read = timeout(STEP, self.stream.read_to_end(&mut self.said)).await.expect("an end in time");
+    /// Reads to the end of the connection. Returns all bytes received since it was opened, and how it ended.
+    async fn read_to_end(mut self) -> String {
+        let read =
+            timeout(STEP_TIMEOUT, self.stream.read_to_end(&mut self.received)).await.expect("end in time");
         let end = if read.is_ok() { "end" } else { "reset" };
-        format!("'{}' {end}", shown(&self.said))
+        format!("'{}' {end}", printable(&self.received))
     }
 }
 
-/// Sends this, half-closes where that is wanted, and reads to the end.
+/// Connects, sends bytes, optionally half-closes the connection, and reads to its end.
 async fn exchange(address: SocketAddr, bytes: &[u8], half_close: bool) -> String {
     let mut client = Client::connect(address).await;
     client.send(bytes).await;
     if half_close {
         client.half_close().await;
     }
-    client.end().await
+    client.read_to_end().await
 }
 
-/// First lines that are no request, each answered and ended.
-fn bad_lines() -> Vec<Vec<u8>> {
+/// Returns first lines that are invalid, so that the daemon answers and closes the connection.
+fn invalid_first_lines() -> Vec<Vec<u8>> {
     let mut lines: Vec<Vec<u8>> = [
         "OPEN",
         "OPEN 1",
@@ -161,14 +170,14 @@
 
 #[tokio::test]
 async fn first_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let fleet = Fleet::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&fleet, Options::default()).await;
     let mut found = String::new();
-    for line in bad_lines() {
+    for line in invalid_first_lines() {
         let answer = exchange(daemon.lines, &line, false).await;
-        let _ = writeln!(found, "'{}' => {answer}", shown(&line));
+        let _ = writeln!(found, "'{}' => {answer}", printable(&line));
     }
-    let cut: [&[u8]; 8] = [
+    let incomplete: [&[u8]; 8] = [
         b"",
         b"OPEN",
         b"OPEN 1 2 c=meter,d=3000",
@@ -178,112 +187,112 @@
         b"PING\r\nPING\r\n",
         b"PING\r\nOPEN 1 2",
     ];
-    for line in cut {
+    for line in incomplete {
         let answer = exchange(daemon.lines, line, true).await;
-        let _ = writeln!(found, "'{}', half-closed => {answer}", shown(line));
+        let _ = writeln!(found, "'{}', half-closed => {answer}", printable(line));
     }
-    assert_eq!(fleet.ledger.arrivals().len(), 0, "nothing was sent on");
-    // Those that do not ask in time.
+    assert_eq!(fleet.ledger.arrivals().len(), 0, "no request may reach a server");
+    // Clients that send no complete request before the time-out.
     let mut slow = Vec::new();
     for line in ["", "OPEN 1 2 c=meter", "PING\r\n", "PING\r\nOPEN 1", "PING\r\nPING\r\n"] {
         let mut client = Client::connect(daemon.lines).await;
         client.send(line.as_bytes()).await;
         slow.push((line, client));
     }
-    sleep(FIRST_LINE).await;
+    sleep(AFTER_FIRST_LINE_TIMEOUT).await;
     for (line, client) in slow {
-        let answer = client.end().await;
-        let _ = writeln!(found, "'{}', then nothing => {answer}", shown(line.as_bytes()));
+        let answer = client.read_to_end().await;
+        let _ = writeln!(found, "'{}', then nothing => {answer}", printable(line.as_bytes()));
     }
     assert_fixture("first_lines.txt", &found);
 }
 
 #[tokio::test]
 async fn requests_and_their_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+    let fleet = Fleet::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&fleet, Options::default()).await;
     let mut found = String::new();
 
-    // Connections from before the start; their time is over with the first other one.
+    // Connections established before the daemon's start. They are restored until the first new connection.
     let mut restored = Client::connect(daemon.lines).await;
     restored.send(b"OPEN r1 2 c=meter,at=s-0\r\n").await;
-    restored.lines(1).await;
-    let _ = writeln!(found, "at a server => '{}'", shown(&restored.said));
+    restored.read_lines(1).await;
+    let _ = writeln!(found, "at a server => '{}'", printable(&restored.received));
     let unknown = exchange(daemon.lines, b"OPEN r2 2 c=meter,at=s-9\r\n", false).await;
     let _ = writeln!(found, "at an unknown server => {unknown}");
-    let class = exchange(daemon.lines, b"OPEN r3 2 c=nosuch,at=s-0\r\n", false).await;
-    let _ = writeln!(found, "at a server, of an unknown class => {class}");
+    let unknown_class = exchange(daemon.lines, b"OPEN r3 2 c=nosuch,at=s-0\r\n", false).await;
+    let _ = writeln!(found, "at a server, of an unknown class => {unknown_class}");
 
     let mut first = Client::connect(daemon.lines).await;
     first.send(b"PING\r\nOPEN a 2 c=meter,d=3000\r\n").await;
-    first.lines(2).await;
+    first.read_lines(2).await;
     first.send(b"one\r\ntwo\r\nPING\r\nOPEN a 2 c=meter,d=3000\r\n").await;
-    first.lines(6).await;
-    let _ = writeln!(found, "asked, and four lines => '{}'", shown(&first.said));
-    let late = exchange(daemon.lines, b"OPEN r4 2 c=meter,at=s-0\r\n", false).await;
-    let _ = writeln!(found, "at a server, after the start => {late}");
-    let twice = exchange(daemon.lines, b"OPEN a 2 c=meter,d=3000\r\n", false).await;
-    let _ = writeln!(found, "an id that is open => {twice}");
-    let class = exchange(daemon.lines, b"OPEN b 2 c=nosuch,d=3000\r\n", false).await;
-    let _ = writeln!(found, "an unknown class => {class}");
+    first.read_lines(6).await;
+    let _ = writeln!(found, "asked, and four lines => '{}'", printable(&first.received));
+    let restored_late = exchange(daemon.lines, b"OPEN r4 2 c=meter,at=s-0\r\n", false).await;
+    let _ = writeln!(found, "at a server, after the start => {restored_late}");
+    let duplicate = exchange(daemon.lines, b"OPEN a 2 c=meter,d=3000\r\n", false).await;
+    let _ = writeln!(found, "an id that is open => {duplicate}");
+    let unknown_class = exchange(daemon.lines, b"OPEN b 2 c=nosuch,d=3000\r\n", false).await;
+    let _ = writeln!(found, "an unknown class => {unknown_class}");
     first.half_close().await;
-    let first = first.end().await;
-    let _ = writeln!(found, "the first one, half-closed => {first}");
-    let again = "OPEN a 2 c=meter,t=nosuch,g=x,h=1.5,r=1,again=1,zz=1,d=3000\r\n";
+    let answer = first.read_to_end().await;
+    let _ = writeln!(found, "the first one, half-closed => {answer}");
+    let same_id = "OPEN a 2 c=meter,t=nosuch,g=x,h=1.5,r=1,again=1,zz=1,d=3000\r\n";
     let mut client = Client::connect(daemon.lines).await;
-    client.send(again.as_bytes()).await;
-    client.lines(1).await;
-    let _ = writeln!(found, "the id again, now free => '{}'", shown(&client.said));
+    client.send(same_id.as_bytes()).await;
+    client.read_lines(1).await;
+    let _ = writeln!(found, "the id again, now free => '{}'", printable(&client.received));
     drop(client);
 
-    // Lines that come before the answer.
-    let ahead = |lines: usize| "x\r\n".repeat(lines);
-    let line = |id: u32| format!("OPEN c{id} 2 c=meter,d=3000\r\n");
-    for (what, sent, lines) in [
-        ("two lines ahead", format!("{}one\r\ntwo\r\n", line(1)), 3),
-        ("eight lines ahead", format!("{}{}", line(2), ahead(8)), 9),
-        ("half a line ahead", format!("{}hal", line(3)), 1),
+    // Lines that are sent before the answer.
+    let early_lines = |lines: usize| "x\r\n".repeat(lines);
+    let open_line = |id: u32| format!("OPEN c{id} 2 c=meter,d=3000\r\n");
+    for (case, sent, lines) in [
+        ("two lines ahead", format!("{}one\r\ntwo\r\n", open_line(1)), 3),
+        ("eight lines ahead", format!("{}{}", open_line(2), early_lines(8)), 9),
+        ("half a line ahead", format!("{}hal", open_line(3)), 1),
     ] {
         let mut client = Client::connect(daemon.lines).await;
         client.send(sent.as_bytes()).await;
-        client.lines(lines).await;
-        let _ = writeln!(found, "{what} => '{}'", shown(&client.said));
+        client.read_lines(lines).await;
+        let _ = writeln!(found, "{case} => '{}'", printable(&client.received));
     }
-    for (what, sent) in [
-        ("nine lines ahead", format!("{}{}", line(4), ahead(9))),
-        ("a long line ahead", format!("{}{}\r\n", line(5), "x".repeat(4095))),
-        ("two long lines ahead", format!("{}{1}\r\n{1}\r\n", line(6), "x".repeat(2100))),
-        ("asked twice", format!("{0}{0}", line(7))),
+    for (case, sent) in [
+        ("nine lines ahead", format!("{}{}", open_line(4), early_lines(9))),
+        ("a long line ahead", format!("{}{}\r\n", open_line(5), "x".repeat(4095))),
+        ("two long lines ahead", format!("{}{1}\r\n{1}\r\n", open_line(6), "x".repeat(2100))),
+        ("asked twice", format!("{0}{0}", open_line(7))),
     ] {
         let answer = exchange(daemon.lines, sent.as_bytes(), false).await;
-        let _ = writeln!(found, "{what} => {answer}");
+        let _ = writeln!(found, "{case} => {answer}");
     }
 
-    // A line that is too long once the connection stands.
+    // A line that is too long on an established connection.
     let mut client = Client::connect(daemon.lines).await;
     client.send(b"OPEN d 2 c=meter,d=3000\r\n").await;
-    client.lines(1).await;
+    client.read_lines(1).await;
     client.send(&[b'y'; 5000]).await;
-    let ended = client.end().await;
-    let _ = writeln!(found, "a long line on a connection that stands => {ended}");
-    let restored = restored.end_after_stop(&daemon).await;
-    let _ = writeln!(found, "the restored one, at the stop => {restored}");
+    let answer = client.read_to_end().await;
+    let _ = writeln!(found, "a long line on a connection that stands => {answer}");
+    let answer = restored.read_to_end_after_stop(&daemon).await;
+    let _ = writeln!(found, "the restored one, at the stop => {answer}");
     assert_fixture("requests.txt", &found);
 }
 
 impl Client {
-    async fn end_after_stop(self, daemon: &Daemon) -> String {
-        daemon.terminate().expect("it runs");
-        self.end().await
+    async fn read_to_end_after_stop(self, daemon: &Daemon) -> String {
+        daemon.terminate().expect("signal to the running daemon");
+        self.read_to_end().await
     }
 }
 
 #[tokio::test]
-async fn a_stop_is_told_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options::default()).await;
+async fn clients_are_answered_at_a_stop_as_recorded() {
+    let fleet = Fleet::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&fleet, Options::default()).await;
     let mut clients = Vec::new();
-    for (what, sent, lines) in [
+    for (case, sent, lines) in [
         ("stands", "OPEN a 2 c=meter,d=3000\r\n", 1),
         ("stands and has spoken", "OPEN b 2 c=meter,d=3000\r\nx\r\n", 2),
         ("has asked for nothing", "", 0),
@@ -292,71 +301,71 @@
     ] {
         let mut client = Client::connect(daemon.lines).await;
         client.send(sent.as_bytes()).await;
-        client.lines(lines).await;
-        clients.push((what, client));
+        client.read_lines(lines).await;
+        clients.push((case, client));
     }
     fleet.servers[0].mood(Mood::HalfOut);
-    let mut half = Client::connect(daemon.lines).await;
-    half.send(b"OPEN d 2 c=meter,d=3000\r\n").await;
-    half.lines(1).await;
-    clients.push(("reads half a line", half));
+    let mut reads_partial_line = Client::connect(daemon.lines).await;
+    reads_partial_line.send(b"OPEN d 2 c=meter,d=3000\r\n").await;
+    reads_partial_line.read_lines(1).await;
+    clients.push(("reads half a line", reads_partial_line));
     fleet.servers[0].mood(Mood::Silent);
     let mut waiting = Client::connect(daemon.lines).await;
     waiting.send(b"OPEN e 2 c=meter,d=60000\r\n").await;
     clients.push(("waits for an answer", waiting));
-    sleep(MOMENT).await;
-    daemon.terminate().expect("it runs");
+    sleep(SETTLE_TIME).await;
+    daemon.terminate().expect("signal to the running daemon");
     let mut found = String::new();
-    for (what, client) in clients {
-        let end = client.end().await;
-        let _ = writeln!(found, "{what} => {end}");
+    for (case, client) in clients {
+        let answer = client.read_to_end().await;
+        let _ = writeln!(found, "{case} => {answer}");
     }
-    let (status, _) = daemon.end().await.expect("it ends");
-    let _ = writeln!(found, "exit code {}", status.code().expect("no signal"));
+    let (status, _) = daemon.end().await.expect("exit of the daemon");
+    let _ = writeln!(found, "exit code {}", status.code().expect("exit code rather than a signal"));
     assert_fixture("stop.txt", &found);
 }
 
 #[tokio::test]
-async fn limits_are_told_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("a fleet");
-    let daemon = start(&fleet, Options { sockets: 64, ..Options::default() }).await;
+async fn clients_over_the_limits_are_answered_as_recorded() {
+    let fleet = Fleet::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&fleet, Options { sockets: 64, ..Options::default() }).await;
     let mut found = String::new();
-    // Sessions until there is no room; the next are refused.
+    // Opens sessions until the limit is reached; the next one is rejected.
     let mut sessions = Vec::new();
-    let refused = loop {
+    let rejection = loop {
         let mut client = Client::connect(daemon.lines).await;
         client.send(format!("OPEN {:x} 2 c=meter,d=3000\r\n", sessions.len()).as_bytes()).await;
-        client.lines(1).await;
-        if client.said.starts_with(b"UP ") {
+        client.read_lines(1).await;
+        if client.received.starts_with(b"UP ") {
             sessions.push(client);
         } else {
-            break client.end().await;
+            break client.read_to_end().await;
         }
-        assert!(sessions.len() < 64, "no limit");
+        assert!(sessions.len() < 64, "no rejection within 64 sessions");
     };
-    let _ = writeln!(found, "after {} sessions => {refused}", sessions.len());
+    let _ = writeln!(found, "after {} sessions => {rejection}", sessions.len());
     drop(sessions);
-    sleep(MOMENT).await;
-    // Clients that ask for nothing, until the oldest has to go.
+    sleep(SETTLE_TIME).await;
+    // Opens connections that send no request, until the oldest are evicted.
     let mut silent = Vec::new();
     for _ in 0..80 {
         silent.push(Client::connect(daemon.lines).await);
     }
-    sleep(MOMENT).await;
-    let mut gone = 0;
+    sleep(SETTLE_TIME).await;
+    let mut evicted = 0;
     for mut client in silent {
-        if timeout(Duration::from_millis(1), client.stream.read_buf(&mut client.said)).await.is_ok() {
-            gone += 1;
-            let end = client.end().await;
-            assert_eq!(end, "'BUSY 1000\\r\\n' end", "one that made room");
+        if timeout(Duration::from_millis(1), client.stream.read_buf(&mut client.received)).await.is_ok() {
+            evicted += 1;
+            let answer = client.read_to_end().await;
+            assert_eq!(answer, "'BUSY 1000\\r\\n' end", "answer to an evicted client");
         }
     }
-    let _ = writeln!(found, "{gone} of 80 silent clients made room");
+    let _ = writeln!(found, "{evicted} of 80 silent clients made room");
     assert_fixture("limits.txt", &found);
 }
 
-/// What a scripted server does with a request, by the request's key.
-fn script(key: &str) -> Option<&'static [u8]> {
+/// Returns the bytes that the mock server sends in answer to a request, by the request's key.
+fn scripted_answer(key: &str) -> Option<&'static [u8]> {
     Some(match key {
         "up" => b"UP r\r\n",
         "up-empty" => b"UP \r\n",
@@ -378,16 +387,16 @@
     })
 }
 
-/// Requests as a server has read them.
+/// Request lines that the mock server has received.
 type Requests = Arc<Mutex<Vec<Vec<u8>>>>;
 
 async fn serve(listener: TcpListener, requests: Requests) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(serve_one(stream, requests.clone()));
+        tokio::spawn(serve_connection(stream, requests.clone()));
     }
 }
 
-async fn serve_one(mut stream: TcpStream, requests: Requests) {
+async fn serve_connection(mut stream: TcpStream, requests: Requests) {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
         let Ok(byte) = stream.read_u8().await else { return };
@@ -400,58 +409,69 @@
     let text = String::from_utf8_lossy(&line).into_owned();
     requests.lock().unwrap_or_else(PoisonError::into_inner).push(line);
     let key = text.split(' ').nth(2).unwrap_or_default();
-    match script(key) {
+    match scripted_answer(key) {
         Some(answer) => {
             let _ = stream.write_all(answer).await;
             let _ = stream.shutdown().await;
-            // What the other side still sends is read, so that the end is no reset.
-            let _ = timeout(STEP, stream.read_to_end(&mut Vec::new())).await;
+            // Unread bytes at the close would reset the connection, so reads until the daemon closes it.
+            let _ = timeout(STEP_TIMEOUT, stream.read_to_end(&mut Vec::new())).await;
         }
         None if key == "reset" => {
             let _ = stream.set_zero_linger();
         }
-        None => sleep(STEP).await,
+        None => sleep(STEP_TIMEOUT).await,
     }
 }
 
-/// A line without the time that is left in it, which is at most what was asked for.
-fn without_time(line: &[u8], asked: u64) -> String {
-    let text = shown(line);
-    let (before, rest) = text.split_once(",d=").expect("a wait");
+/// Returns a request line with its time-out replaced by `LEFT`. Checks that the time-out is at most `max_ms`,
+/// the one that the client requested.
+fn without_timeout(line: &[u8], max_ms: u64) -> String {
+    let text = printable(line);
+    let (before, rest) = text.split_once(",d=").expect("a time-out in the line");
     let digits = rest.bytes().take_while(u8::is_ascii_digit).count();
-    let left: u64 = rest[..digits].parse().expect("a number");
-    assert!((1..=asked).contains(&left), "{text}");
+    let timeout_ms: u64 = rest[..digits].parse().expect("a number");
+    assert!((1..=max_ms).contains(&timeout_ms), "{text}");
     format!("{before},d=LEFT{}", &rest[digits..])
 }
 
-fn entry(address: SocketAddr) -> Value {
+/// Returns the endpoint entry of the mock server.
+fn endpoint_entry(address: SocketAddr) -> Value {
     json!({"name": "scripted", "address": address, "zone": "here", "type": "one", "group": 0,
            "status": "SERVING", "weight": 1.0, "since_ms": 0})
 }
 
-/// What a client of a daemon with this one server reads, and what the server was sent.
-async fn before_server(key: &str, effect: &str, address: SocketAddr, requests: &Requests) -> String {
-    const ASKED: u64 = 900;
-    let mut fleet = Fleet::start(0).await.expect("a fleet");
-    let list = json!({"index": 1, "snapshot": true, "endpoints": [entry(address)]});
-    fleet.discovery = discovery(list.clone()).await;
+/// Starts a daemon with the mock server as its only server, and sends one request. Returns what the client
+/// received, and the lines that the server received.
+async fn exchange_through_daemon(
+    key: &str,
+    effect: &str,
+    address: SocketAddr,
+    requests: &Requests,
+) -> String {
+    const CLIENT_TIMEOUT_MS: u64 = 900;
+    let mut fleet = Fleet::start(0).await.expect("start of the mock servers");
+    let list = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(address)]});
+    fleet.discovery = start_discovery(list.clone()).await;
     let classes = json!([{"name": "meter", "aim": 0.4, "deadline": 3.0, "effect": effect, "worth": 1.0}]);
     let config = json!({"settings": {"classes": classes}});
-    let daemon = start(&fleet, Options { known: Some(list), config, ..Options::default() }).await;
+    let daemon = start_daemon(&fleet, Options { known: Some(list), config, ..Options::default() }).await;
     let mut client = Client::connect(daemon.lines).await;
-    client.send(format!("OPEN 00000000000000aa {key} c=meter,g=1,d={ASKED},x=y\r\n").as_bytes()).await;
-    let answer = client.end().await;
+    client
+        .send(format!("OPEN 00000000000000aa {key} c=meter,g=1,d={CLIENT_TIMEOUT_MS},x=y\r\n").as_bytes())
+        .await;
+    let answer = client.read_to_end().await;
     let mut text = format!("{effect} {key} => {answer}\n");
     for line in std::mem::take(&mut *requests.lock().unwrap_or_else(PoisonError::into_inner)) {
-        let _ = writeln!(text, "    sent on: '{}'", without_time(&line, ASKED));
+        let _ = writeln!(text, "    sent on: '{}'", without_timeout(&line, CLIENT_TIMEOUT_MS));
     }
     text
 }
 
-/// Tells the list to all that call, and nothing new after that.
-async fn discovery(list: Value) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+/// Starts a mock discovery that sends this endpoint list to each watch, and then only heartbeats. Returns its
+/// address.
+async fn start_discovery(list: Value) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("address of the listener");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let text = format!("{list}\n");
@@ -474,10 +494,10 @@
 }
 
 #[tokio::test]
-async fn what_servers_do_is_told_as_recorded() {
+async fn server_answers_are_relayed_as_recorded() {
     let requests = Requests::default();
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("address of the listener");
     tokio::spawn(serve(listener, requests.clone()));
     let mut found = String::new();
     for key in [
@@ -485,12 +505,14 @@
         "busy-40", "busy-bad", "move", "garbage", "cut", "nothing", "reset", "silent",
     ] {
         for effect in ["pure", "side_effect"] {
-            found += &before_server(key, effect, address, &requests).await;
+            found += &exchange_through_daemon(key, effect, address, &requests).await;
         }
     }
-    let free =
-        TcpListener::bind("127.0.0.1:0").await.and_then(|listener| listener.local_addr()).expect("a port");
-    found += &before_server("unreachable", "pure", free, &requests).await;
-    found += &before_server("unreachable", "side_effect", free, &requests).await;
+    let unused_address = TcpListener::bind("127.0.0.1:0")
+        .await
+        .and_then(|listener| listener.local_addr())
+        .expect("a free port");
+    found += &exchange_through_daemon("unreachable", "pure", unused_address, &requests).await;
+    found += &exchange_through_daemon("unreachable", "side_effect", unused_address, &requests).await;
     assert_fixture("servers.txt", &found);
 }
