--- a/tests/compatibility_client_lines.rs
+++ b/tests/compatibility_client_lines.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ashtide_testkit::daemon::{Daemon, Options};
-use ashtide_testkit::fleet::{Fleet, Mood};
+use ashtide_testkit::mock_backend::{MockBackend, ServerBehavior};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -44,10 +44,10 @@
 }
 
 /// Starts a daemon, and waits until it watches discovery.
-async fn start_daemon(fleet: &Fleet, options: Options) -> Daemon {
+async fn start_daemon(backend: &MockBackend, options: Options) -> Daemon {
     let program = Path::new(env!("CARGO_BIN_EXE_ashtide"));
-    let daemon = Daemon::start(program, fleet, &options).await.expect("start of the daemon");
-    daemon.says("discovery: ").await.expect("start of the discovery watch");
+    let daemon = Daemon::start(program, backend, &options).await.expect("start of the daemon");
+    daemon.wait_for_log_line("discovery: ").await.expect("start of the discovery watch");
     daemon
 }
 
@@ -170,8 +170,8 @@
 
 #[tokio::test]
 async fn first_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("start of the mock servers");
-    let daemon = start_daemon(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&backend, Options::default()).await;
     let mut found = String::new();
     for line in invalid_first_lines() {
         let answer = exchange(daemon.lines, &line, false).await;
@@ -191,7 +191,7 @@
         let answer = exchange(daemon.lines, line, true).await;
         let _ = writeln!(found, "'{}', half-closed => {answer}", printable(line));
     }
-    assert_eq!(fleet.ledger.arrivals().len(), 0, "no request may reach a server");
+    assert_eq!(backend.attempt_log.arrivals().len(), 0, "no request may reach a server");
     // Clients that send no complete request before the time-out.
     let mut slow = Vec::new();
     for line in ["", "OPEN 1 2 c=meter", "PING\r\n", "PING\r\nOPEN 1", "PING\r\nPING\r\n"] {
@@ -209,8 +209,8 @@
 
 #[tokio::test]
 async fn requests_and_their_lines_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("start of the mock servers");
-    let daemon = start_daemon(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&backend, Options::default()).await;
     let mut found = String::new();
 
     // Connections established before the daemon's start. They are restored until the first new connection.
@@ -289,8 +289,8 @@
 
 #[tokio::test]
 async fn clients_are_answered_at_a_stop_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("start of the mock servers");
-    let daemon = start_daemon(&fleet, Options::default()).await;
+    let backend = MockBackend::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&backend, Options::default()).await;
     let mut clients = Vec::new();
     for (case, sent, lines) in [
         ("stands", "OPEN a 2 c=meter,d=3000\r\n", 1),
@@ -304,12 +304,12 @@
         client.read_lines(lines).await;
         clients.push((case, client));
     }
-    fleet.servers[0].mood(Mood::HalfOut);
+    backend.servers[0].set_behavior(ServerBehavior::PartialLine);
     let mut reads_partial_line = Client::connect(daemon.lines).await;
     reads_partial_line.send(b"OPEN d 2 c=meter,d=3000\r\n").await;
     reads_partial_line.read_lines(1).await;
     clients.push(("reads half a line", reads_partial_line));
-    fleet.servers[0].mood(Mood::Silent);
+    backend.servers[0].set_behavior(ServerBehavior::Silent);
     let mut waiting = Client::connect(daemon.lines).await;
     waiting.send(b"OPEN e 2 c=meter,d=60000\r\n").await;
     clients.push(("waits for an answer", waiting));
@@ -320,15 +320,15 @@
         let answer = client.read_to_end().await;
         let _ = writeln!(found, "{case} => {answer}");
     }
-    let (status, _) = daemon.end().await.expect("exit of the daemon");
+    let (status, _) = daemon.wait_for_exit().await.expect("exit of the daemon");
     let _ = writeln!(found, "exit code {}", status.code().expect("exit code rather than a signal"));
     assert_fixture("stop.txt", &found);
 }
 
 #[tokio::test]
 async fn clients_over_the_limits_are_answered_as_recorded() {
-    let fleet = Fleet::start(1).await.expect("start of the mock servers");
-    let daemon = start_daemon(&fleet, Options { sockets: 64, ..Options::default() }).await;
+    let backend = MockBackend::start(1).await.expect("start of the mock servers");
+    let daemon = start_daemon(&backend, Options { sockets: 64, ..Options::default() }).await;
     let mut found = String::new();
     // Opens sessions until the limit is reached; the next one is rejected.
     let mut sessions = Vec::new();
@@ -449,12 +449,12 @@
     requests: &Requests,
 ) -> String {
     const CLIENT_TIMEOUT_MS: u64 = 900;
-    let mut fleet = Fleet::start(0).await.expect("start of the mock servers");
+    let mut backend = MockBackend::start(0).await.expect("start of the mock servers");
     let list = json!({"index": 1, "snapshot": true, "endpoints": [endpoint_entry(address)]});
-    fleet.discovery = start_discovery(list.clone()).await;
+    backend.discovery = start_discovery(list.clone()).await;
     let classes = json!([{"name": "meter", "aim": 0.4, "deadline": 3.0, "effect": effect, "worth": 1.0}]);
     let config = json!({"settings": {"classes": classes}});
-    let daemon = start_daemon(&fleet, Options { known: Some(list), config, ..Options::default() }).await;
+    let daemon = start_daemon(&backend, Options { known: Some(list), config, ..Options::default() }).await;
     let mut client = Client::connect(daemon.lines).await;
     client
         .send(format!("OPEN 00000000000000aa {key} c=meter,g=1,d={CLIENT_TIMEOUT_MS},x=y\r\n").as_bytes())
