--- a/crates/ashtide-bench/src/simulation.rs
+++ b/crates/ashtide-bench/src/simulation.rs
@@ -467,7 +467,8 @@
                     self.schedule(connected_at, SimulationEvent::Connected(index, attempt));
                 }
                 PoolCommand::SendRequest { attempt, line, .. } => {
-                    let wait = Open::parse(line).ok().and_then(|open| open.wait).unwrap_or_default();
+                    let wait =
+                        Open::parse(line).ok().and_then(|open| open.client_timeout).unwrap_or_default();
                     self.schedule(
                         self.now_us + microseconds(self.deployment.one_way_delay),
                         SimulationEvent::RequestArrives(index, attempt, wait),
--- a/crates/ashtide-client/src/pool.rs
+++ b/crates/ashtide-client/src/pool.rs
@@ -468,8 +468,8 @@
         let answer_timeout =
             session.request.attempt_timeout.map_or(remaining, |timeout| timeout.min(remaining));
         let request_id = format!("{:016x}", self.rng.random::<u64>());
-        session.request.parameters.retry = session.attempts > 1;
-        session.request.parameters.again = session.established_before;
+        session.request.parameters.is_retry = session.attempts > 1;
+        session.request.parameters.is_reconnect = session.established_before;
         // The request line states the time-out in whole milliseconds, at least one.
         if answer_timeout < Duration::from_millis(1) {
             session.last_failure = AttemptFailure::NotAttempted;
--- a/crates/ashtide-client/src/session.rs
+++ b/crates/ashtide-client/src/session.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashtide_protocol::{Asking, AskingError, PeerFault};
+use ashtide_protocol::{OpenParameters, OpenParametersError, PeerFault};
 use bytes::Bytes;
 
 use crate::Instant;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SessionRequest {
     /// Class, key, tenant and group. The pool sets the retry and reconnect flags itself.
-    pub parameters: Asking,
+    pub parameters: OpenParameters,
     /// Time within which the first connection must be established, counted from the request.
     pub timeout: Duration,
     /// Optional time-out of a single attempt, after which another attempt may follow. If `None`, an attempt
@@ -39,7 +39,7 @@
 impl SessionRequest {
     /// Creates a request for a connection of `class` for `key` within `timeout`, with retries and reconnects.
     pub fn new(class: impl Into<String>, key: impl Into<String>, timeout: Duration) -> Self {
-        let parameters = Asking { class: class.into(), key: key.into(), ..Asking::default() };
+        let parameters = OpenParameters { class: class.into(), key: key.into(), ..OpenParameters::default() };
         Self {
             parameters,
             timeout,
@@ -158,7 +158,7 @@
     },
     /// The request cannot be encoded as a protocol line.
     #[error("{0}")]
-    InvalidRequest(AskingError),
+    InvalidRequest(OpenParametersError),
 }
 
 /// Reason for which an established connection ended.
--- a/src/net/session/relay.rs
+++ b/src/net/session/relay.rs
@@ -53,7 +53,7 @@
 
 impl RelayState {
     fn server_ended(&self) -> RelayStop {
-        RelayStop::Ended(RelayEnd::ServerEnded(self.server_side.end().into()))
+        RelayStop::Ended(RelayEnd::ServerEnded(self.server_side.ending().into()))
     }
 
     fn handle_client_line(&mut self, line: Option<Result<Bytes, LineError>>) -> Option<RelayStop> {
@@ -89,7 +89,7 @@
     /// client has received the `UP` line already.
     pub(super) async fn relay(mut self, attempt: u32, server: EstablishedServer, client_informed: bool) {
         let EstablishedServer { connection: mut server, side, accept_line } = server;
-        self.side.up();
+        self.side.set_established();
         let mut state = RelayState {
             server_side: side,
             to_client: accept_line,
@@ -158,15 +158,15 @@
                 state.to_client = line;
                 self.send(SessionEvent::LoadReported { id: self.id, load }).await;
             }
-            ServerEvent::Last(line) => {
+            ServerEvent::FinalLine(line) => {
                 state.to_client = line;
                 state.server_finished = true;
             }
-            ServerEvent::Pass(line) | ServerEvent::Up(line) => {
+            ServerEvent::Forward(line) | ServerEvent::Up(line) => {
                 state.to_client = line;
                 self.send(SessionEvent::ServerResponded { id: self.id }).await;
             }
-            ServerEvent::Over(_) => {}
+            ServerEvent::AttemptEnded(_) => {}
         }
         None
     }
