--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -22,7 +22,7 @@
     minimum: 0,
     maximum: 511,
     default: None,
-    description: "Which of 'gateways' this one is, from 0.",
+    description: "Index of this gateway in 'gateways', from 0.",
 };
 /// Key of the fleet: the same at all of its gateways, and unique among fleets.
 const FLEET_ID: IntegerKey = IntegerKey {
@@ -30,7 +30,8 @@
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "The tier's key, the same at all its gateways and at none of another tier.",
+    description: "Key of the fleet: the same at all of its gateways, and different from the keys of other \
+                  fleets.",
 };
 /// Number of acceptors, which are the first of `gateways`. Of 3 acceptors one may be unavailable, of 5 two.
 const VOTERS: IntegerKey = IntegerKey {
@@ -38,7 +39,8 @@
     minimum: 1,
     maximum: 9,
     default: Some(3),
-    description: "So many of the first 'gateways' keep the table; of 3 one may be away, of 5 two.",
+    description: "Number of acceptors of the maintenance queue, which are the first entries of 'gateways'. \
+                  Of 3 acceptors one may be unavailable, of 5 two.",
 };
 /// Maximum number of servers that are out for maintenance at once.
 const MAX_OUT: IntegerKey = IntegerKey {
@@ -46,7 +48,7 @@
     minimum: 1,
     maximum: 32,
     default: None,
-    description: "Servers that may be out at once.",
+    description: "Maximum number of servers that are out for maintenance at once.",
 };
 /// Maximum number of gateways that are out for maintenance at once, fewer than half of the acceptors.
 const MAX_GATEWAYS_OUT: IntegerKey = IntegerKey {
@@ -54,7 +56,8 @@
     minimum: 0,
     maximum: 32,
     default: Some(1),
-    description: "Gateways that may be out at once; fewer than half of the voters.",
+    description: "Maximum number of gateways that are out for maintenance at once; fewer than half of \
+                  'voters'.",
 };
 /// Minimum number of servers that must remain ready.
 const FLOOR: IntegerKey = IntegerKey {
@@ -62,7 +65,7 @@
     minimum: 0,
     maximum: 4096,
     default: Some(0),
-    description: "Ready servers that must be left.",
+    description: "Minimum number of servers that must remain ready.",
 };
 /// Duration in seconds for which a gateway keeps a machine cordoned after its last request to the other
 /// gateways.
@@ -71,7 +74,8 @@
     minimum: 2,
     maximum: 60,
     default: Some(6),
-    description: "How long a gateway keeps a machine out after it has last asked the others.",
+    description: "Duration in seconds for which a gateway keeps a machine cordoned after its last request \
+                  to the other gateways.",
 };
 /// Maximum duration of a drain in seconds.
 const DRAIN_S: IntegerKey = IntegerKey {
@@ -79,7 +83,7 @@
     minimum: 1,
     maximum: 3600,
     default: Some(60),
-    description: "How long a drain may last.",
+    description: "Maximum duration of a drain in seconds.",
 };
 /// Maximum duration in seconds for which a drained machine is out. If it is 0, a server returns once it is
 /// drained.
@@ -88,19 +92,21 @@
     minimum: 0,
     maximum: 86400,
     default: Some(3600),
-    description: "How long a machine stays out at most once it is drained; 0: a server not at all.",
+    description: "Maximum duration in seconds for which a drained machine is out for maintenance; if it is \
+                  0, a server returns once it is drained.",
 };
 const INTEGER_KEYS: [IntegerKey; 9] =
     [SLOT, FLEET_ID, VOTERS, MAX_OUT, MAX_GATEWAYS_OUT, FLOOR, LEASE_S, DRAIN_S, WORK_S];
 const OTHER_KEYS: [&str; 3] = ["listen", "gateways", "folder"];
 
 /// Description of `listen`, the UDP address on which this gateway receives datagrams from the others.
-const LISTEN_DESCRIPTION: &str =
-    "Where this gateway hears the others, over UDP. Without it: its own address in 'gateways'.";
+const LISTEN_DESCRIPTION: &str = "UDP address on which this gateway receives datagrams from the others. \
+                                  Default: its own address in 'gateways'.";
 /// Description of `gateways`, the addresses of all gateways in the same order at all of them.
-const GATEWAYS_DESCRIPTION: &str = "Where all gateways are reached, in one order, the same at all of them.";
+const GATEWAYS_DESCRIPTION: &str = "Addresses of all gateways, in the same order at all of them.";
 /// Description of `folder`, which has the acceptor state and must persist across restarts of the machine.
-const FOLDER_DESCRIPTION: &str = "Where this gateway keeps its vote; it must outlive the machine's restart.";
+const FOLDER_DESCRIPTION: &str = "Folder in which this gateway stores its acceptor state; its contents must \
+                                  persist across restarts of the machine.";
 
 /// An error in the settings of maintenance.
 #[derive(Debug, thiserror::Error)]
@@ -132,9 +138,9 @@
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --maintenance out",
+            Self::File { .. } => "pass a file that this process can read, or omit --maintenance",
             Self::Syntax(_) => "compare the file with deploy/maintenance.toml",
-            Self::Key(_) => "correct the key; deploy/maintenance.schema.json says what each may be",
+            Self::Key(_) => "correct the key; deploy/maintenance.schema.json describes the valid values",
         }
     }
 }
@@ -177,7 +183,11 @@
         let integers = IntegerSettings::read(&table)?;
         let gateways = parse_gateways(&table)?;
         let own = *gateways.get(integers.slot as usize).ok_or_else(|| {
-            InvalidKey::new("slot", integers.slot, format_args!("one of {} gateways", gateways.len()))
+            InvalidKey::new(
+                "slot",
+                integers.slot,
+                format_args!("an index in the list of {} gateways, from 0", gateways.len()),
+            )
         })?;
         integers.check_voters(gateways.len())?;
         let state_directory = parse_folder(&table)?;
@@ -234,7 +244,8 @@
         }
         let minority = (self.voters - 1) / 2;
         if self.max_gateways_out > minority && self.voters > 1 {
-            let expected = format_args!("at most {minority}, so that a majority of the voters stays");
+            let expected =
+                format_args!("at most {minority}, so that a majority of the voters remains available");
             return Err(InvalidKey::new("max_gateways", self.max_gateways_out, expected));
         }
         Ok(())
@@ -282,7 +293,7 @@
 }
 
 fn parse_reachable_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
-    let expected = "an address and a port that others reach, as \"127.0.0.1:7947\"";
+    let expected = "an IP address and a port that the other gateways can reach, such as \"127.0.0.1:7947\"";
     let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
     let is_reachable = |address: &SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
     let address = text.parse().ok().filter(is_reachable);
@@ -291,7 +302,7 @@
 
 fn parse_folder(table: &Table) -> Result<PathBuf, InvalidKey> {
     let folder = table.get("folder").and_then(Toml::as_str).filter(|folder| !folder.is_empty());
-    folder.map(PathBuf::from).ok_or_else(|| InvalidKey::missing("folder", "a folder"))
+    folder.map(PathBuf::from).ok_or_else(|| InvalidKey::missing("folder", "the path of a folder"))
 }
 
 /// Returns the JSON Schema of the settings file.
@@ -310,7 +321,7 @@
         ["folder", "gateways"].into_iter().chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "Settings of taking machines out for work, the file of --maintenance",
+        "title": "Settings of maintenance, read from the file that --maintenance names",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -30,7 +30,8 @@
     minimum: 1,
     maximum: i32::MAX as u32,
     default: None,
-    description: "Counted on by whoever changes this file, and the same in all copies of one text.",
+    description: "Version number of this file: increment it at each change. Identical copies have the same \
+                  number.",
 };
 /// Thousandths of each quota that are never lent, of which each gateway always has its part.
 const RESERVE: IntegerKey = IntegerKey {
@@ -38,7 +39,8 @@
     minimum: 0,
     maximum: 1000,
     default: Some(100),
-    description: "Thousandths of each quota that are never lent: each gateway has its part for certain.",
+    description: "Thousandths of each quota that are never lent, so that each gateway always has its part \
+                  of them.",
 };
 /// Duration in ms for which unused units of the rate of new connections accumulate.
 const BURST_MS: IntegerKey = IntegerKey {
@@ -46,7 +48,7 @@
     minimum: 1,
     maximum: 60_000,
     default: Some(1000),
-    description: "How long rights to new connections are stored that are not used.",
+    description: "Duration in ms for which unused units of the rate of new connections accumulate.",
 };
 /// Maximum wait in ms that is sent to a rejected client.
 const MAX_WAIT_MS: IntegerKey = IntegerKey {
@@ -54,7 +56,7 @@
     minimum: 1,
     maximum: 10_000,
     default: Some(2000),
-    description: "The longest that a refused client is told to wait.",
+    description: "Maximum wait in ms that is sent to a rejected client.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [GENERATION, RESERVE, BURST_MS, MAX_WAIT_MS];
 const OTHER_KEYS: [&str; 3] = ["vouched", "borrow", "partners"];
@@ -62,19 +64,19 @@
 
 /// Description of `vouched`: an operator confirms that all running gateways are at this generation, as when
 /// one is removed for good.
-const CONFIRMED_DESCRIPTION: &str =
-    "An operator's word that no gateway runs that is not at this generation: where one is gone for good.";
+const CONFIRMED_DESCRIPTION: &str = "Set by an operator to confirm that all running gateways are at this \
+                                     generation, as when a gateway is removed for good.";
 /// Description of `borrow`: a partner may use units that another partner leaves unused at the same gateway,
 /// while no server sheds load.
-const BORROW_DESCRIPTION: &str = "Whether what a partner leaves unused at a gateway may be used by another \
-                                 there, while no server refuses.";
+const BORROW_DESCRIPTION: &str = "Whether a partner may use units that another partner leaves unused at the \
+                                  same gateway, while no server sheds load.";
 /// Description of `partners`, the quota of each partner over all gateways.
 const PARTNERS_DESCRIPTION: &str =
-    "Each partner's quota over all gateways. Without the table: the settings' customers.";
+    "Quota of each partner over all gateways. Default: the table 'customers' of the configuration.";
 /// Description of `per_s`, the maximum number of new connections per second.
-const PER_S_DESCRIPTION: &str = "New connections a second.";
+const PER_S_DESCRIPTION: &str = "Maximum number of new connections per second.";
 /// Description of `connections`, the maximum number of open connections.
-const CONNECTIONS_DESCRIPTION: &str = "Open connections; without it they are not limited.";
+const CONNECTIONS_DESCRIPTION: &str = "Maximum number of open connections. Default: no limit.";
 
 /// An error in the settings of the quotas.
 #[derive(Debug, thiserror::Error)]
@@ -107,10 +109,10 @@
     /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --quota out",
+            Self::File { .. } => "pass a file that this process can read, or omit --quota",
             Self::Syntax(_) => "compare the file with deploy/quota.toml",
-            Self::Key(_) => "correct the key; deploy/quota.schema.json says what each may be",
-            Self::NoSharedState => "start with --view and a file that has the table, or leave --quota out",
+            Self::Key(_) => "correct the key; deploy/quota.schema.json describes the valid values",
+            Self::NoSharedState => "pass --view with a file that has the table, or omit --quota",
         }
     }
 }
@@ -277,7 +279,8 @@
 fn check_partners(partners: &[TenantQuota]) -> Result<(), InvalidKey> {
     if partners.is_empty() || partners.len() > MAX_PARTNERS {
         let found = format_args!("{} partners", partners.len());
-        let expected = format_args!("1 to {MAX_PARTNERS}, here or as the settings' customers");
+        let expected =
+            format_args!("1 to {MAX_PARTNERS}, here or in the table 'customers' of the configuration");
         return Err(InvalidKey::new("partners", found, expected));
     }
     let mut partner_by_id = BTreeMap::new();
@@ -287,7 +290,11 @@
             if let Some(other) = partner_by_id.insert(id, &partner.name) {
                 let key = format_args!("partners.{}", partner.name);
                 let found = format_args!("a name with the same hash as {other}");
-                return Err(InvalidKey::new(key, found, "another name for one of the two"));
+                return Err(InvalidKey::new(
+                    key,
+                    found,
+                    "partner names with different hashes; rename one of the two",
+                ));
             }
         }
     }
@@ -321,7 +328,7 @@
     let required: Vec<&str> = required_names(&INTEGER_KEYS).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "Partners' quotas, the file of --quota",
+        "title": "Settings of partners' quotas, read from the file that --quota names",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/src/fleet/settings_keys.rs
+++ b/src/fleet/settings_keys.rs
@@ -104,7 +104,7 @@
 ///
 /// Fails if `value` is not such an address.
 pub fn parse_address(key: &str, value: &Toml) -> Result<SocketAddr, InvalidKey> {
-    let expected = "an address and a port, as \"127.0.0.1:7946\"";
+    let expected = "an IP address and a port, such as \"127.0.0.1:7946\"";
     let text = value.as_str().ok_or_else(|| InvalidKey::new(key, value, expected))?;
     text.parse().map_err(|_| InvalidKey::new(key, format_args!("\"{text}\""), expected))
 }
--- a/src/fleet/shared_state/settings.rs
+++ b/src/fleet/shared_state/settings.rs
@@ -20,7 +20,8 @@
     minimum: 4,
     maximum: 1000,
     default: Some(24),
-    description: "Datagrams a second that this gateway sends of it at most, beside the view's.",
+    description: "Maximum number of datagrams per second that this gateway sends for the shared state, in \
+                  addition to those for the membership view.",
 };
 /// Values of the key `judgements`.
 const OUTLIER_MODES: [(&str, OutlierMode); 3] =
@@ -29,16 +30,18 @@
 const CHECK_MODES: [(&str, bool); 2] = [("off", false), ("log", true)];
 
 /// Description of `gateways`, the public addresses of all gateways in the same order at all of them.
-const GATEWAYS_DESCRIPTION: &str = "All gateways that may be there, by what others know them by, in one \
-                                   order everywhere. Without it: the configuration's 'peers', at the port \
-                                   of 'listen'.";
+const GATEWAYS_DESCRIPTION: &str = "Public addresses of all gateways that may run, in the same order at all \
+                                    of them. Default: the addresses in 'peers' of the configuration, at the \
+                                    port of 'listen'.";
 /// Description of `check`: whether the invariants of the shared state are checked four times a second.
-const CHECK_DESCRIPTION: &str = "Whether all of it is held against its invariants four times a second.";
+const CHECK_DESCRIPTION: &str = "Whether the invariants of the shared state are checked four times a \
+                                 second; 'log' writes violations to the log.";
 /// Description of `judgements`, the use of outlier reports on servers.
-const OUTLIERS_DESCRIPTION: &str = "What gateways see of servers: not told, told and shown, or used as well.";
+const OUTLIERS_DESCRIPTION: &str = "Use of outlier reports on servers: 'off' sends none, 'tell' sends and \
+                                    shows them, 'use' also gives outliers no new connections.";
 /// Description of `counts`: whether open connections are counted over all gateways, by server and tenant.
 const COUNTS_DESCRIPTION: &str =
-    "Whether open connections by server and tenant are counted over all gateways.";
+    "Whether open connections of each server and each tenant are counted over all gateways.";
 
 /// Use of outlier reports on servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -115,7 +118,8 @@
 pub fn schema() -> Json {
     json!({
         "type": "object", "additionalProperties": false,
-        "description": "What the gateways share beside the view. Without the table: nothing.",
+        "description": "Settings of the state that gateways share in addition to the membership view. \
+                        Without this table no state is shared.",
         "properties": {
             "gateways": {"type": "array", "items": {"type": "string"}, "minItems": 1,
                          "maxItems": MAX_GATEWAYS, "description": GATEWAYS_DESCRIPTION},
--- a/src/fleet/shared_state/slots.rs
+++ b/src/fleet/shared_state/slots.rs
@@ -37,7 +37,7 @@
                 return Err(InvalidKey::new(key, format_args!("{gateway} twice"), "each gateway once"));
             }
         }
-        let expected = "a list that names this gateway, or 'peers' in the configuration that do";
+        let expected = "a list with this gateway's public address, here or in 'peers' of the configuration";
         let own = slot_by_address
             .get(&own)
             .copied()
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -21,7 +21,8 @@
     minimum: 1,
     maximum: u32::MAX,
     default: None,
-    description: "The tier's key, the same at all its gateways and at none of another tier.",
+    description: "Key of the fleet: the same at all of its gateways, and different from the keys of other \
+                  fleets.",
 };
 /// Approximate number of gateways. The duration of a suspicion grows as its logarithm.
 const SIZE: IntegerKey = IntegerKey {
@@ -29,7 +30,7 @@
     minimum: 2,
     maximum: 8192,
     default: Some(9),
-    description: "About how many gateways there are; suspicions last by its logarithm.",
+    description: "Approximate number of gateways. The duration of a suspicion grows as its logarithm.",
 };
 /// Maximum number of datagrams per second that this gateway sends for the view.
 const DATAGRAMS_PER_S: IntegerKey = IntegerKey {
@@ -37,7 +38,7 @@
     minimum: 16,
     maximum: 1000,
     default: Some(24),
-    description: "Datagrams a second that this gateway sends at most.",
+    description: "Maximum number of datagrams per second that this gateway sends for the membership view.",
 };
 /// Maximum number of datagrams that this gateway sends at once.
 const BURST: IntegerKey = IntegerKey {
@@ -45,22 +46,22 @@
     minimum: 16,
     maximum: 256,
     default: Some(48),
-    description: "How many of them at once.",
+    description: "Maximum number of datagrams that this gateway sends at once for the membership view.",
 };
 const INTEGER_KEYS: [IntegerKey; 4] = [FLEET_ID, SIZE, DATAGRAMS_PER_S, BURST];
 const OTHER_KEYS: [&str; 4] = ["listen", "public", "seeds", "state"];
 
 /// Description of `listen`, the UDP address on which this gateway receives datagrams and by which others know
 /// it.
-const LISTEN_DESCRIPTION: &str =
-    "Where this gateway hears, and what it is known by: an address of its own, not 0.0.0.0.";
+const LISTEN_DESCRIPTION: &str = "UDP address on which this gateway receives datagrams and by which other \
+                                  gateways identify it. It must not be unspecified, as 0.0.0.0 is.";
 /// Description of `public`, the address at which other gateways reach this one if addresses are translated.
-const PUBLIC_DESCRIPTION: &str =
-    "What the others know this gateway by, where addresses are translated on the way. Without it: 'listen'.";
+const PUBLIC_DESCRIPTION: &str = "Address by which other gateways identify and reach this one if addresses \
+                                  are translated between them. Default: the value of 'listen'.";
 /// Description of `seeds`, the gateways through which this one joins. The first gateway has none.
-const SEEDS_DESCRIPTION: &str = "Gateways to join by, any that are usually there. Without it: the \
-                                configuration's 'peers', at the port of 'listen'. Empty where this is the \
-                                first.";
+const SEEDS_DESCRIPTION: &str = "Addresses of gateways through which this one joins; choose gateways that \
+                                 are usually running. Empty for the first gateway. Default: the addresses \
+                                 in 'peers' of the configuration, at the port of 'listen'.";
 
 /// An error in the settings of the view.
 #[derive(Debug, thiserror::Error)]
@@ -90,9 +91,9 @@
     /// Returns the operator's remedy.
     pub fn help(&self) -> &'static str {
         match self {
-            Self::File { .. } => "name a file that this process may read, or leave --view out",
+            Self::File { .. } => "pass a file that this process can read, or omit --view",
             Self::Syntax(_) => "compare the file with deploy/view.toml",
-            Self::Key(_) => "correct the key; deploy/view.schema.json says what each may be",
+            Self::Key(_) => "correct the key; deploy/view.schema.json describes the valid values",
         }
     }
 }
@@ -177,7 +178,8 @@
         if let Some(seeds) = &self.seeds {
             return Ok(seeds.clone());
         }
-        let expected = "a list of addresses, or 'peers' in the configuration; [] for the first gateway";
+        let expected =
+            "a list of addresses here or in 'peers' of the configuration; [] for the first gateway";
         let peers =
             peers.filter(|peers| !peers.is_empty()).ok_or_else(|| InvalidKey::missing("seeds", expected))?;
         let addresses = peers.iter().map(|peer| self.at_listen_port(peer));
@@ -193,7 +195,7 @@
     let absent = Toml::String(String::new());
     let listen = parse_address("listen", table.get("listen").unwrap_or(&absent))?;
     if listen.ip().is_unspecified() || listen.port() == 0 {
-        let expected = "an address and port at which other gateways can reach this one";
+        let expected = "an IP address and a port at which other gateways can reach this one";
         return Err(InvalidKey::new("listen", listen, expected));
     }
     Ok(listen)
@@ -225,7 +227,7 @@
     let required: Vec<&str> = std::iter::once("listen").chain(required_names(&INTEGER_KEYS)).collect();
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
-        "title": "The fleet view's settings, the file of --view",
+        "title": "Settings of the membership view, read from the file that --view names",
         "type": "object", "properties": properties, "required": required, "additionalProperties": false,
     })
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -53,12 +53,12 @@
     // `listen` defaults to the gateway's own address in `gateways`.
     assert_eq!(settings.listen, "127.0.0.1:2".parse::<SocketAddr>().expect("a socket address"));
     for (from, to, expected) in [
-        ("slot = 1", "slot = 3", "slot: found 3; expected one of 3 gateways"),
+        ("slot = 1", "slot = 3", "slot: found 3; expected an index in the list of 3 gateways, from 0"),
         ("127.0.0.1:3", "127.0.0.1:1", "gateways: found 127.0.0.1:1 twice; expected"),
         ("max_out = 2", "max_out = 2\nvoters = 5", "voters: found 5; expected at most the 3"),
         ("max_out = 2", "max_out = 2\nmax_gateways = 2", "max_gateways: found 2; expected at most 1"),
         ("tier = 1", "", "tier: found nothing; expected a whole number"),
-        ("folder = \"/tmp\"", "", "folder: found nothing; expected a folder"),
+        ("folder = \"/tmp\"", "", "folder: found nothing; expected the path of a folder"),
         ("tier = 1", "tier = 1\nquorum = 1", "quorum: found an unknown key; expected listen"),
         ("slot = 1", "slot =", "expected TOML"),
     ] {
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -47,10 +47,10 @@
 #[test]
 fn errors_name_the_key_what_was_found_and_what_was_expected() {
     for (text, expected) in [
-        ("tier = 1", "listen: found \"\"; expected an address"),
+        ("tier = 1", "listen: found \"\"; expected an IP address and a port"),
         ("listen = \"127.0.0.1:7946\"", "tier: found nothing; expected a whole number"),
         ("listen = \"0.0.0.0:7946\"\ntier = 1", "listen: found 0.0.0.0:7946; expected"),
-        ("listen = 7\ntier = 1", "listen: found 7; expected an address"),
+        ("listen = 7\ntier = 1", "listen: found 7; expected an IP address and a port"),
         ("listen = \"127.0.0.1:7946\"\ntier = 1\nseeds = [\"here\"]", "seeds: found \"here\"; expected"),
         (
             "listen = \"127.0.0.1:7946\"\ntier = 1\nfanout = 3",
