--- a/crates/ashtide-fleet/src/frame.rs
+++ b/crates/ashtide-fleet/src/frame.rs
@@ -23,25 +23,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DecodeError {
     /// The datagram is longer than [`MAX_DATAGRAM`] or shorter than a frame.
-    #[error("a length that no datagram has")]
+    #[error("datagram length is below the header length or above the maximum")]
     Length,
     /// The datagram has another protocol version.
-    #[error("another version")]
+    #[error("datagram has a different protocol version")]
     Version,
     /// The datagram belongs to another fleet.
-    #[error("another tier")]
+    #[error("datagram belongs to a different fleet")]
     OtherFleet,
     /// The payload cannot be decoded.
-    #[error("malformed")]
+    #[error("datagram payload cannot be decoded")]
     Malformed,
     /// The datagram names this member as its sender.
-    #[error("of this member itself")]
+    #[error("datagram names this gateway as its sender")]
     Own,
     /// The sender is unknown and the member table has no capacity for it.
-    #[error("no room for another member")]
+    #[error("sender is unknown and the member table is full")]
     Full,
     /// The source address differs from the configured address of the gateway named as the sender.
-    #[error("of another address than the gateway it speaks for")]
+    #[error("source address differs from the configured address of the sending gateway")]
     Foreign,
 }
 
@@ -50,13 +50,14 @@
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
-            Self::Length | Self::Malformed => "look for another program that sends to this port",
-            Self::Version => "gateways of two builds are about: end the roll",
-            Self::OtherFleet => "two tiers reach each other's ports: compare their settings",
-            Self::Own => "look for a second process of this gateway's name, and stop one",
-            Self::Full => "compare the settings' list of gateways: its sender is in none here",
+            Self::Length | Self::Malformed => "find the other program that sends datagrams to this port",
+            Self::Version => "gateways run different builds: complete the upgrade",
+            Self::OtherFleet => "gateways of two fleets send to each other's ports: compare their settings",
+            Self::Own => "find the second process with this gateway's name and stop one of them",
+            Self::Full => "compare the lists of gateways in the settings: the list here lacks the sender",
             Self::Foreign => {
-                "compare the settings' list of gateways: it must be the same, in one order, everywhere"
+                "compare the lists of gateways in the settings: all gateways need the same list in \
+                 the same order"
             }
         }
     }
--- a/crates/ashtide-fleet/src/state/allocation.rs
+++ b/crates/ashtide-fleet/src/state/allocation.rs
@@ -119,10 +119,10 @@
     pub fn help(self) -> &'static str {
         match self {
             Self::Older { .. } => {
-                "bring the newest file to this gateway, or write the old one under a later generation"
+                "copy the newest file to this gateway, or store the old content under a later generation"
             }
             Self::Conflicting { .. } => {
-                "count generation on with every change, and bring the same file to all gateways"
+                "increment generation at each change, and copy the same file to all gateways"
             }
         }
     }
--- a/crates/ashtide-fleet/src/state/escrow.rs
+++ b/crates/ashtide-fleet/src/state/escrow.rs
@@ -100,16 +100,16 @@
 pub enum LeaseRejected {
     /// The sequence number of a request is not above the last accepted one, or a grant matches no outstanding
     /// request: the message is delayed or repeated.
-    #[error("late or repeated")]
+    #[error("lease datagram is late or repeated")]
     Duplicate,
     /// This process started less than one booked lease ago, or another process uses its slot.
-    #[error("nothing is lent yet")]
+    #[error("gateway has started recently and lends nothing yet")]
     NotLendingYet,
     /// The maximum number of leases is reached.
-    #[error("no room for another")]
+    #[error("maximum number of leases is reached")]
     Full,
     /// The lease ended before its grant arrived.
-    #[error("the lease is over")]
+    #[error("lease ended before its grant arrived")]
     Expired,
 }
 
@@ -118,12 +118,13 @@
     #[must_use]
     pub fn help(self) -> &'static str {
         match self {
-            Self::Duplicate => "nothing, if few: the network repeats or delays datagrams",
+            Self::Duplicate => "none needed if few: the network repeats or delays datagrams",
             Self::NotLendingYet => {
-                "nothing: after a start a gateway lends after one lease; if it stays, two processes share a name"
+                "none needed: a gateway lends one lease duration after its start; if this persists, two \
+                 processes share a name"
             }
-            Self::Full => "fewer gateways should lend this budget: name more of them in the settings",
-            Self::Expired => "datagrams take longer than a lease: look for a swamped host or network",
+            Self::Full => "list more gateways in the settings, so that fewer of them lend this budget",
+            Self::Expired => "datagrams take longer than a lease: look for an overloaded host or network",
         }
     }
 }
--- a/crates/ashtide-fleet/src/state/violation.rs
+++ b/crates/ashtide-fleet/src/state/violation.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// C1: the row of this gateway has the incarnation of this gateway.
-    #[error("C1: the own row is of generation {found}, expected {expected}")]
+    #[error("C1: the own row has incarnation {found}, expected {expected}")]
     OwnRow {
         /// The incarnation of the row.
         found: u64,
@@ -16,7 +16,7 @@
         expected: u64,
     },
     /// C2: a row without an update for [`ROW_LIFETIME`](super::ROW_LIFETIME) is not counted.
-    #[error("C2: the row of gateway {} was heard {age:?} ago and is still counted", .slot.0)]
+    #[error("C2: the row of gateway {} was received {age:?} ago and is still counted", .slot.0)]
     StaleRow {
         /// The gateway of the row.
         slot: Slot,
@@ -24,7 +24,7 @@
         age: Duration,
     },
     /// C3: a row has the counts that its gateway sent last, each counted once.
-    #[error("C3: gateway {} is counted with {found}, it said {expected}", .slot.0)]
+    #[error("C3: gateway {} is counted with {found}, expected its reported count of {expected}", .slot.0)]
     MiscountedRow {
         /// The gateway of the row.
         slot: Slot,
@@ -34,7 +34,7 @@
         expected: u32,
     },
     /// B1: the lent units are at most the lendable units; the floor is never lent.
-    #[error("B1: {lent} units are lent of {lendable}")]
+    #[error("B1: {lent} units are lent, expected at most {lendable}")]
     OverLent {
         /// Units that are lent.
         lent: u64,
@@ -42,7 +42,7 @@
         lendable: u64,
     },
     /// B2: a lease ends at its holder within the lease duration from now.
-    #[error("B2: a lease of gateway {} ends in {remaining:?}, at most {longest:?} is granted", .slot.0)]
+    #[error("B2: a lease of gateway {} ends in {remaining:?}, expected at most {longest:?}", .slot.0)]
     LongLease {
         /// The grantor of the lease.
         slot: Slot,
@@ -52,7 +52,7 @@
         longest: Duration,
     },
     /// B3: the stored credit of a budget is at most its usable units times its burst.
-    #[error("B3: {stored} units x ns are stored, room for {capacity}")]
+    #[error("B3: {stored} unit-nanoseconds are stored, expected at most {capacity}")]
     OverStored {
         /// The stored credit, in unit-nanoseconds.
         stored: u128,
@@ -60,7 +60,7 @@
         capacity: u128,
     },
     /// B4: the usable units of all gateways together are at most the total.
-    #[error("B4: all gateways together may use {usable} units of a total of {total}")]
+    #[error("B4: all gateways together may use {usable} units, expected at most the total of {total}")]
     OverTotal {
         /// The sum of the usable units of all gateways.
         usable: u64,
@@ -69,7 +69,7 @@
     },
     /// B5: the spends of all gateways in a window are at most the rate of the total times the window, plus
     /// one burst.
-    #[error("B5: {spent} were spent in {window:?}, at most {most} may be")]
+    #[error("B5: {spent} units were spent in {window:?}, expected at most {most}")]
     OverSpent {
         /// The number of spends in the window.
         spent: u64,
@@ -79,7 +79,7 @@
         window: Duration,
     },
     /// J1: a server is ejected only if a quorum of observers has evidence against it.
-    #[error("J1: server {server:#x} is out of use by {observers} observers, a quorum is {quorum}")]
+    #[error("J1: server {server:#x} is ejected by {observers} observers, expected a quorum of {quorum}")]
     NoQuorum {
         /// The server, by a hash of its name.
         server: u32,
@@ -89,7 +89,7 @@
         quorum: usize,
     },
     /// J2: outlier reports eject at most the configured part of the ready capacity.
-    #[error("J2: {ejected} of {ready} ready capacity is out of use by judgements, at most {most} may be")]
+    #[error("J2: {ejected} of {ready} ready capacity is ejected by outlier reports, expected at most {most}")]
     TooMuchEjected {
         /// The ejected capacity.
         ejected: u64,
@@ -99,7 +99,10 @@
         most: u64,
     },
     /// J3: the evidence of one observer has at most the weight of one full observer.
-    #[error("J3: gateway {} weighs {weight} thousandths on server {server:#x}, at most 1000 is one's", .observer.0)]
+    #[error(
+        "J3: gateway {} has a weight of {weight} thousandths on server {server:#x}, expected at most 1000",
+        .observer.0
+    )]
     OverWeight {
         /// The observer.
         observer: Slot,
@@ -123,7 +126,7 @@
         expected: InitialShare,
     },
     /// S1: a table has at most its maximum number of entries.
-    #[error("S1: {table} has {found} entries, room for {most}")]
+    #[error("S1: table '{table}' has {found} entries, expected at most {most}")]
     OverFull {
         /// The name of the table.
         table: &'static str,
@@ -164,23 +167,26 @@
     #[must_use]
     pub fn help(&self) -> &'static str {
         match self {
-            Self::OwnRow { .. } => "look for a second process under this gateway's name, and stop one",
+            Self::OwnRow { .. } => "find the second process with this gateway's name and stop one of them",
             Self::StaleRow { .. } | Self::MiscountedRow { .. } => {
-                "counts mislead until the gateway named restarts: restart it, and report the line"
+                "restart the named gateway, because counts are wrong until then, and report this line"
             }
             Self::OverLent { .. } | Self::LongLease { .. } | Self::OverStored { .. } => {
-                "restart this gateway, which then lends nothing for one lease, and report the line"
+                "restart this gateway, which then lends nothing for one lease, and report this line"
             }
             Self::OverTotal { .. } | Self::OverSpent { .. } => {
-                "compare the settings' list of gateways and the totals on all of them: they must be the same"
+                "compare the lists of gateways and the totals in the settings: all gateways need the same \
+                 ones"
             }
             Self::NoQuorum { .. } | Self::TooMuchEjected { .. } | Self::OverWeight { .. } => {
-                "turn judgements off in the settings, and report the line"
+                "set judgements = 'off' in the settings and report this line"
             }
             Self::ShareMismatch { .. } => {
-                "restart this gateway, which keeps what it promised, and report the line"
+                "restart this gateway, which retains its commitments, and report this line"
+            }
+            Self::OverFull { .. } => {
+                "shorten the list of servers or gateways: it exceeds the capacity of this build"
             }
-            Self::OverFull { .. } => "the list of servers or gateways is longer than this build has room for",
         }
     }
 }
