--- a/crates/ashtide-fault-injection/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -154,23 +154,23 @@
 /// Starts clients at the configured rates until the load is stopped, then waits for the clients to end.
 pub(crate) async fn offer_load(load: Arc<ClientLoad>, plan: Arc<FaultPlan>) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(plan.seed);
-    let mut due: BTreeMap<(usize, usize), f64> = BTreeMap::new();
+    let mut credits: BTreeMap<(usize, usize), f64> = BTreeMap::new();
     let (mut clients, mut phase) = (JoinSet::new(), load.phase.subscribe());
     let mut tick = interval(LOAD_TICK);
-    let mut last = Instant::now();
+    let mut last_tick = Instant::now();
     loop {
         tokio::select! {
             _ = tick.tick() => {}
             _ = phase.changed() => break,
         }
-        let passed_s = last.elapsed().as_secs_f64();
-        last = Instant::now();
+        let elapsed_s = last_tick.elapsed().as_secs_f64();
+        last_tick = Instant::now();
         let loads = locked(&load.loads).clone();
         for Load { tenant, zone, per_s } in loads {
             // A random initial credit, so that the first clients of the tenants and zones start at different
             // times.
-            let credit = due.entry((tenant, zone)).or_insert_with(|| rng.random());
-            *credit += per_s * passed_s;
+            let credit = credits.entry((tenant, zone)).or_insert_with(|| rng.random());
+            *credit += per_s * elapsed_s;
             while *credit >= 1.0 {
                 *credit -= 1.0;
                 let seed = rng.random();
--- a/crates/ashtide-fault-injection/src/mesh.rs
+++ b/crates/ashtide-fault-injection/src/mesh.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// The number of delayed datagrams in flight; further ones are dropped, as on a full link.
+/// The largest number of delayed datagrams in flight; further ones are dropped, as on a full link.
 const MAX_IN_FLIGHT: usize = 8192;
 /// The longest datagram that is forwarded, in bytes; longer ones are truncated to this length.
 const MAX_DATAGRAM_BYTES: usize = 2048;
@@ -68,13 +68,14 @@
     pub sent: u64,
     /// The size of the datagrams sent, in bytes.
     pub bytes: u64,
-    /// The number of copies dropped.
+    /// The number of datagrams or copies dropped.
     pub lost: u64,
     /// The number of additional copies.
     #[serde(rename = "doubled")]
     pub duplicated: u64,
 }
 
+/// One direction between two members.
 struct Lane {
     link: Link,
     rng: Xoshiro256PlusPlus,
@@ -106,6 +107,7 @@
     }
 }
 
+/// The state that all relays share.
 struct MeshState {
     /// The lanes by sender, then receiver.
     lanes: Vec<Vec<Lane>>,
--- a/crates/ashtide-fault-injection/src/plan.rs
+++ b/crates/ashtide-fault-injection/src/plan.rs
@@ -106,27 +106,27 @@
     Heal,
     /// Sends SIGSTOP to all processes of a gateway.
     Stall {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Sends SIGCONT to all processes of a gateway.
     Resume {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Sends SIGKILL to all processes of a gateway.
     Kill {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Sends SIGTERM to all processes of a gateway.
     Terminate {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Starts a gateway that is not running: a new one, or a previous one under the same name and addresses.
     Start {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
         /// The offset of its clock, in milliseconds; positive if the clock is ahead.
         #[serde(default)]
@@ -134,19 +134,19 @@
     },
     /// Sends SIGTERM, and starts the gateway under the same name and addresses once its process has exited.
     Restart {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Starts a second process with the same name, index and peer address, independent of the first.
     #[serde(rename = "twin")]
     StartDuplicate {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Sends SIGTERM to the second process of a gateway.
     #[serde(rename = "end_twin")]
     StopDuplicate {
-        /// Which gateway.
+        /// The number of the gateway.
         gateway: usize,
     },
     /// Sets the load of a tenant in a zone.
@@ -182,7 +182,7 @@
         /// The numbers of the gateways; empty means all.
         #[serde(default)]
         gateways: Vec<usize>,
-        /// The new content of the file.
+        /// The new template of the file, with placeholders as in [`ProxiedSocket`].
         file: String,
     },
     /// Removes a server from the endpoint list; its process keeps running.
@@ -303,7 +303,7 @@
 pub struct ProxiedSocket {
     /// Arguments appended to those of the daemon.
     pub arguments: Vec<String>,
-    /// The content of a file that is written for the daemon.
+    /// The template of a file that is written for the daemon; empty if the daemon needs no file.
     pub file: String,
 }
 
@@ -377,7 +377,7 @@
     }
 
     /// Returns a typical fleet: three zones, `per_s` requests per second of each of two tenants in each zone,
-    /// connection quotas, and servers whose slow start is as configured.
+    /// quotas for both tenants, and servers whose slow start is as configured.
     pub fn typical(gateways: usize, per_s: f64) -> Self {
         let plan = Self { gateways, ..Self::default() };
         let offered = per_s * plan.zones as f64;
