--- a/crates/ashtide-quota/tests/partner_load/mod.rs
+++ b/crates/ashtide-quota/tests/partner_load/mod.rs
@@ -5,8 +5,8 @@
 use ashtide_quota::{ConnectionKind, DEFAULT_MAX_WAIT, Decision, PartnerBudgets, Quota};
 use rand::RngExt;
 
-use super::chance::STEP;
 use super::exchanges::Cluster;
+use super::faulty_network::STEP;
 
 const GATEWAYS: usize = 9;
 const PARTNERS: usize = 4;
@@ -110,7 +110,7 @@
     fn new(policy: QuotaPolicy, scenario: LoadScenario, seed: u64) -> Self {
         let cluster = Cluster::new(seed, GATEWAYS, PARTNERS, QUOTA_PER_S * 1_000);
         let budgets = |id| PartnerBudgets { rate_budget: id as u32, burst: BURST, connections_budget: None };
-        let started_at = cluster.chance.now;
+        let started_at = cluster.network.now;
         let quotas = (0..GATEWAYS).map(|gateway| {
             let now = cluster.gateways[gateway].clock.read(started_at);
             Quota::new((0..PARTNERS).map(budgets), DEFAULT_MAX_WAIT, now)
@@ -136,7 +136,7 @@
             self.partition();
         }
         self.cluster.step();
-        let now = self.cluster.chance.now;
+        let now = self.cluster.network.now;
         for gateway in 0..GATEWAYS {
             let gateway_time = self.cluster.gateways[gateway].clock.read(now);
             let exchange = self.cluster.gateways[gateway].exchange.as_mut().expect("the gateway runs");
@@ -155,7 +155,7 @@
     fn partition(&mut self) {
         self.is_partitioned = true;
         for (one, other) in (0..6).flat_map(|one| (6..GATEWAYS).map(move |other| (one, other))) {
-            self.cluster.chance.cut.extend([(one, other), (other, one)]);
+            self.cluster.network.blocked_links.extend([(one, other), (other, one)]);
         }
     }
 
@@ -179,12 +179,12 @@
         let mean = factor * QUOTA_PER_S as f64 / GATEWAYS as f64 * STEP.as_secs_f64();
         let mut requests = Vec::new();
         for _ in 0..4 {
-            if self.cluster.chance.rng.random_bool((mean / 4.0).min(1.0)) {
+            if self.cluster.network.rng.random_bool((mean / 4.0).min(1.0)) {
                 self.offered[partner] += usize::from(elapsed >= PARTITION_TIME);
                 requests.push(0);
             }
         }
-        let now = self.cluster.chance.now;
+        let now = self.cluster.network.now;
         let is_due =
             |retry: &mut Retry| retry.due_at <= now && retry.gateway == gateway && retry.partner == partner;
         requests.extend(self.retries.extract_if(.., is_due).map(|retry| retry.previous_attempts));
@@ -192,8 +192,8 @@
     }
 
     fn request(&mut self, gateway: usize, partner: usize, previous_attempts: u8, gateway_time: Duration) {
-        let now = self.cluster.chance.now;
-        let mut wait = Duration::from_millis(self.cluster.chance.rng.random_range(500..1_500));
+        let now = self.cluster.network.now;
+        let mut wait = Duration::from_millis(self.cluster.network.rng.random_range(500..1_500));
         let quota_per_s = QUOTA_PER_S as f64;
         let is_admitted = match self.policy {
             QuotaPolicy::StaticSplit => {
