--- a/crates/ashtide-fault-injection/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -129,7 +129,7 @@
         loop {
             let start = Instant::now();
             if let Ok(mut client) = LineClient::connect(server).await {
-                let _ = client.echoes("PING").await;
+                let _ = client.receives_echo("PING").await;
             }
             let took = start.elapsed();
             if took > HARNESS_DELAY_THRESHOLD {
@@ -248,7 +248,7 @@
         record_answer(Answer::NotSent);
         return RequestOutcome::Retry(RETRY_BACKOFF);
     };
-    if client.say(line).await.is_err() {
+    if client.send_line(line).await.is_err() {
         record_answer(Answer::NotSent);
         return RequestOutcome::Retry(RETRY_BACKOFF);
     }
@@ -332,7 +332,7 @@
                 }
                 last_sent += 1;
                 // A failed send is ignored: the next read reports the end of a broken connection.
-                let _ = client.say(&format!("m {last_sent}")).await;
+                let _ = client.send_line(&format!("m {last_sent}")).await;
             }
             () = sleep_until(until), if current_phase == Phase::Running => return CloseReason::ClientFinished,
             _ = phase.changed() => {}
--- a/crates/ashtide-fault-injection/src/lib.rs
+++ b/crates/ashtide-fault-injection/src/lib.rs
@@ -21,7 +21,7 @@
 
 use std::io;
 
-use ashtide_testkit::RehearsalError;
+use ashtide_testkit::ScenarioError;
 
 pub use checks::{violations, worst_slow_start_window};
 pub use history::{Answer, CloseReason, Entry, Event, ExitCause, History};
@@ -54,11 +54,11 @@
         /// The number of the gateway.
         gateway: usize,
         /// The error that the test kit reported.
-        problem: RehearsalError,
+        problem: ScenarioError,
     },
     /// The mock servers or the mock discovery could not be started.
     #[error("mock servers and discovery: {0}")]
-    Mocks(#[from] RehearsalError),
+    Mocks(#[from] ScenarioError),
     /// The run exceeded the time limit that follows from its plan, and was aborted.
     #[error("the fault run took over {found_ms} ms, expected {expected_ms} ms at most; it was aborted")]
     DeadlineExceeded {
--- a/crates/ashtide-fault-injection/src/run.rs
+++ b/crates/ashtide-fault-injection/src/run.rs
@@ -9,10 +9,10 @@
 
 use ashtide::discovery::EndpointStatus;
 use ashtide::net::handover::CLOCK_OFFSET_VARIABLE;
+use ashtide_testkit::attempt_log::Arrival;
 use ashtide_testkit::clients::LineClient;
-use ashtide_testkit::daemon::{Daemon, Options, ask, lay};
-use ashtide_testkit::fleet::Fleet;
-use ashtide_testkit::ledger::Arrival;
+use ashtide_testkit::daemon::{Daemon, Options, merge_json, send_admin_command};
+use ashtide_testkit::mock_backend::MockBackend;
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
@@ -143,7 +143,7 @@
     program: &'a Path,
     plan: Arc<FaultPlan>,
     client_load: Arc<ClientLoad>,
-    fleet: Fleet,
+    backend: MockBackend,
     /// The addresses at which gateways accept clients.
     client_addresses: Vec<SocketAddr>,
     /// The network of `peer_listen`, followed by those of the additional sockets of the plan.
@@ -182,7 +182,7 @@
 impl<'a> Harness<'a> {
     async fn open(program: &'a Path, plan: &FaultPlan) -> Result<History, FaultRunError> {
         let zones: Vec<String> = (0..plan.servers).map(|server| zone(server % plan.zones)).collect();
-        let fleet = Fleet::start_in(&zones).await?;
+        let backend = MockBackend::start_in(&zones).await?;
         let host = host();
         let reserved = (0..plan.gateways).map(|_| std::net::TcpListener::bind((host, 0)));
         let reserved = reserved.collect::<Result<Vec<_>, _>>()?;
@@ -201,7 +201,7 @@
             program,
             plan: Arc::new(plan.clone()),
             client_load,
-            fleet,
+            backend,
             client_addresses,
             networks,
             folder,
@@ -213,7 +213,7 @@
         let harness_ref = &harness;
         let starts = initial.map(|gateway| async move {
             let options = harness_ref.options(gateway, false, plan.initial_clock_offset_ms(gateway))?;
-            let daemon = Daemon::start(program, &harness_ref.fleet, &options).await;
+            let daemon = Daemon::start(program, &harness_ref.backend, &options).await;
             daemon
                 .map(|daemon| (gateway, daemon))
                 .map_err(|problem| FaultRunError::Gateway { gateway, problem })
@@ -263,7 +263,7 @@
         });
         let mut overrides = plan.config.clone();
         substitute_in_json(&mut overrides, &peers.placeholders(gateway));
-        lay(&overrides, &mut config);
+        merge_json(&overrides, &mut config);
         let mut arguments = Vec::new();
         for (index, (socket, network)) in plan.sockets.iter().zip(&self.networks[1..]).enumerate() {
             let (file, mut placeholders) = (self.file(gateway, index), network.placeholders(gateway));
@@ -295,7 +295,7 @@
         self.rewritten_files.insert((gateway, socket), template.to_owned());
         std::fs::write(&file, substitute(template, &placeholders))?;
         for index in self.process_indices(gateway, false) {
-            self.running[index].daemon.hang_up()?;
+            self.running[index].daemon.send_sighup()?;
         }
         Ok(())
     }
@@ -307,7 +307,7 @@
         clock_ms: i64,
     ) -> Result<(), FaultRunError> {
         let options = self.options(gateway, is_duplicate, clock_ms)?;
-        let daemon = Daemon::start(self.program, &self.fleet, &options).await;
+        let daemon = Daemon::start(self.program, &self.backend, &options).await;
         let daemon = daemon.map_err(|problem| FaultRunError::Gateway { gateway, problem })?;
         self.register_process(gateway, is_duplicate, daemon);
         Ok(())
@@ -330,7 +330,7 @@
         locked(&self.client_load.targets).push(target);
         let mut background_tasks = JoinSet::new();
         background_tasks.spawn(health_check_loop(self.client_load.clone(), number, daemon.lines));
-        if let Some(admin) = daemon.door {
+        if let Some(admin) = daemon.admin_address {
             background_tasks.spawn(admin_poll_loop(
                 self.client_load.clone(),
                 number,
@@ -356,7 +356,7 @@
         let moment = |ms: u64| start + Duration::from_millis(ms);
         let load = AbortOnDrop(tokio::spawn(offer_load(self.client_load.clone(), plan.clone())));
         let _delay_measurement = AbortOnDrop(tokio::spawn(
-            self.client_load.clone().measure_harness_delay(self.fleet.servers[0].address),
+            self.client_load.clone().measure_harness_delay(self.backend.servers[0].address),
         ));
         for step in &plan.steps {
             self.poll_processes_until(moment(step.at_ms)).await?;
@@ -392,12 +392,12 @@
 
     /// Returns the recorded entries, the attempts and the traffic as a history.
     fn history(&self) -> History {
-        for (number, arrival) in (1..).zip(self.fleet.ledger.arrivals()) {
+        for (number, arrival) in (1..).zip(self.backend.attempt_log.arrivals()) {
             let event = Event::Attempt {
                 request: String::from_utf8_lossy(&arrival.id).into_owned(),
                 server: arrival.server.to_string(),
                 receipt: Arrival::receipt(&arrival.server, number),
-                until_us: arrival.until.map(|until| self.client_load.elapsed_us(until)),
+                until_us: arrival.ended_at.map(|ended_at| self.client_load.elapsed_us(ended_at)),
             };
             self.client_load.record_at(self.client_load.elapsed_us(arrival.at), event);
         }
@@ -426,7 +426,7 @@
     async fn reap_exited(&mut self) -> Result<(), FaultRunError> {
         let mut index = 0;
         while index < self.running.len() {
-            let Some(status) = self.running[index].daemon.ended()? else {
+            let Some(status) = self.running[index].daemon.exit_status()? else {
                 index += 1;
                 continue;
             };
@@ -533,27 +533,29 @@
             }
             FaultAction::Add { zone: zone_number } => {
                 let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let server = self.fleet.add(&zone(*zone_number), unix_time.as_millis() as u64).await?;
+                let server = self.backend.add(&zone(*zone_number), unix_time.as_millis() as u64).await?;
                 self.record_listing(server, "SERVING", true);
             }
             FaultAction::Drain { server } => {
-                self.fleet.set(*server, EndpointStatus::Draining);
+                self.backend.set_status(*server, EndpointStatus::Draining);
                 self.record_listing(*server, "DRAINING", false);
             }
             FaultAction::Fail { server, gateways } => {
                 let affected = if gateways.is_empty() { &all_gateways } else { gateways };
                 let prefixes =
                     affected.iter().map(|&gateway| request_id_prefix(gateway).into_bytes()).collect();
-                self.fleet.servers[*server].fail(prefixes);
+                self.backend.servers[*server].reset_requests_with_prefixes(prefixes);
             }
             FaultAction::Rewrite { socket, gateways, file } => {
                 for &gateway in if gateways.is_empty() { &all_gateways } else { gateways } {
                     self.rewrite(gateway, *socket, file)?;
                 }
             }
-            FaultAction::Recover { server } => self.fleet.servers[*server].fail(Vec::new()),
+            FaultAction::Recover { server } => {
+                self.backend.servers[*server].reset_requests_with_prefixes(Vec::new())
+            }
             FaultAction::Remove { server } => {
-                self.fleet.remove(*server);
+                self.backend.remove(*server);
                 self.record_listing(*server, "DELETED", false);
             }
         }
@@ -561,13 +563,13 @@
     }
 
     fn record_listing(&self, server: usize, status: &str, cold: bool) {
-        let server = self.fleet.servers[server].name.clone();
+        let server = self.backend.servers[server].name.clone();
         self.client_load.record(Event::EndpointListed { server, status: status.to_owned(), cold });
     }
 
     fn stall(&mut self, index: usize, stalled: bool) -> Result<(), FaultRunError> {
         let process = &self.running[index];
-        process.daemon.stall(stalled)?;
+        process.daemon.set_suspended(stalled)?;
         self.client_load.record(Event::Stalled { process: process.number, stalled });
         Ok(())
     }
@@ -597,7 +599,7 @@
         }
         let (mut reports, mut expected) = (Vec::new(), 0);
         for process in &self.running {
-            let Some(admin) = process.daemon.door else { continue };
+            let Some(admin) = process.daemon.admin_address else { continue };
             let text = sample_admin(admin, &[CALL.to_owned()]).await.2.remove(CALL).unwrap_or_default();
             // A second process of the same name does not take part in the shared state.
             if text.starts_with("self ") {
@@ -630,10 +632,10 @@
             self.reap_exited().await?;
             let mut differences = Vec::new();
             let mut running_gateways = BTreeSet::new();
-            let known = self.fleet.known()["endpoints"].as_array().map_or(0, Vec::len) as f64;
+            let known = self.backend.endpoint_list()["endpoints"].as_array().map_or(0, Vec::len) as f64;
             for process in &self.running {
                 running_gateways.insert(process.gateway);
-                let Some(admin) = process.daemon.door else { continue };
+                let Some(admin) = process.daemon.admin_address else { continue };
                 let (ready, metrics, _) = sample_admin(admin, &[]).await;
                 let open_connections =
                     self.client_load.open_connections().get(&process.number).copied().unwrap_or_default()
@@ -688,7 +690,7 @@
     loop {
         let pong = timeout(PING_TIMEOUT, async {
             let mut client = LineClient::connect(address).await.ok()?;
-            client.say("PING").await.ok()?;
+            client.send_line("PING").await.ok()?;
             client.next().await.ok()?
         });
         let is_available = pong.await.is_ok_and(|line| line.as_deref() == Some("PONG"));
@@ -716,7 +718,7 @@
 /// Requests readiness, metrics and the additional calls from an admin endpoint. The readiness is `None`
 /// without an answer in time.
 async fn sample_admin(admin: SocketAddr, calls: &[String]) -> AdminState {
-    let answer = async |call: &str| timeout(ADMIN_TIMEOUT, ask(admin, call)).await.ok()?.ok();
+    let answer = async |call: &str| timeout(ADMIN_TIMEOUT, send_admin_command(admin, call)).await.ok()?.ok();
     let ready = answer("health").await.map(|text| text.starts_with("200"));
     if ready.is_none() {
         return AdminState::default();
