--- a/tests/random_interleavings/frontend.rs
+++ b/tests/random_interleavings/frontend.rs
@@ -140,12 +140,12 @@
     /// Returns the front end of a connection that the predecessor process has handed off.
     pub fn established(open: Open, server: ServerId, fault: Option<Fault>) -> Self {
         let mut side = ClientSide::default();
-        side.up();
+        side.set_established();
         let connection = ServerConnection {
             attempt: 0,
             server,
             stage: ConnectionStage::Established,
-            side: ServerSide::standing(),
+            side: ServerSide::established(),
             reset_pending: false,
         };
         Self { open, side, connection: Some(connection), finished: false, fault }
@@ -153,7 +153,7 @@
 
     /// Returns the time that the client waits for its answer, or zero if its line gives none.
     pub fn client_timeout(&self) -> Duration {
-        self.open.wait.unwrap_or_default()
+        self.open.client_timeout.unwrap_or_default()
     }
 
     pub fn is_finished(&self) -> bool {
@@ -249,7 +249,7 @@
                 let connection = self.connection.as_mut().expect("an accepted connection");
                 connection.stage = ConnectionStage::Established;
                 let is_reset = connection.reset_pending;
-                self.side.up();
+                self.side.set_established();
                 actions.push(FrontendAction::FinalAnswer(ClientAnswer::Served));
                 if self.has_fault(Fault::AnswersServedClient) {
                     actions.push(FrontendAction::FinalAnswer(ClientAnswer::Failed));
@@ -279,7 +279,7 @@
     fn send_first_byte(&mut self, actions: &mut Vec<FrontendAction>) {
         let connection = self.connection.as_mut().expect("an open connection");
         if connection.reset_pending {
-            let outcome = connection.side.end().into();
+            let outcome = connection.side.ending().into();
             return self.handle_connection_end(outcome, actions);
         }
         connection.stage = ConnectionStage::Writing;
@@ -310,7 +310,7 @@
             }
             (ConnectionEvent::Written, ConnectionStage::Writing) => {
                 connection.stage = ConnectionStage::Written;
-                connection.side.written();
+                connection.side.set_request_written();
                 actions.push(FrontendAction::LastByte(attempt));
                 if self.has_fault(Fault::ContinuesEndedAttempt) {
                     self.connection = None;
@@ -323,7 +323,7 @@
                 ConnectionStage::Connecting | ConnectionStage::AwaitingPermission | ConnectionStage::Accepted,
             ) => connection.reset_pending = true,
             (ConnectionEvent::Reset, _) => {
-                let outcome = connection.side.end().into();
+                let outcome = connection.side.ending().into();
                 self.handle_connection_end(outcome, actions);
             }
             (ConnectionEvent::Line(line), ConnectionStage::Written) => match connection.side.line(line) {
@@ -331,13 +331,13 @@
                     connection.stage = ConnectionStage::Accepted;
                     actions.push(FrontendAction::Report(FrontendEvent::Accepted(attempt)));
                 }
-                ServerEvent::Over(ending) => self.handle_connection_end(ending.into(), actions),
+                ServerEvent::AttemptEnded(ending) => self.handle_connection_end(ending.into(), actions),
                 _ => self.handle_connection_end(Outcome::Failed, actions),
             },
             (ConnectionEvent::Line(line), ConnectionStage::Established) => match connection.side.line(line) {
                 ServerEvent::Load(_, load) => actions.push(FrontendAction::Report(FrontendEvent::Load(load))),
-                ServerEvent::Last(_) => {
-                    let outcome = connection.side.end().into();
+                ServerEvent::FinalLine(_) => {
+                    let outcome = connection.side.ending().into();
                     self.handle_connection_end(outcome, actions);
                 }
                 _ => actions.push(FrontendAction::Report(FrontendEvent::ServerMessage)),
@@ -352,13 +352,13 @@
             return;
         }
         match self.side.line(line) {
-            ClientEvent::Pass(_) if self.is_established() => {
+            ClientEvent::Forward(_) if self.is_established() => {
                 actions.push(FrontendAction::Report(FrontendEvent::ClientMessage))
             }
-            ClientEvent::Pass(_) => {}
+            ClientEvent::Forward(_) => {}
             // A further `OPEN`, a ping or a malformed line before the answer ends the session: the request
             // fails.
-            ClientEvent::Bad(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
+            ClientEvent::Invalid(_) | ClientEvent::Ping | ClientEvent::Open(_) => {
                 self.close_connection(None, actions);
                 actions.extend([
                     FrontendAction::Report(FrontendEvent::ClientLeft),
