--- a/crates/ashtide-endpoints/src/document.rs
+++ b/crates/ashtide-endpoints/src/document.rs
@@ -115,7 +115,7 @@
 
 impl Status {
     /// As it stands in files.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Status::Serving => "serving",
             Status::Draining => "draining",
--- a/crates/ashtide-endpoints/src/generation.rs
+++ b/crates/ashtide-endpoints/src/generation.rs
@@ -35,7 +35,7 @@
     pub(crate) fn line(&self) -> String {
         let or = |text: &str| if text.is_empty() { "-".to_owned() } else { text.to_owned() };
         let Self { name, address, zone, kind, weight, since_ms, status } = self;
-        format!("{name} {address} {} {} {weight} {since_ms} {}", or(zone), or(kind), status.word())
+        format!("{name} {address} {} {} {weight} {since_ms} {}", or(zone), or(kind), status.as_str())
     }
 }
 
@@ -58,17 +58,17 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Difference {
     /// Names that are no longer there.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
     /// Servers that are new, or not what they were.
-    pub put: Vec<Server>,
-    /// Of `put`, the names whose address is another: these are new machines, and cold.
-    pub renewed: Vec<Arc<str>>,
+    pub upserted: Vec<Server>,
+    /// of `upserted`, the names whose address is another: these are new machines, and cold.
+    pub readdressed: Vec<Arc<str>>,
 }
 
 impl Difference {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
-        self.gone.is_empty() && self.put.is_empty()
+        self.removed.is_empty() && self.upserted.is_empty()
     }
 }
 
@@ -141,9 +141,9 @@
         }
         let kept = self.servers.keys().filter(|name| merged.contains_key(&***name)).count();
         let replace = fragments.iter().any(|fragment| fragment.replace);
-        if !replace && (kept as f64) < limits.keep * self.len() as f64 {
+        if !replace && (kept as f64) < limits.min_retained_share * self.len() as f64 {
             let found = format!("{kept} of the {} servers of the list that holds", self.len());
-            let part = limits.keep * 100.0;
+            let part = limits.min_retained_share * 100.0;
             problems.add(&all, "/servers", found, format!("{part:.0}% of them, or `replace = true`"));
         }
         problems.none(())?;
@@ -167,13 +167,13 @@
         let mut difference = Difference::default();
         for item in before.servers.diff(&self.servers) {
             match item {
-                DiffItem::Add(_, server) => difference.put.push(server.clone()),
-                DiffItem::Remove(name, _) => difference.gone.push(name.clone()),
+                DiffItem::Add(_, server) => difference.upserted.push(server.clone()),
+                DiffItem::Remove(name, _) => difference.removed.push(name.clone()),
                 DiffItem::Update { old: (_, old), new: (name, new) } => {
                     if old.address != new.address {
-                        difference.renewed.push(name.clone());
+                        difference.readdressed.push(name.clone());
                     }
-                    difference.put.push(new.clone());
+                    difference.upserted.push(new.clone());
                 }
             }
         }
@@ -185,10 +185,10 @@
     pub fn apply(&self, difference: &Difference) -> Self {
         let mut next = self.clone();
         next.number += 1;
-        for name in &difference.gone {
+        for name in &difference.removed {
             next.servers.remove(name);
         }
-        for server in &difference.put {
+        for server in &difference.upserted {
             next.servers.insert(server.name.clone(), server.clone());
         }
         next
--- a/crates/ashtide-endpoints/src/lib.rs
+++ b/crates/ashtide-endpoints/src/lib.rs
@@ -35,5 +35,5 @@
 pub use document::{Defaults, Document, Entry, Networks, Status, schema};
 pub use generation::{Difference, Generation, Server};
 pub use problem::{MAX_PROBLEMS, Problem, Problems};
-pub use rules::{Fragment, Limits, MAX_FILE, MAX_FRAGMENTS, MAX_SERVERS};
-pub use store::{KEPT, Store, StoreError};
+pub use rules::{Fragment, Limits, MAX_FILE_BYTES, MAX_FRAGMENTS, MAX_SERVERS};
+pub use store::{MAX_STORED_GENERATIONS, Store, StoreError};
--- a/crates/ashtide-endpoints/src/problem.rs
+++ b/crates/ashtide-endpoints/src/problem.rs
@@ -11,7 +11,7 @@
     /// The file, as it was named by whoever read it.
     pub file: String,
     /// Where in it: a JSON pointer, `line N, column M`, or nothing for the file as a whole.
-    pub at: String,
+    pub location: String,
     /// What was found there.
     pub found: String,
     /// What was expected.
@@ -21,8 +21,8 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
-        if !self.at.is_empty() {
-            write!(f, " {}", self.at)?;
+        if !self.location.is_empty() {
+            write!(f, " {}", self.location)?;
         }
         write!(f, ": found {}, expected {}", self.found, self.expected)
     }
@@ -66,7 +66,7 @@
             return;
         }
         let (at, found, expected) = (at.into(), shortened(found.into()), expected.into());
-        self.all.push(Problem { file: file.to_owned(), at, found, expected });
+        self.all.push(Problem { file: file.to_owned(), location: at, found, expected });
     }
 
     /// A file with a single problem.
--- a/crates/ashtide-endpoints/src/rules.rs
+++ b/crates/ashtide-endpoints/src/rules.rs
@@ -15,7 +15,7 @@
 use crate::value;
 
 /// Largest file, in bytes.
-pub const MAX_FILE: usize = 64 << 20;
+pub const MAX_FILE_BYTES: usize = 64 << 20;
 /// Most servers of a list, all its files together.
 pub const MAX_SERVERS: usize = 100_000;
 /// Most files of a list.
@@ -25,16 +25,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
     /// Part of the previous list's names that a new one keeps, unless it says `replace = true`.
-    pub keep: f64,
+    pub min_retained_share: f64,
     /// Addresses that this daemon listens on itself: a server there would be a loop.
-    pub own: Vec<SocketAddr>,
+    pub own_addresses: Vec<SocketAddr>,
     /// Networks outside of which no server is, whatever a file allows; anywhere, where there is none.
-    pub allow: Vec<IpNet>,
+    pub allowed_networks: Vec<IpNet>,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { keep: 0.5, own: Vec::new(), allow: Vec::new() }
+        Self { min_retained_share: 0.5, own_addresses: Vec::new(), allowed_networks: Vec::new() }
     }
 }
 
@@ -89,7 +89,7 @@
     ///
     /// Fails with every problem, each with where it is, what was found and what was expected.
     pub fn read(file: &str, bytes: &[u8], limits: &Limits) -> Result<Self, Problems> {
-        if bytes.len() > MAX_FILE {
+        if bytes.len() > MAX_FILE_BYTES {
             let found = format!("{} bytes", bytes.len());
             return Err(Problems::one(file, "", found, "at most 64 MiB"));
         }
@@ -132,7 +132,7 @@
         };
         let (allow, deny) = (nets("allow", &document.networks.allow), nets("deny", &document.networks.deny));
         let mut own = Nets::default();
-        limits.allow.iter().for_each(|net| own.add(*net));
+        limits.allowed_networks.iter().for_each(|net| own.add(*net));
         let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
         let mut servers = Vec::with_capacity(document.servers.len());
         for (number, entry) in document.servers.iter().enumerate() {
@@ -177,7 +177,7 @@
             if own.any && own.hold(address.ip()).is_none() {
                 problems.add(file, at("address"), found(), "one in a network that the settings allow");
             }
-            if limits.own.iter().any(|own| meets(*own, address)) {
+            if limits.own_addresses.iter().any(|own| meets(*own, address)) {
                 problems.add(
                     file,
                     at("address"),
--- a/crates/ashtide-endpoints/src/store.rs
+++ b/crates/ashtide-endpoints/src/store.rs
@@ -10,10 +10,10 @@
 use crate::document::{Document, Entry};
 use crate::generation::{Generation, Server};
 use crate::problem::Problems;
-use crate::rules::{Fragment, Limits, MAX_FILE, hex};
+use crate::rules::{Fragment, Limits, MAX_FILE_BYTES, hex};
 
 /// Generations that are kept; the oldest go.
-pub const KEPT: usize = 16;
+pub const MAX_STORED_GENERATIONS: usize = 16;
 /// The first words of a file: the crate's name when the format was made, which files keep, and the format's version.
 const HEAD: &str = "ashtide-servers 1";
 /// A head is shorter.
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Fails where the folder cannot be written; what was kept before is untouched.
-    pub fn keep(&self, generation: &Generation) -> Result<(), StoreError> {
+    pub fn write(&self, generation: &Generation) -> Result<(), StoreError> {
         let path = self.path(generation.number());
         let aside = self.folder.join(format!("next.{}", std::process::id()));
         let io = |path: &Path| {
@@ -101,7 +101,7 @@
         }
         fs::rename(&aside, &path).map_err(io(&path))?;
         File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(io(&self.folder))?;
-        for old in self.numbers()?.into_iter().skip(KEPT) {
+        for old in self.numbers()?.into_iter().skip(MAX_STORED_GENERATIONS) {
             let path = self.path(old);
             fs::remove_file(&path).map_err(io(&path))?;
         }
@@ -120,7 +120,7 @@
             file => file.map_err(|error| StoreError::Io(path.clone(), error))?,
         };
         let mut bytes = Vec::new();
-        let most = (MAX_FILE + MAX_HEAD) as u64;
+        let most = (MAX_FILE_BYTES + MAX_HEAD) as u64;
         file.take(most + 1).read_to_end(&mut bytes).map_err(|error| StoreError::Io(path.clone(), error))?;
         let generation = decode(&path, &bytes, limits)?;
         if generation.number() != number {
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// Fails where the folder cannot be read at all.
-    pub fn last_good(&self, limits: &Limits) -> Result<(Option<Generation>, Vec<StoreError>), StoreError> {
+    pub fn latest_valid(&self, limits: &Limits) -> Result<(Option<Generation>, Vec<StoreError>), StoreError> {
         let mut wrong = Vec::new();
         for number in self.numbers()? {
             match self.read(number, limits) {
--- a/crates/ashtide-endpoints/tests/compatibility.rs
+++ b/crates/ashtide-endpoints/tests/compatibility.rs
@@ -4,7 +4,9 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-use ashtide_endpoints::{Fragment, Generation, KEPT, Limits, Server, Status, Store, StoreError, schema};
+use ashtide_endpoints::{
+    Fragment, Generation, Limits, MAX_STORED_GENERATIONS, Server, Status, Store, StoreError, schema,
+};
 
 /// Compares with a fixture. What was found instead is left beside the build's temporary files.
 fn assert_fixture(name: &str, found: &str) {
@@ -61,7 +63,7 @@
         server.kind,
         server.weight.to_bits(),
         server.since_ms,
-        server.status.word()
+        server.status.as_str()
     )
 }
 
@@ -204,9 +206,9 @@
 #[test]
 fn files_are_read_as_recorded() {
     let narrow = Limits {
-        keep: 0.5,
-        own: vec!["0.0.0.0:80".parse().unwrap(), "10.0.0.1:80".parse().unwrap()],
-        allow: vec!["10.1.0.0/16".parse().unwrap()],
+        min_retained_share: 0.5,
+        own_addresses: vec!["0.0.0.0:80".parse().unwrap(), "10.0.0.1:80".parse().unwrap()],
+        allowed_networks: vec!["10.1.0.0/16".parse().unwrap()],
     };
     let mut found = String::new();
     for text in texts() {
@@ -268,10 +270,10 @@
                 let _ = writeln!(
                     found,
                     "  gone {} renewed {}",
-                    difference.gone.join(" "),
-                    difference.renewed.join(" ")
+                    difference.removed.join(" "),
+                    difference.readdressed.join(" ")
                 );
-                for put in &difference.put {
+                for put in &difference.upserted {
                     let _ = writeln!(found, "  put {}", server(put));
                 }
                 let applied = current.apply(&difference);
@@ -308,7 +310,7 @@
     let folder = Folder::new("written");
     let store = Store::new(&folder.0);
     for generation in generations() {
-        store.keep(&generation).expect("kept");
+        store.write(&generation).expect("kept");
     }
     let mut names: Vec<String> = std::fs::read_dir(&folder.0)
         .expect("a folder")
@@ -331,7 +333,7 @@
         let read = store.read(number, &limits).expect("a generation");
         assert_eq!(generation(&read), generation(&expected));
     }
-    let (good, wrong) = store.last_good(&limits).expect("a folder");
+    let (good, wrong) = store.latest_valid(&limits).expect("a folder");
     assert!(wrong.is_empty() && good.is_some_and(|good| good.number() == 2));
 }
 
@@ -340,8 +342,8 @@
     let folder = Folder::new("wrong");
     let (store, limits) = (Store::new(&folder.0), Limits::default());
     let [first, second] = generations();
-    store.keep(&first).expect("kept");
-    store.keep(&second).expect("kept");
+    store.write(&first).expect("kept");
+    store.write(&second).expect("kept");
     let path = folder.0.join("servers.00000000000000000002");
     let whole = std::fs::read(&path).expect("a file");
     let head = whole.iter().position(|&byte| byte == b'\n').expect("a head");
@@ -363,18 +365,19 @@
     for (what, bytes) in cases {
         std::fs::write(&path, bytes).expect("written");
         let error = store.read(2, &limits).expect_err("wrong");
-        let (good, wrong) = store.last_good(&limits).expect("a folder");
+        let (good, wrong) = store.latest_valid(&limits).expect("a folder");
         let good = good.map_or(0, |good| good.number());
         let error = folder.hide(&store_error(&error));
         let _ = writeln!(found, "{what}: {error}; {} passed over, {good} is good", wrong.len());
     }
     std::fs::write(&path, &whole).expect("written");
-    let narrow = Limits { allow: vec!["10.2.0.0/16".parse().expect("a network")], ..Limits::default() };
+    let narrow =
+        Limits { allowed_networks: vec!["10.2.0.0/16".parse().expect("a network")], ..Limits::default() };
     let error = store.read(2, &narrow).expect_err("not allowed");
     let _ = writeln!(found, "not allowed: {}", folder.hide(&store_error(&error)));
     let error = store.read(3, &limits).expect_err("unknown");
     let _ = writeln!(found, "never kept: {}", folder.hide(&store_error(&error)));
-    let _ = writeln!(found, "kept at most: {KEPT}");
+    let _ = writeln!(found, "kept at most: {MAX_STORED_GENERATIONS}");
     assert_fixture("store_errors.txt", &found);
 }
 
--- a/crates/ashtide-endpoints/tests/lists.rs
+++ b/crates/ashtide-endpoints/tests/lists.rs
@@ -38,7 +38,7 @@
 }
 
 fn loose() -> Limits {
-    Limits { keep: 0.0, ..Limits::default() }
+    Limits { min_retained_share: 0.0, ..Limits::default() }
 }
 
 fn generation(text: &str, before: &Generation) -> Generation {
@@ -56,7 +56,7 @@
         prop_assert!(a.difference(&a).is_empty());
         let renewed =
             b.servers().filter(|s| a.get(&s.name).is_some_and(|old| old.address != s.address)).count();
-        prop_assert_eq!(difference.renewed.len(), renewed);
+        prop_assert_eq!(difference.readdressed.len(), renewed);
         // However it came about, a list of the same servers is the same.
         let anew = b.servers().map(|server| server.name.to_string()).collect::<Vec<_>>();
         prop_assert_eq!(anew.len(), b.len());
@@ -73,7 +73,7 @@
             s.name,
             s.address,
             s.weight,
-            s.status.word()
+            s.status.as_str()
         )
     });
     format!("{{\"version\":1,\"servers\":[{}]}}", each.collect::<Vec<_>>().join(","))
@@ -190,15 +190,15 @@
     let problems = read(&text).unwrap_err();
     assert_eq!((problems.count(), problems.iter().count()), (150, MAX_PROBLEMS));
     assert!(problems.to_string().ends_with("and 50 more"));
-    assert!(problems.iter().any(|problem| problem.at == "/servers/7/address"));
+    assert!(problems.iter().any(|problem| problem.location == "/servers/7/address"));
 }
 
 #[test]
 fn what_the_daemon_allows_goes_over_what_a_file_allows() {
     let text = "version = 1\n[[servers]]\nname = \"a\"\naddress = \"10.0.0.1:80\"\n";
     let limits = |allow: &str, own: &str| Limits {
-        own: vec![own.parse().unwrap()],
-        allow: vec![allow.parse().unwrap()],
+        own_addresses: vec![own.parse().unwrap()],
+        allowed_networks: vec![allow.parse().unwrap()],
         ..Limits::default()
     };
     assert!(Fragment::read("f", text.as_bytes(), &limits("10.0.0.0/8", "10.0.0.1:81")).is_ok());
@@ -277,24 +277,24 @@
     let (store, limits) = (Store::new(&folder.0), Limits::default());
     let one = Generation::default().next(&[fragment("f", 0, &[("a", "10.0.0.1:1")])], &limits).unwrap();
     let two = one.next(&[fragment("f", 0, &[("a", "10.0.0.1:1"), ("b", "10.0.0.2:1")])], &limits).unwrap();
-    store.keep(&one).unwrap();
-    store.keep(&two).unwrap();
-    assert_eq!(store.last_good(&limits).unwrap().0, Some(two.clone()));
+    store.write(&one).unwrap();
+    store.write(&two).unwrap();
+    assert_eq!(store.latest_valid(&limits).unwrap().0, Some(two.clone()));
     let path = folder.0.join(format!("servers.{:020}", two.number()));
     let whole = std::fs::read(&path).unwrap();
     for cut in 0..whole.len() {
         std::fs::write(&path, &whole[..cut]).unwrap();
-        let (good, wrong) = store.last_good(&limits).unwrap();
+        let (good, wrong) = store.latest_valid(&limits).unwrap();
         assert!(good.as_ref() == Some(&one) && wrong.len() == 1, "cut at {cut}: {good:?}");
         let mut flipped = whole.clone();
         flipped[cut] ^= 1;
         std::fs::write(&path, &flipped).unwrap();
-        assert_eq!(store.last_good(&limits).unwrap().0.as_ref(), Some(&one), "flipped at {cut}");
+        assert_eq!(store.latest_valid(&limits).unwrap().0.as_ref(), Some(&one), "flipped at {cut}");
     }
     // Whole again, and no longer allowed: limits are those of today.
     std::fs::write(&path, &whole).unwrap();
-    let narrow = Limits { allow: vec!["10.0.0.1/32".parse().unwrap()], ..Limits::default() };
-    let (good, wrong) = store.last_good(&narrow).unwrap();
+    let narrow = Limits { allowed_networks: vec!["10.0.0.1/32".parse().unwrap()], ..Limits::default() };
+    let (good, wrong) = store.latest_valid(&narrow).unwrap();
     assert!(good == Some(one) && matches!(wrong[..], [StoreError::Problems(_)]));
 }
 
@@ -302,17 +302,17 @@
 fn history_is_bounded_and_a_folder_that_is_not_there_is_no_error() {
     let folder = Folder::new("history");
     let (store, limits) = (Store::new(folder.0.join("state")), Limits::default());
-    assert_eq!(store.last_good(&limits).unwrap().0, None);
+    assert_eq!(store.latest_valid(&limits).unwrap().0, None);
     let mut list = Generation::default();
-    for port in 1..=KEPT + 5 {
+    for port in 1..=MAX_STORED_GENERATIONS + 5 {
         list = list.next(&[fragment("f", 0, &[("a", &format!("10.0.0.1:{port}"))])], &limits).unwrap();
-        store.keep(&list).unwrap();
+        store.write(&list).unwrap();
     }
     let numbers = store.numbers().unwrap();
-    assert_eq!((numbers.len(), numbers[0]), (KEPT, list.number()));
+    assert_eq!((numbers.len(), numbers[0]), (MAX_STORED_GENERATIONS, list.number()));
     assert!(matches!(store.read(1, &limits), Err(StoreError::Unknown(1))));
     assert_eq!(store.read(numbers[3], &limits).unwrap().number(), numbers[3]);
     // A folder that cannot be one.
     std::fs::write(folder.0.join("file"), b"").unwrap();
-    assert!(matches!(Store::new(folder.0.join("file/state")).keep(&list), Err(StoreError::Io(..))));
+    assert!(matches!(Store::new(folder.0.join("file/state")).write(&list), Err(StoreError::Io(..))));
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ashtide_endpoints::{Fragment, Generation, Limits, MAX_FILE, Problem, Problems, schema};
+use ashtide_endpoints::{Fragment, Generation, Limits, MAX_FILE_BYTES, Problem, Problems, schema};
 use clap::{Parser, Subcommand};
 use ipnet::IpNet;
 use serde_json::json;
@@ -149,9 +149,11 @@
             Some(Command::Maintenance { admin_address, command }) => {
                 Action::Exit(run_maintenance_command(admin_address, command))
             }
-            Some(Command::Check { files, allow, json }) => {
-                Action::Exit(check_server_lists(&files, &Limits { allow, ..Limits::default() }, json))
-            }
+            Some(Command::Check { files, allow, json }) => Action::Exit(check_server_lists(
+                &files,
+                &Limits { allowed_networks: allow, ..Limits::default() },
+                json,
+            )),
             Some(Command::Schema) => {
                 println!("{:#}", schema());
                 Action::Exit(ExitCode::SUCCESS)
@@ -200,7 +202,7 @@
 /// large.
 fn read_bounded(file: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(file)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(file)?.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
@@ -245,7 +247,7 @@
     let usable = invalid.is_empty();
     let describe = |problem: &Problem| {
         json!({
-            "file": problem.file, "at": problem.at, "found": problem.found, "expected": problem.expected,
+            "file": problem.file, "at": problem.location, "found": problem.found, "expected": problem.expected,
         })
     };
     let problems: Vec<_> = invalid.iter().flat_map(Problems::iter).map(describe).collect();
