--- a/crates/ashtide-endpoints/src/document.rs
+++ b/crates/ashtide-endpoints/src/document.rs
@@ -1,120 +1,123 @@
-//! The document as it is written, and its schema.
+//! The server list document as it is written in files, and its JSON Schema.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A list of servers, or one team's part of it.
+/// A server list, or one team's part of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "ashtide server list")]
 pub struct Document {
-    /// The form of this document.
+    /// Version of the document format.
     #[schemars(range(min = 1, max = 1))]
     pub version: u32,
-    /// A number that grows with each edition, where the publisher keeps one. A smaller one than the last is
-    /// refused.
+    /// Publisher's number of this edition, which increases with each one; optional. A list with a smaller
+    /// number than the previous one is rejected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generation: Option<u64>,
-    /// SHA-256 over the servers, in hex: one line a server, sorted by name (see the page).
+    /// SHA-256 of the servers, in hex; optional. It covers one line per server, in sorted order, each ended
+    /// by a newline: name, address, zone, kind, weight, since_ms and state, separated by single spaces, with
+    /// `-` for an empty zone or kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(regex(pattern = r"^[0-9a-f]{64}$"))]
     pub digest: Option<String>,
-    /// The list may lose most of what the last one had.
+    /// Whether the list may drop most of the servers of the previous one.
     #[serde(default)]
     pub replace: bool,
-    /// Where two files name one server, the higher counts.
+    /// Precedence of this file: if two files name the same server, the entry with the higher value applies.
     #[serde(default)]
     pub precedence: i32,
-    /// Where servers may be.
+    /// Networks in which servers may be.
     #[serde(default)]
     pub networks: Networks,
-    /// The zones that there are; any, where none is named.
+    /// Names of the zones that servers may be in; any zone is allowed if the list is empty.
     #[serde(default)]
     #[schemars(length(max = 1000))]
     pub zones: Vec<String>,
-    /// What an entry has that does not say otherwise.
+    /// Values for the fields that an entry omits.
     #[serde(default)]
     pub defaults: Defaults,
-    /// The servers.
+    /// Entries of the servers.
     #[schemars(length(max = 100_000))]
     pub servers: Vec<Entry>,
 }
 
-/// Networks, as `10.1.0.0/16` or `fd00::/8`.
+/// Networks in CIDR notation, such as `10.1.0.0/16` or `fd00::/8`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Networks {
-    /// Servers are in one of these; anywhere, where none is named.
+    /// Networks that contain all servers; any address is allowed if the list is empty.
     #[schemars(length(max = 10_000))]
     pub allow: Vec<String>,
-    /// And in none of these.
+    /// Networks that contain no server.
     #[schemars(length(max = 10_000))]
     pub deny: Vec<String>,
 }
 
-/// What an entry has that does not say otherwise.
+/// Values for the fields that an entry omits.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Defaults {
-    /// The zone.
+    /// Zone of the server; empty if omitted.
     #[schemars(length(max = 128))]
     pub zone: Option<String>,
-    /// The kind of machine.
+    /// Machine type of the server; empty if omitted.
     #[schemars(length(max = 128))]
     pub kind: Option<String>,
-    /// The weight; 1 without it.
+    /// Weight of the server; 1 if omitted.
     #[schemars(range(min = 0, max = 1000))]
     pub weight: Option<f64>,
-    /// The state; `serving` without it.
+    /// State of the server; `serving` if omitted.
     pub state: Option<Status>,
 }
 
-/// One server.
+/// Entry of one server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Its name, the same for as long as it is the same machine.
+    /// Name of the server, which is stable for as long as it is the same machine.
     #[schemars(length(min = 1, max = 128), regex(pattern = r"^[!-~]+$"))]
     pub name: String,
-    /// Where it listens: IP and port.
+    /// IP address and port on which the server listens.
     #[schemars(length(max = 64))]
     pub address: String,
-    /// Its zone.
+    /// Zone of the server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(length(max = 128))]
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// Machine type of the server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(length(max = 128))]
     pub kind: Option<String>,
-    /// One of weight 2 is to hold twice what one of weight 1 holds; weight 0 takes nothing new.
+    /// Target share of connections, relative to other servers: a server of weight 2 gets twice the
+    /// connections of one of weight 1. A server of weight 0 gets no new connections.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 0, max = 1000))]
     pub weight: Option<f64>,
-    /// Its last start in Unix time, in milliseconds; long ago without it.
+    /// Unix time of the server's last start, in milliseconds; 0 (long ago) if omitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since_ms: Option<u64>,
-    /// What it is to do.
+    /// Intended state of the server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub state: Option<Status>,
 }
 
-/// What a server is to do.
+/// Intended state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// Takes new connections.
+    /// State of a server that gets new connections.
     #[default]
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// State of a server that retains its established connections and gets no new ones.
     Draining,
-    /// Is listed and not used.
+    /// State of a server that is listed and not used.
     Out,
 }
 
 impl Status {
-    /// As it stands in files.
+    /// Returns the name of the state as it is written in files.
     pub const fn as_str(self) -> &'static str {
         match self {
             Status::Serving => "serving",
@@ -124,7 +127,7 @@
     }
 }
 
-/// The JSON Schema of [`Document`], as it is published and as files are checked by.
+/// Returns the published JSON Schema of [`Document`], against which files are validated.
 pub fn schema() -> Value {
     schemars::schema_for!(Document).to_value()
 }
--- a/crates/ashtide-endpoints/src/generation.rs
+++ b/crates/ashtide-endpoints/src/generation.rs
@@ -1,4 +1,4 @@
-//! Generations of a list: what holds at one time, and what changed from one to the next.
+//! Generations of a server list, and the differences between them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,35 +11,37 @@
 use crate::problem::Problems;
 use crate::rules::{Fragment, Limits, MAX_FRAGMENTS, MAX_SERVERS, digest_of};
 
-/// One server, with all defaults filled in.
+/// Server of a list, with the defaults applied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: Arc<str>,
-    /// Its kind of machine.
+    /// Machine type of the server.
     pub kind: Arc<str>,
-    /// Its weight, 0 to 1,000.
+    /// Weight of the server, 0 to 1,000.
     pub weight: f64,
-    /// Its last start in Unix time, in milliseconds; 0 is long ago.
+    /// Unix time of the server's last start, in milliseconds; 0 means long ago.
     pub since_ms: u64,
-    /// What it is to do.
+    /// Intended state of the server.
     pub status: Status,
 }
 
 impl Server {
-    /// One line that tells all of it.
-    pub(crate) fn line(&self) -> String {
-        let or = |text: &str| if text.is_empty() { "-".to_owned() } else { text.to_owned() };
+    /// Returns all fields on one line, the input of the digest.
+    pub(crate) fn digest_line(&self) -> String {
+        let dash_if_empty = |text: &str| if text.is_empty() { "-".to_owned() } else { text.to_owned() };
         let Self { name, address, zone, kind, weight, since_ms, status } = self;
-        format!("{name} {address} {} {} {weight} {since_ms} {}", or(zone), or(kind), status.as_str())
+        let (zone, kind) = (dash_if_empty(zone), dash_if_empty(kind));
+        format!("{name} {address} {zone} {kind} {weight} {since_ms} {}", status.as_str())
     }
 }
 
-/// What holds at one time. Cloning it costs nothing, and two that are alike share what is the same.
+/// Server list as it is in effect at one time. Cloning takes constant time, and a generation shares the
+/// unchanged servers with the one that it was derived from.
 #[derive(Debug, Clone, Default)]
 pub struct Generation {
     number: u64,
@@ -48,113 +50,115 @@
 }
 
 impl PartialEq for Generation {
-    /// The same servers, whatever the numbers.
+    /// Compares the servers only; the numbers may differ.
     fn eq(&self, other: &Self) -> bool {
         self.servers == other.servers
     }
 }
 
-/// What changed from one generation to the next.
+/// Difference between two generations.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Difference {
-    /// Names that are no longer there.
+    /// Names of the servers that have been removed.
     pub removed: Vec<Arc<str>>,
-    /// Servers that are new, or not what they were.
+    /// Servers that have been added or have changed.
     pub upserted: Vec<Server>,
-    /// of `upserted`, the names whose address is another: these are new machines, and cold.
+    /// Names of the servers in `upserted` whose address has changed. They are new machines, which have to
+    /// warm up.
     pub readdressed: Vec<Arc<str>>,
 }
 
 impl Difference {
-    /// Whether nothing changed.
+    /// Checks whether the generations have equal servers.
     pub fn is_empty(&self) -> bool {
         self.removed.is_empty() && self.upserted.is_empty()
     }
 }
 
 impl Generation {
-    /// Its number: 0 before there was any, one more with each.
+    /// Returns the number of the generation: 0 for the empty initial one, and one more for each successor.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// The highest number that its files gave it.
+    /// Returns the highest `generation` number in the files of this generation, `None` if no file has one.
     pub fn published(&self) -> Option<u64> {
         self.published
     }
 
-    /// All servers, by name.
+    /// Returns all servers, sorted by name.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 
-    /// How many there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there are none.
+    /// Checks whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// The server of this name.
+    /// Returns the server with this name.
     pub fn get(&self, name: &str) -> Option<&Server> {
         self.servers.get(name)
     }
 
-    /// See the page: what publishers put into `digest`.
+    /// Returns the digest of the servers, as publishers write it into [`Document::digest`].
+    ///
+    /// [`Document::digest`]: crate::Document::digest
     pub fn digest(&self) -> String {
         digest_of(self.servers.values())
     }
 
-    /// The generation that follows from these files, which replace all that was before. What is the same is
-    /// shared with this one.
+    /// Returns the next generation, which consists of the servers in these files only. Unchanged servers are
+    /// shared with this generation.
     ///
     /// # Errors
     ///
-    /// Fails where files contradict each other, or the list loses more than it may; this one then stays.
+    /// Fails if the files contradict each other, if there are too many files or servers or no servers, if the
+    /// published number has decreased, or if too few servers of this generation remain. This generation is
+    /// not changed.
     pub fn next(&self, fragments: &[Fragment], limits: &Limits) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         if fragments.len() > MAX_FRAGMENTS {
-            return Err(Problems::one("", "", format!("{} files", fragments.len()), "64 files at most"));
+            return Err(Problems::single("", "", format!("{} files", fragments.len()), "at most 64 files"));
         }
         let merged = merge(fragments, &mut problems);
         let files: Vec<&str> = fragments.iter().map(|fragment| &*fragment.file).collect();
-        let all = files.join(", ");
+        let files = files.join(", ");
         if merged.len() > MAX_SERVERS {
-            problems.add(&all, "", format!("{} servers", merged.len()), "100000 at most");
+            problems.add(&files, "", format!("{} servers", merged.len()), "at most 100000 servers");
         }
         if merged.is_empty() {
-            problems.add(&all, "/servers", "no server at all", "one at least");
+            problems.add(&files, "/servers", "no servers", "at least one server");
         }
         let published = fragments.iter().filter_map(|fragment| fragment.generation).max();
         if let (Some(new), Some(old)) = (published, self.published) {
             if new < old {
-                problems.add(
-                    &all,
-                    "/generation",
-                    new.to_string(),
-                    format!("{old}, which was read before, or more"),
-                );
+                let expected = format!("at least {old}, the number of the current list");
+                problems.add(&files, "/generation", new.to_string(), expected);
             }
         }
-        let kept = self.servers.keys().filter(|name| merged.contains_key(&***name)).count();
+        let retained = self.servers.keys().filter(|name| merged.contains_key(&***name)).count();
         let replace = fragments.iter().any(|fragment| fragment.replace);
-        if !replace && (kept as f64) < limits.min_retained_share * self.len() as f64 {
-            let found = format!("{kept} of the {} servers of the list that holds", self.len());
-            let part = limits.min_retained_share * 100.0;
-            problems.add(&all, "/servers", found, format!("{part:.0}% of them, or `replace = true`"));
+        if !replace && (retained as f64) < limits.min_retained_share * self.len() as f64 {
+            let found = format!("{retained} of the {} servers of the current list", self.len());
+            let percent = limits.min_retained_share * 100.0;
+            let expected = format!("at least {percent:.0}% of them, or `replace = true`");
+            problems.add(&files, "/servers", found, expected);
         }
-        problems.none(())?;
+        problems.ok_or_problems(())?;
         let mut servers = self.servers.clone();
-        let gone: Vec<Arc<str>> =
+        let removed: Vec<Arc<str>> =
             self.servers.keys().filter(|name| !merged.contains_key(&***name)).cloned().collect();
-        for name in gone {
+        for name in removed {
             servers.remove(&name);
         }
         for (_, (_, server)) in merged {
-            // Only what is new is written, so that the rest stays shared.
+            // Only new and changed servers are inserted, so that the others remain shared.
             if servers.get(&server.name) != Some(server) {
                 servers.insert(server.name.clone(), server.clone());
             }
@@ -162,7 +166,8 @@
         Ok(Self { number: self.number + 1, published, servers })
     }
 
-    /// What changed from `before` to this one. It costs what differs, where one came of the other.
+    /// Returns the difference from `before` to this generation. If one was derived from the other, the time
+    /// that this takes is proportional to the number of differing servers.
     pub fn difference(&self, before: &Self) -> Difference {
         let mut difference = Difference::default();
         for item in before.servers.diff(&self.servers) {
@@ -180,7 +185,7 @@
         difference
     }
 
-    /// This generation with a difference laid over it.
+    /// Returns the next generation, which is this one with a difference applied.
     #[must_use]
     pub fn apply(&self, difference: &Difference) -> Self {
         let mut next = self.clone();
@@ -194,7 +199,8 @@
         next
     }
 
-    pub(crate) fn restored(number: u64, published: Option<u64>, servers: Vec<Server>) -> Self {
+    /// Creates the generation that was stored with these values.
+    pub(crate) fn restore(number: u64, published: Option<u64>, servers: Vec<Server>) -> Self {
         Self {
             number,
             published,
@@ -203,7 +209,8 @@
     }
 }
 
-/// One list of several files: the higher precedence counts, and what stands twice at one has to be the same.
+/// Merges the servers of several files by name. The file with the higher precedence applies; entries of the
+/// same precedence for one server have to be equal. Also checks that no two servers have the same address.
 fn merge<'a>(
     fragments: &'a [Fragment],
     problems: &mut Problems,
@@ -213,8 +220,8 @@
         for server in &fragment.servers {
             match merged.get(&*server.name) {
                 Some((other, before)) if other.precedence == fragment.precedence && *before != server => {
-                    let found = format!("'{}' otherwise than in {}", server.name, other.file);
-                    problems.add(&fragment.file, "/servers", found, "the same, or another precedence");
+                    let found = format!("'{}' with other values than in {}", server.name, other.file);
+                    problems.add(&fragment.file, "/servers", found, "equal values, or another precedence");
                 }
                 Some((other, _)) if other.precedence >= fragment.precedence => {}
                 _ => _ = merged.insert(&server.name, (fragment, server)),
@@ -225,7 +232,7 @@
     for (name, (fragment, server)) in &merged {
         if let Some(other) = addresses.insert(server.address, name) {
             let found = format!("'{}' for both '{other}' and '{name}'", server.address);
-            problems.add(&fragment.file, "/servers", found, "an address of its own for each");
+            problems.add(&fragment.file, "/servers", found, "a different address for each server");
         }
     }
     merged
--- a/crates/ashtide-endpoints/src/lib.rs
+++ b/crates/ashtide-endpoints/src/lib.rs
@@ -1,4 +1,5 @@
-//! Server lists from files: read, checked, merged and compared. A list is taken whole or not at all.
+//! Server lists from files: reading, validation, merging and comparison. A list is accepted completely or
+//! rejected completely.
 //!
 //! ```
 //! use ashtide_endpoints::{Fragment, Generation, Limits};
@@ -21,9 +22,14 @@
 //! assert!(problems.to_string().contains("/servers/0/address: found '10.9.0.18:8443'"));
 //! ```
 //!
-//! The way is: text, value, schema, document, rules ([`Fragment::read`]); fragments, merged, rules across
-//! files ([`Generation::next`]); and what changed ([`Generation::difference`]). Nothing here watches files
-//! or reads a clock. [`Store`] keeps generations on disk.
+//! The steps are:
+//!
+//! 1. [`Fragment::read`] parses one file, validates it against the JSON Schema and checks the rules that a
+//!    schema cannot express.
+//! 2. [`Generation::next`] merges the fragments of all files and checks the rules across files.
+//! 3. [`Generation::difference`] compares two generations.
+//!
+//! [`Store`] stores generations on disk. This crate does not watch files and does not read a clock.
 
 mod document;
 mod generation;
--- a/crates/ashtide-endpoints/src/problem.rs
+++ b/crates/ashtide-endpoints/src/problem.rs
@@ -1,20 +1,21 @@
-//! What is wrong with a file: where, what was found, and what was expected.
+//! Problems of a file: the location, what was found there and what was expected.
 
 use std::fmt;
 
-/// Most problems that are reported of one file; the others are counted.
+/// Maximum number of problems that are reported in detail; further ones are only counted.
 pub const MAX_PROBLEMS: usize = 100;
 
-/// One thing that is wrong.
+/// One problem of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file, as it was named by whoever read it.
+    /// Name of the file, as given by the caller that read it.
     pub file: String,
-    /// Where in it: a JSON pointer, `line N, column M`, or nothing for the file as a whole.
+    /// Location in the file: a JSON pointer, `line N, column M`, or empty if the problem concerns the entire
+    /// file.
     pub location: String,
-    /// What was found there.
+    /// Description of what was found at the location.
     pub found: String,
-    /// What was expected.
+    /// Description of what was expected at the location.
     pub expected: String,
 }
 
@@ -28,24 +29,24 @@
     }
 }
 
-/// All that is wrong with a file or a set of files, in the order in which it was found.
+/// All problems of a file or a set of files, in the order in which they were found.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Problems {
-    all: Vec<Problem>,
-    more: usize,
+    reported: Vec<Problem>,
+    unreported_count: usize,
 }
 
 impl std::error::Error for Problems {}
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, problem) in self.all.iter().enumerate() {
-            if number > 0 {
+        for (index, problem) in self.reported.iter().enumerate() {
+            if index > 0 {
                 writeln!(f)?;
             }
             write!(f, "{problem}")?;
         }
-        match self.more {
+        match self.unreported_count {
             0 => Ok(()),
             more => write!(f, "\nand {more} more"),
         }
@@ -53,55 +54,60 @@
 }
 
 impl Problems {
-    /// Adds one; beyond [`MAX_PROBLEMS`] they are counted only.
+    /// Adds a problem. After [`MAX_PROBLEMS`] have been added, further ones are only counted.
     pub(crate) fn add(
         &mut self,
         file: &str,
-        at: impl Into<String>,
+        location: impl Into<String>,
         found: impl Into<String>,
         expected: impl Into<String>,
     ) {
-        if self.all.len() >= MAX_PROBLEMS {
-            self.more += 1;
+        if self.reported.len() >= MAX_PROBLEMS {
+            self.unreported_count += 1;
             return;
         }
-        let (at, found, expected) = (at.into(), shortened(found.into()), expected.into());
-        self.all.push(Problem { file: file.to_owned(), location: at, found, expected });
+        let (location, found, expected) = (location.into(), truncate(found.into()), expected.into());
+        self.reported.push(Problem { file: file.to_owned(), location, found, expected });
     }
 
-    /// A file with a single problem.
-    pub(crate) fn one(file: &str, at: impl Into<String>, found: impl Into<String>, expected: &str) -> Self {
+    /// Creates a set with a single problem.
+    pub(crate) fn single(
+        file: &str,
+        location: impl Into<String>,
+        found: impl Into<String>,
+        expected: &str,
+    ) -> Self {
         let mut problems = Self::default();
-        problems.add(file, at, found, expected);
+        problems.add(file, location, found, expected);
         problems
     }
 
-    /// Nothing, where there is no problem.
-    pub(crate) fn none<T>(self, value: T) -> Result<T, Self> {
-        if self.all.is_empty() { Ok(value) } else { Err(self) }
+    /// Returns `value` if there are no problems, and the problems as the error otherwise.
+    pub(crate) fn ok_or_problems<T>(self, value: T) -> Result<T, Self> {
+        if self.reported.is_empty() { Ok(value) } else { Err(self) }
     }
 
-    /// Whether there is none.
+    /// Checks whether there are no problems.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.reported.is_empty()
     }
 
-    /// Those that are reported.
+    /// Returns the problems that are reported in detail.
     pub fn iter(&self) -> impl Iterator<Item = &Problem> {
-        self.all.iter()
+        self.reported.iter()
     }
 
-    /// How many there are in all.
+    /// Returns the number of all problems, including those that are only counted.
     pub fn count(&self) -> usize {
-        self.all.len() + self.more
+        self.reported.len() + self.unreported_count
     }
 }
 
-/// What was found may be as large as the file.
-fn shortened(text: String) -> String {
-    const MOST: usize = 120;
-    match text.char_indices().nth(MOST) {
-        Some((at, _)) => format!("{}...", &text[..at]),
+/// Truncates the description of what was found, which may be as long as the file.
+fn truncate(text: String) -> String {
+    const MAX_CHARS: usize = 120;
+    match text.char_indices().nth(MAX_CHARS) {
+        Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
 }
--- a/crates/ashtide-endpoints/src/rules.rs
+++ b/crates/ashtide-endpoints/src/rules.rs
@@ -1,4 +1,4 @@
-//! What a schema cannot say: names and addresses that are alone, networks, a digest that holds.
+//! Rules that the JSON Schema cannot express: unique names and addresses, allowed networks, and the digest.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,21 +14,23 @@
 use crate::problem::Problems;
 use crate::value;
 
-/// Largest file, in bytes.
+/// Maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: usize = 64 << 20;
-/// Most servers of a list, all its files together.
+/// Maximum number of servers of a list, over all its files.
 pub const MAX_SERVERS: usize = 100_000;
-/// Most files of a list.
+/// Maximum number of files of a list.
 pub const MAX_FRAGMENTS: usize = 64;
 
-/// What lists are held against, beside what they say of themselves.
+/// Limits that the daemon sets on lists, in addition to those in the files.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Part of the previous list's names that a new one keeps, unless it says `replace = true`.
+    /// Minimum share of the previous list's servers that a new list has to retain, from 0 to 1. It does not
+    /// apply to a list with `replace = true`.
     pub min_retained_share: f64,
-    /// Addresses that this daemon listens on itself: a server there would be a loop.
+    /// Addresses on which this daemon listens. A server at one of them is rejected, because the daemon would
+    /// connect to itself.
     pub own_addresses: Vec<SocketAddr>,
-    /// Networks outside of which no server is, whatever a file allows; anywhere, where there is none.
+    /// Networks that contain all servers, whatever a file allows; any address is allowed if there are none.
     pub allowed_networks: Vec<IpNet>,
 }
 
@@ -38,42 +40,44 @@
     }
 }
 
-/// The schema that files are checked by. It is generated from our own types, and a test compiles it.
+/// Schema against which files are validated. It is generated from the types in this crate, and a test
+/// compiles it, so that it is `None` only in a faulty build.
 static SCHEMA: LazyLock<Option<Validator>> = LazyLock::new(|| jsonschema::validator_for(&schema()).ok());
 
-/// One file that is right by itself.
+/// Content of one file that has passed all checks of a single file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fragment {
-    /// How whoever read it calls it.
+    /// Name of the file, as given by the caller that read it.
     pub file: String,
-    /// See [`Document::generation`].
+    /// Publisher's number of the edition, [`Document::generation`].
     pub generation: Option<u64>,
-    /// See [`Document::replace`].
+    /// Whether the list may drop most of the previous servers, [`Document::replace`].
     pub replace: bool,
-    /// See [`Document::precedence`].
+    /// Precedence of the file, [`Document::precedence`].
     pub precedence: i32,
-    /// Its servers, with defaults filled in.
+    /// Servers of the file, with the defaults applied.
     pub servers: Vec<Server>,
 }
 
-/// Networks of both families, asked for whether an address is in one of them.
+/// Set of IPv4 and IPv6 networks, which finds the network that contains an address.
 #[derive(Default)]
-struct Nets {
+struct NetworkSet {
     v4: PrefixSet<Ipv4Net>,
     v6: PrefixSet<Ipv6Net>,
-    any: bool,
+    non_empty: bool,
 }
 
-impl Nets {
-    fn add(&mut self, net: IpNet) {
-        self.any = true;
-        match net.trunc() {
-            IpNet::V4(net) => _ = self.v4.insert(net),
-            IpNet::V6(net) => _ = self.v6.insert(net),
+impl NetworkSet {
+    fn add(&mut self, network: IpNet) {
+        self.non_empty = true;
+        match network.trunc() {
+            IpNet::V4(network) => _ = self.v4.insert(network),
+            IpNet::V6(network) => _ = self.v6.insert(network),
         }
     }
 
-    fn hold(&self, ip: IpAddr) -> Option<IpNet> {
+    /// Returns the smallest network that contains this address, `None` if there is none.
+    fn find(&self, ip: IpAddr) -> Option<IpNet> {
         match ip {
             IpAddr::V4(ip) => self.v4.get_lpm(&Ipv4Net::from(ip)).map(IpNet::V4),
             IpAddr::V6(ip) => self.v6.get_lpm(&Ipv6Net::from(ip)).map(IpNet::V6),
@@ -82,123 +86,109 @@
 }
 
 impl Fragment {
-    /// Reads and checks one file. All that is wrong with it is reported together, as far as one thing does
-    /// not hide another: what cannot be read has no servers to look at.
+    /// Reads and checks one file. All problems are reported together, except for those that can only be found
+    /// once others are corrected: the servers are not checked if the text cannot be parsed or does not match
+    /// the schema.
     ///
     /// # Errors
     ///
-    /// Fails with every problem, each with where it is, what was found and what was expected.
+    /// Fails with all problems, each with its location, what was found and what was expected.
     pub fn read(file: &str, bytes: &[u8], limits: &Limits) -> Result<Self, Problems> {
         if bytes.len() > MAX_FILE_BYTES {
             let found = format!("{} bytes", bytes.len());
-            return Err(Problems::one(file, "", found, "at most 64 MiB"));
+            return Err(Problems::single(file, "", found, "at most 64 MiB"));
         }
-        let value = value::read(file, bytes)?;
+        let value = value::parse(file, bytes)?;
         let mut problems = Problems::default();
         match &*SCHEMA {
             Some(validator) => {
                 for error in validator.iter_errors(&value) {
                     let found = match error.instance().as_ref() {
                         value @ (serde_json::Value::Object(_) | serde_json::Value::Array(_)) => {
-                            kind(value).to_owned()
+                            container_type(value).to_owned()
                         }
                         value => value.to_string(),
                     };
                     problems.add(file, error.instance_path().to_string(), found, error.to_string());
                 }
             }
-            None => problems.add(file, "", "a program without its schema", "a program that was built whole"),
+            None => problems.add(file, "", "an invalid built-in schema", "a schema that compiles"),
         }
-        problems.none(())?;
-        let document: Document = serde_json::from_value(value)
-            .map_err(|error| Problems::one(file, "", error.to_string(), "what the schema says"))?;
+        problems.ok_or_problems(())?;
+        let document: Document = serde_json::from_value(value).map_err(|error| {
+            Problems::single(file, "", error.to_string(), "a document that matches the schema")
+        })?;
         Self::check(file, &document, limits)
     }
 
     fn check(file: &str, document: &Document, limits: &Limits) -> Result<Self, Problems> {
         let mut problems = Problems::default();
-        let mut nets = |key: &str, all: &[String]| {
-            let mut nets = Nets::default();
-            for (number, text) in all.iter().enumerate() {
+        let mut parse_networks = |key: &str, texts: &[String]| {
+            let mut networks = NetworkSet::default();
+            for (number, text) in texts.iter().enumerate() {
                 match text.parse::<IpNet>() {
-                    Ok(net) => nets.add(net),
+                    Ok(network) => networks.add(network),
                     Err(_) => {
-                        let at = format!("/networks/{key}/{number}");
-                        problems.add(file, at, format!("'{text}'"), "a network such as 10.1.0.0/16");
+                        let location = format!("/networks/{key}/{number}");
+                        problems.add(file, location, format!("'{text}'"), "a network such as 10.1.0.0/16");
                     }
                 }
             }
-            nets
+            networks
         };
-        let (allow, deny) = (nets("allow", &document.networks.allow), nets("deny", &document.networks.deny));
-        let mut own = Nets::default();
-        limits.allowed_networks.iter().for_each(|net| own.add(*net));
+        let networks = &document.networks;
+        let (allow, deny) =
+            (parse_networks("allow", &networks.allow), parse_networks("deny", &networks.deny));
+        let mut settings_allow = NetworkSet::default();
+        limits.allowed_networks.iter().for_each(|network| settings_allow.add(*network));
         let (mut names, mut addresses) = (HashMap::new(), HashMap::new());
         let mut servers = Vec::with_capacity(document.servers.len());
         for (number, entry) in document.servers.iter().enumerate() {
-            let at = |key: &str| format!("/servers/{number}/{key}");
+            let location = |key: &str| format!("/servers/{number}/{key}");
             if let Some(first) = names.insert(entry.name.as_str(), number) {
-                problems.add(
-                    file,
-                    at("name"),
-                    format!("'{}' as in /servers/{first}", entry.name),
-                    "a name of its own",
-                );
+                let found = format!("'{}' as in /servers/{first}", entry.name);
+                problems.add(file, location("name"), found, "a unique name");
             }
             let zone = entry.zone.as_ref().or(document.defaults.zone.as_ref()).cloned().unwrap_or_default();
             if !document.zones.is_empty() && !document.zones.contains(&zone) {
-                problems.add(
-                    file,
-                    at("zone"),
-                    format!("'{zone}'"),
-                    format!("one of {}", document.zones.join(", ")),
-                );
+                let expected = format!("one of {}", document.zones.join(", "));
+                problems.add(file, location("zone"), format!("'{zone}'"), expected);
             }
-            let Some(address) = address(&entry.address) else {
+            let found = || format!("'{}'", entry.address);
+            let Some(address) = parse_address(&entry.address) else {
                 let expected = "an IP and a port that a server can listen on, such as 10.1.0.18:8443";
-                problems.add(file, at("address"), format!("'{}'", entry.address), expected);
+                problems.add(file, location("address"), found(), expected);
                 continue;
             };
             if let Some(first) = addresses.insert(address, number) {
                 let found = format!("'{address}' as in /servers/{first}");
-                problems.add(file, at("address"), found, "an address of its own");
+                problems.add(file, location("address"), found, "a unique address");
             }
-            let found = || format!("'{}'", entry.address);
-            if let Some(net) = deny.hold(address.ip()) {
-                problems.add(
-                    file,
-                    at("address"),
-                    found(),
-                    format!("one outside {net}, which networks.deny names"),
-                );
-            } else if allow.any && allow.hold(address.ip()).is_none() {
-                problems.add(file, at("address"), found(), "one in a network that networks.allow names");
+            if let Some(network) = deny.find(address.ip()) {
+                let expected = format!("an address outside {network}, which networks.deny lists");
+                problems.add(file, location("address"), found(), expected);
+            } else if allow.non_empty && allow.find(address.ip()).is_none() {
+                let expected = "an address in a network that networks.allow lists";
+                problems.add(file, location("address"), found(), expected);
             }
-            if own.any && own.hold(address.ip()).is_none() {
-                problems.add(file, at("address"), found(), "one in a network that the settings allow");
+            if settings_allow.non_empty && settings_allow.find(address.ip()).is_none() {
+                let expected = "an address in a network that the settings allow";
+                problems.add(file, location("address"), found(), expected);
             }
-            if limits.own_addresses.iter().any(|own| meets(*own, address)) {
-                problems.add(
-                    file,
-                    at("address"),
-                    found(),
-                    "another machine: this daemon listens there itself",
-                );
+            if limits.own_addresses.iter().any(|own| listener_accepts(*own, address)) {
+                let expected = "an address on which this daemon does not listen itself";
+                problems.add(file, location("address"), found(), expected);
             }
-            servers.push(server(entry, document, address, zone));
+            servers.push(server_with_defaults(entry, document, address, zone));
         }
-        if let Some(digest) = &document.digest {
-            let is = digest_of(servers.iter());
-            if *digest != is && problems.is_empty() {
-                problems.add(
-                    file,
-                    "/digest",
-                    format!("'{digest}'"),
-                    format!("'{is}', which these servers have"),
-                );
+        if let Some(stated) = &document.digest {
+            let actual = digest_of(servers.iter());
+            if *stated != actual && problems.is_empty() {
+                let expected = format!("'{actual}', the digest of the servers in the file");
+                problems.add(file, "/digest", format!("'{stated}'"), expected);
             }
         }
-        problems.none(Self {
+        problems.ok_or_problems(Self {
             file: file.to_owned(),
             generation: document.generation,
             replace: document.replace,
@@ -208,7 +198,8 @@
     }
 }
 
-fn server(entry: &Entry, document: &Document, address: SocketAddr, zone: String) -> Server {
+/// Returns the server of an entry, with the document's defaults for the fields that the entry omits.
+fn server_with_defaults(entry: &Entry, document: &Document, address: SocketAddr, zone: String) -> Server {
     let defaults = &document.defaults;
     Server {
         name: Arc::from(&*entry.name),
@@ -221,8 +212,9 @@
     }
 }
 
-/// An address that a server can listen on; IPv4 in IPv6 form is the IPv4 one, or one machine had two names.
-fn address(text: &str) -> Option<SocketAddr> {
+/// Parses an address that a server can listen on. An IPv4-mapped IPv6 address is converted to IPv4, because
+/// one machine could otherwise be listed under two names.
+fn parse_address(text: &str) -> Option<SocketAddr> {
     let address: SocketAddr = text.parse().ok()?;
     let address = SocketAddr::new(address.ip().to_canonical(), address.port());
     let ip = address.ip();
@@ -230,22 +222,25 @@
     (address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !broadcast).then_some(address)
 }
 
-/// Whether a listener of ours, perhaps on all addresses, takes what goes to this one. A port alone proves
-/// nothing of another machine, so a listener on all addresses counts for loopback only.
-fn meets(own: SocketAddr, address: SocketAddr) -> bool {
+/// Checks whether this daemon's listener at `own` accepts connections to `address`. For a listener on the
+/// unspecified address only loopback addresses match: any other address may belong to another machine that
+/// uses the same port.
+fn listener_accepts(own: SocketAddr, address: SocketAddr) -> bool {
     own.port() == address.port()
         && (own.ip().to_canonical() == address.ip()
             || (own.ip().is_unspecified() && address.ip().is_loopback()))
 }
 
-fn kind(value: &serde_json::Value) -> &'static str {
+/// Returns the description of an array or object for error messages, which do not show its content.
+fn container_type(value: &serde_json::Value) -> &'static str {
     if value.is_array() { "a list" } else { "a table" }
 }
 
-/// The digest of a list: SHA-256, in hex, over one line a server, sorted by name, its fields separated by
-/// single spaces, empty ones as `-`: name, address, zone, kind, weight, since_ms, state.
+/// Returns the digest of a list: SHA-256, in hex, over one line per server, sorted by name. The fields of a
+/// line are name, address, zone, kind, weight, since_ms and state, separated by single spaces; an empty zone
+/// or kind is written as `-`.
 pub(crate) fn digest_of<'a>(servers: impl Iterator<Item = &'a Server>) -> String {
-    let mut lines: Vec<String> = servers.map(Server::line).collect();
+    let mut lines: Vec<String> = servers.map(Server::digest_line).collect();
     lines.sort_unstable();
     let mut hash = Sha256::new();
     for line in lines {
--- a/crates/ashtide-endpoints/src/value.rs
+++ b/crates/ashtide-endpoints/src/value.rs
@@ -1,4 +1,4 @@
-//! From text to one JSON value, whichever of the two languages it was written in.
+//! Parsing of JSON and TOML files into JSON values.
 
 use std::fmt;
 
@@ -7,90 +7,83 @@
 
 use crate::problem::Problems;
 
-/// Reads a file's text. JSON where its first character is a brace, TOML otherwise.
-pub(crate) fn read(file: &str, bytes: &[u8]) -> Result<Value, Problems> {
+/// Parses the text of a file. It is JSON if its first character is a brace, and TOML otherwise.
+pub(crate) fn parse(file: &str, bytes: &[u8]) -> Result<Value, Problems> {
     let text = std::str::from_utf8(bytes).map_err(|error| {
-        let (line, column) = place(bytes, error.valid_up_to());
-        Problems::one(
-            file,
-            format!("line {line}, column {column}"),
-            "a byte that is no UTF-8",
-            "text in UTF-8",
-        )
+        let location = line_and_column(bytes, error.valid_up_to());
+        Problems::single(file, location, "a byte that is not valid UTF-8", "UTF-8 text")
     })?;
     if text.trim().is_empty() {
-        return Err(Problems::one(file, "", "an empty file", "a list of servers"));
+        return Err(Problems::single(file, "", "an empty file", "a list of servers"));
     }
     if text.trim_start().starts_with('{') {
         return serde_json::from_str::<Strict>(text).map(|Strict(value)| value).map_err(|error| {
-            let at = format!("line {}, column {}", error.line(), error.column());
-            // serde_json ends its message with the place, which stands before it here.
-            let what = error.to_string();
-            let what = what.split(" at line ").next().unwrap_or(&what).to_owned();
-            Problems::one(file, at, what, "JSON whose names stand once in each object")
+            let location = format!("line {}, column {}", error.line(), error.column());
+            // The message of serde_json ends with the location, which the problem already starts with.
+            let message = error.to_string();
+            let found = message.split(" at line ").next().unwrap_or(&message).to_owned();
+            Problems::single(file, location, found, "JSON without duplicate names in an object")
         });
     }
     let table: toml::Table = toml::from_str(text).map_err(|error| {
-        let (line, column) = place(bytes, error.span().map_or(0, |span| span.start));
-        Problems::one(
-            file,
-            format!("line {line}, column {column}"),
-            error.message().replace('\n', " "),
-            "TOML",
-        )
+        let location = line_and_column(bytes, error.span().map_or(0, |span| span.start));
+        Problems::single(file, location, error.message().replace('\n', " "), "TOML")
     })?;
     let mut problems = Problems::default();
-    let value = from_toml(file, toml::Value::Table(table), "", &mut problems);
-    problems.none(value)
+    let value = toml_to_json(file, toml::Value::Table(table), "", &mut problems);
+    problems.ok_or_problems(value)
 }
 
-/// Line and column of a byte, both from 1 on.
-fn place(bytes: &[u8], at: usize) -> (usize, usize) {
-    let before = &bytes[..at.min(bytes.len())];
+/// Returns the line and column of the byte at `offset`, both counted from 1, as the location of a problem.
+fn line_and_column(bytes: &[u8], offset: usize) -> String {
+    let before = &bytes[..offset.min(bytes.len())];
     let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
     let column = before.iter().rev().take_while(|&&byte| byte != b'\n').count() + 1;
-    (line, column)
+    format!("line {line}, column {column}")
 }
 
-/// TOML knows figures and times that JSON does not: those are named here, not passed on as something else.
-fn from_toml(file: &str, value: toml::Value, at: &str, problems: &mut Problems) -> Value {
+/// Converts a TOML value to JSON. TOML values without a JSON counterpart, which are infinities, NaN and
+/// times, are reported as problems.
+fn toml_to_json(file: &str, value: toml::Value, location: &str, problems: &mut Problems) -> Value {
     match value {
         toml::Value::String(text) => Value::String(text),
-        toml::Value::Integer(figure) => Value::from(figure),
-        toml::Value::Boolean(is) => Value::Bool(is),
-        toml::Value::Float(figure) => match Number::from_f64(figure) {
-            Some(figure) => Value::Number(figure),
+        toml::Value::Integer(number) => Value::from(number),
+        toml::Value::Boolean(value) => Value::Bool(value),
+        toml::Value::Float(float) => match Number::from_f64(float) {
+            Some(number) => Value::Number(number),
             None => {
-                problems.add(file, at, figure.to_string(), "a number");
+                problems.add(file, location, float.to_string(), "a number");
                 Value::Null
             }
         },
         toml::Value::Datetime(time) => {
-            problems.add(file, at, format!("the time {time}"), "text, a number, or a table");
+            problems.add(file, location, format!("the time {time}"), "text, a number, or a table");
             Value::Null
         }
-        toml::Value::Array(all) => {
-            let each = |(number, value)| from_toml(file, value, &format!("{at}/{number}"), problems);
-            Value::Array(all.into_iter().enumerate().map(each).collect())
+        toml::Value::Array(values) => {
+            let convert =
+                |(number, value)| toml_to_json(file, value, &format!("{location}/{number}"), problems);
+            Value::Array(values.into_iter().enumerate().map(convert).collect())
         }
         toml::Value::Table(table) => {
-            let each = |(name, value): (String, toml::Value)| {
-                let value = from_toml(file, value, &format!("{at}/{name}"), problems);
+            let convert = |(name, value): (String, toml::Value)| {
+                let value = toml_to_json(file, value, &format!("{location}/{name}"), problems);
                 (name, value)
             };
-            Value::Object(table.into_iter().map(each).collect())
+            Value::Object(table.into_iter().map(convert).collect())
         }
     }
 }
 
-/// A JSON value in which no object has a name twice: which of the two was meant is anybody's guess.
+/// JSON value without duplicate names in an object. A document with duplicates is rejected, because it is
+/// ambiguous which of the values was intended.
 struct Strict(Value);
 
 impl<'de> Deserialize<'de> for Strict {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Any;
+        struct StrictVisitor;
 
-        impl<'de> Visitor<'de> for Any {
+        impl<'de> Visitor<'de> for StrictVisitor {
             type Value = Strict;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -99,17 +92,17 @@
             fn visit_unit<E>(self) -> Result<Strict, E> {
                 Ok(Strict(Value::Null))
             }
-            fn visit_bool<E>(self, is: bool) -> Result<Strict, E> {
-                Ok(Strict(Value::Bool(is)))
+            fn visit_bool<E>(self, value: bool) -> Result<Strict, E> {
+                Ok(Strict(Value::Bool(value)))
             }
-            fn visit_i64<E>(self, figure: i64) -> Result<Strict, E> {
-                Ok(Strict(Value::from(figure)))
+            fn visit_i64<E>(self, number: i64) -> Result<Strict, E> {
+                Ok(Strict(Value::from(number)))
             }
-            fn visit_u64<E>(self, figure: u64) -> Result<Strict, E> {
-                Ok(Strict(Value::from(figure)))
+            fn visit_u64<E>(self, number: u64) -> Result<Strict, E> {
+                Ok(Strict(Value::from(number)))
             }
-            fn visit_f64<E>(self, figure: f64) -> Result<Strict, E> {
-                Ok(Strict(Value::from(figure)))
+            fn visit_f64<E>(self, number: f64) -> Result<Strict, E> {
+                Ok(Strict(Value::from(number)))
             }
             fn visit_str<E>(self, text: &str) -> Result<Strict, E> {
                 Ok(Strict(Value::String(text.to_owned())))
@@ -117,18 +110,18 @@
             fn visit_string<E>(self, text: String) -> Result<Strict, E> {
                 Ok(Strict(Value::String(text)))
             }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut all: A) -> Result<Strict, A::Error> {
+            fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<Strict, A::Error> {
                 let mut array = Vec::new();
-                while let Some(Strict(value)) = all.next_element()? {
+                while let Some(Strict(value)) = elements.next_element()? {
                     array.push(value);
                 }
                 Ok(Strict(Value::Array(array)))
             }
-            fn visit_map<A: MapAccess<'de>>(self, mut all: A) -> Result<Strict, A::Error> {
+            fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<Strict, A::Error> {
                 let mut object = Map::new();
-                while let Some((name, Strict(value))) = all.next_entry::<String, Strict>()? {
+                while let Some((name, Strict(value))) = entries.next_entry::<String, Strict>()? {
                     if object.contains_key(&name) {
-                        return Err(A::Error::custom(format_args!("the name '{name}' twice")));
+                        return Err(A::Error::custom(format_args!("the duplicate name '{name}'")));
                     }
                     object.insert(name, value);
                 }
@@ -136,6 +129,6 @@
             }
         }
 
-        deserializer.deserialize_any(Any)
+        deserializer.deserialize_any(StrictVisitor)
     }
 }
