--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -12,8 +12,8 @@
 use ashtide::net::messages::{SessionCommand, SessionEvent};
 use ashtide::{Outcome, Span};
 use frontend::{
-    AMPLE_CAPACITY, CONNECT, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP, SessionHarness, read_to_end,
-    send_command,
+    AMPLE_CAPACITY, CONNECT_TIMEOUT, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP_TIMEOUT,
+    SessionHarness, read_to_end, send_command,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
@@ -28,7 +28,7 @@
         std::iter::from_fn(|| harness.frontend.pending_clients.try_acquire_graceful_close()).collect();
     assert_eq!(close_permits.len(), 8, "few graceful closes at a time, as descriptors are short");
     for (close_permits, cause) in [(close_permits, "hurried"), (Vec::new(), "displaced")] {
-        let client = harness.client("").await.into_std().expect("a socket");
+        let client = harness.connect_client("").await.into_std().expect("a socket");
         client.set_nonblocking(false).expect("blocking mode");
         // The client sends while another client is added; the runtime has not yet polled its socket.
         (&client).write_all(OPEN_LINE.as_bytes()).expect("sent");
@@ -45,9 +45,9 @@
 #[tokio::test]
 async fn shutdown_answers_clients_without_a_request_and_clients_that_connect_later() {
     let harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let mut clients = vec![harness.client("").await, harness.client("OPEN 1").await];
+    let mut clients = vec![harness.connect_client("").await, harness.connect_client("OPEN 1").await];
     harness.frontend.pending_clients.close();
-    clients.push(harness.client("").await);
+    clients.push(harness.connect_client("").await);
     for client in &mut clients {
         assert_eq!(read_to_end(client).await.expect("no reset"), "BUSY 1000\r\n");
     }
@@ -58,7 +58,7 @@
 async fn an_incomplete_first_line_is_answered_and_a_client_that_sends_nothing_is_not() {
     let harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for (sent, answer) in [("OPEN 1 2 c=me", "ERR\r\n"), ("PING\r\nOPEN", "PONG\r\nERR\r\n"), ("", "")] {
-        let mut client = harness.client(sent).await;
+        let mut client = harness.connect_client(sent).await;
         client.shutdown().await.expect("half-closed");
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), answer, "{sent:?}");
     }
@@ -69,7 +69,7 @@
 async fn a_client_whose_command_queue_closes_without_an_answer_is_rejected() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for makes_attempt in [false, true] {
-        let mut client = harness.client(OPEN_LINE).await;
+        let mut client = harness.connect_client(OPEN_LINE).await;
         let ClientRequest { id, commands } = harness.next_request().await;
         if makes_attempt {
             drop(harness.start_attempt(id, &commands, 0).await);
@@ -103,7 +103,10 @@
     assert!(matches!(harness.next_event().await, SessionEvent::AttemptEstablished { attempt: 1, .. }));
     send_command(&commands, id, SessionCommand::ConfirmEstablished { attempt: 1 });
     let mut received = [0; 11];
-    timeout(STEP, client.read_exact(&mut received)).await.expect("an answer").expect("an open connection");
+    timeout(STEP_TIMEOUT, client.read_exact(&mut received))
+        .await
+        .expect("an answer")
+        .expect("an open connection");
     assert_eq!(&received, b"UP second\r\n");
     send_command(&commands, id, SessionCommand::Migrate);
     assert_eq!(read_to_end(&mut client).await.expect("no reset"), "MOVE\r\n");
@@ -176,10 +179,10 @@
     harness.server = socket.listen(1).expect("a listener");
     let address = harness.server.local_addr().expect("bound");
     let mut queue_fillers = Vec::new();
-    while let Ok(Ok(filler)) = timeout(CONNECT, TcpStream::connect(address)).await {
+    while let Ok(Ok(filler)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         queue_fillers.push(filler);
     }
-    let mut client = harness.client(OPEN_LINE).await;
+    let mut client = harness.connect_client(OPEN_LINE).await;
     let ClientRequest { id, commands } = harness.next_request().await;
     send_command(&commands, id, harness.attempt_command(0));
     assert!(matches!(
@@ -190,7 +193,7 @@
         let mut bytes = Vec::new();
         loop {
             let (mut stream, _) = harness.server.accept().await.expect("a connection");
-            let _ = timeout(CONNECT, stream.read_to_end(&mut bytes)).await;
+            let _ = timeout(CONNECT_TIMEOUT, stream.read_to_end(&mut bytes)).await;
             assert_eq!(String::from_utf8_lossy(&bytes), "", "sent after the attempt timed out");
         }
     };
@@ -203,7 +206,7 @@
 #[tokio::test]
 async fn a_request_sent_while_an_idle_connection_is_closed_is_answered_and_not_forwarded() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let mut client = harness.client("PING\r\n").await;
+    let mut client = harness.connect_client("PING\r\n").await;
     let mut pong = [0; 6];
     client.read_exact(&mut pong).await.expect("a PONG");
     assert_eq!(&pong, b"PONG\r\n");
@@ -219,7 +222,7 @@
     }
     assert_eq!(received, "BUSY 1000\r\n");
     client.write_all(b"and more\r\n").await.expect("no reset");
-    assert!(timeout(CONNECT, harness.events.recv()).await.is_err(), "no request is reported");
+    assert!(timeout(CONNECT_TIMEOUT, harness.events.recv()).await.is_err(), "no request is reported");
 }
 
 #[tokio::test]
@@ -227,7 +230,7 @@
     let harness = SessionHarness::new(AMPLE_CAPACITY).await;
     let mut clients = Vec::new();
     for _ in 0..20 {
-        clients.push(harness.client("").await.into_std().expect("a socket"));
+        clients.push(harness.connect_client("").await.into_std().expect("a socket"));
     }
     harness.frontend.pending_clients.close();
     // Each client sends a request before it reads the answer. If the request were not read, the close would
@@ -236,7 +239,7 @@
         client.set_nonblocking(false).expect("blocking mode");
         (&*client).write_all(OPEN_LINE.as_bytes()).expect("sent");
     }
-    tokio::time::sleep(CONNECT).await;
+    tokio::time::sleep(CONNECT_TIMEOUT).await;
     for client in clients {
         (&client).write_all(b"more\r\n").expect("no reset");
         client.set_nonblocking(true).expect("non-blocking mode");
@@ -274,7 +277,7 @@
         let half_closed_client = half_close.then_some(client);
         let mut server = TcpStream::from_std(server).expect("a socket");
         let mut line = [0; 10];
-        timeout(STEP, server.read_exact(&mut line)).await.expect("a line").expect("a complete line");
+        timeout(STEP_TIMEOUT, server.read_exact(&mut line)).await.expect("a line").expect("a complete line");
         assert_eq!(&line, b"the last\r\n");
         // A closed client socket answers further data with a reset, which is passed on to the server.
         let end = read_to_end(&mut server).await;
--- a/tests/compatibility_engine.rs
+++ b/tests/compatibility_engine.rs
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 mod paused;
-use paused::with_time;
+use paused::with_paused_time;
 
 const RECORDED: &str = include_str!("fixtures/compatibility/engine/runs.txt");
 const SEEDS: u64 = 20;
@@ -678,7 +678,7 @@
     let mut kinds = BTreeSet::new();
     let mut lines = String::new();
     for seed in 0..SEEDS {
-        let (digest, command_count, run_kinds) = with_time(async {
+        let (digest, command_count, run_kinds) = with_paused_time(async {
             let mut run = RandomRun::new(seed);
             (run.run_random_calls().await, run.command_count, run.kinds)
         });
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 mod paused;
-use paused::with_time;
+use paused::with_paused_time;
 
 const SERVERS: u32 = 4;
 
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_cordoned_server_gets_nothing_until_it_is_uncordoned() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let cordoned = ServerId(1);
         let count_placed = |harness: &mut EngineHarness| {
@@ -249,7 +249,7 @@
     let steps = vec((0_u8..12, any::<prop::sample::Index>()), 20..150);
     runner
         .run(&steps, |steps| {
-            with_time(async {
+            with_paused_time(async {
                 let mut harness = EngineHarness::new();
                 for (call, request_index) in steps {
                     let id = match harness.requests.len() {
@@ -298,7 +298,7 @@
 
 #[test]
 fn a_silent_connection_is_migrated_and_an_answered_one_stays() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let silent = harness.start_request();
         let answered = harness.start_request();
@@ -319,7 +319,7 @@
 #[test]
 fn all_connections_leave_a_silent_server_at_once_unless_answers_are_not_due() {
     for prompt in [true, false] {
-        with_time(async {
+        with_paused_time(async {
             let mut harness = EngineHarness::new();
             let ids: Vec<RequestId> = (0..40).map(|_| harness.start_request()).collect();
             ids.iter().for_each(|&id| harness.establish(id));
@@ -353,7 +353,7 @@
 
 #[test]
 fn events_of_a_timed_out_attempt_have_no_effect() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let id = harness.start_request();
         let first = harness.requests[&id].in_flight.expect("an attempt is in flight").number;
@@ -379,7 +379,7 @@
 
 #[test]
 fn a_shutdown_migrates_established_connections_and_answers_waiting_requests() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let ids: Vec<RequestId> = (0..6).map(|_| harness.start_request()).collect();
         ids[..5].iter().for_each(|&id| harness.establish(id));
@@ -405,7 +405,7 @@
 
 #[test]
 fn a_handover_passes_on_established_connections_and_those_established_later() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let ids: Vec<RequestId> = (0..6).map(|_| harness.start_request()).collect();
         ids[..4].iter().for_each(|&id| harness.establish(id));
@@ -434,7 +434,7 @@
 
 #[test]
 fn adopted_connections_are_counted_and_migrated_from_draining_servers() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let draining =
             EndpointEntry { state: ServerState::Draining, ..EndpointEntry::ready(ServerId(1), ZoneId(0)) };
@@ -477,7 +477,7 @@
 
 #[test]
 fn an_ejected_server_gets_no_new_connections_and_loses_none() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         harness.engine.enable_outcome_reports();
         let ids: Vec<RequestId> = (0..40).map(|_| harness.start_request()).collect();
@@ -534,7 +534,7 @@
 #[test]
 fn an_attempt_is_retried_elsewhere_when_its_server_drains_while_connecting() {
     for state in [ServerState::Draining, ServerState::Removed] {
-        with_time(async {
+        with_paused_time(async {
             let mut harness = EngineHarness::new();
             let id = harness.start_request();
             let chosen = harness.engine.server_of(id).expect("an attempt is in flight");
@@ -558,7 +558,7 @@
 
 #[test]
 fn an_abandoned_attempt_sends_no_first_byte() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         let disconnected = harness.start_request();
         let retried = harness.start_request();
@@ -578,7 +578,7 @@
 
 #[test]
 fn no_attempt_sends_its_first_byte_once_the_list_has_expired() {
-    with_time(async {
+    with_paused_time(async {
         let mut harness = EngineHarness::new();
         harness.engine.handle_watch_end(harness.now, harness.now, WatchEnd::Failed);
         harness.advance(5_990).await;
@@ -598,7 +598,7 @@
 #[test]
 fn a_retry_sends_no_first_byte_once_its_key_window_has_ended() {
     for (window_ms, may_send) in [(390, true), (360, false)] {
-        with_time(async {
+        with_paused_time(async {
             let mut settings = settings();
             settings.classes[0].idempotency = ashtide::Idempotency::WithKey {
                 scope: DeduplicationScope::All,
@@ -625,7 +625,7 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_elsewhere_if_nothing_was_written() {
-    with_time(async {
+    with_paused_time(async {
         let mut settings = settings();
         settings.classes[0].idempotency = ashtide::Idempotency::NotIdempotent;
         let mut harness = EngineHarness::with_settings(settings);
--- a/tests/frontend/mod.rs
+++ b/tests/frontend/mod.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// Whatever takes longer has failed.
-pub const STEP: Duration = Duration::from_secs(5);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Limit on connecting to a server.
-pub const CONNECT: Duration = Duration::from_millis(60);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
 pub const OPEN_LINE: &str = "OPEN 1 2 c=meter,d=3000\r\n";
 
 /// Where clients come, with the test in the event loop's place.
@@ -53,7 +53,7 @@
         let handle = EventLoopHandle::new(metrics.clone(), sender);
         let frontend = Frontend::new(
             PendingClients::new(capacity),
-            Timeouts { connect: CONNECT },
+            Timeouts { connect: CONNECT_TIMEOUT },
             handle,
             watch::channel(None).1,
         );
@@ -63,7 +63,7 @@
     }
 
     /// A client that has been accepted, and whose bytes have had the time to arrive.
-    pub async fn client(&self, sends: &str) -> TcpStream {
+    pub async fn connect_client(&self, sends: &str) -> TcpStream {
         let mut client = TcpStream::connect(self.listener.local_addr().expect("bound")).await.expect("taken");
         let (theirs, _) = self.listener.accept().await.expect("there");
         let slot = self.frontend.pending_clients.add().slot;
@@ -74,7 +74,7 @@
     }
 
     pub async fn next_event(&mut self) -> SessionEvent {
-        match timeout(STEP, self.events.recv()).await.expect("an event").expect("sessions") {
+        match timeout(STEP_TIMEOUT, self.events.recv()).await.expect("an event").expect("sessions") {
             DriverEvent::Session(event) => event,
             other => panic!("not of a session: {other:?}"),
         }
@@ -95,10 +95,11 @@
 
     /// The attempt as the server gets it; its line has been read.
     pub async fn accept_attempt(&self) -> TcpStream {
-        let (mut stream, _) = timeout(STEP, self.server.accept()).await.expect("an attempt").expect("there");
+        let (mut stream, _) =
+            timeout(STEP_TIMEOUT, self.server.accept()).await.expect("an attempt").expect("there");
         let mut line = Vec::new();
         while !line.ends_with(b"\r\n") {
-            line.push(timeout(STEP, stream.read_u8()).await.expect("its line").expect("whole"));
+            line.push(timeout(STEP_TIMEOUT, stream.read_u8()).await.expect("its line").expect("whole"));
         }
         assert!(line.starts_with(b"OPEN 1 2 c=meter,d="), "{}", String::from_utf8_lossy(&line));
         stream
@@ -124,7 +125,7 @@
 
     /// A client that has asked, its request with the first attempt in flight, and the server's end of that.
     pub async fn client_with_attempt(&mut self) -> ClientWithAttempt {
-        let client = self.client(OPEN_LINE).await;
+        let client = self.connect_client(OPEN_LINE).await;
         let ClientRequest { id, commands } = self.next_request().await;
         let server = self.start_attempt(id, &commands, 0).await;
         ClientWithAttempt { client, id, commands, server }
@@ -148,6 +149,6 @@
 /// All that comes before a clean end; an error where the end is a reset.
 pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut received = String::new();
-    timeout(STEP, stream.read_to_string(&mut received)).await.expect("an end")?;
+    timeout(STEP_TIMEOUT, stream.read_to_string(&mut received)).await.expect("an end")?;
     Ok(received)
 }
--- a/tests/leaving_clients.rs
+++ b/tests/leaving_clients.rs
@@ -11,7 +11,7 @@
 use ashtide::net::messages::{RequestCommand, SessionCommand, SessionEvent};
 use ashtide::{RequestId, Span};
 use frontend::{
-    AMPLE_CAPACITY, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP, SessionHarness, read_to_end,
+    AMPLE_CAPACITY, ClientRequest, ClientWithAttempt, OPEN_LINE, STEP_TIMEOUT, SessionHarness, read_to_end,
     send_command,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -45,10 +45,10 @@
 /// Accepts an attempt's connection at the server, and returns all data received until its end.
 async fn accept_and_read(harness: &SessionHarness) -> String {
     let (mut attempt, _) =
-        timeout(STEP, harness.server.accept()).await.expect("a connection").expect("accepted");
+        timeout(STEP_TIMEOUT, harness.server.accept()).await.expect("a connection").expect("accepted");
     let mut bytes = Vec::new();
     // A reset counts as an end, too.
-    let _ = timeout(STEP, attempt.read_to_end(&mut bytes)).await.expect("an end");
+    let _ = timeout(STEP_TIMEOUT, attempt.read_to_end(&mut bytes)).await.expect("an end");
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
@@ -57,7 +57,7 @@
 async fn expect_no_data(harness: &SessionHarness, mode: LeaveMode) {
     if let Ok(Ok((mut attempt, _))) = timeout(Duration::from_millis(2), harness.server.accept()).await {
         let mut bytes = Vec::new();
-        let _ = timeout(STEP, attempt.read_to_end(&mut bytes)).await.expect("an end");
+        let _ = timeout(STEP_TIMEOUT, attempt.read_to_end(&mut bytes)).await.expect("an end");
         assert_eq!(String::from_utf8_lossy(&bytes), "", "{mode:?}: data was forwarded");
     }
 }
@@ -73,7 +73,7 @@
     // The client's end and the command are both pending when the session is polled. The end must always be
     // handled first.
     for mode in ALL_MODES.into_iter().cycle().take(30) {
-        let client = harness.client(OPEN_LINE).await;
+        let client = harness.connect_client(OPEN_LINE).await;
         let ClientRequest { id, commands } = harness.next_request().await;
         let half_closed_client = leave(client, mode);
         send_command(&commands, id, harness.attempt_command(0));
@@ -87,7 +87,7 @@
 async fn a_request_is_not_sent_if_its_client_leaves_during_the_connect() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
     for mode in ALL_MODES.into_iter().cycle().take(30) {
-        let client = harness.client(OPEN_LINE).await;
+        let client = harness.connect_client(OPEN_LINE).await;
         let ClientRequest { id, commands } = harness.next_request().await;
         send_command(&commands, id, harness.attempt_command(0));
         harness.expect_connected(id, 0).await;
@@ -121,7 +121,7 @@
             let case = format!("{mode:?}, attempt in flight: {attempt_in_flight}");
             expect_client_left(&mut harness, id, &case).await;
             let mut bytes = Vec::new();
-            let _ = timeout(STEP, server.read_to_end(&mut bytes)).await.expect("the attempt's end");
+            let _ = timeout(STEP_TIMEOUT, server.read_to_end(&mut bytes)).await.expect("the attempt's end");
             assert_eq!(harness.closed_count("left"), left_count + 1, "counted in the metrics");
             left_count += 1;
             assert!(
@@ -141,7 +141,7 @@
     let ahead = format!("{OPEN_LINE}{}", format!("{}\r\n", "x".repeat(500)).repeat(8));
     for mode in [LeaveMode::Close, LeaveMode::HalfClose] {
         for partial_line in ["", "half a line"] {
-            let client = harness.client(&format!("{ahead}{partial_line}")).await;
+            let client = harness.connect_client(&format!("{ahead}{partial_line}")).await;
             let ClientRequest { id, commands } = harness.next_request().await;
             let half_closed_client = leave(client, mode);
             send_command(&commands, id, harness.attempt_command(0));
@@ -153,7 +153,7 @@
     }
     // A client that sends more is answered with an error, and its request ends.
     for excess in ["one more\r\n".to_owned(), "y".repeat(5000)] {
-        let mut client = harness.client(&format!("{ahead}{excess}")).await;
+        let mut client = harness.connect_client(&format!("{ahead}{excess}")).await;
         let ClientRequest { id, commands: _commands } = harness.next_request().await;
         expect_client_left(&mut harness, id, "too much sent ahead").await;
         assert_eq!(read_to_end(&mut client).await.expect("no reset"), "ERR\r\n");
@@ -163,7 +163,7 @@
 #[tokio::test]
 async fn no_byte_is_sent_on_a_connection_whose_attempt_was_cancelled_during_the_connect() {
     let mut harness = SessionHarness::new(AMPLE_CAPACITY).await;
-    let mut client = harness.client(OPEN_LINE).await;
+    let mut client = harness.connect_client(OPEN_LINE).await;
     let ClientRequest { id, commands } = harness.next_request().await;
     send_command(&commands, id, harness.attempt_command(0));
     harness.expect_connected(id, 0).await;
--- a/tests/random_interleavings.rs
+++ b/tests/random_interleavings.rs
@@ -22,7 +22,7 @@
     ClassId, EndpointEntry, ListUpdate, Request, RequestClass, RequestId, ServerId, Settings, Span, Time,
     ZoneId,
 };
-use paused::with_time;
+use paused::with_paused_time;
 use random_interleavings::faults::Fault;
 use random_interleavings::invariants::{Invariant, Violation};
 use random_interleavings::simulation::Simulation;
@@ -63,7 +63,7 @@
 fn run_seed(seed: u64, fault: Option<Fault>) -> (Result<(), Violation>, EventCounts) {
     let (sender, results) = mpsc::channel();
     std::thread::spawn(move || {
-        let result = with_time(async {
+        let result = with_paused_time(async {
             let mut simulation = Simulation::new(seed, fault);
             (simulation.run().await, simulation.counts)
         });
@@ -195,7 +195,7 @@
 fn a_denied_permit_for_an_uncordoned_server_is_not_requested_in_a_loop() {
     let (sender, open_request_counts) = mpsc::channel();
     std::thread::spawn(move || {
-        with_time(async {
+        with_paused_time(async {
             let (mut engine, now) = engine(true, ashtide::Idempotency::Idempotent);
             let mut commands = Vec::new();
             let server = ServerId(0);
@@ -225,7 +225,7 @@
     for (servers, answer) in
         [(1, FinalAnswer::Failed), (0, FinalAnswer::Rejected(Span::from_micros(1_000_000)))]
     {
-        with_time(async {
+        with_paused_time(async {
             let (mut engine, now) = engine(false, ashtide::Idempotency::NotIdempotent);
             let mut commands = Vec::new();
             let entries = (0..servers).map(|id| EndpointEntry::ready(ServerId(id), ZoneId(0))).collect();
