--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -89,8 +89,10 @@
         (
             json!({"messageAim": [0.1], "tenantQuotaConnections": [7.0, 7.0, 7.0]}),
             vec![
-                "settings.familyInfo.messageAim: 1 figures for 4 classes, taken by place",
-                "settings.familyInfo.tenantQuotaConnections: 3 figures for 2 customers, taken by place",
+                "settings.familyInfo.messageAim: found 1 values for 4 classes; \
+                 values are assigned by position",
+                "settings.familyInfo.tenantQuotaConnections: found 3 values for 2 customers; \
+                 values are assigned by position",
             ],
         ),
     ] {
@@ -98,10 +100,10 @@
         all["familyInfo"] = info;
         assert_eq!(PlatformSettings::parse(&all.to_string()).expect("valid").warnings(), warnings);
     }
-    // A duplicate name is rejected both here and in the settings of a configuration file.
+    // A duplicate name is also rejected in the settings of a configuration file, which the next test checks.
     let duplicate = json!({"classes": [class("a", "pure", 0.0, 1.0), class("a", "side_effect", 0.0, 1.0)]});
     let error = PlatformSettings::parse(&duplicate.to_string()).err().expect("a duplicate name").to_string();
-    assert!(error.starts_with("classes[1].name: 'a' stands twice"), "{error}");
+    assert!(error.starts_with("classes[1].name: 'a' occurs twice"), "{error}");
 }
 
 #[test]
@@ -122,7 +124,7 @@
     let mut duplicate = settings();
     duplicate["customers"][1]["name"] = json!("acme");
     let error = read_config(duplicate, None).expect_err("a duplicate name");
-    assert!(error.starts_with("settings.customers[1].name: 'acme' stands twice"), "{error}");
+    assert!(error.starts_with("settings.customers[1].name: 'acme' occurs twice"), "{error}");
     assert!(error.ends_with(&format!(", in {}", path.display())), "{error}");
     let error = read_config(settings(), Some("no address")).expect_err("not an address");
     assert!(error.starts_with("ROUTER_OPERATOR: ") && !error.contains(".json"), "{error}");
@@ -184,7 +186,7 @@
     assert!(!metrics.contains("\"new\"") && !metrics.contains("\"late\""), "{metrics}");
     // The time limit of the shutdown follows from the deadlines with which the daemon was started.
     daemon.terminate().expect("the daemon runs");
-    daemon.wait_for_log_line("ashtide: asked to stop, leaving within 3700 ms").await.expect("it shuts down");
+    daemon.wait_for_log_line("ashtide: stop requested; exiting within 3700 ms").await.expect("it shuts down");
 }
 
 #[tokio::test]
@@ -200,7 +202,7 @@
     for (text, reason) in [
         (valid[..valid.len() / 2].to_owned(), "EOF"),
         (without_settings.to_string(), "settings is missing"),
-        (duplicate.to_string(), "settings.classes[3].name: 'pay' stands twice"),
+        (duplicate.to_string(), "settings.classes[3].name: 'pay' occurs twice"),
     ] {
         replace_config(&daemon, &text);
         let reported = |line: &String| {
