--- a/crates/ashtide-client/tests/compatibility.rs
+++ b/crates/ashtide-client/tests/compatibility.rs
@@ -12,7 +12,7 @@
     PoolCommand, PoolEvent, ServerCache, ServerCacheError, SessionId, SessionNotification, SessionPool,
     SessionRequest, Settings,
 };
-use ashtide_protocol::{AskingError, GatewayEvent, PeerFault};
+use ashtide_protocol::{GatewayEvent, OpenParametersError, PeerFault};
 use bytes::Bytes;
 
 /// Unix time at which the recorded cache files were saved, in milliseconds.
@@ -268,7 +268,7 @@
         GiveUpReason::ConnectionEnded => "ended".to_owned(),
         GiveUpReason::Expired => "expired".to_owned(),
         GiveUpReason::TooManySessions { limit } => format!("more than {limit}"),
-        GiveUpReason::InvalidRequest(AskingError::Empty(field)) => format!("empty {field}"),
+        GiveUpReason::InvalidRequest(OpenParametersError::Empty(field)) => format!("empty {field}"),
         GiveUpReason::InvalidRequest(_) => "another wish".to_owned(),
     };
     format!("{kind} ('{reason}')")
--- a/crates/ashtide-client/tests/core.rs
+++ b/crates/ashtide-client/tests/core.rs
@@ -149,7 +149,7 @@
                         record.established_before,
                         "wrong reconnect flag: {text}"
                     );
-                    let timeout = open.wait.unwrap();
+                    let timeout = open.client_timeout.unwrap();
                     match record.deadline {
                         Some(deadline) => {
                             assert!(
@@ -420,7 +420,7 @@
     let id = pool.open(at(0), SessionRequest::new("meter", "k", 3200 * MS), &mut commands);
     pool.handle(at(900), PoolEvent::Connected(id, Attempt(1)), &mut commands);
     let Some(PoolCommand::SendRequest { line, .. }) = commands.last() else { panic!("{commands:?}") };
-    assert_eq!(Open::parse(line.clone()).unwrap().wait, Some(2300 * MS));
+    assert_eq!(Open::parse(line.clone()).unwrap().client_timeout, Some(2300 * MS));
 }
 
 #[test]
