--- a/src/admin/protocol.rs
+++ b/src/admin/protocol.rs
@@ -59,7 +59,7 @@
 }
 
 impl AdminRequest {
-    /// Parses a request whose end of line has been removed.
+    /// Parses a request. Its end of line has already been removed.
     ///
     /// # Errors
     ///
@@ -110,7 +110,7 @@
     }
 }
 
-/// Decoder of a request whose line ends with CRLF or LF.
+/// Decoder of a request. The line of the request ends with CRLF or LF.
 #[derive(Debug, Default)]
 pub struct AdminRequestCodec;
 
--- a/src/bin/ashtide-adapter/simulation.rs
+++ b/src/bin/ashtide-adapter/simulation.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Directory of which some rows have not been received yet.
+/// Directory that is incomplete, because some rows have not been received yet.
 #[derive(Clone, Copy)]
 struct OpenDirectory {
     slot: u64,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -16,7 +16,7 @@
 
 /// Environment variable with the address of the admin endpoint, used if the command line names none.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_OPERATOR";
-/// Status at the beginning of an answer to a rejected request.
+/// Status at the start of an answer to a rejected request.
 const REJECTED_STATUS: &str = "400";
 /// Time limit for connecting to the admin endpoint, and for each read of its answer.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! Configuration file, some of whose keys are overridden by environment variables.
+//! Configuration file. Environment variables override some of its keys.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -66,7 +66,7 @@
     serde_json::from_str(&text).map_err(|error| ConfigError::unreadable_file(path, &error))
 }
 
-/// Removes keys whose value is `null` and overrides keys by environment variables, which `variable` returns.
+/// Removes keys with the value `null`, and overrides keys by environment variables, which `variable` returns.
 pub(super) fn override_by_environment(
     mut json: Value,
     variable: &impl Fn(&str) -> Option<String>,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -82,8 +82,8 @@
         Ok(config)
     }
 
-    /// Parses and validates the JSON object of the configuration file, whose keys environment variables
-    /// override.
+    /// Parses and validates the JSON object of the configuration file. Environment variables override its
+    /// keys.
     ///
     /// # Errors
     ///
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -1,6 +1,6 @@
 //! Affinity of groups to servers: the servers that have connections of each group.
 //!
-//! A server that has any connections of a group bears the cost of the entire group. Therefore further
+//! A server that has any connections of a group incurs the cost of the entire group. Therefore further
 //! connections of the group are preferably sent to the same server.
 
 use std::collections::BTreeMap;
--- a/src/decision/interface/actions.rs
+++ b/src/decision/interface/actions.rs
@@ -33,7 +33,7 @@
         /// The index of the attempt among those of the request; the first is 0.
         attempt: u32,
     },
-    /// Asks the client of an established connection to reconnect.
+    /// Tells the client of an established connection to reconnect.
     Migrate {
         /// The request from which the connection was established.
         id: RequestId,
--- a/src/decision/interface/events.rs
+++ b/src/decision/interface/events.rs
@@ -31,7 +31,7 @@
     pub cell: CellId,
     /// State of the server.
     pub state: ServerState,
-    /// Weight of the server, whose meaning [`WeightMode`](super::WeightMode) defines.
+    /// Weight of the server. [`WeightMode`](super::WeightMode) defines its meaning.
     pub weight: f64,
     /// Time of the server's last start; `None` if the start was long ago.
     pub started_at: Option<Time>,
@@ -192,9 +192,9 @@
     },
     /// A report of how long a server's responses take.
     SlowResponses {
-        /// Server whose responses were measured.
+        /// Server that sent the measured responses.
         server: ServerId,
-        /// Time until the server answers a message.
+        /// Time from a message until the server answers it.
         response_time: Span,
     },
     /// A server has long sent nothing on any connection of this gateway, although responses were due.
--- a/src/decision/interface/ids.rs
+++ b/src/decision/interface/ids.rs
@@ -27,7 +27,7 @@
     GroupId(u32);
     /// Id of a gateway in the fleet.
     GatewayId(u32);
-    /// Token of a timer, chosen by the decision module.
+    /// Token of a timer, assigned by the decision module.
     TimerToken(u64);
 }
 
--- a/src/decision/interface/settings.rs
+++ b/src/decision/interface/settings.rs
@@ -23,11 +23,11 @@
 /// Servers that recognise the idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All servers.
+    /// All servers recognise the key, in every zone and cell.
     All,
-    /// The servers in the zone of the first server that may have executed the request.
+    /// The servers in the zone of the first server that may have executed the request recognise the key.
     Zone,
-    /// The servers in the cell of the first server that may have executed the request.
+    /// The servers in the cell of the first server that may have executed the request recognise the key.
     Cell,
 }
 
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -67,7 +67,7 @@
         candidates
     }
 
-    /// Returns the mean load of the connections whose load is known, or [`DEFAULT_LOAD`] if no load is known.
+    /// Returns the mean load of the connections with a known load, or [`DEFAULT_LOAD`] if no load is known.
     fn mean_load(&self) -> f64 {
         let loads = || self.requests.values().filter_map(PendingRequest::load);
         let mean = loads().sum::<f64>() / loads().count() as f64;
--- a/src/decision/permits.rs
+++ b/src/decision/permits.rs
@@ -192,7 +192,7 @@
     }
 
     /// Handles the reply to a permit request. The request that waits for the permit is sent to the server if
-    /// the permit was granted and is usable, and is placed anew otherwise.
+    /// the permit was granted and is usable. Otherwise a server is selected again or the request is queued.
     pub(super) fn handle_permit_reply(&mut self, now: Time, server: ServerId, reply: PermitReply) {
         self.server_mut(server).permits.handle_reply(now, reply);
         let mut waiting = self.requests.iter().filter(|(_, request)| request.awaits_permit_from(server));
@@ -208,7 +208,8 @@
         }
     }
 
-    /// Checks whether a warming server has fewer connections than others, as far as this gateway knows.
+    /// Checks whether a warming server has fewer connections than others, according to the information that
+    /// this gateway has.
     pub(super) fn is_below_fair_share(&self, now: Time, id: ServerId) -> bool {
         if self.uses_fleet_permits(now, id) {
             self.server(id).permits.below_fair_share
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Checks whether the client may send the request again without harm, whatever has been executed so far.
-    /// Only then may the request be rejected.
+    /// Checks whether the client may send the request again without harm, regardless of what has been
+    /// executed so far. Only then may the request be rejected.
     pub fn is_safe_to_retry(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return true };
         match self.class(request.class).idempotency {
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -22,8 +22,7 @@
 /// hashing. With so few connections, a group would spread over all servers if each gateway sampled servers
 /// independently.
 const MAX_CONNECTIONS_FOR_HASHING: f64 = 2.0;
-/// Factor by which the load of a server in another zone is multiplied in comparisons, if crossing zones has a
-/// price.
+/// Factor applied in comparisons to the load of a server in another zone, if crossing zones has a price.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 1.25;
 
 /// Rank of a ready server as a candidate for a request, from best to worst.
@@ -51,7 +50,7 @@
     Warming,
 }
 
-/// Pair of servers whose loads are compared.
+/// Pair of servers for a comparison of loads.
 struct Candidates {
     first: ServerId,
     second: ServerId,
@@ -236,8 +235,8 @@
         }
     }
 
-    /// Returns the load by which candidates are compared: this gateway's own connections plus one, divided by
-    /// the weight in the endpoint list. A live weight also reflects, some seconds late, the connections of
+    /// Returns the load that is compared between candidates: this gateway's own connections plus one, divided
+    /// by the weight in the endpoint list. A live weight also reflects, some seconds late, the connections of
     /// all gateways, which is decisive if most of the own counts are equal.
     fn relative_load(&self, id: ServerId) -> f64 {
         let server = self.server(id);
--- a/src/decision/server.rs
+++ b/src/decision/server.rs
@@ -14,7 +14,7 @@
     open_connections: u32,
     /// Number of connections of a sibling process to the server; `None` until the sibling has reported it.
     sibling_connections: Option<u32>,
-    /// Start of the server, as far as this gateway knows it; `None` if the start was long ago.
+    /// Time of the server's last start that this gateway knows of; `None` if the start was long ago.
     started_at: Option<Time>,
     /// Whether the server has been uncordoned and has had no connection since.
     awaits_first_connection: bool,
@@ -45,7 +45,8 @@
         self.saturated_at
     }
 
-    /// Checks whether the server started less than `slow_start_time` ago, as far as this gateway knows.
+    /// Checks whether the server started less than `slow_start_time` ago, according to the start time that
+    /// this gateway knows.
     pub(super) fn is_warming_up(&self, now: Time, slow_start_time: Span) -> bool {
         self.started_at.is_some_and(|started_at| now.since(started_at) < slow_start_time)
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -14,14 +14,15 @@
 
 use super::interface::{Settings, Span, Time};
 
-/// Share of the overload threshold for permits that are granted for the entire fleet, in fleets whose
-/// gateways answer each other. The rest is for the own permits of gateways that receive no answer. Both kinds
-/// may be used at the same time, so that the two shares add up to one. Most permits reserved for gateways
-/// without an answer would expire unused (`docs/design/fleet.md`).
+/// Share of the overload threshold for permits that are granted for the entire fleet. It applies to fleets in
+/// which gateways answer each other. The remainder is for the own permits of gateways that receive no answer.
+/// Both kinds may be used at the same time, so that the two shares add up to one. Most permits reserved for
+/// gateways without an answer would expire unused (`docs/design/fleet.md`).
 const GRANTED_SHARE: f64 = 1.0;
 
 /// Rate at which permits are issued: the number issued per overload window, relative to the overload
-/// threshold. The rest of the threshold is for permits that were issued before the window and are used late.
+/// threshold. The remainder of the threshold is for permits that were issued before the window and are used
+/// late.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct IssueRate {
     /// Multiple of N.
@@ -36,11 +37,11 @@
 /// Issue rate of permits granted for the fleet. The rate is high, because all of the grantors' permits are
 /// requested.
 const GRANTED_PERMIT_RATE: IssueRate = IssueRate { requests: 0.72, variance_allowance: 0.72 };
-/// Number of permits by which the counts of two processes of one holder may differ, since their clocks
-/// differ.
+/// Maximum difference, in permits, between the counts of two processes of one holder. The counts differ
+/// because the clocks do.
 const CLOCK_SKEW_PERMITS: f64 = 1.0;
-/// Upper limit of N, larger than any settings allow. It keeps the computations finite if servers need no
-/// warm-up.
+/// Upper limit of N, larger than any settings allow. It ensures that the computations remain finite if
+/// servers need no warm-up.
 const MAX_REQUESTS: f64 = 1e9;
 
 /// Settings that limit what a warming server may be sent.
@@ -128,8 +129,8 @@
     }
 }
 
-/// Holder of permits. Its permits are those whose number leaves the remainder `index` when divided by
-/// `holders`.
+/// Holder of permits. Permit n belongs to the holder if n divided by `holders` leaves the remainder
+/// `index`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitHolder {
     /// Remainder that identifies the holder's permits.
@@ -167,7 +168,7 @@
     }
 }
 
-/// Schedule by which permits for a share of the overload threshold are issued and expire.
+/// Schedule of the issue and expiry of permits for a share of the overload threshold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitSchedule {
     config: SlowStartConfig,
--- a/src/decision/typical_load.rs
+++ b/src/decision/typical_load.rs
@@ -14,10 +14,10 @@
 
 /// Counts of this gateway's connections at one point in time.
 struct ConnectionCounts {
-    /// Connections to all servers, whatever their state.
+    /// Number of connections to all servers, in any state.
     total_connections: f64,
     ready_servers: usize,
-    /// Connections to ready servers that are not warming up.
+    /// Number of connections to ready servers that are not warming up.
     warmed_up_connections: f64,
     /// Number of ready servers that are not warming up.
     warmed_up_servers: usize,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -221,7 +221,7 @@
         self.handle_event(now, Event::ExistingConnection { request, server }, commands);
     }
 
-    /// Decides whether an attempt whose connection is open may send its first byte now.
+    /// Decides whether an attempt may send its first byte now. The connection of the attempt is open.
     ///
     /// This is the only place where the final decision to send is made. Since the server was chosen, the
     /// server may have begun to drain, the endpoint list may have expired, and the idempotency window of a
@@ -351,7 +351,7 @@
         commands.push(Command::Attempt { id, attempt, server, timeout });
     }
 
-    /// Cancels an attempt whose result the decision module no longer needs.
+    /// Cancels an attempt because the decision module no longer needs its result.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32, commands: &mut Vec<Command>) {
         if self.requests.attempt_mut(id, attempt).is_some_and(|current| !current.established) {
             commands.push(Command::Close { id, attempt });
--- a/src/engine/command.rs
+++ b/src/engine/command.rs
@@ -17,44 +17,44 @@
 pub enum Command {
     /// Starts an attempt. The engine itself ends the attempt after `timeout`.
     Attempt {
-        /// The request.
+        /// Id of the request for which the attempt is made.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The server to connect to.
+        /// Server to which the attempt connects.
         server: ServerId,
         /// Time for which the engine waits for the outcome.
         timeout: Span,
     },
     /// Closes an attempt immediately; none of its bytes may be sent afterwards.
     Close {
-        /// The request.
+        /// Id of the request to which the attempt belongs.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Sends the final answer to the client.
     Answer {
-        /// The request.
+        /// Id of the request that is answered.
         id: RequestId,
-        /// The answer.
+        /// Final answer that the client receives.
         answer: FinalAnswer,
     },
-    /// Requests the client of an established connection to reconnect, and closes the connection.
+    /// Tells the client of an established connection to reconnect, and closes the connection.
     Migrate {
-        /// The request that opened the connection.
+        /// Id of the request that opened the connection.
         id: RequestId,
     },
-    /// Hands an established connection off to the successor process.
+    /// Transfers an established connection to the successor process (handoff).
     HandOff {
-        /// The request that opened the connection.
+        /// Id of the request that opened the connection.
         id: RequestId,
-        /// The server of the connection.
+        /// Server of the connection.
         server: ServerId,
     },
     /// Sends a health check to a server.
     CheckHealth {
-        /// The server.
+        /// Server that receives the health check.
         server: ServerId,
     },
     /// Starts a watch on the endpoint list.
--- a/src/engine/drain.rs
+++ b/src/engine/drain.rs
@@ -59,7 +59,7 @@
 
 impl Engine {
     /// Adopts an established connection from the previous process of this gateway. If the server is draining
-    /// or removed, the migration that the previous process began starts again from the beginning.
+    /// or removed, the migration that the previous process began is started again from the beginning.
     pub fn adopt_connection(
         &mut self,
         now: Time,
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Hands established connections off to the successor of this process: existing ones immediately, later
-    /// ones as soon as they are established. No request remains open after `deadline`.
+    /// Begins the handoff of established connections to the successor of this process: existing ones are
+    /// handed off immediately, later ones as soon as they are established. No request remains open after
+    /// `deadline`.
     pub fn begin_handover(
         &mut self,
         now: Time,
--- a/src/engine/endpoint_list.rs
+++ b/src/engine/endpoint_list.rs
@@ -93,7 +93,7 @@
         if is_cordoned { self.cordoned.insert(server) } else { self.cordoned.remove(&server) }
     }
 
-    /// Replaces the ejected servers and returns those whose ejection was added or removed.
+    /// Replaces the ejected servers and returns the servers that are newly ejected or no longer ejected.
     fn replace_ejected(&mut self, hash_keys: &BTreeSet<u32>) -> Vec<ServerId> {
         let matching = self.entries.values().filter(|entry| hash_keys.contains(&entry.hash_key));
         let ejected: BTreeSet<ServerId> = matching.map(|entry| entry.server).collect();
--- a/src/engine/invariants.rs
+++ b/src/engine/invariants.rs
@@ -22,20 +22,20 @@
     /// An attempt was started while another attempt of the same request was in flight.
     #[error("request {}: attempt {attempt} started while attempt {in_flight} is in flight", id.0)]
     ConcurrentAttempts {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
-        /// The attempt that was started.
+        /// Number of the attempt that was started, from 0.
         attempt: u32,
-        /// The attempt that was in flight.
+        /// Number of the attempt that was in flight, from 0.
         in_flight: u32,
     },
-    /// An attempt was started for a request that had been answered or served, or whose client had
+    /// An attempt was started after the request had been answered or served, or after its client had
     /// disconnected.
     #[error("request {}: attempt {attempt} started after the request had ended", id.0)]
     AttemptAfterEnd {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt that was started, from 0.
         attempt: u32,
     },
     /// A request that may have been executed was retried although its class, the server or the elapsed time
@@ -43,20 +43,20 @@
     #[error("request {}: attempt {attempt} is a forbidden retry, an earlier attempt may have been executed",
         id.0)]
     ForbiddenRetry {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt that was started, from 0.
         attempt: u32,
     },
     /// An attempt was started at a server that had been draining or removed for longer than the grace period.
     #[error("request {}: attempt {attempt} started at server {}, not ready for {} us",
         id.0, server.0, not_ready_for.as_micros())]
     AttemptAtDrainingServer {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt that was started, from 0.
         attempt: u32,
-        /// The server.
+        /// Server to which the attempt was started.
         server: ServerId,
         /// Time for which the server had been draining or removed.
         not_ready_for: Span,
@@ -65,13 +65,13 @@
     /// executed.
     #[error("request {}: rejected although an attempt may have been executed", id.0)]
     FalseRejection {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
     },
     /// A final answer was sent so late that the request counts as lost.
     #[error("request {}: answered {} us after its deadline and slack", id.0, delay.as_micros())]
     LateAnswer {
-        /// The request.
+        /// Id of the request concerned.
         id: RequestId,
         /// Time from the end of the deadline and slack to the answer.
         delay: Span,
@@ -79,7 +79,7 @@
 }
 
 impl Violation {
-    /// Returns advice to the operator.
+    /// Returns advice to the operator on the violation.
     pub fn help(&self) -> &'static str {
         match self {
             Self::LateAnswer { .. } => {
@@ -95,7 +95,7 @@
 struct PossibleExecution {
     zone: ZoneId,
     cell: CellId,
-    /// When the first byte was allowed.
+    /// Time at which the first byte was allowed.
     started_at: Time,
 }
 
@@ -121,7 +121,7 @@
 struct ServerLocation {
     zone: ZoneId,
     cell: CellId,
-    /// When the server stopped accepting new connections; `None` while it is ready.
+    /// Time at which the server stopped accepting new connections; `None` while it is ready.
     not_ready_since: Option<Time>,
 }
 
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -42,9 +42,9 @@
     Decision(TimerToken),
     /// Timeout of an attempt.
     AttemptTimeout {
-        /// The request.
+        /// Id of the request to which the attempt belongs.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Migration of an established connection.
--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -64,7 +64,7 @@
     default: Some(0),
     description: "Ready servers that must be left.",
 };
-/// Duration in seconds for which a gateway keeps a machine cordoned after its last request to the other
+/// Duration in seconds for which a machine remains cordoned after the gateway's last request to the other
 /// gateways.
 const LEASE_S: IntegerKey = IntegerKey {
     name: "lease_s",
--- a/src/fleet/permits/mod.rs
+++ b/src/fleet/permits/mod.rs
@@ -1,8 +1,9 @@
 //! Permits to send connections to new servers. Free of I/O and clocks.
 //!
 //! A new server accepts a few connections a second from all gateways together. Each server has two grantors
-//! among the gateways, chosen by the server's name. A gateway requests a permit from one of the grantors
-//! before it sends a connection to the server. A request costs two datagrams, whatever the size of the fleet.
+//! among the gateways, which the server's name determines. A gateway requests a permit from one of the
+//! grantors before it sends a connection to the server. A request costs two datagrams, regardless of the size
+//! of the fleet.
 //!
 //! The limit is exact: a grantor grants permits only from its own share, no other gateway can grant the same
 //! permits, and a permit that is not used within [`PERMIT_LIFETIME`] expires. [`Permits::check_invariants`]
@@ -88,9 +89,9 @@
     SendTwice(PermitDatagram),
     /// Sends the request, and calls [`Permits::handle_reply_timeout`] after [`REPLY_TIMEOUT`].
     AwaitReply {
-        /// Encoded request.
+        /// Encoded permit request.
         datagram: PermitDatagram,
-        /// Number of the request.
+        /// Number of the permit request.
         request_number: u16,
     },
     /// Passes the reply to the decision module.
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -32,7 +32,7 @@
     default: None,
     description: "Counted on by whoever changes this file, and the same in all copies of one text.",
 };
-/// Thousandths of each quota that are never lent, of which each gateway always has its part.
+/// Thousandths of each quota that are never lent. Each gateway always has its part of them.
 const RESERVE: IntegerKey = IntegerKey {
     name: "reserve",
     minimum: 0,
--- a/src/fleet/settings_keys.rs
+++ b/src/fleet/settings_keys.rs
@@ -29,14 +29,14 @@
     }
 }
 
-/// A key whose value is a whole number.
+/// A settings key with an integer value.
 #[derive(Debug, Clone, Copy)]
 pub struct IntegerKey {
     /// Name of the key in its table.
     pub name: &'static str,
-    /// Smallest value.
+    /// Smallest valid value.
     pub minimum: u32,
-    /// Largest value.
+    /// Largest valid value.
     pub maximum: u32,
     /// Value used if the key is absent; `None` if the key is required.
     pub default: Option<u32>,
--- a/src/fleet/shared_state/gateway_state.rs
+++ b/src/fleet/shared_state/gateway_state.rs
@@ -13,7 +13,7 @@
 use super::text::kind_name;
 use super::{GatewaySlots, OBSERVED_KINDS, OutcomeReport, OutlierMode, Settings, name_hash};
 
-/// Maximum number of counters whose names are retained for the admin endpoint.
+/// Maximum number of counter names that are retained for the admin endpoint.
 const MAX_TRACKED_NAMES: usize = 8192;
 /// Capacity units of a server of size 1.
 const CAPACITY_UNITS_PER_SERVER: f64 = 1_000.0;
--- a/src/fleet/view/settings.rs
+++ b/src/fleet/view/settings.rs
@@ -50,8 +50,8 @@
 const INTEGER_KEYS: [IntegerKey; 4] = [FLEET_ID, SIZE, DATAGRAMS_PER_S, BURST];
 const OTHER_KEYS: [&str; 4] = ["listen", "public", "seeds", "state"];
 
-/// Description of `listen`, the UDP address on which this gateway receives datagrams and by which others know
-/// it.
+/// Description of `listen`, the UDP address on which this gateway receives datagrams. Other gateways identify
+/// it by this address.
 const LISTEN_DESCRIPTION: &str =
     "Where this gateway hears, and what it is known by: an address of its own, not 0.0.0.0.";
 /// Description of `public`, the address at which other gateways reach this one if addresses are translated.
--- a/src/handover/deployment.rs
+++ b/src/handover/deployment.rs
@@ -1,4 +1,4 @@
-//! Identity of a deployment, by which processes recognize the messages and state files that concern them.
+//! Identity of a deployment. Processes use it to recognize the messages and state files that concern them.
 
 use std::collections::BTreeSet;
 use std::fmt;
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -20,13 +20,13 @@
     /// Established connections, counted when `UP` has been written to the client.
     #[strum(serialize = "passed")]
     Established,
-    /// Rejected connections.
+    /// Requests for a connection that were rejected.
     #[strum(serialize = "dropped")]
     Rejected,
-    /// Failed connections.
+    /// Requests for a connection that failed, including requests that were invalid.
     #[strum(serialize = "bad_gateway")]
     Failed,
-    /// Attempts whose request was written completely to a server.
+    /// Attempts that wrote their request completely to a server.
     #[strum(serialize = "upstream_tries")]
     Attempts,
 }
@@ -80,7 +80,7 @@
     /// Number of health checks since the start that were withheld because of their cost.
     #[strum(serialize = "probes_withheld_total")]
     HealthChecksWithheld,
-    /// Number of violations of request invariants since the start, each of which is a fault of the program.
+    /// Number of violations of request invariants since the start. Each is a fault of the program.
     #[strum(serialize = "invariant_violations_total")]
     InvariantViolations,
 }
--- a/src/net/connection_handoff.rs
+++ b/src/net/connection_handoff.rs
@@ -67,7 +67,7 @@
         self.handoffs_in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Hands a connection over to the successor, which owns it on success. The caller must then close its
+    /// Transfers a connection to the successor, which owns it on success. The caller must then close its
     /// copies of the descriptors without shutting down the sockets.
     ///
     /// # Errors
--- a/src/net/event_loop/endpoint_list.rs
+++ b/src/net/event_loop/endpoint_list.rs
@@ -13,7 +13,7 @@
 use crate::quic::load_balancing::server_id_for_name;
 use crate::settings::NameTables;
 
-/// Maximum number of servers whose names are stored. Further new servers are ignored.
+/// Maximum number of stored server names. Further new servers are ignored.
 const MAX_KNOWN_SERVERS: usize = 4096;
 
 /// The servers on the list, by name.
--- a/src/net/handover/state_folder.rs
+++ b/src/net/handover/state_folder.rs
@@ -75,7 +75,7 @@
 }
 
 impl StateFolder {
-    /// Creates the state folder of a gateway of which only the name is known.
+    /// Creates the state folder of a gateway. Only the name of the gateway is known.
     pub fn for_gateway(folder: &Path, name: &str) -> Self {
         Self::for_deployment(folder, Deployment { name: name.to_owned(), ..Deployment::default() })
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -70,7 +70,7 @@
     Answer(FinalAnswer),
     /// Sends `MOVE` to the client of the established connection and ends the connection.
     Migrate,
-    /// Hands the established connection off to the successor.
+    /// Transfers the established connection to the successor (handoff).
     HandOff {
         /// Name of the connection's server.
         server: String,
@@ -82,7 +82,7 @@
 pub struct RequestCommand {
     /// Id of the request.
     pub id: RequestId,
-    /// The command.
+    /// Command that the session executes for the request.
     pub command: SessionCommand,
 }
 
--- a/src/net/quic/flow.rs
+++ b/src/net/quic/flow.rs
@@ -172,7 +172,7 @@
 pub(super) struct ServerDatagram {
     pub(super) id: RequestId,
     pub(super) attempt: u32,
-    /// Address of the client whose path received the datagram.
+    /// Address of the client. The datagram was received on the path of this client.
     pub(super) client: SocketAddr,
     pub(super) datagram: io::Result<Bytes>,
 }
--- a/src/net/session/attempt.rs
+++ b/src/net/session/attempt.rs
@@ -47,7 +47,7 @@
     pub(super) id_claim: RequestIdClaim,
 }
 
-/// Input from a client whose request waits for a connection.
+/// Input from a client while its request waits for a connection.
 enum ClientActivity {
     Line(Bytes),
     Ended(ClientEnd),
@@ -303,7 +303,7 @@
     }
 }
 
-/// Reads the next input from a client whose request waits.
+/// Reads the next input from a client while its request waits for a connection.
 ///
 /// A client that closes, half-closes or resets its connection has left. The protocol requires a client to
 /// wait for its answer and has no half-closed connections, and a close cannot be distinguished from a
--- a/src/net/session/handoff.rs
+++ b/src/net/session/handoff.rs
@@ -16,10 +16,10 @@
 use crate::handover::{EstablishedConnection, PendingBytes};
 use crate::net::messages::{RequestCommand, SESSION_COMMAND_QUEUE, SessionEvent};
 
-/// The attempt number of an adopted connection, whose attempt was made by an older process.
+/// Attempt number of an adopted connection. An older process made the attempt.
 const ADOPTED_ATTEMPT: u32 = 0;
 
-/// A request whose id this process has claimed.
+/// A request with an id that this process has claimed.
 struct ClaimedRequest {
     open: Open,
     id_claim: RequestIdClaim,
--- a/src/quic/connection_id_table.rs
+++ b/src/quic/connection_id_table.rs
@@ -36,8 +36,8 @@
         self.routes.get(id).copied()
     }
 
-    /// Adds an id of a connection. An id that is already in the table keeps its route, so that a client
-    /// cannot take over a connection by sending its id.
+    /// Adds an id of a connection. The route of an id that is already in the table does not change, so that a
+    /// client cannot take over a connection by sending its id.
     pub fn insert(&mut self, id: ConnectionId, connection: RequestId) {
         if id.is_empty() || self.routes.contains_key(&id) {
             return;
--- a/src/quic/header.rs
+++ b/src/quic/header.rs
@@ -4,7 +4,7 @@
 
 /// Largest length of a connection id in version 1, in bytes.
 pub const MAX_CONNECTION_ID_LENGTH: usize = 20;
-/// QUIC version 1, the only version whose connections the gateway accepts.
+/// QUIC version 1. The gateway accepts connections of this version only.
 pub const VERSION_1: u32 = 1;
 /// Value of the Version field that identifies a Version Negotiation packet.
 const VERSION_NEGOTIATION: u32 = 0;
--- a/src/quic/initial.rs
+++ b/src/quic/initial.rs
@@ -62,9 +62,9 @@
 /// Endpoint that sends and encrypts a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Client, whose secret is derived with the label `client in`.
+    /// Client. Its secret is derived with the label `client in`.
     Client,
-    /// Server, whose secret is derived with the label `server in`.
+    /// Server. Its secret is derived with the label `server in`.
     Server,
 }
 
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -89,7 +89,8 @@
     }
 }
 
-/// Lists whose entries apply to the class or the customer at the same index.
+/// Lists of values for classes and customers. Each entry applies to the class or the customer at the same
+/// index.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct FamilyInfo {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -92,8 +92,8 @@
 
     /// Returns warnings about settings that are valid but possibly unintended.
     ///
-    /// A warning is returned for a list whose length differs from that of the list to whose entries it
-    /// applies. A missing entry means no limit, and a superfluous entry is ignored.
+    /// A warning is returned for a list whose length differs from that of the list it refers to. A missing
+    /// entry means no limit, and a superfluous entry is ignored.
     pub fn warnings(&self) -> Vec<String> {
         let info = &self.family_info;
         let classes = self.classes.len();
@@ -253,7 +253,7 @@
 }
 
 /// Returns a warning if the list `key` is not empty and its length differs from `expected_length`, the length
-/// of the list to whose entries it applies.
+/// of the list it refers to.
 fn length_warning(key: &str, length: usize, list: &str, expected_length: usize) -> Option<String> {
     (length > 0 && length != expected_length).then(|| {
         format!(
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Tables of names, with the numbers by which the decision module refers to them.
+/// Tables of names. Each name has a number, which the decision module uses instead of the name.
 pub struct NameTables {
     /// Names of zones. Those that the settings define are first.
     pub zones: Interner,
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -34,7 +34,7 @@
     pub priority: u8,
     /// Max Advertise Interval of the sender in hundredths of a second, less than 4096.
     pub max_advertise_interval: u16,
-    /// Virtual addresses.
+    /// Virtual IPv4 addresses that the sender advertises.
     pub addresses: Vec<Ipv4Addr>,
 }
 
@@ -128,7 +128,7 @@
     pub advertisement_interval: u16,
     /// Preempt_Mode: whether the router takes over from an active router of lower priority.
     pub preempt: bool,
-    /// Virtual addresses.
+    /// Virtual IPv4 addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
