--- a/src/decision/interface/actions.rs
+++ b/src/decision/interface/actions.rs
@@ -7,54 +7,54 @@
 pub enum Action {
     /// Begins an attempt: connects the request to a server.
     Attempt {
-        /// The request to connect.
+        /// Id of the request for which the attempt is made.
         id: RequestId,
-        /// The server to connect to.
+        /// Server to which the attempt connects.
         server: ServerId,
-        /// The time after which the attempt times out.
+        /// Time after which the attempt times out.
         timeout: Span,
     },
     /// Sends the final answer "rejected": the client may safely send the request again.
     Reject {
-        /// The rejected request.
+        /// Id of the rejected request.
         id: RequestId,
-        /// The wait before the client tries again; zero if no wait is sent.
+        /// Time that the client waits before it sends the request again; zero if no time is sent.
         retry_after: Span,
     },
     /// Sends the final answer "failed": the request may have been executed.
     Fail {
-        /// The failed request.
+        /// Id of the failed request.
         id: RequestId,
     },
-    /// Cancels an attempt.
+    /// Cancels an attempt of a request.
     CancelAttempt {
-        /// The request of the attempt.
+        /// Id of the request to which the attempt belongs.
         id: RequestId,
-        /// The index of the attempt among those of the request; the first is 0.
+        /// Number of the attempt among those of the request, from 0.
         attempt: u32,
     },
     /// Tells the client of an established connection to reconnect.
     Migrate {
-        /// The request from which the connection was established.
+        /// Id of the request that opened the connection.
         id: RequestId,
     },
     /// Sets a timer, which is returned as [`Event::Timer`](super::Event::Timer) when it is due.
     SetTimer {
-        /// The token returned with the event.
+        /// Token that is returned with the event.
         token: TimerToken,
-        /// The time at which the timer is due.
+        /// Time at which the timer is due.
         due_at: Time,
     },
     /// Requests a permit to send one connection to a warming server.
     /// [`Event::PermitReply`](super::Event::PermitReply) always follows soon.
     RequestPermit {
-        /// The warming server.
+        /// Warming server for which the permit is requested.
         server: ServerId,
     },
     /// Checks a server's health. The module doesn't request health checks: slow responses reveal overload at
     /// no cost.
     CheckHealth {
-        /// The server to check.
+        /// Server that is checked.
         server: ServerId,
     },
     /// Subscribes to changes of the endpoint list.
--- a/src/decision/interface/events.rs
+++ b/src/decision/interface/events.rs
@@ -199,12 +199,12 @@
     },
     /// A server has long sent nothing on any connection of this gateway, although responses were due.
     ServerSilent {
-        /// The silent server.
+        /// Server that has sent nothing.
         server: ServerId,
     },
     /// Operators have uncordoned a server, which may have been restarted while it was cordoned.
     Uncordoned {
-        /// The uncordoned server.
+        /// Server that has been uncordoned.
         server: ServerId,
     },
     /// A sibling process of this gateway reports its state, for example during an upgrade.
--- a/src/decision/interface/settings.rs
+++ b/src/decision/interface/settings.rs
@@ -109,7 +109,7 @@
     pub priority_scales_with_load: bool,
     /// Minimum time between two batches of events.
     pub batch_interval: Span,
-    /// Prices of actions.
+    /// Prices of operations, which the decision module takes into account.
     pub prices: Prices,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -135,7 +135,7 @@
 pub struct PermitHolder {
     /// Remainder that identifies the holder's permits.
     pub index: u32,
-    /// Number of holders.
+    /// Number of holders of permits for the server.
     pub holders: u32,
     /// Start of the holder's process. Permits issued earlier belonged to a previous process.
     pub started_at: Time,
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -55,7 +55,7 @@
     ListExpired,
     /// Timeout of a grantor's reply to a permit request.
     PermitReplyTimeout {
-        /// The server for which the permit was requested.
+        /// Key of the server for which the permit was requested.
         server: ServerKey,
         /// Number of the permit request.
         request_number: u16,
@@ -64,13 +64,13 @@
     ShutdownDeadline,
 }
 
-/// The pending timers.
+/// Pending timers of the engine.
 pub(super) struct Timers {
     queue: DelayQueue<TimerEvent>,
     epoch: MonotonicEpoch,
     /// Timers fire at multiples of this time.
     granularity: Span,
-    /// The latest time passed to the engine.
+    /// Latest time passed to the engine.
     latest_time: Time,
 }
 
--- a/src/fleet/maintenance/settings.rs
+++ b/src/fleet/maintenance/settings.rs
@@ -139,7 +139,7 @@
     }
 }
 
-/// Settings of maintenance.
+/// Settings of maintenance, read from the file that `--maintenance` names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// UDP address on which this gateway receives datagrams.
--- a/src/fleet/permits/datagram.rs
+++ b/src/fleet/permits/datagram.rs
@@ -162,7 +162,7 @@
 }
 
 impl Message {
-    /// Decodes a datagram.
+    /// Decodes a message from a datagram.
     ///
     /// # Errors
     ///
--- a/src/fleet/permits/mod.rs
+++ b/src/fleet/permits/mod.rs
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Checks the invariants.
+    /// Checks the invariants of the permits.
     ///
     /// # Errors
     ///
--- a/src/fleet/shared_state/outcomes.rs
+++ b/src/fleet/shared_state/outcomes.rs
@@ -17,7 +17,7 @@
 /// Numbers of attempts at one server, and of those on which each of [`OBSERVED_KINDS`] was observed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutcomeReport {
-    /// Number of attempts.
+    /// Number of attempts at the server.
     pub attempts: u32,
     /// Number of attempts on which each kind was observed, in the order of [`OBSERVED_KINDS`].
     pub observations: [u32; OBSERVED_KINDS.len()],
--- a/src/fleet/shared_state/settings.rs
+++ b/src/fleet/shared_state/settings.rs
@@ -67,7 +67,7 @@
 }
 
 impl Settings {
-    /// Parses the table.
+    /// Parses the table `state`.
     ///
     /// # Errors
     ///
--- a/src/handover/deployment.rs
+++ b/src/handover/deployment.rs
@@ -35,8 +35,8 @@
     ///
     /// 1. Different names mean different deployments, because a gateway has the same name after a restart.
     /// 2. A shared inherited listener means the same deployment: the processes have the same clients,
-    ///    whatever else an upgrade changes. The addresses are compared along with the inodes, as an inode
-    ///    number may be reused.
+    ///    regardless of what else an upgrade changes. The addresses are compared along with the inodes, as an
+    ///    inode number may be reused.
     /// 3. Different listener addresses mean different deployments: only one deployment can listen on an
     ///    address, and an upgrade does not change it.
     /// 4. Deployments without a common tenant serve different customers and are different. If one of them
--- a/src/handover/established_connection.rs
+++ b/src/handover/established_connection.rs
@@ -96,7 +96,7 @@
         (datagram.len() <= MAX_HANDOFF_LENGTH).then_some(datagram)
     }
 
-    /// Decodes a datagram.
+    /// Decodes an established connection from a handoff datagram.
     ///
     /// # Errors
     ///
--- a/src/net/event_loop/mod.rs
+++ b/src/net/event_loop/mod.rs
@@ -81,11 +81,11 @@
 
 /// An event loop that has not been started, and the handles to it.
 pub struct EventLoopParts {
-    /// The event loop.
+    /// Event loop, which has not been started.
     pub event_loop: EventLoop,
-    /// The handle through which drivers send events.
+    /// Handle that drivers use to send events to the event loop.
     pub handle: EventLoopHandle,
-    /// The state from which the admin endpoint answers.
+    /// State that the admin endpoint uses for its answers.
     pub admin: AdminContext,
 }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -42,28 +42,28 @@
 /// A command of the event loop to a session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionCommand {
-    /// Starts an attempt.
+    /// Starts an attempt to connect to a server.
     StartAttempt {
-        /// Number of the attempt.
+        /// Number of the attempt among those of the request, from 0.
         attempt: u32,
         /// Address of the server.
         address: SocketAddr,
         /// Time for which the event loop waits for the attempt's result.
         timeout: Span,
     },
-    /// Cancels an attempt.
+    /// Cancels an attempt of the request.
     CancelAttempt {
-        /// Number of the attempt.
+        /// Number of the attempt among those of the request, from 0.
         attempt: u32,
     },
     /// Permits use of the attempt's connection. Its first byte is written immediately or not at all.
     SendFirstLine {
-        /// Number of the attempt.
+        /// Number of the attempt among those of the request, from 0.
         attempt: u32,
     },
     /// Confirms that the attempt's connection is established. The server's line may be sent to the client.
     ConfirmEstablished {
-        /// Number of the attempt.
+        /// Number of the attempt among those of the request, from 0.
         attempt: u32,
     },
     /// Sends the final answer to the client.
@@ -185,12 +185,12 @@
     ListUpdated {
         /// Number of the watch that received the update.
         watch: u64,
-        /// The snapshot or delta.
+        /// Snapshot or delta of the endpoint list.
         update: EndpointList,
     },
     /// The endpoint list of a sibling process.
     SiblingList {
-        /// The complete list.
+        /// Complete endpoint list of the sibling.
         list: EndpointList,
     },
     /// The connections, permits and operators' cordons of the sibling processes.
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -72,7 +72,7 @@
 }
 
 impl Advertisement {
-    /// Encodes the packet.
+    /// Encodes the advertisement as a packet.
     pub fn encode(&self) -> Vec<u8> {
         let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
         let mut packet = Vec::with_capacity(HEADER_LENGTH + ADDRESS_LENGTH * addresses.len());
@@ -85,7 +85,7 @@
         packet
     }
 
-    /// Decodes a packet.
+    /// Decodes an advertisement from a packet.
     ///
     /// # Errors
     ///
