--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -42,9 +42,9 @@
     Decision(TimerToken),
     /// Timeout of an attempt.
     AttemptTimeout {
-        /// The request.
+        /// Id of the request to which the attempt belongs.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Migration of an established connection.
@@ -55,7 +55,7 @@
     ListExpired,
     /// Timeout of a grantor's reply to a permit request.
     PermitReplyTimeout {
-        /// The server for which the permit was requested.
+        /// Key of the server for which the permit was requested.
         server: ServerKey,
         /// Number of the permit request.
         request_number: u16,
@@ -64,13 +64,13 @@
     ShutdownDeadline,
 }
 
-/// The pending timers.
+/// Pending timers of the engine.
 pub(super) struct Timers {
     queue: DelayQueue<TimerEvent>,
     epoch: MonotonicEpoch,
     /// Timers fire at multiples of this time.
     granularity: Span,
-    /// The latest time passed to the engine.
+    /// Latest time passed to the engine.
     latest_time: Time,
 }
 
--- a/src/vrrp.rs
+++ b/src/vrrp.rs
@@ -34,7 +34,7 @@
     pub priority: u8,
     /// Max Advertise Interval of the sender in hundredths of a second, less than 4096.
     pub max_advertise_interval: u16,
-    /// Virtual addresses.
+    /// Virtual IPv4 addresses that the sender advertises.
     pub addresses: Vec<Ipv4Addr>,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Advertisement {
-    /// Encodes the packet.
+    /// Encodes the advertisement as a packet.
     pub fn encode(&self) -> Vec<u8> {
         let addresses = &self.addresses[..self.addresses.len().min(MAX_ADDRESSES)];
         let mut packet = Vec::with_capacity(HEADER_LENGTH + ADDRESS_LENGTH * addresses.len());
@@ -85,7 +85,7 @@
         packet
     }
 
-    /// Decodes a packet.
+    /// Decodes an advertisement from a packet.
     ///
     /// # Errors
     ///
@@ -128,7 +128,7 @@
     pub advertisement_interval: u16,
     /// Preempt_Mode: whether the router takes over from an active router of lower priority.
     pub preempt: bool,
-    /// Virtual addresses.
+    /// Virtual IPv4 addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
