--- a/src/decision/interface/settings.rs
+++ b/src/decision/interface/settings.rs
@@ -23,11 +23,11 @@
 /// Servers that recognise the idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All servers.
+    /// All servers recognise the key, in every zone and cell.
     All,
-    /// The servers in the zone of the first server that may have executed the request.
+    /// The servers in the zone of the first server that may have executed the request recognise the key.
     Zone,
-    /// The servers in the cell of the first server that may have executed the request.
+    /// The servers in the cell of the first server that may have executed the request recognise the key.
     Cell,
 }
 
@@ -109,7 +109,7 @@
     pub priority_scales_with_load: bool,
     /// Minimum time between two batches of events.
     pub batch_interval: Span,
-    /// Prices of actions.
+    /// Prices of operations, which the decision module takes into account.
     pub prices: Prices,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
--- a/src/fleet/quota/settings.rs
+++ b/src/fleet/quota/settings.rs
@@ -33,7 +33,7 @@
     description: "Version number of this file: increment it at each change. Identical copies have the same \
                   number.",
 };
-/// Thousandths of each quota that are never lent, of which each gateway always has its part.
+/// Thousandths of each quota that are never lent. Each gateway always has its part of them.
 const RESERVE: IntegerKey = IntegerKey {
     name: "reserve",
     minimum: 0,
