--- a/crates/ashtide-fault-injection/src/violation.rs
+++ b/crates/ashtide-fault-injection/src/violation.rs
@@ -11,7 +11,7 @@
 pub enum Violation {
     /// An accepted request got no answer, although its gateway was neither killed nor stalled.
     #[error(
-        "no answer: request {request} to process {process} at {at_us} us: {observed}; \
+        "unanswered: request {request} to process {process} at {at_us} us: {observed}; \
          expected one final answer"
     )]
     Unanswered {
@@ -25,7 +25,7 @@
         observed: &'static str,
     },
     /// A request got a second final answer.
-    #[error("two answers: request {request} got {found} final answers, expected 1")]
+    #[error("duplicate answer: request {request} received {found} final answers, expected 1")]
     DuplicateAnswer {
         /// The id of the request.
         request: String,
@@ -33,7 +33,7 @@
         found: usize,
     },
     /// A client got a receipt that no server issued for its request.
-    #[error("made up: request {request} got receipt '{receipt}', which no server issued for it")]
+    #[error("forged receipt: request {request} received receipt '{receipt}', which no server issued for it")]
     ForgedReceipt {
         /// The id of the request.
         request: String,
@@ -42,7 +42,7 @@
     },
     /// Two attempts of one request were in progress at the same time.
     #[error(
-        "two out: attempts of request {request} at {first} and {second} overlapped for {overlap_us} us, \
+        "concurrent attempts: attempts of request {request} at {first} and {second} overlapped for {overlap_us} us, \
          expected one after the other"
     )]
     ConcurrentAttempts {
@@ -57,7 +57,7 @@
     },
     /// A new attempt was sent to a server after the time that gateways have to learn of its drain.
     #[error(
-        "after drain: request {request} reached {server} {late_us} us after its drain was listed, \
+        "attempt after drain: request {request} reached {server} {late_us} us after its drain was listed, \
          expected {DRAIN_PROPAGATION_US} us at most"
     )]
     AttemptAfterDrain {
@@ -70,7 +70,7 @@
     },
     /// All gateways together sent a newly started server more attempts than its slow-start budget allows.
     #[error(
-        "cold budget: {server} got {found} attempts in the window from {at_us} us, \
+        "slow-start budget: {server} received {found} attempts in the window from {at_us} us, \
          expected {limit:.1} at most"
     )]
     SlowStartBudgetExceeded {
@@ -85,7 +85,7 @@
     },
     /// An established connection was closed without `MOVE`, or stopped echoing.
     #[error(
-        "cut off: connection {request} at process {process} ended at {at_us} us: {reason:?}; expected MOVE"
+        "connection dropped: connection {request} at process {process} ended at {at_us} us: {reason:?}; expected MOVE"
     )]
     ConnectionDropped {
         /// The id of the request that established the connection.
@@ -99,7 +99,7 @@
     },
     /// A process exited without a signal from the harness, or with a status other than 0.
     #[error(
-        "died: process {process} of gateway {gateway} exited at {at_us} us ({cause:?}), \
+        "unexpected exit: process {process} of gateway {gateway} exited at {at_us} us ({cause:?}), \
          expected status 0 after SIGTERM"
     )]
     UnexpectedExit {
@@ -114,7 +114,7 @@
     },
     /// Ejections took more of the ready capacity out of use at a gateway than the limit allows.
     #[error(
-        "out of use: process {process} at {at_us} us: {found} thousandths of a server are ejected, \
+        "ejection limit: process {process} at {at_us} us: {found} thousandths of a server are ejected, \
          expected {limit} at most"
     )]
     EjectionLimitExceeded {
@@ -129,7 +129,7 @@
     },
     /// All gateways together placed more new connections of a partner than its quota and one burst allow.
     #[error(
-        "quota: {found} connections of {tenant} were placed in the {window_ms} ms from {at_us} us, \
+        "rate quota: {found} connections of {tenant} were placed in the {window_ms} ms from {at_us} us, \
          expected {limit:.1} at most"
     )]
     RateQuotaExceeded {
@@ -145,7 +145,7 @@
         limit: f64,
     },
     /// A partner had more connections open at one time than its quota allows.
-    #[error("open quota: {found} connections of {tenant} were open at {at_us} us, expected {limit} at most")]
+    #[error("connection quota: {found} connections of {tenant} were open at {at_us} us, expected {limit} at most")]
     ConnectionQuotaExceeded {
         /// The name of the partner.
         tenant: String,
@@ -157,7 +157,7 @@
         limit: f64,
     },
     /// The fleet did not converge after the last fault.
-    #[error("unsettled: {what}")]
+    #[error("not converged: {what}")]
     NotConverged {
         /// The remaining difference.
         what: String,
@@ -196,7 +196,7 @@
                 "check whether the discovery watch of the gateway was connected when the drain was listed"
             }
             Self::SlowStartBudgetExceeded { .. } => {
-                "check which gateways sent: more at once than the budget was split for, or messages were lost"
+                "check which gateways sent attempts: more of them than the budget was divided among, or messages were lost"
             }
             Self::ConnectionDropped { .. } => {
                 "check whether its process was draining; if so, \
@@ -206,14 +206,14 @@
                 "run again with ASHTIDE_REHEARSE_LOG=1: the last lines of the log show the cause"
             }
             Self::EjectionLimitExceeded { .. } => {
-                "turn judgements off in the view file, and check the log lines 'state: server='"
+                "set 'judgements' to 'off' in the view file, and check the log lines 'state: server NAME is an outlier'"
             }
             Self::RateQuotaExceeded { .. } | Self::ConnectionQuotaExceeded { .. } => {
                 "compare the lists, quotas and generations of the gateways: the admin call 'quota' shows each"
             }
             Self::NotConverged { .. } => {
-                "check which gateway differs and which list update it got last; \
-                 a longer settle_ms tells slow from stuck"
+                "check which gateway differs and which list update it received last; \
+                 a longer settle_ms shows whether it is only slow"
             }
         }
     }
