--- a/crates/ashtide-client/src/server_cache.rs
+++ b/crates/ashtide-client/src/server_cache.rs
@@ -77,13 +77,13 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The file is larger than the maximum size.
-    #[error("over {MAX_FILE_BYTES} bytes")]
+    #[error("file is larger than {MAX_FILE_BYTES} bytes")]
     TooLong,
     /// The file is not valid JSON or lacks required fields.
     #[error("invalid cache file: {0}")]
     Syntax(#[from] serde_json::Error),
     /// The file has an unsupported format version.
-    #[error("form {0}, this library reads {VERSION}")]
+    #[error("unsupported format version {0}, this library reads version {VERSION}")]
     UnsupportedVersion(u32),
     /// A value is out of range. Contains the field, the value found and the permitted values.
     #[error("{0}: {1}, must be {2}")]
--- a/crates/ashtide-client/src/session.rs
+++ b/crates/ashtide-client/src/session.rs
@@ -58,22 +58,22 @@
     #[error("no attempt could be made")]
     NotAttempted,
     /// The connection could not be established; the request was not executed.
-    #[error("no balancer could be reached")]
+    #[error("connection to the gateway failed")]
     ConnectFailed,
     /// The gateway rejected the request, which was not executed. Contains the advised retry delay, if any.
-    #[error("refused")]
+    #[error("request rejected")]
     Rejected(Option<Duration>),
     /// The gateway answered `ERR`; the request may have been executed.
-    #[error("failed")]
+    #[error("request failed")]
     Failed,
     /// No answer was received in time; the request may have been executed.
-    #[error("not answered")]
+    #[error("no answer in time")]
     TimedOut,
     /// The connection ended before the answer was received; the request may have been executed.
-    #[error("cut off before the answer")]
+    #[error("connection lost before the answer")]
     ConnectionLost,
     /// The peer violated the protocol; the request may have been executed.
-    #[error("the balancer {0}")]
+    #[error("the gateway {0}")]
     ProtocolViolation(PeerFault),
     /// The device lost its network during the attempt; the request may have been executed.
     #[error("the network was lost during the attempt")]
@@ -97,10 +97,10 @@
     #[error("closed by the application")]
     Closed,
     /// The server completed the session (`BYE`).
-    #[error("served to its end")]
+    #[error("completed by the server")]
     Completed,
     /// The connection was not established before the deadline.
-    #[error("not up in time: {last}")]
+    #[error("connection not established before the deadline: {last}")]
     DeadlineExceeded {
         /// Failure of the last attempt.
         last: AttemptFailure,
@@ -119,7 +119,7 @@
         retry_after: Duration,
     },
     /// The maximum number of attempts was made without success.
-    #[error("{attempts} tries came to nothing: {last}")]
+    #[error("all {attempts} attempts failed: {last}")]
     AttemptsExhausted {
         /// Number of attempts.
         attempts: u32,
@@ -127,13 +127,13 @@
         last: AttemptFailure,
     },
     /// The retry budget of the process has no token left for a retry.
-    #[error("the retry budget of this process is spent: {last}")]
+    #[error("retry budget of this process exhausted: {last}")]
     RetryBudgetExhausted {
         /// Failure of the last attempt.
         last: AttemptFailure,
     },
     /// The request may have been executed and must not be repeated.
-    #[error("not to be repeated: {last}")]
+    #[error("request is not idempotent and may have been executed: {last}")]
     NotIdempotent {
         /// Failure of the last attempt.
         last: AttemptFailure,
