--- a/crates/ashtide-fault-injection/src/violation.rs
+++ b/crates/ashtide-fault-injection/src/violation.rs
@@ -145,7 +145,9 @@
         limit: f64,
     },
     /// A partner had more connections open at one time than its quota allows.
-    #[error("connection quota: {found} connections of {tenant} were open at {at_us} us, expected {limit} at most")]
+    #[error(
+        "connection quota: {found} connections of {tenant} were open at {at_us} us, expected {limit} at most"
+    )]
     ConnectionQuotaExceeded {
         /// The name of the partner.
         tenant: String,
