--- a/crates/ashtide-client/src/driver.rs
+++ b/crates/ashtide-client/src/driver.rs
@@ -63,7 +63,7 @@
     TooLong(usize),
 }
 
-/// Error of a session whose connection was not established.
+/// Error of a session that gave up before its connection was established.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(transparent)]
 pub struct ConnectError(#[from] pub GiveUpReason);
--- a/crates/ashtide-client/src/event.rs
+++ b/crates/ashtide-client/src/event.rs
@@ -1,4 +1,4 @@
-//! What an application receives from its session.
+//! Events that an application receives from its session.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/ashtide-client/src/pool/metrics.rs
+++ b/crates/ashtide-client/src/pool/metrics.rs
@@ -17,7 +17,7 @@
     pub rejected: u64,
     /// Number of attempts that were answered with an error.
     pub failed: u64,
-    /// Number of attempts whose transport connection could not be established.
+    /// Number of attempts that failed because the transport connection could not be established.
     pub connect_failures: u64,
     /// Number of attempts that were not answered in time.
     pub timeouts: u64,
--- a/crates/ashtide-client/src/server_cache.rs
+++ b/crates/ashtide-client/src/server_cache.rs
@@ -52,10 +52,10 @@
 pub struct ServerCache {
     /// Number of retries in the retry budget.
     pub tokens: f64,
-    /// Active rejections.
+    /// Rejections with a retry delay that has not elapsed.
     #[serde(rename = "holds")]
     pub rejections: Vec<CachedRejection>,
-    /// Failing addresses.
+    /// Gateway addresses with failed last attempts.
     #[serde(rename = "failing")]
     pub failures: Vec<CachedFailure>,
 }
--- a/crates/ashtide-fault-injection/src/clients.rs
+++ b/crates/ashtide-fault-injection/src/clients.rs
@@ -189,7 +189,7 @@
     format!("{gateway:04x}")
 }
 
-/// What a client does after a request.
+/// Next action of a client after a request.
 enum RequestOutcome {
     /// The client ends its session.
     Done,
@@ -293,7 +293,7 @@
     }
 }
 
-/// Keeps a connection open until `until`, sending a line at each interval and checking its echo.
+/// Holds a connection open until `until`, sends a line at each interval and checks its echo.
 async fn hold_connection(
     load: &ClientLoad,
     request: &str,
--- a/crates/ashtide-fault-injection/src/history.rs
+++ b/crates/ashtide-fault-injection/src/history.rs
@@ -125,7 +125,7 @@
         /// Whether the server has just started and is in slow start.
         cold: bool,
     },
-    /// A client sent an `OPEN` line, or tried to.
+    /// A client sent an `OPEN` line, or tried to send one.
     Request {
         /// The request id in the line.
         request: String,
@@ -221,7 +221,7 @@
 pub struct Entry {
     /// The time in microseconds since the start of the run.
     pub at_us: u64,
-    /// The event.
+    /// The event that occurred at this time.
     #[serde(flatten)]
     pub event: Event,
 }
--- a/crates/ashtide-fault-injection/src/plan.rs
+++ b/crates/ashtide-fault-injection/src/plan.rs
@@ -185,7 +185,7 @@
         /// The new template of the file, with placeholders as in [`ProxiedSocket`].
         file: String,
     },
-    /// Removes a server from the endpoint list; its process keeps running.
+    /// Removes a server from the endpoint list; its process continues to run.
     Remove {
         /// The number of the server.
         server: usize,
@@ -222,7 +222,7 @@
 pub struct Step {
     /// The time in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// The action.
+    /// The action of this step.
     #[serde(flatten)]
     pub action: FaultAction,
 }
@@ -235,7 +235,7 @@
     pub seed: u64,
     /// The number of gateways in every peer list. Gateway g is in zone g modulo `zones`.
     pub gateways: usize,
-    /// The numbers of the gateways that are not started at the beginning, only by a step.
+    /// The numbers of the gateways that are not started at the start of the run, but only by a step.
     pub absent: Vec<usize>,
     /// The clock offsets in milliseconds, from gateway 0 on; 0 for gateways beyond the end of the list.
     pub clocks_ms: Vec<i64>,
--- a/crates/ashtide-fault-injection/src/violation.rs
+++ b/crates/ashtide-fault-injection/src/violation.rs
@@ -21,7 +21,7 @@
         process: usize,
         /// The time of the request, in microseconds since the start.
         at_us: u64,
-        /// What the client observed instead.
+        /// The client's observation in place of an answer.
         observed: &'static str,
     },
     /// A request got a second final answer.
--- a/crates/ashtide-protocol/src/open.rs
+++ b/crates/ashtide-protocol/src/open.rs
@@ -165,7 +165,7 @@
     text.parse().ok().filter(|number: &f64| is_decimal && *number <= MAX_NUMBER)
 }
 
-/// An error because of which no `OPEN` line can be written.
+/// An error in the parameters of an `OPEN` line, which prevents its encoding.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OpenParametersError {
     /// An empty value of this field.
--- a/crates/ashtide-testkit/src/clients.rs
+++ b/crates/ashtide-testkit/src/clients.rs
@@ -76,7 +76,7 @@
         Ok((client, answer))
     }
 
-    /// Sends the beginning of a line, without a line end.
+    /// Sends the first part of a line, without a line end.
     ///
     /// # Errors
     ///
--- a/crates/ashtide-testkit/src/daemon.rs
+++ b/crates/ashtide-testkit/src/daemon.rs
@@ -28,9 +28,9 @@
     pub paths: usize,
     /// `[vrrp]` section of the front ends file, in TOML, or empty.
     pub vrrp: String,
-    /// Limit on file descriptors, in addition to those for `paths`. 0 stands for 1,024.
+    /// Limit on file descriptors, in addition to those for `paths`. 0 means 1,024.
     pub sockets: usize,
-    /// Memory limit in megabytes. 0 stands for 192.
+    /// Memory limit in megabytes. 0 means 192.
     pub memory_mb: usize,
     /// Whether the settings declare that an agent on the same machine pushes the endpoint list.
     pub pushed: bool,
--- a/crates/ashtide-testkit/src/mock_backend.rs
+++ b/crates/ashtide-testkit/src/mock_backend.rs
@@ -327,7 +327,7 @@
 pub struct MockBackend {
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Mock servers.
+    /// Mock servers of this deployment.
     pub servers: Vec<MockServer>,
     /// Log of the attempts at all servers.
     pub attempt_log: AttemptLog,
--- a/crates/ashtide-testkit/src/scenarios.rs
+++ b/crates/ashtide-testkit/src/scenarios.rs
@@ -507,7 +507,7 @@
     Ok(checks)
 }
 
-/// Checks that an exiting process hands its established connections to its successor, with the bytes in
+/// Checks that an exiting process transfers its established connections to its successor, with the bytes in
 /// transit. If the successor is suspended or has exited, a client receives a `MOVE` at worst.
 async fn inheritance(program: &Path) -> Result<Checks, ScenarioError> {
     let mut checks = Checks::default();
--- a/tests/decision_driver/mod.rs
+++ b/tests/decision_driver/mod.rs
@@ -5,7 +5,7 @@
 /// One second in microseconds.
 pub const SECOND: i64 = 1_000_000;
 
-/// Id of the first connection that exists from the beginning in [`gateway_with_connections`].
+/// Id of the first connection that exists from the start in [`gateway_with_connections`].
 pub const FIRST_EXISTING_ID: u32 = 100_000;
 
 /// Returns the point in time `seconds` after the clock's origin.
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -118,7 +118,7 @@
     token: u64,
 }
 
-/// The beginning or end of an interval in which a server is out at a gateway.
+/// The start or end of an interval in which a server is out at a gateway.
 struct Edge {
     time: Instant,
     begins: bool,
@@ -359,7 +359,7 @@
                     .send_command(&request)
                     .await
                     .expect("the request is answered");
-                // Accepted, or queued already by an earlier request whose answer was delayed.
+                // Accepted, or already queued by an earlier request with a delayed answer.
                 if answer.starts_with("200") || answer.contains("waits or is out already") {
                     break;
                 }
--- a/tests/mock_deployment/mod.rs
+++ b/tests/mock_deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Mock servers that hand each attempt to the test, a mock discovery service, and a state folder for daemons.
+//! Mock servers that pass each attempt to the test, a mock discovery service, and a state folder for daemons.
 
 // Each test file uses a part of this module.
 #![allow(dead_code)]
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -135,7 +135,7 @@
     );
 }
 
-/// Resets connections that existed from the beginning, given by their indices.
+/// Resets connections that existed from the start of the test, given by their indices.
 fn reset_connections(gateway: &mut Gateway, indices: impl Iterator<Item = u32>) {
     for index in indices {
         let id = RequestId(FIRST_EXISTING_ID + index);
--- a/tests/random_interleavings/faults.rs
+++ b/tests/random_interleavings/faults.rs
@@ -25,11 +25,11 @@
     LosesWatchEnd,
     /// The idempotency window in the settings of the engine is ten times as long as that of the servers.
     LongIdempotencyWindow,
-    /// The settings of the engine say that all servers recognise retries, where only those of a zone or cell
+    /// The engine is configured as if all servers recognised retries, although only those of a zone or cell
     /// do.
     WideDeduplicationScope,
     /// The network changes every denied permit into a granted one.
     ForgesPermits,
-    /// The settings of each gateway say that it is the only gateway of the deployment.
+    /// Each gateway is configured as the only gateway of the deployment.
     SingleGatewaySettings,
 }
--- a/tests/random_interleavings/history.rs
+++ b/tests/random_interleavings/history.rs
@@ -228,7 +228,7 @@
     pub reported_at: Time,
 }
 
-/// The events of a run, as far as the invariants need them.
+/// The events of a run that the invariants need.
 pub struct History {
     pub settings: Settings,
     /// The zone and the cell of each server.
--- a/tests/random_interleavings/simulation.rs
+++ b/tests/random_interleavings/simulation.rs
@@ -105,7 +105,7 @@
     SiblingState(ServerId, ServerUsage),
     /// The process shuts down without a successor.
     GracefulShutdown,
-    /// The process shuts down and hands its connections off to its successor.
+    /// The process shuts down and transfers its connections to its successor.
     HandOver,
 }
 
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -39,7 +39,7 @@
     client
 }
 
-/// A client and the beginning of the lines that it must receive, joined by commas.
+/// A client and the first part of the lines that it must receive, joined by commas.
 struct ExpectedEnd {
     expected: &'static str,
     client: LineClient,
--- a/tests/watches/client.rs
+++ b/tests/watches/client.rs
@@ -337,7 +337,7 @@
     request.send_list(&list_json(3, true, &["a", "b"])).await;
     assert!(client.expect_update().await.snapshot);
     client.expect_synced().await;
-    // A snapshot is applied whatever its version.
+    // A snapshot is applied regardless of its version.
     request.send_raw(&chunk(&format!("{}\n", list_json(2, true, &["b"])))).await;
     assert_eq!(client.expect_update().await.index, 2);
     drop(request);
