--- a/crates/ashtide-client/src/server_cache.rs
+++ b/crates/ashtide-client/src/server_cache.rs
@@ -55,7 +55,7 @@
     /// Rejections with a retry delay that has not elapsed.
     #[serde(rename = "holds")]
     pub rejections: Vec<CachedRejection>,
-    /// Gateway addresses with failed last attempts.
+    /// Gateway addresses with consecutive failed attempts.
     #[serde(rename = "failing")]
     pub failures: Vec<CachedFailure>,
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -204,7 +204,8 @@
             ),
             "settings.customers[2].name: 't' occurs twice",
         ),
-        // An error of a key that the environment overrides names the variable, regardless of the file's contents.
+        // An error of a key that the environment overrides names the variable, regardless of the contents of
+        // the file.
         (format!(r#"{{{required},"operator":"the door"}}"#), "ROUTER_OPERATOR: 'door'"),
         ("[]".to_owned(), "ROUTER_CONFIG: "),
     ] {
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -19,7 +19,8 @@
     ((START_S + second) * 1_000) as f64
 }
 
-/// Returns the start times of a process. Its watch synchronised at second 10 and delivered an update at second 20.
+/// Returns the start times of a process. Its watch synchronised at second 10 and delivered an update at
+/// second 20.
 fn start_times_in_sync() -> StartTimes {
     let mut times = StartTimes::default();
     times.record_watch_synced(at(10));
