--- a/crates/ashtide-fault-injection/src/summary.rs
+++ b/crates/ashtide-fault-injection/src/summary.rs
@@ -113,8 +113,8 @@
         let Traffic { sent, lost, duplicated, .. } = self.datagrams;
         write!(
             f,
-            "seed {}, {} gateways: requests {:?}, {} attempts, up in {:.1} ms (p99 {:.1}); cold budget used {:.2}; \
-             settled in {:.0} ms; harness delayed for {} ms; \
+            "seed {}, {} gateways: requests {:?}, {} attempts, up in {:.1} ms (p99 {:.1}); \
+             slow-start budget used {:.2}; settled in {:.0} ms; harness delayed for {} ms; \
              {sent} datagrams, {lost} lost, {duplicated} duplicated, {:.0} bytes per gateway and second; violations {:?}",
             self.seed,
             self.gateways,
