--- a/tests/shared_state.rs
+++ b/tests/shared_state.rs
@@ -30,10 +30,10 @@
         ("check = true", "state.check: found true; expected one of off, log"),
         ("counts = 1", "state.counts: found 1; expected true or false"),
         ("gateways = []", "state.gateways: found []; expected a list of 1 to"),
-        ("gateways = [\"here\"]", "state.gateways: found \"here\"; expected an address"),
+        ("gateways = [\"here\"]", "state.gateways: found \"here\"; expected an IP address and a port"),
         (
             "gateways = [\"127.0.0.2:7946\"]",
-            "state.gateways: found no 127.0.0.1:7946; expected a list that names",
+            "state.gateways: found no 127.0.0.1:7946; expected a list with this gateway's public address",
         ),
         (
             "gateways = [\"127.0.0.1:7946\", \"127.0.0.1:7946\"]",
